--- /dev/null
+++ b/src/test/java/junctionhead/DecisionTraceTest.java
@@ -0,0 +1,366 @@
+package junctionhead;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import junctionhead.Policy.Discovery;
+import junctionhead.Policy.Effect;
+import junctionhead.Policy.ListKind;
+import junctionhead.Policy.Outcome;
+import junctionhead.Policy.Reports;
+import junctionhead.Policy.RequestClass;
+import junctionhead.Policy.Scope;
+import junctionhead.Policy.Server;
+import junctionhead.Policy.State;
+import junctionhead.Policy.Tenant;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Records every action of the decision module over seeded histories, as a hash. A change that is meant to leave
+ * decisions alone leaves the hashes alone: order of iteration, of random draws and of floating-point operations
+ * included. A change of decisions records them anew and says so. The text of log lines is not part of it.
+ */
+class DecisionTraceTest {
+    private static final int EVENTS = 30_000;
+    private static final int SERVERS = 24;
+    private static final long SECOND = 1_000_000;
+
+    /** The kinds of site. */
+    enum Site { PLAIN, KEYED_FLEET, ORDERED_ZONES, TENANTS_PRICED }
+
+    @ParameterizedTest
+    @CsvSource({
+        "PLAIN, 1, 00b88235b3563697",
+        "PLAIN, 2, 58b7a43fcabd420b",
+        "KEYED_FLEET, 3, 5ce941a8fd79aac8",
+        "KEYED_FLEET, 4, 67352cb5a7f5625e",
+        "ORDERED_ZONES, 5, 891d3c88263bc997",
+        "ORDERED_ZONES, 6, 68c1e576da23ec1b",
+        "TENANTS_PRICED, 7, 0ed4c99d1d99e1eb",
+        "TENANTS_PRICED, 8, 1efeb6b2f1507ddb",
+    })
+    void sameSeedGivesTheSameActions(Site site, long seed, String expected) {
+        History history = new History(site, seed);
+        history.play();
+        assertTrue(history.sends > EVENTS / 20, () -> "few sends: " + history);
+        assertTrue(history.finals > 0, () -> "nothing was shed: " + history);
+        assertEquals(settings(site).limits().mayCancel(), history.cancels > 0, history::toString);
+        assertEquals(expected, history.hash(), history::toString);
+    }
+
+    private static Policy.Settings settings(Site site) {
+        RequestClass safe = new RequestClass(Effect.SAFE, Scope.ALL, 0, 60_000, 400_000, 0, 1, 0.3, false);
+        RequestClass streamed =
+            new RequestClass(Effect.SAFE, Scope.ALL, 0, 90_000, 900_000, 0.5, 2, 0.6, true);
+        RequestClass unsafe =
+            new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 120_000, 800_000, 0, 6, 0.2, false);
+        RequestClass keyed =
+            new RequestClass(Effect.KEYED, Scope.CELL, 500_000, 80_000, 600_000, 0, 3, 0.4, false);
+        RequestClass zoned = new RequestClass(Effect.KEYED, Scope.ZONE, 700_000, 80_000, 600_000, 0, 4, 0.4,
+            false, false, Set.of(0, 1), Set.of());
+        RequestClass ordered = new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 100_000, 900_000, 0, 5, 0.1,
+            false, true, Set.of(), Set.of(0, 1));
+        Policy.Bounds bounds = new Policy.Bounds(8_000, SECOND, 3 * SECOND, 0.25, 6 * SECOND, 2.5, SECOND,
+            50_000);
+        return switch (site) {
+            case PLAIN -> new Policy.Settings(1, 0, 0, List.of(safe, unsafe), List.of(), 0.1,
+                new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0), false, Discovery.PUSH, Reports.NONE,
+                false, new Policy.Limits(3, true, true, true, 100_000, 0), bounds, 2_000);
+            case KEYED_FLEET -> new Policy.Settings(40, 7, 1, List.of(safe, keyed, unsafe, streamed),
+                List.of(), 0.1, new Policy.Goal(1, 0.2, 0.2, 0), new Policy.Prices(0, 0.02), true,
+                Discovery.ASK, Reports.ANSWERS, true,
+                new Policy.Limits(4, true, true, false, 100_000, 2 * SECOND), bounds, 2_000);
+            case ORDERED_ZONES -> new Policy.Settings(4, 2, 0, List.of(ordered, zoned, safe), List.of(), 0.1,
+                new Policy.Goal(1, 0, 0.3, 0), new Policy.Prices(0.05, 0), true, Discovery.PUSH,
+                Reports.ANSWERS, true, new Policy.Limits(3, false, true, false, 100_000, SECOND), bounds,
+                1_000);
+            case TENANTS_PRICED -> new Policy.Settings(3, 1, 2, List.of(safe, keyed, unsafe),
+                List.of(new Tenant(30), new Tenant(400), new Tenant(5)), 0.15,
+                new Policy.Goal(1, 0.1, 0.1, 0.4), new Policy.Prices(0.03, 0.05), false, Discovery.ASK,
+                Reports.NONE, false, new Policy.Limits(3, true, false, false, 100_000, SECOND), bounds,
+                5_000);
+        };
+    }
+
+    /** One thing that happens at a time; {@code order} keeps those of one time in the order of their making. */
+    private record Event(long at, int order, Runnable action) { }
+
+    /** A request as the caller sees it. */
+    private static final class Call {
+        final String id;
+        final List<Long> sentAt = new ArrayList<>();
+        final List<String> sentTo = new ArrayList<>();
+        boolean closed;
+
+        Call(String id) {
+            this.id = id;
+        }
+    }
+
+    /** Random traffic, servers, lists and reloads around one module, and the hash of what it asks for. */
+    private static final class History implements Policy.Actions {
+        private final SplittableRandom random;
+        private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingInt(Event::order));
+        private final MessageDigest digest;
+        private final Policy.Settings settings;
+        private final Policy policy;
+        private final Map<String, Call> calls = new HashMap<>();
+        private final Map<String, Integer> inFlight = new HashMap<>();
+        private final List<Server> servers = new ArrayList<>();
+        private long now = 5_000 * SECOND;
+        private int scheduled;
+        private int made;
+        private int sends;
+        private int finals;
+        private int cancels;
+
+        History(Site site, long seed) {
+            random = new SplittableRandom(seed * 7_919);
+            settings = settings(site);
+            policy = new Balance(settings, seed);
+            try {
+                digest = MessageDigest.getInstance("SHA-256");
+            } catch (NoSuchAlgorithmException e) {
+                throw new IllegalStateException(e);
+            }
+            for (int i = 0; i < SERVERS; i++) {
+                servers.add(new Server("10.0.0." + i + ":80", State.UP, 0, 1 + i % 3, i % 4, i % 2, i % 3));
+            }
+        }
+
+        void play() {
+            policy.servers(now, ListKind.PERSISTED, List.copyOf(servers), this);
+            policy.servers(now, ListKind.COMPLETE, List.copyOf(servers), this);
+            later(0, this::arrive);
+            later(300_000, this::changeList);
+            later(2 * SECOND, this::reload);
+            for (int i = 0; i < EVENTS; i++) {
+                Event next = events.remove();
+                now = next.at();
+                next.action().run();
+            }
+        }
+
+        String hash() {
+            return HexFormat.of().formatHex(digest.digest()).substring(0, 16);
+        }
+
+        @Override
+        public String toString() {
+            return sends + " sends, " + finals + " finals, " + cancels + " cancels, " + made + " requests";
+        }
+
+        private void later(long delay, Runnable action) {
+            events.add(new Event(now + Math.max(0, delay), scheduled++, action));
+        }
+
+        // Traffic in waves, so that queues fill, work is shed, and all recovers.
+        private void arrive() {
+            String id = "r" + made++;
+            Call call = new Call(id);
+            calls.put(id, call);
+            int requestClass = random.nextInt(settings.classes().size());
+            int tenant = settings.tenants().isEmpty() ? 0 : random.nextInt(settings.tenants().size());
+            String key = random.nextInt(4) == 0 ? null : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
+            long work = random.nextInt(3) == 0 ? -1 : 5_000 + random.nextInt(40_000);
+            long left = settings.classes().get(requestClass).deadline() / (1 + random.nextInt(3));
+            boolean again = random.nextInt(12) == 0;
+            policy.request(now, id, requestClass, tenant, key, left, work, again, this);
+            later(left, () -> expire(call));
+            if (random.nextInt(40) == 0) {
+                later(random.nextLong(left), () -> leave(call));
+            }
+            boolean rush = now / (4 * SECOND) % 3 == 1;
+            later(rush ? random.nextInt(700) : random.nextInt(5_000), this::arrive);
+        }
+
+        private void expire(Call call) {
+            call.closed = true;
+        }
+
+        private void leave(Call call) {
+            if (!call.closed) {
+                call.closed = true;
+                policy.clientGone(now, call.id, this);
+            }
+        }
+
+        // Servers begin, drain, leave and come back cold; discovery fails now and then.
+        private void changeList() {
+            int chance = random.nextInt(10);
+            int index = random.nextInt(SERVERS);
+            Server before = servers.get(index);
+            if (chance == 0) {
+                policy.servers(now, ListKind.FAILED, List.of(), this);
+            } else if (chance == 1) {
+                policy.servers(now, ListKind.COMPLETE,
+                    servers.stream().filter(s -> s.state() != State.GONE).toList(), this);
+            } else {
+                State next = State.values()[random.nextInt(3)];
+                boolean cold = before.state() != State.UP && next == State.UP;
+                Server changed = new Server(before.id(), next, cold ? now : before.startedAt(),
+                    before.weight(), before.cell(), before.kind(), before.zone());
+                servers.set(index, changed);
+                policy.servers(now, ListKind.PARTIAL, List.of(changed), this);
+            }
+            later(50_000 + random.nextInt(400_000), this::changeList);
+        }
+
+        private void reload() {
+            List<Integer> classes = new ArrayList<>();
+            for (int i = 0; i < settings.classes().size(); i++) {
+                classes.add(random.nextInt(4) == 0 ? -1 : i);
+            }
+            List<Integer> tenants = new ArrayList<>();
+            for (int i = 0; i < settings.tenants().size(); i++) {
+                tenants.add(i);
+            }
+            policy.retune(now, settings, classes, tenants, this);
+            later(3 * SECOND, this::reload);
+        }
+
+        // A server takes its time, more where much is in flight; every eighth fails often.
+        private void begin(Call call, int attempt, String server, long timeout) {
+            int index = Integer.parseInt(server.substring("10.0.0.".length(), server.indexOf(':')));
+            int queue = inFlight.merge(server, 1, Integer::sum);
+            long took = (long) ((6_000 + 8_000 * queue) / (1 + index % 3) * (0.5 + random.nextDouble()));
+            Outcome outcome = random.nextInt(index % 8 == 0 ? 4 : 60) > 0 ? Outcome.OK : failure();
+            if (queue > 40) {
+                outcome = Outcome.FULL;
+            }
+            if (outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED) {
+                took = 300;
+            }
+            if (timeout > 0 && took > timeout) {
+                took = timeout;
+                outcome = Outcome.TIMEOUT;
+            }
+            Outcome result = outcome;
+            if (result == Outcome.OK && random.nextInt(30) == 0) {
+                later(took / 2, () -> policy.streamStarted(now, call.id, attempt, this));
+            }
+            later(took, () -> end(call, attempt, result));
+        }
+
+        private Outcome failure() {
+            Outcome[] all = Outcome.values();
+            return all[1 + random.nextInt(all.length - 1)];
+        }
+
+        private void end(Call call, int attempt, Outcome outcome) {
+            if (call.sentAt.get(attempt) < 0) {
+                return;
+            }
+            long latency = now - call.sentAt.get(attempt);
+            call.sentAt.set(attempt, -1L);
+            String server = call.sentTo.get(attempt);
+            inFlight.merge(server, -1, Integer::sum);
+            if (outcome == Outcome.OK) {
+                call.closed = true;
+            }
+            Policy.Load load = random.nextInt(2) == 0 ? null
+                : new Policy.Load(inFlight.get(server), 0, Double.NaN, 9_000, Double.NaN, Double.NaN);
+            policy.outcome(now, call.id, attempt, outcome, latency, call.closed, load, this);
+        }
+
+        private void note(Object... parts) {
+            StringBuilder line = new StringBuilder().append(now);
+            for (Object part : parts) {
+                line.append(' ').append(part);
+            }
+            digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
+        }
+
+        @Override
+        public void send(String request, String server, long timeout) {
+            send(request, server, timeout, 0);
+        }
+
+        @Override
+        public void send(String request, String server, long timeout, long within) {
+            note("send", request, server, timeout, within);
+            sends++;
+            Call call = calls.get(request);
+            call.sentAt.add(now);
+            call.sentTo.add(server);
+            begin(call, call.sentAt.size() - 1, server, timeout);
+        }
+
+        @Override
+        public void refuse(String request, long retryAfter) {
+            note("refuse", request, retryAfter);
+            finals++;
+            calls.get(request).closed = true;
+        }
+
+        @Override
+        public void fail(String request) {
+            note("fail", request);
+            finals++;
+            calls.get(request).closed = true;
+        }
+
+        @Override
+        public void cancel(String request, int attempt) {
+            note("cancel", request, attempt);
+            cancels++;
+            Call call = calls.get(request);
+            later(0, () -> end(call, attempt, Outcome.CANCELLED));
+        }
+
+        @Override
+        public boolean connected(String server) {
+            return server.hashCode() % 3 != 0;
+        }
+
+        @Override
+        public void probe(String server) {
+            note("probe", server);
+        }
+
+        @Override
+        public void watch(boolean on) {
+            note("watch", on);
+        }
+
+        @Override
+        public void fetchList() {
+            note("fetch");
+        }
+
+        @Override
+        public void closeIdle(String server) {
+            note("close", server);
+        }
+
+        @Override
+        public void tell(int peer, byte[] data) {
+            note("tell", peer, data.length);
+        }
+
+        @Override
+        public void wakeAfter(long delay) {
+            note("wake", delay);
+            later(delay, () -> policy.wake(now, this));
+        }
+
+        @Override
+        public void remark(String line) {
+            note("remark");
+        }
+    }
+}
