--- a/src/rig/java/junctionhead/rig/fleet/Member.java
+++ b/src/rig/java/junctionhead/rig/fleet/Member.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
+import java.util.stream.Stream;
 import junctionhead.core.Addresses;
 import junctionhead.core.Clock;
 
@@ -45,19 +46,9 @@
      * @param toml its configuration; see {@link #rewrite}
      */
     public static Member start(String classPath, String toml) throws IOException {
-        return start(List.of(), classPath, toml);
-    }
-
-    /** The same with at most so many descriptors, whatever its configuration says of connections. */
-    public static Member withDescriptors(int most, String classPath, String toml) throws IOException {
-        List<String> limit = List.of("sh", "-c", "ulimit -n \"$0\" && exec \"$@\"", Integer.toString(most));
-        return start(limit, classPath, toml);
-    }
-
-    private static Member start(List<String> through, String classPath, String toml) throws IOException {
         Path file = Files.createTempFile("member", ".toml");
         Files.writeString(file, toml);
-        List<String> command = new ArrayList<>(through);
+        List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of("-XX:+UseSerialGC", "-Xms40m", "-Xmx40m", "-XX:TieredStopAtLevel=1",
             "-Xss256k", "-cp", classPath, "junctionhead.cli.Cli", "serve", "--config", file.toString()));
@@ -155,6 +146,22 @@
         return process.toHandle().info().totalCpuDuration().map(d -> d.toNanos() / 1_000).orElse(0L);
     }
 
+    /** How many descriptors it has open (Linux). */
+    public int openDescriptors() throws IOException {
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
+            return (int) descriptors.count();
+        }
+    }
+
+    /** Lets it hold at most so many descriptors from here on; what its connection budget allows stays as it is. */
+    public void limitDescriptors(int max) throws IOException, InterruptedException {
+        int code = new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()),
+            "--nofile=" + max + ":").start().waitFor();
+        if (code != 0) {
+            throw new IOException("prlimit failed with exit code " + code);
+        }
+    }
+
     /** Replaces its file; it reads it at the next {@link Signal#HUP}. */
     public void rewrite(String toml) throws IOException {
         Files.writeString(file, toml);
--- a/src/test/java/junctionhead/rig/FailedAcceptTest.java
+++ b/src/test/java/junctionhead/rig/FailedAcceptTest.java
@@ -16,7 +16,7 @@
 /** A process of the program that has no descriptors left: accept fails with EMFILE until a client closes. */
 @Timeout(300)
 class FailedAcceptTest {
-    private static final int DESCRIPTORS = 80;
+    private static final int DESCRIPTORS_FOR_CLIENTS = 20;
     private static final int CLIENTS = 100;
     private static final int WAITING = 20;
     private static final long SETTLE_MILLIS = 300;
@@ -36,9 +36,11 @@
     @Test
     void aFailedAcceptIsTriedAgainSoon() throws IOException, InterruptedException {
         try (Testbed testbed = testbed();
-                Member member = Member.withDescriptors(DESCRIPTORS, DemoTest.CLASS_PATH,
-                    testbed.configuration(0, 1))) {
+                Member member = Member.start(DemoTest.CLASS_PATH, testbed.configuration(0, 1))) {
             member.awaitReady();
+            assertTrue(member.log().stream().noneMatch(line -> line.contains("accept failed")),
+                () -> "accept failed before the limit: " + member.log());
+            member.limitDescriptors(member.openDescriptors() + DESCRIPTORS_FOR_CLIENTS);
             List<Wire> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(testbed.connect(member.address()));
