--- a/src/test/java/junctionhead/DecisionTraceTest.java
+++ b/src/test/java/junctionhead/DecisionTraceTest.java
@@ -29,9 +29,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Records every action of the decision module over seeded histories, as a hash. A change that is meant to leave
- * decisions alone leaves the hashes alone: order of iteration, of random draws and of floating-point operations
- * included. A change of decisions records them anew and says so. The text of log lines is not part of it.
+ * Records every action of the decision module over seeded histories, as a hash. A change that is meant to
+ * leave decisions alone leaves the hashes alone: order of iteration, of random draws and of floating-point
+ * operations included. A change of decisions records them anew and says so. The text of log lines is not
+ * part of it.
  */
 class DecisionTraceTest {
     private static final int EVENTS = 30_000;
@@ -83,7 +84,8 @@
                 List.of(), 0.1, new Policy.Goal(1, 0.2, 0.2, 0), new Policy.Prices(0, 0.02), true,
                 Discovery.ASK, Reports.ANSWERS, true,
                 new Policy.Limits(4, true, true, false, 100_000, 2 * SECOND), bounds, 2_000);
-            case ORDERED_ZONES -> new Policy.Settings(4, 2, 0, List.of(ordered, zoned, safe), List.of(), 0.1,
+            case ORDERED_ZONES -> new Policy.Settings(4, 2, 0, List.of(ordered, zoned, safe), List.of(),
+                0.1,
                 new Policy.Goal(1, 0, 0.3, 0), new Policy.Prices(0.05, 0), true, Discovery.PUSH,
                 Reports.ANSWERS, true, new Policy.Limits(3, false, true, false, 100_000, SECOND), bounds,
                 1_000);
@@ -95,7 +97,7 @@
         };
     }
 
-    /** One thing that happens at a time; {@code order} keeps those of one time in the order of their making. */
+    /** One thing that happens at a time; {@code order}: events of one time keep their order. */
     private record Event(long at, int order, Runnable action) { }
 
     /** A request as the caller sees it. */
@@ -175,7 +177,8 @@
             calls.put(id, call);
             int requestClass = random.nextInt(settings.classes().size());
             int tenant = settings.tenants().isEmpty() ? 0 : random.nextInt(settings.tenants().size());
-            String key = random.nextInt(4) == 0 ? null : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
+            String key = random.nextInt(4) == 0 ? null
+                : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
             long work = random.nextInt(3) == 0 ? -1 : 5_000 + random.nextInt(40_000);
             long left = settings.classes().get(requestClass).deadline() / (1 + random.nextInt(3));
             boolean again = random.nextInt(12) == 0;
--- a/src/test/java/junctionhead/config/toml/ConfigFileTest.java
+++ b/src/test/java/junctionhead/config/toml/ConfigFileTest.java
@@ -19,7 +19,11 @@
 
 class ConfigFileTest {
     private static String defaults() throws IOException {
-        try (InputStream in = ConfigFile.class.getResourceAsStream("default.toml")) {
+        return resource("default.toml");
+    }
+
+    private static String resource(String name) throws IOException {
+        try (InputStream in = ConfigFile.class.getResourceAsStream(name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -44,6 +48,26 @@
         assertEquals(Policy.Discovery.PUSH, all.boot().settings().discovery());
     }
 
+    /** Operators' files of 2 December 2026 go on meaning the same, whatever the code calls their settings. */
+    @Test
+    void theRecordedFileIsReadAsItWas() throws IOException, Problems.Bad {
+        Config now = ConfigFile.read("f.toml", defaults());
+        Config recorded = ConfigFile.read("f.toml", resource("recorded-default.toml"));
+        assertEquals(now.boot(), recorded.boot());
+        assertEquals(now.known(), recorded.known());
+        assertEquals(now.connections(), recorded.connections());
+        assertEquals(now.listen(), recorded.listen());
+        assertEquals(List.of("read"), recorded.boot().classes());
+        assertEquals(200_000, recorded.boot().settings().classes().get(0).aim());
+        assertEquals(1_000_000, recorded.boot().settings().classes().get(0).deadline());
+        assertEquals(new Policy.Limits(3, true, true, false, 500_000, 2_000_000),
+            recorded.boot().settings().limits());
+        assertEquals(new Policy.Bounds(8_000, 1_000_000, 0, 0.3, 8_000_000, 3, 1_000_000, 0),
+            recorded.boot().settings().bounds());
+        assertEquals(8080, recorded.listen().getPort());
+        assertEquals("box-1", recorded.known().servers().get(0).id());
+    }
+
     /** Each setting that stands there as a comment may be used. */
     @Test
     void whatIsCommentedOutIsInOrderToo(@TempDir Path folder) throws Exception {
--- /dev/null
+++ b/src/test/java/junctionhead/handover/HandoverTest.java
@@ -0,0 +1,89 @@
+package junctionhead.handover;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.IOException;
+import java.net.StandardProtocolFamily;
+import java.net.UnixDomainSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import junctionhead.service.Succession.Step;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The lines between an old and a new process, byte for byte: versions must upgrade into one another. */
+@Timeout(60)
+class HandoverTest {
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final BlockingQueue<Step> steps = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Boolean> found = new LinkedBlockingQueue<>();
+
+    @TempDir
+    private Path folder;
+
+    private Handover handover(Path path) {
+        return new Handover(group.next(), path, steps::add, line -> { });
+    }
+
+    @AfterEach
+    void close() {
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
+    private static String read(SocketChannel channel, int bytes) throws IOException {
+        ByteBuffer buffer = ByteBuffer.allocate(bytes);
+        while (buffer.hasRemaining() && channel.read(buffer) >= 0) {
+            continue;
+        }
+        return new String(buffer.array(), 0, buffer.position(), StandardCharsets.US_ASCII);
+    }
+
+    @Test
+    void theNewProcessSaysHelloWithItsVersionAndThenThatItIsReady() throws Exception {
+        Path path = folder.resolve("s");
+        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            old.bind(UnixDomainSocketAddress.of(path));
+            Handover handover = handover(path);
+            group.next().submit(() -> handover.begin(found::add)).get();
+            try (SocketChannel successor = old.accept()) {
+                assertEquals("hello 1\n", read(successor, 8));
+                assertEquals(true, found.take());
+                group.next().submit(handover::ready).get();
+                assertEquals("ready\n", read(successor, 6));
+            }
+            assertEquals(Step.ALONE, steps.take());
+        }
+    }
+
+    @Test
+    void theOldProcessTakesHelloReadyAndTheEndOfTheConnection() throws Exception {
+        Path path = folder.resolve("s");
+        Handover handover = handover(path);
+        group.next().submit(() -> handover.begin(found::add)).get();
+        assertEquals(false, found.take());
+        group.next().submit(handover::ready).get();
+        while (!Files.exists(path)) {
+            Thread.sleep(5);
+        }
+        try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
+            successor.write(ByteBuffer.wrap("hello 1\nready\n".getBytes(StandardCharsets.US_ASCII)));
+            assertEquals(Step.SHARE, steps.take());
+            assertEquals(Step.HAND_OVER, steps.take());
+            assertTrue(handover.shares());
+        }
+        assertEquals(Step.TAKE_BACK, steps.take());
+    }
+}
--- a/src/test/java/junctionhead/node/DoorTest.java
+++ b/src/test/java/junctionhead/node/DoorTest.java
@@ -80,6 +80,24 @@
         assertEquals(status, call(method, path));
     }
 
+    /** Status, headers and text to the byte: operators' tools read them. */
+    @ParameterizedTest
+    @CsvSource({"GET, /api/ready, 200 OK, , ready", "POST, /api/evacuate, 200 OK, , evacuating",
+        "POST, /api/rejoin, 200 OK, , not sent away", "GET, /nothing, 404 Not Found, , no such call",
+        "GET, /api/evacuate, 405 Method Not Allowed, POST, by POST only"})
+    void theResponseIsTheRecordedOne(String method, String path, String status, String allow, String text)
+            throws Exception {
+        start();
+        until(200, () -> call("GET", "/api/ready"));
+        try (Client caller = new Client(door)) {
+            caller.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            assertEquals("HTTP/1.1 " + status + "\r\ncontent-type: text/plain\r\ncontent-length: "
+                + (text.length() + 1) + "\r\nconnection: close\r\n"
+                + (allow == null ? "" : "allow: " + allow + "\r\n") + "\r\n" + text + "\n",
+                new String(caller.in.readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII));
+        }
+    }
+
     @Test
     void whatIsNoCallIsToldSo() throws Exception {
         start();
--- a/src/test/java/junctionhead/rig/ScenarioReaderTest.java
+++ b/src/test/java/junctionhead/rig/ScenarioReaderTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import junctionhead.config.toml.Problems;
 import org.junit.jupiter.api.Test;
@@ -68,6 +71,22 @@
                 + "reset, discovery-silent, discovery-down, watches-cut, discovery-lies: 'stal'"), problems);
     }
 
+    /** Scenario files of 2 December 2026 go on meaning the same. */
+    @Test
+    void theRecordedFileIsReadAsItWas() throws IOException, Problems.Bad {
+        String text;
+        try (InputStream in = ScenarioReaderTest.class.getResourceAsStream("recorded-surge.toml")) {
+            text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+        Scenario scenario = ScenarioReader.read("f.toml", text);
+        assertEquals(2_180, scenario.seed());
+        assertEquals(2_180, scenario.rate());
+        assertEquals(List.of("fast", "slow"), scenario.boxes().stream().map(Scenario.Boxes::name).toList());
+        assertEquals(List.of(150_000L, 250_000L, 600_000L),
+            scenario.kinds().stream().map(Scenario.Kind::aim).toList());
+        assertEquals(11, scenario.faults().size());
+    }
+
     @Test
     void whatIsMissingIsNamed() {
         assertEquals(List.of("f.toml:1: rate: missing", "f.toml:1: class: missing: at least one [[class]]",
