--- a/src/rig/java/junctionhead/cli/Cli.java
+++ b/src/rig/java/junctionhead/cli/Cli.java
@@ -150,7 +150,8 @@
     @Command(name = "serve", mixinStandardHelpOptions = true, description =
         "Runs a balancer, told by a configuration file, or without one by ROUTER_NAME, ROUTER_LISTEN, "
 
-        + "ROUTER_DISCOVERY and ROUTER_CONFIG. SIGHUP makes it read its file again, SIGTERM ends it in "
+        + "ROUTER_DISCOVERY and ROUTER_CONFIG. SIGHUP makes it read its file again, "
+        + "SIGTERM ends it in "
         + "order.")
     static final class Serve implements Callable<Integer> {
         @Option(names = "--config", paramLabel = "FILE", description = "see `config` and `check`")
--- a/src/rig/java/junctionhead/cli/HeldProcessesCommand.java
+++ b/src/rig/java/junctionhead/cli/HeldProcessesCommand.java
@@ -10,7 +10,8 @@
 /** Processes of the program that stand still with requests in their sockets. */
 @Command(name = "standstills", mixinStandardHelpOptions = true, description =
     "Starts processes of the program, stand-in boxes and a discovery on this machine, lets each process "
-    + "stand still at a point of its life with requests in its sockets, and tells what became of these.",
+    + "stand still at a point of its life with requests in its sockets, "
+    + "and tells what became of these.",
     exitCodeListHeading = "%nExit codes:%n", exitCodeList = {
         "0:each request was served once, and no drained box got one", "1:one was not: what came is told",
         "2:the command line can't be used"})
--- a/src/rig/java/junctionhead/cli/SoakCommand.java
+++ b/src/rig/java/junctionhead/cli/SoakCommand.java
@@ -9,8 +9,8 @@
 /** Processes of the program under faults that overlap in time. */
 @Command(name = "soak", mixinStandardHelpOptions = true, description =
     "Starts processes of the program, stand-in servers and a discovery on this machine, holds, kills, ends "
-    + "and reloads processes, lets servers fail and clients close their connections, and tells what went "
-    + "wrong.",
+    + "and reloads processes, lets servers fail and clients close their connections, "
+    + "and tells what went wrong.",
     exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:nothing went wrong with any seed",
         "1:something did, as told", "2:the command line can't be used"})
 final class SoakCommand implements Callable<Integer> {
--- a/src/rig/java/junctionhead/rig/FleetRun.java
+++ b/src/rig/java/junctionhead/rig/FleetRun.java
@@ -54,7 +54,8 @@
         public String json() {
             Scenario s = plan.scenario();
             return String.format(Locale.ROOT, "{\"name\":\"%s\",\"seed\":%d,\"processes\":%d,\"boxes\":%d,"
-                + "\"load\":%.2f,\"uneven\":%.2f,%s,\"asked\":%d,\"served\":%d,\"refused\":%d,\"failed\":%d,"
+                + "\"load\":%.2f,\"uneven\":%.2f,%s,\"asked\":%d,\"served\":%d,\"refused\":%d,"
+                + "\"failed\":%d,"
                 + "\"lost\":%d,\"unanswered\":%d,\"connections\":%.3f,\"queue\":%d,\"p50\":%d,\"p90\":%d,"
                 + "\"p99\":%d,\"cpu\":%d,\"falls\":%d,\"breaches\":%d}", s.name(), s.seed(), plan.processes(),
                 s.boxNames().size(), 1 / s.headroom(), plan.uneven(), spread.json(), asked, served, refused,
