--- a/src/main/java/junctionhead/Adapter.java
+++ b/src/main/java/junctionhead/Adapter.java
@@ -20,7 +20,7 @@
         Policy make(Policy.Settings settings, long seed);
     }
 
-    private record Instance(String name, Policy policy, SettingsReader.Boot boot) { }
+    private record Instance(String name, Policy policy, SettingsReader.Boot boot) {}
 
     private final Factory factory;
     private final BufferedReader in;
@@ -138,11 +138,21 @@
                 f.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
                 Policy.Settings settings = instance.boot.settings();
                 long options = f.number(7, "Options", 0);
-                policy.request(now, f.text(1, "Req"), f.index(2, "Priority", settings.classes().size()),
-                    f.absent(3, "Account") ? 0
-                        : f.index(3, "Account", Math.max(1, settings.tenants().size())),
-                    f.absent(4, "NameKey") ? null : f.text(4, "NameKey"), f.number(5, "Ttl"),
-                    (options & 1) == 0 ? -1 : f.number(6, "Hint", -1), (options & 2) != 0, reply);
+                policy.request(
+                        now,
+                        f.text(1, "Req"),
+                        f.index(2, "Priority", settings.classes().size()),
+                        f.absent(3, "Account")
+                                ? 0
+                                : f.index(
+                                        3,
+                                        "Account",
+                                        Math.max(1, settings.tenants().size())),
+                        f.absent(4, "NameKey") ? null : f.text(4, "NameKey"),
+                        f.number(5, "Ttl"),
+                        (options & 1) == 0 ? -1 : f.number(6, "Hint", -1),
+                        (options & 2) != 0,
+                        reply);
             }
             case "DUE" -> {
                 f.expect("Nonce");
@@ -153,8 +163,15 @@
             case "RESPONSE" -> {
                 f.expect("Req", "SendNo", "Upstream", "Rc", "Lag", "Closed", "Usage");
                 f.text(3, "Upstream");
-                policy.outcome(now, f.text(1, "Req"), f.index(2, "SendNo", Integer.MAX_VALUE), outcome(f, 4),
-                    f.number(5, "Lag"), f.flag(6, "Closed"), load(f, 7, instance), reply);
+                policy.outcome(
+                        now,
+                        f.text(1, "Req"),
+                        f.index(2, "SendNo", Integer.MAX_VALUE),
+                        outcome(f, 4),
+                        f.number(5, "Lag"),
+                        f.flag(6, "Closed"),
+                        load(f, 7, instance),
+                        reply);
             }
             case "ACK_FIRST" -> {
                 f.expect("Req", "SendNo", "Upstream", "Lag");
@@ -163,8 +180,8 @@
             case "WITHDRAWN" -> policy.clientGone(now, f.expect("Req").text(1, "Req"), reply);
             case "PROBE_RESULT" -> {
                 f.expect("Upstream", "Lag", "Rc", "Usage");
-                policy.probed(now, f.text(1, "Upstream"), outcome(f, 3), f.number(2, "Lag"),
-                    load(f, 4, instance), reply);
+                policy.probed(
+                        now, f.text(1, "Upstream"), outcome(f, 3), f.number(2, "Lag"), load(f, 4, instance), reply);
             }
             case "MAIL" -> {
                 f.expect("Src", "Data");
@@ -181,8 +198,8 @@
         for (int i = 0; i < size; i++) {
             Frame f = next();
             if (f == null || !f.name().equals("ITEM")) {
-                throw new WireException("line " + line + ": LIST: field Entries: " + size
-                    + " ITEM lines announced, " + i + " found");
+                throw new WireException(
+                        "line " + line + ": LIST: field Entries: " + size + " ITEM lines announced, " + i + " found");
             }
             f.expect("StartTime", "Upstream", "StageState", "Heft", "Group", "GenerationHw", "Locality");
             Policy.State state = switch (f.text(3, "StageState")) {
@@ -191,9 +208,14 @@
                 case "D" -> Policy.State.GONE;
                 default -> throw f.bad("StageState", "unknown word: '" + f.raw(3, "StageState") + "'");
             };
-            list.add(new Policy.Server(f.text(2, "Upstream"), state, f.number(1, "StartTime", 0),
-                f.absent(4, "Heft") ? 1 : f.decimal(4, "Heft"), f.index(5, "Group"),
-                f.index(6, "GenerationHw"), f.index(7, "Locality")));
+            list.add(new Policy.Server(
+                    f.text(2, "Upstream"),
+                    state,
+                    f.number(1, "StartTime", 0),
+                    f.absent(4, "Heft") ? 1 : f.decimal(4, "Heft"),
+                    f.index(5, "Group"),
+                    f.index(6, "GenerationHw"),
+                    f.index(7, "Locality")));
         }
         buffers.set(number, List.copyOf(list));
     }
--- a/src/main/java/junctionhead/Frame.java
+++ b/src/main/java/junctionhead/Frame.java
@@ -30,8 +30,9 @@
             throw bad(fields[size()], "is missing");
         }
         if (size() > fields.length) {
-            throw bad(fields.length == 0 ? "1" : fields[fields.length - 1],
-                "is followed by " + (size() - fields.length) + " more value(s) than the message has");
+            throw bad(
+                    fields.length == 0 ? "1" : fields[fields.length - 1],
+                    "is followed by " + (size() - fields.length) + " more value(s) than the message has");
         }
         return this;
     }
--- a/src/main/java/junctionhead/Hashing.java
+++ b/src/main/java/junctionhead/Hashing.java
@@ -2,7 +2,7 @@
 
 /** Hash functions that give the same values on every machine and in every run. */
 final class Hashing {
-    private Hashing() { }
+    private Hashing() {}
 
     /** FNV-1a, then mixed. */
     static long hash(String text) {
--- a/src/main/java/junctionhead/LoadReport.java
+++ b/src/main/java/junctionhead/LoadReport.java
@@ -6,13 +6,12 @@
 /** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
 public final class LoadReport {
     private static final List<String> WIRE =
-        List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
-    private static final List<String> SOCKET =
-        List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
+            List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
+    private static final List<String> SOCKET = List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
     private static final double VALUE_MOST = 1e9;
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     static double[] unknown() {
         double[] values = new double[WIRE.size()];
@@ -54,7 +53,7 @@
                         any = true;
                     }
                 } catch (NumberFormatException e) {
-                    continue;       // one odd value does not spoil the others
+                    continue; // one odd value does not spoil the others
                 }
             }
         }
--- a/src/main/java/junctionhead/Main.java
+++ b/src/main/java/junctionhead/Main.java
@@ -13,7 +13,7 @@
 
 /** Starts a real balancer, or the adapter on standard input and output. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
@@ -23,9 +23,10 @@
             System.err.println("usage: java -jar junctionhead.jar serve | wirehost");
             System.exit(2);
         }
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(
-                 new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8), 1 << 16);
-             OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+        try (BufferedReader in = new BufferedReader(
+                        new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
+                        1 << 16);
+                OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
             new Adapter(Balance::new, in, out).run();
         } catch (WireException | IOException e) {
             System.err.println("junctionhead: " + e.getMessage());
--- a/src/main/java/junctionhead/Policy.java
+++ b/src/main/java/junctionhead/Policy.java
@@ -16,27 +16,57 @@
  */
 public interface Policy {
     /** What a class of requests allows once an attempt may have run. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The servers that drop a repeat of a keyed request. */
-    enum Scope { ALL, ZONE, CELL }
+    enum Scope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How the list of servers is learnt: changes come unasked, or only after watch or fetch. */
-    enum Discovery { PUSH, ASK }
+    enum Discovery {
+        PUSH,
+        ASK
+    }
 
     /** When servers report their load. */
-    enum Reports { ANSWERS, PROBE, NONE }
+    enum Reports {
+        ANSWERS,
+        PROBE,
+        NONE
+    }
 
     /** What a list holds: the one kept over a restart, the complete one, changes only or, failed, nothing. */
-    enum ListKind { PERSISTED, COMPLETE, PARTIAL, FAILED }
+    enum ListKind {
+        PERSISTED,
+        COMPLETE,
+        PARTIAL,
+        FAILED
+    }
 
     /** A listed server runs, finishes its work without taking more, or has gone. */
-    enum State { UP, DRAINING, GONE }
+    enum State {
+        UP,
+        DRAINING,
+        GONE
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NOT_SENT(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NOT_SENT(true);
 
         private final boolean neverRan;
 
@@ -67,9 +97,19 @@
      * {@code inOrder}: requests with one key run one at a time, in the order taken. {@code zones} and
      * {@code machineKinds} are the only ones whose servers may be sent to; empty: all.
      */
-    record RequestClass(Effect effect, Scope scope, long keyMemory, long aim, long deadline,
-            double aimStretch, double worth, double lateShare, boolean streamed, boolean inOrder,
-            Set<Integer> zones, Set<Integer> machineKinds) {
+    record RequestClass(
+            Effect effect,
+            Scope scope,
+            long keyMemory,
+            long aim,
+            long deadline,
+            double aimStretch,
+            double worth,
+            double lateShare,
+            boolean streamed,
+            boolean inOrder,
+            Set<Integer> zones,
+            Set<Integer> machineKinds) {
         public RequestClass {
             zones = Set.copyOf(zones);
             machineKinds = Set.copyOf(machineKinds);
@@ -80,10 +120,29 @@
         }
 
         /** A class without order or placement. */
-        public RequestClass(Effect effect, Scope scope, long keyMemory, long aim, long deadline,
-                double aimStretch, double worth, double lateShare, boolean streamed) {
-            this(effect, scope, keyMemory, aim, deadline, aimStretch, worth, lateShare, streamed, false,
-                Set.of(), Set.of());
+        public RequestClass(
+                Effect effect,
+                Scope scope,
+                long keyMemory,
+                long aim,
+                long deadline,
+                double aimStretch,
+                double worth,
+                double lateShare,
+                boolean streamed) {
+            this(
+                    effect,
+                    scope,
+                    keyMemory,
+                    aim,
+                    deadline,
+                    aimStretch,
+                    worth,
+                    lateShare,
+                    streamed,
+                    false,
+                    Set.of(),
+                    Set.of());
         }
     }
 
@@ -95,7 +154,7 @@
     }
 
     /** How much the worst-served class and the worst-served tenant count, beside the whole. */
-    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) { }
+    record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
     /** Points of the goal for each crossing of zones and for each new connection, per first try; 0: free. */
     record Prices(double crossZone, double handshake) {
@@ -106,16 +165,28 @@
     }
 
     /** What the site allows. {@code retryAfterMax} is 0 where clients get no such advice. */
-    record Limits(int maxAttempts, boolean mayDuplicate, boolean mayCancel, boolean mayProbe,
-            long connectTimeout, long retryAfterMax) {
+    record Limits(
+            int maxAttempts,
+            boolean mayDuplicate,
+            boolean mayCancel,
+            boolean mayProbe,
+            long connectTimeout,
+            long retryAfterMax) {
         public Limits {
             require(maxAttempts > 0, "maxAttempts", maxAttempts);
         }
     }
 
     /** The figures of the rules; {@code orderPause}: a key's rest after an attempt that may still run. */
-    record Bounds(long answerSlack, long drainGrace, long askWithin, double coldFrom, long rampTime,
-            double overloadFactor, long fallWindow, long orderPause) {
+    record Bounds(
+            long answerSlack,
+            long drainGrace,
+            long askWithin,
+            double coldFrom,
+            long rampTime,
+            double overloadFactor,
+            long fallWindow,
+            long orderPause) {
         public Bounds {
             require(orderPause >= 0, "orderPause", orderPause);
             require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
@@ -130,10 +201,22 @@
      * {@code warmKeys}: a server needs less work for a key that it served lately; {@code tick} is the
      * shortest step of the clock.
      */
-    record Settings(int balancers, int rank, int zone, List<RequestClass> classes, List<Tenant> tenants,
-            double overShareWorth, Goal goal, Prices prices,
-            boolean worthByWork, Discovery discovery, Reports reports,
-            boolean warmKeys, Limits limits, Bounds bounds, long tick) {
+    record Settings(
+            int balancers,
+            int rank,
+            int zone,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            Goal goal,
+            Prices prices,
+            boolean worthByWork,
+            Discovery discovery,
+            Reports reports,
+            boolean warmKeys,
+            Limits limits,
+            Bounds bounds,
+            long tick) {
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
@@ -145,8 +228,13 @@
     }
 
     /** A server's own report; a figure that it doesn't carry is NaN. {@code recentLatency} is in µs. */
-    record Load(double inFlight, double queued, double utilization, double recentLatency,
-            double throughput, double errorsPerSecond) { }
+    record Load(
+            double inFlight,
+            double queued,
+            double utilization,
+            double recentLatency,
+            double throughput,
+            double errorsPerSecond) {}
 
     private static void require(boolean holds, String name, Object value) {
         if (!holds) {
@@ -161,8 +249,7 @@
      * @param formerClasses for each class of {@code settings} the number that it had before, or -1
      * @param formerTenants the same for each tenant
      */
-    void retune(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants,
-            Actions out);
+    void retune(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out);
 
     /** News of the list of servers; {@code servers} is empty for {@link ListKind#FAILED}. */
     void servers(long now, ListKind kind, List<Server> servers, Actions out);
@@ -175,8 +262,16 @@
      * @param work the client's guess of the work, or -1
      * @param resubmission the client says that it has tried before
      */
-    void request(long now, String request, int requestClass, int tenant, String key, long timeLeft,
-            long work, boolean resubmission, Actions out);
+    void request(
+            long now,
+            String request,
+            int requestClass,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission,
+            Actions out);
 
     /**
      * An attempt has ended; each attempt that was sent ends once.
@@ -185,8 +280,15 @@
      * @param closed the request has had its final answer (an OK is passed to the client by the caller)
      * @param load null where no report came with it
      */
-    void outcome(long now, String request, int attempt, Outcome outcome, long latency, boolean closed,
-            Load load, Actions out);
+    void outcome(
+            long now,
+            String request,
+            int attempt,
+            Outcome outcome,
+            long latency,
+            boolean closed,
+            Load load,
+            Actions out);
 
     /** A streamed answer has begun: the attempt belongs to the client, its time-outs no longer hold. */
     void streamStarted(long now, String request, int attempt, Actions out);
@@ -201,7 +303,7 @@
     void wake(long now, Actions out);
 
     /** A message from another balancer; junctionhead sends none and reads none. */
-    default void peerMessage(long now, int from, byte[] data, Actions out) { }
+    default void peerMessage(long now, int from, byte[] data, Actions out) {}
 
     /** What the module may ask for: a sink that the caller implements. */
     interface Actions {
--- a/src/main/java/junctionhead/SettingsReader.java
+++ b/src/main/java/junctionhead/SettingsReader.java
@@ -17,17 +17,23 @@
 public final class SettingsReader {
     private final Map<String, String> values;
     private final BiFunction<String, String, ? extends RuntimeException> complaint;
-    private String place = "BootInfo";              // what is being read, for what its own class complains of
+    private String place = "BootInfo"; // what is being read, for what its own class complains of
 
     /**
      * What a balancer is started with: the module's settings, the order of values in a load report, the names
      * that stand for the module's numbers, and after what time (µs) a server closes an idle connection.
      */
-    public record Boot(Settings settings, List<String> loadFields, List<String> classes, List<String> tenants,
-            List<String> zones, List<String> kinds, long idleClose) { }
-
-    private SettingsReader(Map<String, String> values,
-            BiFunction<String, String, ? extends RuntimeException> complaint) {
+    public record Boot(
+            Settings settings,
+            List<String> loadFields,
+            List<String> classes,
+            List<String> tenants,
+            List<String> zones,
+            List<String> kinds,
+            long idleClose) {}
+
+    private SettingsReader(
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
         this.values = values;
         this.complaint = complaint;
     }
@@ -37,12 +43,18 @@
      *
      * @param complaint makes the exception for a path and what is wrong there
      */
-    public static Boot read(Map<String, String> values,
-            BiFunction<String, String, ? extends RuntimeException> complaint) {
+    public static Boot read(
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
         SettingsReader in = new SettingsReader(values, complaint);
         try {
-            return new Boot(in.settings(), in.list("Stats.Fields"), in.names("Classes"), in.names("Realms"),
-                in.list("Areas"), in.list("Kinds"), in.whole("Limits.IdleClose", 0L));
+            return new Boot(
+                    in.settings(),
+                    in.list("Stats.Fields"),
+                    in.names("Classes"),
+                    in.names("Realms"),
+                    in.list("Areas"),
+                    in.list("Kinds"),
+                    in.whole("Limits.IdleClose", 0L));
         } catch (IllegalArgumentException e) {
             throw complaint.apply(in.place, e.getMessage());
         }
@@ -91,12 +103,19 @@
         for (int i = 0; i < count("Classes", true); i++) {
             String at = "Classes." + i + ".";
             place = "Classes." + i;
-            classes.add(new Policy.RequestClass(word(Policy.Effect.class, at + "Idempotency", null),
-                word(Policy.Scope.class, at + "DedupScope", "all"), whole(at + "KeyTtl", 0L),
-                whole(at + "GoalTime", null), whole(at + "GiveUp", null), decimal(at + "AimStretch", 0.0),
-                decimal(at + "Gain", 1.0), decimal(at + "LateShare", 0.0), flag(at + "Stream", false),
-                flag(at + "InOrder", false), indexes(at + "AllowedIn", zones),
-                indexes(at + "RunsOn", kinds)));
+            classes.add(new Policy.RequestClass(
+                    word(Policy.Effect.class, at + "Idempotency", null),
+                    word(Policy.Scope.class, at + "DedupScope", "all"),
+                    whole(at + "KeyTtl", 0L),
+                    whole(at + "GoalTime", null),
+                    whole(at + "GiveUp", null),
+                    decimal(at + "AimStretch", 0.0),
+                    decimal(at + "Gain", 1.0),
+                    decimal(at + "LateShare", 0.0),
+                    flag(at + "Stream", false),
+                    flag(at + "InOrder", false),
+                    indexes(at + "AllowedIn", zones),
+                    indexes(at + "RunsOn", kinds)));
         }
         place = "BootInfo";
         List<Policy.Tenant> tenants = new ArrayList<>();
@@ -105,24 +124,44 @@
         }
         boolean advice = flag("Limits.RetryAfter", false);
         int tries = (int) Math.min(Integer.MAX_VALUE, whole("Limits.TryLimit", null));
-        Policy.Limits limits = new Policy.Limits(tries,
-            flag("Limits.MayDuplicate", null), flag("Limits.Cancel", null), flag("Limits.Probes", null),
-            whole("Limits.DialTimeout", 0L), advice ? whole("Limits.MaxRetryAfter", 0L) : 0L);
+        Policy.Limits limits = new Policy.Limits(
+                tries,
+                flag("Limits.MayDuplicate", null),
+                flag("Limits.Cancel", null),
+                flag("Limits.Probes", null),
+                whole("Limits.DialTimeout", 0L),
+                advice ? whole("Limits.MaxRetryAfter", 0L) : 0L);
         boolean ask = word(Policy.Discovery.class, "MembershipMode", null) == Policy.Discovery.ASK;
-        Policy.Bounds bounds = new Policy.Bounds(whole("Rules.AnswerSlack", null),
-            whole("Rules.DrainGrace", null), whole("Rules.AskWithin", ask ? null : 0L),
-            decimal("Rules.ColdFrom", null), whole("Rules.RampTime", null),
-            decimal("Rules.OverloadFactor", null), whole("Rules.Fall", null), whole("Rules.OrderPause", 0L));
-        Policy.Goal goal = new Policy.Goal(decimal("Blend.Whole", 1.0), decimal("Blend.WorstWindow", 0.0),
-            decimal("Blend.WorstClass", 0.0), decimal("Blend.WorstTenant", 0.0));
-        return new Settings((int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
-            (int) whole("Rank", 0L), zone(zones), List.copyOf(classes), List.copyOf(tenants),
-            decimal("OverShareWorth", 1.0), goal,
-            new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
-            text("WorthBy", "request").equals("work"),
-            ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-            word(Policy.Reports.class, "Stats.How", "none"), flag("Specifics.WarmKeys", false), limits,
-            bounds, whole("Quantum", null));
+        Policy.Bounds bounds = new Policy.Bounds(
+                whole("Rules.AnswerSlack", null),
+                whole("Rules.DrainGrace", null),
+                whole("Rules.AskWithin", ask ? null : 0L),
+                decimal("Rules.ColdFrom", null),
+                whole("Rules.RampTime", null),
+                decimal("Rules.OverloadFactor", null),
+                whole("Rules.Fall", null),
+                whole("Rules.OrderPause", 0L));
+        Policy.Goal goal = new Policy.Goal(
+                decimal("Blend.Whole", 1.0),
+                decimal("Blend.WorstWindow", 0.0),
+                decimal("Blend.WorstClass", 0.0),
+                decimal("Blend.WorstTenant", 0.0));
+        return new Settings(
+                (int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
+                (int) whole("Rank", 0L),
+                zone(zones),
+                List.copyOf(classes),
+                List.copyOf(tenants),
+                decimal("OverShareWorth", 1.0),
+                goal,
+                new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
+                text("WorthBy", "request").equals("work"),
+                ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                word(Policy.Reports.class, "Stats.How", "none"),
+                flag("Specifics.WarmKeys", false),
+                limits,
+                bounds,
+                whole("Quantum", null));
     }
 
     private String text(String path, String otherwise) {
--- a/src/main/java/junctionhead/WireSettings.java
+++ b/src/main/java/junctionhead/WireSettings.java
@@ -5,7 +5,7 @@
 
 /** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
 final class WireSettings {
-    private WireSettings() { }
+    private WireSettings() {}
 
     static SettingsReader.Boot read(Frame frame, int firstPair) {
         Map<String, String> values = new HashMap<>();
--- a/src/main/java/junctionhead/config/Config.java
+++ b/src/main/java/junctionhead/config/Config.java
@@ -28,15 +28,30 @@
  * operators have no address to call at; {@code inherited}: clients' listening socket is descriptor 0, handed
  * down by whoever started this process; {@code keys}: those that the file holds, for a fresh one to hold too.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        Limits connections, Targets known, SettingsReader.Boot boot, Http3 http3,
-        InetSocketAddress management, boolean inherited, Set<String> keys) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        Limits connections,
+        Targets known,
+        SettingsReader.Boot boot,
+        Http3 http3,
+        InetSocketAddress management,
+        boolean inherited,
+        Set<String> keys) {
     private static final Path LIMITS = Path.of("/proc/self/limits");
-    private static final int SOCKETS = 1024;        // assumed where neither file nor system tells
+    private static final int SOCKETS = 1024; // assumed where neither file nor system tells
 
     /** One without HTTP/3. */
-    public Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-            Limits connections, Targets known, SettingsReader.Boot boot) {
+    public Config(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            long seed,
+            Limits connections,
+            Targets known,
+            SettingsReader.Boot boot) {
         this(name, listen, discovery, seed, connections, known, boot, null, null, false, Set.of());
     }
 
@@ -73,15 +88,25 @@
 
     /** This one, with what can be taken over in service from another one. */
     public Config with(Config fresh) {
-        return new Config(name, listen, fresh.discovery, seed, connections, fresh.known, fresh.boot,
-            fresh.http3, management, inherited, fresh.keys);
+        return new Config(
+                name,
+                listen,
+                fresh.discovery,
+                seed,
+                connections,
+                fresh.known,
+                fresh.boot,
+                fresh.http3,
+                management,
+                inherited,
+                fresh.keys);
     }
 
     /** Why nothing of another one can be taken over in service; null where it can. */
     public String problem(Config fresh) {
-        List<String> missing = keys.stream().filter(key -> !fresh.keys.contains(key)).toList();
-        return missing.isEmpty() ? Retuning.problem(boot, fresh.boot)
-            : "missing: " + String.join(", ", missing);
+        List<String> missing =
+                keys.stream().filter(key -> !fresh.keys.contains(key)).toList();
+        return missing.isEmpty() ? Retuning.problem(boot, fresh.boot) : "missing: " + String.join(", ", missing);
     }
 
     /** Reads the file that {@code ROUTER_CONFIG} names; the other variables win over what it says. */
@@ -95,8 +120,8 @@
             json = JSON.std.mapFrom(Files.readString(Path.of(file)));
         } catch (IOException | UncheckedIOException | IllegalArgumentException e) {
             throw new Bad("can't read the configuration " + file + ": "
-                + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + " ("
-                + e.getClass().getSimpleName() + ")");
+                    + String.valueOf(e.getMessage()).lines().findFirst().orElse("") + " ("
+                    + e.getClass().getSimpleName() + ")");
         }
         return of(environment, json == null ? Map.of() : json);
     }
@@ -111,8 +136,7 @@
     public static Config of(Map<String, String> environment, Map<String, Object> json) {
         String name = told(environment, "ROUTER_NAME", json, "name");
         InetSocketAddress listen = address("listen", told(environment, "ROUTER_LISTEN", json, "listen"));
-        InetSocketAddress discovery =
-            address("discovery", told(environment, "ROUTER_DISCOVERY", json, "discovery"));
+        InetSocketAddress discovery = address("discovery", told(environment, "ROUTER_DISCOVERY", json, "discovery"));
         String door = optional(environment, "ROUTER_MANAGEMENT", json, "management");
         InetSocketAddress management = door == null ? null : address("management", door);
         Object settings = json.get("settings");
@@ -122,7 +146,7 @@
         Map<String, String> values = new HashMap<>();
         SettingsReader.flatten("", settings, values);
         SettingsReader.Boot boot =
-            SettingsReader.read(values, (path, what) -> new Bad("settings: " + path + ": " + what));
+                SettingsReader.read(values, (path, what) -> new Bad("settings: " + path + ": " + what));
         Set<String> keys = new TreeSet<>(Retuning.keys(values));
         json.forEach((key, value) -> {
             if (value != null) {
@@ -141,9 +165,18 @@
         Object sockets = limits instanceof Map ? ((Map<?, ?>) limits).get("sockets") : null;
         int told = sockets instanceof Number ? ((Number) sockets).intValue() : Integer.MAX_VALUE;
         int most = Math.min(told, most());
-        return new Config(name, listen, discovery, seed(json.get("seed")),
-            Limits.of(most == Integer.MAX_VALUE ? SOCKETS : most), known, boot, null, management,
-            inherits(environment.get("ROUTER_INHERITED_FD")), keys);
+        return new Config(
+                name,
+                listen,
+                discovery,
+                seed(json.get("seed")),
+                Limits.of(most == Integer.MAX_VALUE ? SOCKETS : most),
+                known,
+                boot,
+                null,
+                management,
+                inherits(environment.get("ROUTER_INHERITED_FD")),
+                keys);
     }
 
     // The JVM hands on descriptor 0 and no other.
@@ -157,8 +190,8 @@
         return true;
     }
 
-    private static String told(Map<String, String> environment, String variable, Map<String, Object> json,
-            String field) {
+    private static String told(
+            Map<String, String> environment, String variable, Map<String, Object> json, String field) {
         String value = optional(environment, variable, json, field);
         if (value != null) {
             return value;
@@ -167,8 +200,8 @@
     }
 
     // Null where neither tells.
-    private static String optional(Map<String, String> environment, String variable, Map<String, Object> json,
-            String field) {
+    private static String optional(
+            Map<String, String> environment, String variable, Map<String, Object> json, String field) {
         String value = environment.get(variable);
         Object other = json.get(field);
         if (value != null && !value.isBlank()) {
@@ -201,11 +234,12 @@
         try {
             for (String line : Files.readAllLines(LIMITS)) {
                 if (line.toLowerCase(Locale.ROOT).startsWith("max open files")) {
-                    return (int) Math.min(Integer.MAX_VALUE, Long.parseLong(line.trim().split("\\s+")[3]));
+                    return (int) Math.min(
+                            Integer.MAX_VALUE, Long.parseLong(line.trim().split("\\s+")[3]));
                 }
             }
         } catch (IOException | NumberFormatException e) {
-            return Integer.MAX_VALUE;       // unlimited, or not this kind of system
+            return Integer.MAX_VALUE; // unlimited, or not this kind of system
         }
         return Integer.MAX_VALUE;
     }
--- a/src/main/java/junctionhead/config/Retuning.java
+++ b/src/main/java/junctionhead/config/Retuning.java
@@ -12,7 +12,7 @@
 
 /** What may change in service, and how settings in use give way to other ones. Decides without I/O. */
 public final class Retuning {
-    private Retuning() { }
+    private Retuning() {}
 
     /**
      * The keys that a file holds, whatever it says there: those of things that stand in a list count where
@@ -22,19 +22,21 @@
      */
     static Set<String> keys(Map<String, String> values) {
         Set<String> keys = new TreeSet<>();
-        Map<String, Set<String>> lists = new TreeMap<>();       // the numbers in use under each list
-        Map<String, Set<String>> holders = new TreeMap<>();     // those that have such a key
+        Map<String, Set<String>> lists = new TreeMap<>(); // the numbers in use under each list
+        Map<String, Set<String>> holders = new TreeMap<>(); // those that have such a key
         for (String path : values.keySet()) {
             String[] parts = path.split("\\.", 3);
             if (parts.length == 3 && parts[1].matches("\\d+")) {
                 lists.computeIfAbsent(parts[0], k -> new HashSet<>()).add(parts[1]);
-                holders.computeIfAbsent(parts[0] + ".*." + parts[2], k -> new HashSet<>()).add(parts[1]);
+                holders.computeIfAbsent(parts[0] + ".*." + parts[2], k -> new HashSet<>())
+                        .add(parts[1]);
             } else {
                 keys.add(path);
             }
         }
         holders.forEach((key, numbers) -> {
-            if (numbers.size() == lists.get(key.substring(0, key.indexOf(".*."))).size()) {
+            if (numbers.size()
+                    == lists.get(key.substring(0, key.indexOf(".*."))).size()) {
                 keys.add(key);
             }
         });
@@ -86,9 +88,28 @@
             }
         }
         Policy.Settings s = fresh.settings();
-        return new Boot(new Policy.Settings(s.balancers(), s.rank(), s.zone(), classes, s.tenants(),
-            s.overShareWorth(), s.goal(), s.prices(), s.worthByWork(), s.discovery(), s.reports(),
-            s.warmKeys(), s.limits(), s.bounds(), s.tick()), fresh.loadFields(), names, fresh.tenants(),
-            fresh.zones(), fresh.kinds(), fresh.idleClose());
+        return new Boot(
+                new Policy.Settings(
+                        s.balancers(),
+                        s.rank(),
+                        s.zone(),
+                        classes,
+                        s.tenants(),
+                        s.overShareWorth(),
+                        s.goal(),
+                        s.prices(),
+                        s.worthByWork(),
+                        s.discovery(),
+                        s.reports(),
+                        s.warmKeys(),
+                        s.limits(),
+                        s.bounds(),
+                        s.tick()),
+                fresh.loadFields(),
+                names,
+                fresh.tenants(),
+                fresh.zones(),
+                fresh.kinds(),
+                fresh.idleClose());
     }
 }
--- a/src/main/java/junctionhead/config/toml/ConfigFile.java
+++ b/src/main/java/junctionhead/config/toml/ConfigFile.java
@@ -30,9 +30,12 @@
 public final class ConfigFile {
     private static final String NO_ADDRESS = "127.0.0.1:0";
 
-    private enum Source { STATIC, DISCOVERY }
+    private enum Source {
+        STATIC,
+        DISCOVERY
+    }
 
-    private ConfigFile() { }
+    private ConfigFile() {}
 
     /** @throws IOException where the file can't be read at all */
     public static Config read(Path file) throws IOException, Problems.Bad {
@@ -52,15 +55,32 @@
         return config;
     }
 
-    private record Node(String name, InetSocketAddress listen, InetSocketAddress management,
-            long seed, int balancers, int rank,
-        String zone) { }
+    private record Node(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress management,
+            long seed,
+            int balancers,
+            int rank,
+            String zone) {}
 
-    private record Members(Source source, InetSocketAddress address, Policy.Discovery mode, long askWithin,
-            List<String> zones, List<String> models, List<Server> servers) { }
+    private record Members(
+            Source source,
+            InetSocketAddress address,
+            Policy.Discovery mode,
+            long askWithin,
+            List<String> zones,
+            List<String> models,
+            List<Server> servers) {}
 
-    private record Server(String id, InetSocketAddress address, InetSocketAddress http3, String zone,
-            String model, int cell, double weight) { }
+    private record Server(
+            String id,
+            InetSocketAddress address,
+            InetSocketAddress http3,
+            String zone,
+            String model,
+            int cell,
+            double weight) {}
 
     private static Config config(Table top, Problems problems) throws Problems.Bad {
         Map<String, String> wire = new HashMap<>();
@@ -85,19 +105,24 @@
             put(wire, "Rules.Fall", t.time("cold-fall", "1s"));
             return t;
         });
-        Http3 http3 = !top.has("http3") ? null
-            : top.table("http3").map(t -> Http3Table.read(t, problems.file())).get(0);
+        Http3 http3 = !top.has("http3")
+                ? null
+                : top.table("http3")
+                        .map(t -> Http3Table.read(t, problems.file()))
+                        .get(0);
         top.end();
         unique(top, "class", classes);
         unique(top, "tenant", tenants);
-        unique(top.lineOf("membership", 0), top, members.servers().stream().map(Server::id).toList());
+        unique(
+                top.lineOf("membership", 0),
+                top,
+                members.servers().stream().map(Server::id).toList());
         if (!members.zones().isEmpty() && !members.zones().contains(node.zone())) {
-            top.complain("node.zone", top.lineOf("node", 0), "not one of " + members.zones() + ": '"
-                + node.zone() + "'");
+            top.complain(
+                    "node.zone", top.lineOf("node", 0), "not one of " + members.zones() + ": '" + node.zone() + "'");
         }
         if (node.rank() >= node.balancers()) {
-            top.complain("node.rank", top.lineOf("node", 0), "not below node.balancers, which is "
-                + node.balancers());
+            top.complain("node.rank", top.lineOf("node", 0), "not below node.balancers, which is " + node.balancers());
         }
         problems.check();
         put(wire, "Classes.count", classes.size());
@@ -113,8 +138,18 @@
         put(wire, "WorthBy", "work");
         put(wire, "Stats.How", "answers");
         SettingsReader.Boot boot = boot(top, wire, problems);
-        return new Config(node.name(), node.listen(), members.address(), node.seed(), connections,
-            known(members, boot), boot, http3, node.management(), false, Set.of());
+        return new Config(
+                node.name(),
+                node.listen(),
+                members.address(),
+                node.seed(),
+                connections,
+                known(members, boot),
+                boot,
+                http3,
+                node.management(),
+                false,
+                Set.of());
     }
 
     // What the checks above let through and the model does not take: told like any other problem.
@@ -137,11 +172,14 @@
 
     private static Node node(Table t) {
         long drawn = new SplittableRandom().nextLong(1, 1L << 50);
-        return new Node(t.text("name", "honeyspindle"), address(t, "listen", t.text("listen",
-            "127.0.0.1:8080")),
-            t.has("management") ? address(t, "management", t.text("management", null)) : null,
-            (long) t.number("seed", drawn, 0, 1e15), (int) t.number("balancers", 1, 1, 10_000),
-            (int) t.number("rank", 0, 0, 9_999), t.name("zone", "default"));
+        return new Node(
+                t.text("name", "honeyspindle"),
+                address(t, "listen", t.text("listen", "127.0.0.1:8080")),
+                t.has("management") ? address(t, "management", t.text("management", null)) : null,
+                (long) t.number("seed", drawn, 0, 1e15),
+                (int) t.number("balancers", 1, 1, 10_000),
+                (int) t.number("rank", 0, 0, 9_999),
+                t.name("zone", "default"));
     }
 
     static InetSocketAddress address(Table t, String key, String text) {
@@ -157,18 +195,25 @@
         Source source = t.word("source", Source.class, Source.STATIC);
         boolean asked = source == Source.DISCOVERY;
         InetSocketAddress address = asked ? address(t, "address", t.text("address", null)) : null;
-        Policy.Discovery mode = asked ? t.word("mode", Policy.Discovery.class, Policy.Discovery.ASK)
-            : Policy.Discovery.PUSH;
+        Policy.Discovery mode =
+                asked ? t.word("mode", Policy.Discovery.class, Policy.Discovery.ASK) : Policy.Discovery.PUSH;
         long askWithin = asked ? t.time("ask-within", "10s") : 0;
-        List<Server> servers = asked ? List.of() : t.tables("server").map(s -> new Server(s.name("id", null),
-            address(s, "address", s.text("address", null)),
-            s.has("http3") ? address(s, "http3", s.text("http3", null)) : null, s.name("zone", "default"),
-            s.name("model", "any"),
-            (int) s.number("cell", -1, -1, 1e6), s.number("weight", 1, 1e-3, 1e6)));
-        List<String> zones = t.texts("zones",
-            servers.stream().map(Server::zone).distinct().sorted().toList());
-        List<String> models = t.texts("models",
-            servers.stream().map(Server::model).distinct().sorted().toList());
+        List<Server> servers = asked
+                ? List.of()
+                : t.tables("server")
+                        .map(s -> new Server(
+                                s.name("id", null),
+                                address(s, "address", s.text("address", null)),
+                                s.has("http3") ? address(s, "http3", s.text("http3", null)) : null,
+                                s.name("zone", "default"),
+                                s.name("model", "any"),
+                                (int) s.number("cell", -1, -1, 1e6),
+                                s.number("weight", 1, 1e-3, 1e6)));
+        List<String> zones = t.texts(
+                "zones", servers.stream().map(Server::zone).distinct().sorted().toList());
+        List<String> models = t.texts(
+                "models",
+                servers.stream().map(Server::model).distinct().sorted().toList());
         for (int i = 0; i < servers.size(); i++) {
             among(t, i, "zone", servers.get(i).zone(), zones);
             among(t, i, "model", servers.get(i).model(), models);
@@ -178,14 +223,17 @@
 
     private static void among(Table t, int number, String key, String value, List<String> allowed) {
         if (!allowed.contains(value)) {
-            t.complain("membership.server[" + number + "]." + key, t.lineOf("server", number), "not one of "
-                + allowed + ": '" + value + "'");
+            t.complain(
+                    "membership.server[" + number + "]." + key,
+                    t.lineOf("server", number),
+                    "not one of " + allowed + ": '" + value + "'");
         }
     }
 
     private static String kind(Table t, Map<String, String> wire, Members members) {
         String name = t.name("name", null);
-        int number = (int) wire.keySet().stream().filter(k -> k.endsWith(".Idempotency")).count();
+        int number = (int)
+                wire.keySet().stream().filter(k -> k.endsWith(".Idempotency")).count();
         String at = "Classes." + number + ".";
         put(wire, at + "Name", name);
         Policy.Effect effect = t.word("effect", Policy.Effect.class, null);
@@ -217,14 +265,16 @@
         if (!unknown.isEmpty()) {
             t.complain(key, "not among " + all + ": " + unknown);
         }
-        return named.stream().map(n -> Integer.toString(Math.max(0, all.indexOf(n))))
-            .collect(Collectors.joining(","));
+        return named.stream()
+                .map(n -> Integer.toString(Math.max(0, all.indexOf(n))))
+                .collect(Collectors.joining(","));
     }
 
     private static String tenant(Table t, Map<String, String> wire) {
         String name = t.name("name", null);
-        int number = (int) wire.keySet().stream().filter(k -> k.startsWith("Realms.") && k.endsWith(".Name"))
-            .count();
+        int number = (int) wire.keySet().stream()
+                .filter(k -> k.startsWith("Realms.") && k.endsWith(".Name"))
+                .count();
         put(wire, "Realms." + number + ".Name", name);
         put(wire, "Realms." + number + ".AllowancePerS", t.number("allowance", null, 0, 1e9));
         return name;
@@ -242,8 +292,7 @@
         double upstreams = t.number("upstream-floor", usual.upstreamFloor(), 0.01, 0.99);
         long[] times = new long[5];
         String[] keys = {"rest-least", "rest-most", "silent-most", "ask-least", "ask-most"};
-        long[] otherwise = {usual.restLeast(), usual.restMost(), usual.silentMost(), usual.askLeast(),
-            usual.askMost()};
+        long[] otherwise = {usual.restLeast(), usual.restMost(), usual.silentMost(), usual.askLeast(), usual.askMost()};
         for (int i = 0; i < keys.length; i++) {
             times[i] = t.time(keys[i], otherwise[i] / 1_000 + "us") * 1_000;
         }
@@ -258,8 +307,17 @@
     private static Targets known(Members members, SettingsReader.Boot boot) {
         List<Targets.Target> list = new ArrayList<>();
         for (Server s : members.servers()) {
-            list.add(new Targets.Target(new Policy.Server(s.id(), Policy.State.UP, 0, s.weight(), s.cell(),
-                boot.kinds().indexOf(s.model()), boot.zones().indexOf(s.zone())), s.address(), s.http3()));
+            list.add(new Targets.Target(
+                    new Policy.Server(
+                            s.id(),
+                            Policy.State.UP,
+                            0,
+                            s.weight(),
+                            s.cell(),
+                            boot.kinds().indexOf(s.model()),
+                            boot.zones().indexOf(s.zone())),
+                    s.address(),
+                    s.http3()));
         }
         return new Targets(0, true, list);
     }
@@ -272,8 +330,8 @@
         unique(top, names, i -> "membership.server[" + i + "].id", i -> line);
     }
 
-    private static void unique(Table top, List<String> names, Function<Integer, String> path,
-            Function<Integer, Integer> line) {
+    private static void unique(
+            Table top, List<String> names, Function<Integer, String> path, Function<Integer, Integer> line) {
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < names.size(); i++) {
             if (!seen.add(names.get(i))) {
--- a/src/main/java/junctionhead/config/toml/Http3Table.java
+++ b/src/main/java/junctionhead/config/toml/Http3Table.java
@@ -15,19 +15,21 @@
 
 /** Reads the table {@code http3}; the files that it names are read with it, beside the configuration. */
 final class Http3Table {
-    private static final long SMALL = 1 << 20;      // bytes of a file of certificates
+    private static final long SMALL = 1 << 20; // bytes of a file of certificates
 
-    private Http3Table() { }
+    private Http3Table() {}
 
     static Http3 read(Table t, String file) {
         boolean clients = t.has("listen");
-        InetSocketAddress listen =
-            clients ? ConfigFile.address(t, "listen", t.text("listen", null)) : null;
+        InetSocketAddress listen = clients ? ConfigFile.address(t, "listen", t.text("listen", null)) : null;
         Identity identity = identity(t, file, clients);
-        Sessions.Limits sessions = new Sessions.Limits((int) t.number("connections", 500, 1, 1e6),
-            (int) t.number("per-address", 250, 1, 1e6), (int) t.number("handshakes", 100, 2, 1e6),
-            (long) t.number("unread-mib", 8, 1, 1 << 20) << 20, t.time("rest", "1s") * 1_000,
-            t.time("handshake", "3s") * 1_000);
+        Sessions.Limits sessions = new Sessions.Limits(
+                (int) t.number("connections", 500, 1, 1e6),
+                (int) t.number("per-address", 250, 1, 1e6),
+                (int) t.number("handshakes", 100, 2, 1e6),
+                (long) t.number("unread-mib", 8, 1, 1 << 20) << 20,
+                t.time("rest", "1s") * 1_000,
+                t.time("handshake", "3s") * 1_000);
         int streams = (int) t.number("streams", 100, 1, 1e5);
         long idle = Math.max(1_000, t.time("idle", "30s") / 1_000);
         boolean advertise = t.flag("advertise", true);
@@ -41,9 +43,11 @@
             }
         }
         String name = t.has("server-name") ? t.name("server-name", null) : null;
-        BoxPlan.Limits plan = new BoxPlan.Limits((int) t.number("upstream-connections", 4, 1, 1_000),
-            (int) t.number("upstream-streams", 100, 1, 1e5), t.time("back-off", "1s"),
-            t.time("back-off-most", "30s"));
+        BoxPlan.Limits plan = new BoxPlan.Limits(
+                (int) t.number("upstream-connections", 4, 1, 1_000),
+                (int) t.number("upstream-streams", 100, 1, 1e5),
+                t.time("back-off", "1s"),
+                t.time("back-off-most", "30s"));
         if (!clients && !t.has("trust")) {
             t.complain("listen", "missing, and no trust: the table switches nothing on");
         }
@@ -76,7 +80,7 @@
     // Null where there is none that can be read: told then.
     private static String text(Table t, String key, String file) {
         if (!t.has(key)) {
-            t.text(key, null);                      // complains
+            t.text(key, null); // complains
             return null;
         }
         String name = t.text(key, null);
--- a/src/main/java/junctionhead/config/toml/Problems.java
+++ b/src/main/java/junctionhead/config/toml/Problems.java
@@ -6,7 +6,7 @@
 
 /** All that is wrong with a file, found in one reading, each with its line. */
 public final class Problems {
-    private record Problem(int line, String text) { }
+    private record Problem(int line, String text) {}
 
     /** What is thrown where there is any: a line for each, in the order of the file. */
     public static final class Bad extends Exception {
@@ -47,8 +47,10 @@
     /** Throws what has been found, if anything has. */
     public void check() throws Bad {
         if (!list.isEmpty()) {
-            throw new Bad(list.stream().sorted(Comparator.comparingInt(Problem::line))
-                .map(p -> file + ":" + p.line() + ": " + p.text()).toList());
+            throw new Bad(list.stream()
+                    .sorted(Comparator.comparingInt(Problem::line))
+                    .map(p -> file + ":" + p.line() + ": " + p.text())
+                    .toList());
         }
     }
 }
--- a/src/main/java/junctionhead/config/toml/Table.java
+++ b/src/main/java/junctionhead/config/toml/Table.java
@@ -24,11 +24,13 @@
     /** Tables under one key; mapped one by one, so that each one's problems are told. */
     public record Tables(List<Table> tables) {
         public <T> List<T> map(Function<Table, T> each) {
-            return tables.stream().map(t -> {
-                T value = each.apply(t);
-                t.end();
-                return value;
-            }).toList();
+            return tables.stream()
+                    .map(t -> {
+                        T value = each.apply(t);
+                        t.end();
+                        return value;
+                    })
+                    .toList();
         }
     }
 
@@ -61,8 +63,9 @@
     }
 
     public int lineOf(String key, int index) {
-        TomlArray array = table.get(List.of(key)) instanceof TomlArray a ? a
-            : Toml.parse("").getArrayOrEmpty("a");
+        TomlArray array = table.get(List.of(key)) instanceof TomlArray a
+                ? a
+                : Toml.parse("").getArrayOrEmpty("a");
         return index < array.size() ? array.inputPositionOf(index).line() : line(key);
     }
 
@@ -104,8 +107,7 @@
             return least;
         }
         if (!(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            complain(path + key, line(key), "not between " + plain(least) + " and " + plain(most) + ": "
-                + value);
+            complain(path + key, line(key), "not between " + plain(least) + " and " + plain(most) + ": " + value);
             return least;
         }
         return n.doubleValue();
@@ -118,8 +120,7 @@
     public long time(String key, String otherwise) {
         Object value = value(key, otherwise == null);
         try {
-            return value == null ? otherwise == null ? 1 : Units.micros(otherwise)
-                : Units.micros(value.toString());
+            return value == null ? otherwise == null ? 1 : Units.micros(otherwise) : Units.micros(value.toString());
         } catch (IllegalArgumentException e) {
             complain(path + key, line(key), e.getMessage());
             return 1;
@@ -135,9 +136,14 @@
         try {
             return Enum.valueOf(type, value.toString().toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
-            complain(path + key, line(key), "not one of " + Arrays.stream(type.getEnumConstants())
-                .map(c -> c.name().toLowerCase(Locale.ROOT).replace('_', '-'))
-                .collect(Collectors.joining(", ")) + ": '" + value + "'");
+            complain(
+                    path + key,
+                    line(key),
+                    "not one of "
+                            + Arrays.stream(type.getEnumConstants())
+                                    .map(c -> c.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+                                    .collect(Collectors.joining(", "))
+                            + ": '" + value + "'");
             return first;
         }
     }
@@ -190,8 +196,10 @@
             complain(path + key, line(key), "not a table");
             value = null;
         }
-        return new Tables(List.of(value == null ? new Table(Toml.parse(""), path + key + ".", line, problems)
-            : new Table((TomlTable) value, path + key + ".", line(key), problems)));
+        return new Tables(List.of(
+                value == null
+                        ? new Table(Toml.parse(""), path + key + ".", line, problems)
+                        : new Table((TomlTable) value, path + key + ".", line(key), problems)));
     }
 
     public Tables tables(String key) {
@@ -208,11 +216,14 @@
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
                 if (array.get(i) instanceof TomlTable t) {
-                    tables.add(new Table(t, path + key + "[" + i + "].",
-                        array.inputPositionOf(i).line(),
-                        problems));
+                    tables.add(new Table(
+                            t,
+                            path + key + "[" + i + "].",
+                            array.inputPositionOf(i).line(),
+                            problems));
                 } else {
-                    complain(path + key + "[" + i + "]", array.inputPositionOf(i).line(), "not a table");
+                    complain(
+                            path + key + "[" + i + "]", array.inputPositionOf(i).line(), "not a table");
                 }
             }
         } else if (value != null) {
@@ -225,8 +236,10 @@
     public void end() {
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
-                String near = known.stream().min(Comparator.comparingInt((String k) -> distance(k, key))
-                    .thenComparing(Function.identity())).orElse("");
+                String near = known.stream()
+                        .min(Comparator.comparingInt((String k) -> distance(k, key))
+                                .thenComparing(Function.identity()))
+                        .orElse("");
                 complain(path + key, line(key), "unknown; the nearest known is '" + near + "'");
             }
         }
--- a/src/main/java/junctionhead/config/toml/Units.java
+++ b/src/main/java/junctionhead/config/toml/Units.java
@@ -7,7 +7,7 @@
 final class Units {
     private static final Pattern TIME = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|m)");
 
-    private Units() { }
+    private Units() {}
 
     /** µs; throws IllegalArgumentException where it isn't a time with a unit. */
     static long micros(String text) {
--- a/src/main/java/junctionhead/connections/Budget.java
+++ b/src/main/java/junctionhead/connections/Budget.java
@@ -15,25 +15,25 @@
  * that all calls share. For one thread. Methods throw IllegalStateException where a connection has ended.
  */
 public final class Budget {
-    private static final double FREE = 0.25;        // of the clients' room: up to here all may stay
-    private static final double DEAR = 0.75;        // from here on only what is sure to be used again
-    private static final double DITHER = 0.2;       // spreads the line between staying and ending
+    private static final double FREE = 0.25; // of the clients' room: up to here all may stay
+    private static final double DEAR = 0.75; // from here on only what is sure to be used again
+    private static final double DITHER = 0.2; // spreads the line between staying and ending
     private static final double GOLDEN = 0.6180339887498949;
-    private static final double HEADROOM = 1.25;    // on what a side needed lately
-    private static final long LINGER_LEAST = 500_000_000;   // for the last answer to be read
+    private static final double HEADROOM = 1.25; // on what a side needed lately
+    private static final long LINGER_LEAST = 500_000_000; // for the last answer to be read
     private static final long LINGER_MOST = 1_000_000_000;
-    private static final double ASKS = 6;           // fair: so many times as long as clients take to ask
-    private static final double ASK_MEMORY = 32;    // clients
-    private static final double REUSE_MEMORY = 64;  // rests
-    private static final double SIGN = 0.5;         // what a sign against reuse counts: there are two each
-    private static final double GAPS = 6;           // soon: so many times as long as rests that are used
-    private static final double GAP_MEMORY = 64;    // rests
+    private static final double ASKS = 6; // fair: so many times as long as clients take to ask
+    private static final double ASK_MEMORY = 32; // clients
+    private static final double REUSE_MEMORY = 64; // rests
+    private static final double SIGN = 0.5; // what a sign against reuse counts: there are two each
+    private static final double GAPS = 6; // soon: so many times as long as rests that are used
+    private static final double GAP_MEMORY = 64; // rests
     private static final long SOON_LEAST = 100_000_000;
     private static final long SOON_MOST = 1_000_000_000;
-    private static final double RETURN = 1e9;       // ns in which a client that was ended comes again, mostly
-    private static final double PROVEN = 0.9;       // the chance of one that was used again and again
-    private static final double OWN_WEIGHT = 2;     // rests that the peer's share counts for beside its own
-    private static final double PEER_WEIGHT = 8;    // rests that the common one counts for beside the peer's
+    private static final double RETURN = 1e9; // ns in which a client that was ended comes again, mostly
+    private static final double PROVEN = 0.9; // the chance of one that was used again and again
+    private static final double OWN_WEIGHT = 2; // rests that the peer's share counts for beside its own
+    private static final double PEER_WEIGHT = 8; // rests that the common one counts for beside the peer's
 
     private Limits limits;
     private int clientFloor;
@@ -43,9 +43,9 @@
     private Reuse reuse;
     private Need clientNeed;
     private Need upstreamNeed;
-    private double askMean;                         // ns from a connection's start to its first request
-    private double gapMean;                         // ns that a rest lasts before it is used
-    private double returning;                       // clients ended at their answers that may come again
+    private double askMean; // ns from a connection's start to its first request
+    private double gapMean; // ns that a rest lasts before it is used
+    private double returning; // clients ended at their answers that may come again
     private long returningAt;
     private long turns;
 
@@ -110,8 +110,9 @@
         double forUpstreams = beyond(upstreamNeed, upstreamFloor, now);
         double free = limits.most() - clientFloor - upstreamFloor;
         double part = forClients + forUpstreams > free ? free / (forClients + forUpstreams) : 1;
-        return side == Side.CLIENT ? clientFloor + (int) (forClients * part)
-            : upstreamFloor + (int) (forUpstreams * part);
+        return side == Side.CLIENT
+                ? clientFloor + (int) (forClients * part)
+                : upstreamFloor + (int) (forUpstreams * part);
     }
 
     private static double beyond(Need need, int floor, long now) {
@@ -302,11 +303,13 @@
         List<Lease> over = new ArrayList<>();
         rested(register.resting, restMost(now), over, now);
         rested(register.proven, restMost(PROVEN, now), over, now);
-        for (Lease l = register.silent.first(); l != null && now - l.openedAt > limits.silentMost();
+        for (Lease l = register.silent.first();
+                l != null && now - l.openedAt > limits.silentMost();
                 l = register.silent.first()) {
             over.add(end(l, End.SILENT, now));
         }
-        for (Lease l = register.lingering.first(); l != null && now - l.since > LINGER_MOST;
+        for (Lease l = register.lingering.first();
+                l != null && now - l.since > LINGER_MOST;
                 l = register.lingering.first()) {
             gone(l, now);
             over.add(l);
@@ -345,7 +348,7 @@
     // is not sent.
     private Lease spare(Side side, long now) {
         advance(now);
-        boolean ownSide = sideFull(side, now);      // ending one of the other side would not help
+        boolean ownSide = sideFull(side, now); // ending one of the other side would not help
         Lease idle = register.idle.first();
         if (side == Side.UPSTREAM && ownSide) {
             return idle == null ? null : end(idle, End.IDLE_FOR_ROOM, now);
@@ -359,15 +362,16 @@
         }
         Lease rests = rests(now);
         boolean lately = rests == null || now - rests.since < limits.restLeast();
-        boolean mayIdle = !ownSide && (side == Side.UPSTREAM
-            || open(Side.UPSTREAM) > kept(Side.UPSTREAM, now));
+        boolean mayIdle = !ownSide && (side == Side.UPSTREAM || open(Side.UPSTREAM) > kept(Side.UPSTREAM, now));
         if (lately && mayIdle && idle != null) {
             return end(idle, End.IDLE_FOR_ROOM, now);
         }
         // One newcomer is as good as another: they soon ask, or their fair time is over. Clients that have
         // just been served don't go for them, unless these take most of the room.
-        boolean waits = side == Side.CLIENT && lately && register.fresh.size() > 0
-            && register.resting.size() <= clientsMost(now) / 2;
+        boolean waits = side == Side.CLIENT
+                && lately
+                && register.fresh.size() > 0
+                && register.resting.size() <= clientsMost(now) / 2;
         if (rests != null && !waits) {
             return end(rests, End.RESTING_FOR_ROOM, now);
         }
@@ -393,14 +397,12 @@
     // the oldest are first.
     private void advance(long now) {
         long soon = soon();
-        for (Lease l = register.hoped.first(); l != null && now - l.since >= soon;
-                l = register.hoped.first()) {
+        for (Lease l = register.hoped.first(); l != null && now - l.since >= soon; l = register.hoped.first()) {
             l.hopePlace.leave();
             saw(l, false, now);
         }
         long fair = fairTime();
-        for (Lease l = register.fresh.first(); l != null && now - l.openedAt >= fair;
-                l = register.fresh.first()) {
+        for (Lease l = register.fresh.first(); l != null && now - l.openedAt >= fair; l = register.fresh.first()) {
             enter(l, Lease.State.SILENT, now);
         }
     }
--- a/src/main/java/junctionhead/connections/IdleRest.java
+++ b/src/main/java/junctionhead/connections/IdleRest.java
@@ -7,7 +7,7 @@
  * no clock, no socket. Immutable. Times are in µs.
  */
 public final class IdleRest {
-    private static final double SHARE = 0.5;        // of the time after which upstreams close an idle one
+    private static final double SHARE = 0.5; // of the time after which upstreams close an idle one
     private static final long MOST = 6_000_000;
     private static final long SPARE = 500_000;
     private static final long SETTLES = 10_000;
--- a/src/main/java/junctionhead/connections/Lease.java
+++ b/src/main/java/junctionhead/connections/Lease.java
@@ -13,19 +13,27 @@
     }
 
     /** What a connection is at. */
-    enum State { NEW, SILENT, RECEIVING, BUSY, RESTING, LINGERING, GONE }
+    enum State {
+        NEW,
+        SILENT,
+        RECEIVING,
+        BUSY,
+        RESTING,
+        LINGERING,
+        GONE
+    }
 
     final Side side;
-    final Peer peer;                                // null on the upstreams' side
+    final Peer peer; // null on the upstreams' side
     final int units;
     final Holder holder;
     final long openedAt;
-    final Line.Place<Lease> place = new Line.Place<>(this);      // in the line of its state
-    final Line.Place<Lease> peerPlace = new Line.Place<>(this);  // in its peer's line
-    final Line.Place<Lease> hopePlace = new Line.Place<>(this);  // in the line of those that may soon be used
+    final Line.Place<Lease> place = new Line.Place<>(this); // in the line of its state
+    final Line.Place<Lease> peerPlace = new Line.Place<>(this); // in its peer's line
+    final Line.Place<Lease> hopePlace = new Line.Place<>(this); // in the line of those that may soon be used
     State state;
-    long since;                                     // it is in this state, ns
-    int inFlight;                                   // requests taken and not answered
+    long since; // it is in this state, ns
+    int inFlight; // requests taken and not answered
     int rests;
     int reuses;
     boolean asked;
--- a/src/main/java/junctionhead/connections/Limits.java
+++ b/src/main/java/junctionhead/connections/Limits.java
@@ -12,9 +12,16 @@
  * @param askLeast the least fair time to ask, within which none is ended for another client's sake
  * @param askMost the most of it: the fair time follows what clients take
  */
-public record Limits(int most, double clientFloor, double upstreamFloor, long restLeast, long restMost,
-        long silentMost, long askLeast, long askMost) {
-    private static final int RESERVE = 64;          // for what is not counted: jars, selector, discovery
+public record Limits(
+        int most,
+        double clientFloor,
+        double upstreamFloor,
+        long restLeast,
+        long restMost,
+        long silentMost,
+        long askLeast,
+        long askMost) {
+    private static final int RESERVE = 64; // for what is not counted: jars, selector, discovery
     private static final long MS = 1_000_000;
 
     public Limits {
@@ -37,13 +44,27 @@
     /** The same for half as many descriptors, where two processes share them. */
     public Limits half() {
         int reserve = Math.min(RESERVE, most);
-        return new Limits(Math.max(2, (most + reserve) / 2 - reserve), clientFloor, upstreamFloor, restLeast,
-            restMost, silentMost, askLeast, askMost);
+        return new Limits(
+                Math.max(2, (most + reserve) / 2 - reserve),
+                clientFloor,
+                upstreamFloor,
+                restLeast,
+                restMost,
+                silentMost,
+                askLeast,
+                askMost);
     }
 
     /** The usual ones for a process that may hold so many descriptors. */
     public static Limits of(int descriptors) {
-        return new Limits(Math.max(2, descriptors - Math.min(RESERVE, descriptors / 2)), 0.35, 0.2,
-            300 * MS, 5_000 * MS, 2_200 * MS, 60 * MS, 1_000 * MS);
+        return new Limits(
+                Math.max(2, descriptors - Math.min(RESERVE, descriptors / 2)),
+                0.35,
+                0.2,
+                300 * MS,
+                5_000 * MS,
+                2_200 * MS,
+                60 * MS,
+                1_000 * MS);
     }
 }
--- a/src/main/java/junctionhead/connections/Need.java
+++ b/src/main/java/junctionhead/connections/Need.java
@@ -2,7 +2,7 @@
 
 /** The most that was in use lately: it rises at once and fades towards what is in use now. Times in ns. */
 final class Need {
-    private static final double FADE = 15e9;        // ns in which the distance falls e times
+    private static final double FADE = 15e9; // ns in which the distance falls e times
     private double peak;
     private int present;
     private long at;
--- a/src/main/java/junctionhead/connections/Register.java
+++ b/src/main/java/junctionhead/connections/Register.java
@@ -10,16 +10,16 @@
  * times in ns.
  */
 final class Register {
-    private static final int FORMER_MOST = 1_024;   // peers that are remembered while they hold nothing
+    private static final int FORMER_MOST = 1_024; // peers that are remembered while they hold nothing
 
-    final Line<Lease> fresh = new Line<>();         // have not asked, within their fair time
-    final Line<Lease> silent = new Line<>();        // have not asked, past it
+    final Line<Lease> fresh = new Line<>(); // have not asked, within their fair time
+    final Line<Lease> silent = new Line<>(); // have not asked, past it
     final Line<Lease> receiving = new Line<>();
     final Line<Lease> resting = new Line<>();
-    final Line<Lease> proven = new Line<>();        // at rest, and used again and again so far
-    final Line<Lease> hoped = new Line<>();         // at rest, and not yet for longer than most are
+    final Line<Lease> proven = new Line<>(); // at rest, and used again and again so far
+    final Line<Lease> hoped = new Line<>(); // at rest, and not yet for longer than most are
     final Line<Lease> lingering = new Line<>();
-    final Line<Lease> idle = new Line<>();          // to upstreams
+    final Line<Lease> idle = new Line<>(); // to upstreams
     final Ladder<Peer> held = new Ladder<>();
     final Ladder<Peer> silentOf = new Ladder<>();
     final Ladder<Peer> restingOf = new Ladder<>();
@@ -127,7 +127,7 @@
                 }
             }
             case BUSY -> busy(lease, 1);
-            case GONE -> { }
+            case GONE -> {}
             default -> throw new IllegalStateException("no such state: " + state);
         }
     }
--- a/src/main/java/junctionhead/connections/Reuse.java
+++ b/src/main/java/junctionhead/connections/Reuse.java
@@ -8,8 +8,9 @@
 final class Reuse {
     /** What is assumed where nothing has been seen. */
     static final double UNKNOWN = 0.5;
-    private static final double FADE = 30e9;        // ns in which what was seen counts e times less
-    private final double most;                      // observations that it remembers
+
+    private static final double FADE = 30e9; // ns in which what was seen counts e times less
+    private final double most; // observations that it remembers
     private double seen;
     private double used;
     private long at;
--- a/src/main/java/junctionhead/connections/Tally.java
+++ b/src/main/java/junctionhead/connections/Tally.java
@@ -4,9 +4,9 @@
 
 /** What the budget has done, in counts, and the line that tells of a change of pressure. For one thread. */
 final class Tally {
-    private static final double TIGHT_FROM = 0.5;   // of the clients' room
+    private static final double TIGHT_FROM = 0.5; // of the clients' room
     private static final double SHORT_FROM = 0.95;
-    private static final double BACK = 0.1;         // a level is left this much below where it begins
+    private static final double BACK = 0.1; // a level is left this much below where it begins
     private static final long NEWS_EVERY = 5_000_000_000L;
 
     private final long[] ends = new long[End.values().length];
@@ -69,13 +69,23 @@
         }
         toldPressure = present;
         toldAt = now;
-        StringBuilder line = new StringBuilder("connections ").append(present.name().toLowerCase(Locale.ROOT))
-            .append(": clients ").append(register.open(Side.CLIENT)).append(" of ").append(clientsMost)
-            .append(" (").append(register.busy(Side.CLIENT)).append(" busy, ")
-            .append(register.atRest()).append(" at rest, ")
-            .append(register.fresh.size() + register.silent.size()).append(" unasked), upstreams ")
-            .append(register.open(Side.UPSTREAM)).append(" (").append(register.busy(Side.UPSTREAM))
-            .append(" busy)");
+        StringBuilder line = new StringBuilder("connections ")
+                .append(present.name().toLowerCase(Locale.ROOT))
+                .append(": clients ")
+                .append(register.open(Side.CLIENT))
+                .append(" of ")
+                .append(clientsMost)
+                .append(" (")
+                .append(register.busy(Side.CLIENT))
+                .append(" busy, ")
+                .append(register.atRest())
+                .append(" at rest, ")
+                .append(register.fresh.size() + register.silent.size())
+                .append(" unasked), upstreams ")
+                .append(register.open(Side.UPSTREAM))
+                .append(" (")
+                .append(register.busy(Side.UPSTREAM))
+                .append(" busy)");
         String between = "; ended since the last such line: ";
         for (End why : End.values()) {
             long more = ends[why.ordinal()] - told[why.ordinal()];
@@ -93,7 +103,7 @@
         for (long count : ends) {
             ours += count;
         }
-        return opened + " connections taken, " + answers + " answers, " + again
-            + " followed by another request, " + ours + " connections ended by the budget";
+        return opened + " connections taken, " + answers + " answers, " + again + " followed by another request, "
+                + ours + " connections ended by the budget";
     }
 }
--- a/src/main/java/junctionhead/core/Addresses.java
+++ b/src/main/java/junctionhead/core/Addresses.java
@@ -6,7 +6,7 @@
 
 /** Socket addresses as literals: there is no DNS here, and a name must not make anybody wait for one. */
 public final class Addresses {
-    private Addresses() { }
+    private Addresses() {}
 
     /** Reads {@code address:port}; throws IllegalArgumentException where it isn't that. */
     public static InetSocketAddress parse(String text) {
--- a/src/main/java/junctionhead/core/Carrier.java
+++ b/src/main/java/junctionhead/core/Carrier.java
@@ -9,7 +9,10 @@
  */
 public interface Carrier {
     /** What is certain of an attempt that is given up. */
-    enum Fate { NEVER_RAN, MAY_HAVE_RUN }
+    enum Fate {
+        NEVER_RAN,
+        MAY_HAVE_RUN
+    }
 
     /** Whom it tells, once for each attempt, unless the attempt is given up before. */
     interface Listener {
@@ -27,7 +30,7 @@
         }
 
         /** Its first bytes have left, maybe after its permit was over: the process was held up meanwhile. */
-        default void heldUp() { }
+        default void heldUp() {}
     }
 
     /** An attempt that has been started. */
--- a/src/main/java/junctionhead/core/Dispatcher.java
+++ b/src/main/java/junctionhead/core/Dispatcher.java
@@ -32,16 +32,16 @@
         final Order order;
         final Reply reply;
         long deadline;
-        boolean arriving;                           // its last byte has not come yet
+        boolean arriving; // its last byte has not come yet
         final List<Attempt> attempts = new ArrayList<>(2);
-        final int most;                             // attempts, by the limits that it was taken under
-        final boolean unsafe;                       // it must not run twice, by its class at that time
+        final int most; // attempts, by the limits that it was taken under
+        final boolean unsafe; // it must not run twice, by its class at that time
         Tally.Entry entry;
         int out;
-        boolean told;                               // to the module
+        boolean told; // to the module
         boolean closed;
         Loop.Timer guard;
-        Loop.Timer stall;                           // while its upstream takes no more
+        Loop.Timer stall; // while its upstream takes no more
 
         Exchange(String id, Order order, Reply reply, long deadline, int most, boolean unsafe) {
             this.most = most;
@@ -61,7 +61,7 @@
         Carrier.Attempt carried;
         Loop.Timer timer;
         boolean ended;
-        boolean neverRan;                           // its end proves that
+        boolean neverRan; // its end proves that
 
         Attempt(Exchange exchange, int number, long at) {
             this.exchange = exchange;
@@ -77,27 +77,26 @@
     private final Clock clock;
     private final Tally tally;
     private final Map<String, Exchange> table = new HashMap<>();
-    private final Set<String> ids = new HashSet<>();    // clients' own names of what is in the table
+    private final Set<String> ids = new HashSet<>(); // clients' own names of what is in the table
     private final ArrayDeque<LongConsumer> waiting = new ArrayDeque<>();
-    private final ArrayDeque<LongConsumer> news = new ArrayDeque<>();  // of the list: before all that waits
+    private final ArrayDeque<LongConsumer> news = new ArrayDeque<>(); // of the list: before all that waits
     private Carrier carrier;
     private Membership membership = Membership.NONE;
     private final Standstill standstill = new Standstill();
     private boolean handing;
-    private boolean postponed;                      // until news of the list has been read
+    private boolean postponed; // until news of the list has been read
     private boolean retired;
     private long taken;
     private long guarded;
     private long faults;
     private int owed;
-    private long lastAnswerAt = Long.MAX_VALUE;     // once it is to end
+    private long lastAnswerAt = Long.MAX_VALUE; // once it is to end
     private Runnable whenIdle;
     private RequestLog requestLog = RequestLog.OFF;
     private final Invariants invariants;
 
     /** {@code clock} is read on the loop's thread; {@code log} must not block. */
-    public Dispatcher(Loop loop, Clock clock, SettingsReader.Boot boot, Policy policy,
-            Consumer<String> log) {
+    public Dispatcher(Loop loop, Clock clock, SettingsReader.Boot boot, Policy policy, Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
         this.tally = new Tally(boot.settings());
@@ -217,7 +216,8 @@
         Order order = upload == null ? asked : asked.passing(upload, asked.length());
         Policy.Settings settings = boot.settings();
         boolean unsafe = settings.classes().get(order.requestClass()).effect() == Policy.Effect.UNSAFE;
-        Exchange x = new Exchange(id, order, reply, deadline(order), settings.limits().maxAttempts(), unsafe);
+        Exchange x = new Exchange(
+                id, order, reply, deadline(order), settings.limits().maxAttempts(), unsafe);
         table.put(id, x);
         ids.add(order.id());
         owed++;
@@ -230,10 +230,18 @@
             upload.stalled = stalled -> stalled(x, stalled);
         }
         hand(now -> {
-            if (!x.closed) {                        // it may have waited here, and its client may have left
+            if (!x.closed) { // it may have waited here, and its client may have left
                 x.told = true;
-                policy.request(now, id, order.requestClass(), order.tenant(), order.key(),
-                    Math.max(0, x.deadline - now), order.work(), order.resubmission(), this);
+                policy.request(
+                        now,
+                        id,
+                        order.requestClass(),
+                        order.tenant(),
+                        order.key(),
+                        Math.max(0, x.deadline - now),
+                        order.work(),
+                        order.resubmission(),
+                        this);
             }
         });
         return () -> gone(x);
@@ -248,8 +256,10 @@
      * is no sooner than the longest deadline and {@code more} µs from now, whoever asks when.
      */
     public void ending(long more) {
-        long longest = boot.settings().classes().stream().mapToLong(Policy.RequestClass::deadline).max()
-            .getAsLong();
+        long longest = boot.settings().classes().stream()
+                .mapToLong(Policy.RequestClass::deadline)
+                .max()
+                .getAsLong();
         lastAnswerAt = Math.min(lastAnswerAt, now() + longest + more);
     }
 
@@ -299,7 +309,7 @@
     private void guard(Exchange x, long left) {
         x.guard = loop.after(Math.max(0, left - GUARD), () -> {
             if (x.arriving && x.out > 0) {
-                guard(x, x.order.timeLeft());       // on its way: its time has not begun
+                guard(x, x.order.timeLeft()); // on its way: its time has not begun
             } else {
                 lastResort(x);
             }
@@ -313,8 +323,8 @@
             x.stall = null;
         }
         if (stalled && !x.closed) {
-            x.stall = loop.after(STALLED, () ->
-                List.copyOf(x.attempts).forEach(a -> giveUp(a, Policy.Outcome.TIMEOUT)));
+            x.stall =
+                    loop.after(STALLED, () -> List.copyOf(x.attempts).forEach(a -> giveUp(a, Policy.Outcome.TIMEOUT)));
         }
     }
 
@@ -475,7 +485,7 @@
             tally.served(x.entry, x.order.timeLeft() - (x.deadline - now()));
             x.reply.serve(answer);
         } else if (answer != null && answer.rest() != null) {
-            answer.rest().drop();                   // nobody waits for it any more
+            answer.rest().drop(); // nobody waits for it any more
         }
         hand(now -> policy.outcome(now, x.id, a.number, outcome, latency, x.closed, load, this));
         if (x.closed) {
@@ -513,8 +523,7 @@
                 invariants.violated(Invariants.Violation.SECOND_RUN, x.order.id());
                 return SendGuard.NOBODY;
             }
-            requestLog.attempt(RequestLog.Event.ATTEMPT_SENT, x.order.id(), attempt.number,
-                now() - attempt.at);
+            requestLog.attempt(RequestLog.Event.ATTEMPT_SENT, x.order.id(), attempt.number, now() - attempt.at);
             return SendGuard.awaitedUntil(readAt);
         }
 
@@ -525,8 +534,8 @@
 
         @Override
         public void heldUp() {
-            requestLog.attempt(RequestLog.Event.ATTEMPT_HELD_UP, attempt.exchange.order.id(), attempt.number,
-                now() - attempt.at);
+            requestLog.attempt(
+                    RequestLog.Event.ATTEMPT_HELD_UP, attempt.exchange.order.id(), attempt.number, now() - attempt.at);
         }
     }
 
@@ -591,8 +600,8 @@
     }
 
     public String summary() {
-        return taken + " requests taken, " + owed + " unanswered, " + guarded + " last-resort answers, "
-            + faults + " faults; " + tally.summary() + "; " + invariants.summary();
+        return taken + " requests taken, " + owed + " unanswered, " + guarded + " last-resort answers, " + faults
+                + " faults; " + tally.summary() + "; " + invariants.summary();
     }
 
     // ---------------------------------------------------------------- the module's actions
@@ -614,8 +623,11 @@
         x.out++;
         long left = (x.arriving ? x.order.timeLeft() : x.deadline - now) - GUARD - LAST_WORD;
         long wait = timeout == 0 ? left : Math.min(timeout, left);
-        boolean allowed = !x.closed && wait > 0 && a.number < x.most
-            && within > 0 && (x.order.rest() == null || !x.order.rest().started());
+        boolean allowed = !x.closed
+                && wait > 0
+                && a.number < x.most
+                && within > 0
+                && (x.order.rest() == null || !x.order.rest().started());
         requestLog.attempt(RequestLog.Event.ATTEMPT_STARTED, x.order.id(), a.number, server);
         if (allowed) {
             a.wait = wait;
@@ -674,8 +686,10 @@
     public void probe(String server) {
         long sent = now();
         boolean reports = boot.settings().reports() != Policy.Reports.NONE;
-        carrier.probe(server, reports, (outcome, answer, load) ->
-            hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
+        carrier.probe(
+                server,
+                reports,
+                (outcome, answer, load) -> hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
     }
 
     @Override
--- a/src/main/java/junctionhead/core/DrainGrace.java
+++ b/src/main/java/junctionhead/core/DrainGrace.java
@@ -9,9 +9,10 @@
     public static final long NEVER = Long.MAX_VALUE;
     /** After its grace: that long a stopped upstream is kept, against a table that only grows. */
     public static final long FORGET = 60_000_000;
-    private static final long MARGIN = 50_000;      // before the grace is over: the clock is not shared
 
-    private DrainGrace() { }
+    private static final long MARGIN = 50_000; // before the grace is over: the clock is not shared
+
+    private DrainGrace() {}
 
     /**
      * @param earlier what held until now: a drain that is told again is no later for it
--- a/src/main/java/junctionhead/core/Drill.java
+++ b/src/main/java/junctionhead/core/Drill.java
@@ -4,6 +4,7 @@
 public interface Drill {
     /** The path of its requests, and the one on which they come back to this node as an upstream. */
     String PATH = "/-/rehearsal";
+
     String HOP = "/-/rehearsed";
 
     /** Whether a request with these fields is one of its own. */
--- a/src/main/java/junctionhead/core/Fields.java
+++ b/src/main/java/junctionhead/core/Fields.java
@@ -22,7 +22,7 @@
         }
 
         @Override
-        public void each(BiConsumer<String, String> to) { }
+        public void each(BiConsumer<String, String> to) {}
     };
 
     /** The first value of a field; null where there is none. */
--- a/src/main/java/junctionhead/core/Invariants.java
+++ b/src/main/java/junctionhead/core/Invariants.java
@@ -49,8 +49,9 @@
         if (counts.isEmpty()) {
             return "no invariant violated";
         }
-        return counts.entrySet().stream().map(e -> e.getValue() + " " + name(e.getKey()))
-            .collect(Collectors.joining(", ", "violated: ", ""));
+        return counts.entrySet().stream()
+                .map(e -> e.getValue() + " " + name(e.getKey()))
+                .collect(Collectors.joining(", ", "violated: ", ""));
     }
 
     private static String name(Violation what) {
--- a/src/main/java/junctionhead/core/Membership.java
+++ b/src/main/java/junctionhead/core/Membership.java
@@ -11,9 +11,9 @@
     /** No source: what is known stays. */
     Membership NONE = new Membership() {
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
 
         @Override
-        public void fetch() { }
+        public void fetch() {}
     };
 }
--- a/src/main/java/junctionhead/core/Order.java
+++ b/src/main/java/junctionhead/core/Order.java
@@ -7,14 +7,49 @@
  * {@code rest} follows behind it where it is longer than is held, {@code length} is that of both, -1 if
  * unknown; {@code passes}: its front passes long answers on.
  */
-public record Order(String id, String method, String uri, Fields fields, byte[] body, int requestClass,
-        int tenant, String key, long timeLeft, long work, boolean resubmission, Stream rest, long length,
+public record Order(
+        String id,
+        String method,
+        String uri,
+        Fields fields,
+        byte[] body,
+        int requestClass,
+        int tenant,
+        String key,
+        long timeLeft,
+        long work,
+        boolean resubmission,
+        Stream rest,
+        long length,
         boolean passes) {
     /** One whose body is whole, and its answer too. */
-    public Order(String id, String method, String uri, Fields fields, byte[] body, int requestClass,
-            int tenant, String key, long timeLeft, long work, boolean resubmission) {
-        this(id, method, uri, fields, body, requestClass, tenant, key, timeLeft, work, resubmission, null,
-            body.length, false);
+    public Order(
+            String id,
+            String method,
+            String uri,
+            Fields fields,
+            byte[] body,
+            int requestClass,
+            int tenant,
+            String key,
+            long timeLeft,
+            long work,
+            boolean resubmission) {
+        this(
+                id,
+                method,
+                uri,
+                fields,
+                body,
+                requestClass,
+                tenant,
+                key,
+                timeLeft,
+                work,
+                resubmission,
+                null,
+                body.length,
+                false);
     }
 
     /** Bytes of a body, of a request or an answer, that are held whole; longer ones go through. */
@@ -26,13 +61,39 @@
 
     /** The same for another path. */
     public Order to(String other) {
-        return new Order(id, method, other, fields, body, requestClass, tenant, key, timeLeft, work,
-            resubmission, rest, length, passes);
+        return new Order(
+                id,
+                method,
+                other,
+                fields,
+                body,
+                requestClass,
+                tenant,
+                key,
+                timeLeft,
+                work,
+                resubmission,
+                rest,
+                length,
+                passes);
     }
 
     /** The same from a front that passes long answers on, and with what follows behind its body, or null. */
     public Order passing(Stream following, long all) {
-        return new Order(id, method, uri, fields, body, requestClass, tenant, key, timeLeft, work,
-            resubmission, following, all, true);
+        return new Order(
+                id,
+                method,
+                uri,
+                fields,
+                body,
+                requestClass,
+                tenant,
+                key,
+                timeLeft,
+                work,
+                resubmission,
+                following,
+                all,
+                true);
     }
 }
--- a/src/main/java/junctionhead/core/OrderRules.java
+++ b/src/main/java/junctionhead/core/OrderRules.java
@@ -6,13 +6,13 @@
 
 /** What every front asks of a request before it is taken, whatever its protocol. Decides without I/O. */
 public final class OrderRules {
-    private static final int NAME_MOST = 256;               // characters of an id or a key
-    private static final long DEADLINE_MOST = 600_000;      // ms: it is held for so long at most
-    private static final long COST_MOST = 600_000_000;      // µs: a guess beyond it says nothing
-    private static final List<String> SINGLE = List.of("Req-Id", "Req-Kind", "Req-Owner", Order.DEADLINE,
-        "Req-Cost", "Req-Retry", "Idempotency-Key");
+    private static final int NAME_MOST = 256; // characters of an id or a key
+    private static final long DEADLINE_MOST = 600_000; // ms: it is held for so long at most
+    private static final long COST_MOST = 600_000_000; // µs: a guess beyond it says nothing
+    private static final List<String> SINGLE =
+            List.of("Req-Id", "Req-Kind", "Req-Owner", Order.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
 
-    private OrderRules() { }
+    private OrderRules() {}
 
     /**
      * What a request asks for.
@@ -21,8 +21,7 @@
      * @param fields those that go on, and with them those that tell of the request itself
      * @throws IllegalArgumentException with the reason, where it can't be taken
      */
-    public static Order order(String method, String uri, Fields fields, byte[] body,
-            SettingsReader.Boot boot) {
+    public static Order order(String method, String uri, Fields fields, byte[] body, SettingsReader.Boot boot) {
         for (String name : SINGLE) {
             if (fields.several(name)) {
                 throw new IllegalArgumentException("more than one " + name);
@@ -44,9 +43,18 @@
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = Math.max(0, boot.tenants().indexOf(text(fields, "Req-Owner")));
         long cost = number(fields.get("Req-Cost"), -1);
-        return new Order(id, method, uri, fields, body, number, tenant,
-            key.isEmpty() ? null : key, left * 1000, cost > COST_MOST ? -1 : cost,
-            "1".equals(fields.get("Req-Retry")));
+        return new Order(
+                id,
+                method,
+                uri,
+                fields,
+                body,
+                number,
+                tenant,
+                key.isEmpty() ? null : key,
+                left * 1000,
+                cost > COST_MOST ? -1 : cost,
+                "1".equals(fields.get("Req-Retry")));
     }
 
     // A name stands twice where its class has changed lately: clients hear of that later than this balancer.
@@ -74,14 +82,13 @@
     }
 
     private static boolean named(String text) {
-        return !text.isEmpty() && text.length() <= NAME_MOST
-            && text.chars().allMatch(c -> c > ' ' && c < 127);
+        return !text.isEmpty() && text.length() <= NAME_MOST && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
 
     private static long number(String text, long otherwise) {
         String digits = text == null ? "" : text.strip();
-        boolean plain = !digits.isEmpty() && digits.length() <= 12
-            && digits.chars().allMatch(c -> c >= '0' && c <= '9');
+        boolean plain =
+                !digits.isEmpty() && digits.length() <= 12 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
         return plain ? Long.parseLong(digits) : otherwise;
     }
 }
--- a/src/main/java/junctionhead/core/Reply.java
+++ b/src/main/java/junctionhead/core/Reply.java
@@ -18,5 +18,5 @@
      * Reads what the client's connection holds by now, so that its close is known: what was given to run at
      * that has run by the return. Not to be called from within a read of a connection.
      */
-    default void readConnection() { }
+    default void readConnection() {}
 }
--- a/src/main/java/junctionhead/core/SendGuard.java
+++ b/src/main/java/junctionhead/core/SendGuard.java
@@ -16,7 +16,7 @@
     /** In place of a time: nobody waits for the attempt any more. */
     public static final long NOBODY = Long.MIN_VALUE;
 
-    private SendGuard() { }
+    private SendGuard() {}
 
     /** Until when an attempt may begin whose client's connection was read to its end at {@code readAt}. */
     static long awaitedUntil(long readAt) {
@@ -32,13 +32,13 @@
      * @param moved its upstream has another address now: whoever listens at this one is not that upstream
      * @param graceHolds as {@link ListNews#graceHolds} says
      */
-    public static SendPermit decide(long now, long awaitedUntil, long before, long stopAt, boolean moved,
-            long graceHolds) {
+    public static SendPermit decide(
+            long now, long awaitedUntil, long before, long stopAt, boolean moved, long graceHolds) {
         if (awaitedUntil == NOBODY || now >= before) {
             return SendPermit.refused(Outcome.NOT_SENT);
         }
         if (now >= stopAt || moved) {
-            return SendPermit.refused(Outcome.CONNECT_FAILED);      // another upstream may take it
+            return SendPermit.refused(Outcome.CONNECT_FAILED); // another upstream may take it
         }
         return new SendPermit(null, Math.min(Math.min(awaitedUntil, before), Math.min(stopAt, graceHolds)));
     }
--- a/src/main/java/junctionhead/core/Standstill.java
+++ b/src/main/java/junctionhead/core/Standstill.java
@@ -12,13 +12,14 @@
 final class Standstill {
     /** Between signs of life of the loop: what has lain unread is known to that. */
     static final long BEAT = 20_000;
-    private static final long OLD_LIST = 100_000;   // behind which the list may have changed
+
+    private static final long OLD_LIST = 100_000; // behind which the list may have changed
     private static final long TOLD_LEAST = 200_000; // that a beat may be late before it is told
     private static final long TOLD_EVERY = 5_000_000;
 
     private final PriorityQueue<Long> due = new PriorityQueue<>();
     private long toldAt = Long.MIN_VALUE / 2;
-    private long passed = Long.MAX_VALUE;           // MAX: it has not been told of any pass
+    private long passed = Long.MAX_VALUE; // MAX: it has not been told of any pass
 
     /** A timer is to come then. */
     void expect(long at) {
@@ -50,8 +51,9 @@
      * right behind the begin of the last pass.
      */
     long graceHolds(long grace) {
-        return passed == Long.MAX_VALUE ? passed
-            : Math.max(passed + OLD_LIST, DrainGrace.stopAt(DrainGrace.NEVER, passed, grace));
+        return passed == Long.MAX_VALUE
+                ? passed
+                : Math.max(passed + OLD_LIST, DrainGrace.stopAt(DrainGrace.NEVER, passed, grace));
     }
 
     /** Whether operators are to hear that a beat came so late; not each time where it goes on. */
--- a/src/main/java/junctionhead/core/Tally.java
+++ b/src/main/java/junctionhead/core/Tally.java
@@ -68,7 +68,7 @@
     }
 
     /** A request's place in the counts: the lines and the class that it was taken under. */
-    public record Entry(Line ofClass, Line ofTenant, double worth, long aim, double lateShare) { }
+    public record Entry(Line ofClass, Line ofTenant, double worth, long aim, double lateShare) {}
 
     /** Other settings hold from here on; the lines go on under the numbers that they have now, or begin. */
     public void retune(Policy.Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
@@ -85,8 +85,8 @@
     public Entry taken(Order order) {
         Policy.RequestClass kind = settings.classes().get(order.requestClass());
         long aim = kind.aim() + (order.work() > 0 ? (long) (kind.aimStretch() * order.work()) : 0);
-        Entry entry = new Entry(classes[order.requestClass()], tenants[order.tenant()], worth(order), aim,
-            kind.lateShare());
+        Entry entry =
+                new Entry(classes[order.requestClass()], tenants[order.tenant()], worth(order), aim, kind.lateShare());
         taken(all, entry.worth());
         taken(entry.ofClass(), entry.worth());
         taken(entry.ofTenant(), entry.worth());
@@ -169,8 +169,8 @@
 
     /** In one line, for the end of a run. */
     public String summary() {
-        return all.inTime + " served in time, " + all.late + " late, " + refused + " refused, " + failed
-            + " failed, " + gone + " gone";
+        return all.inTime + " served in time, " + all.late + " late, " + refused + " refused, " + failed + " failed, "
+                + gone + " gone";
     }
 
     public long refusals() {
--- a/src/main/java/junctionhead/front/http1/AcceptingChannel.java
+++ b/src/main/java/junctionhead/front/http1/AcceptingChannel.java
@@ -26,8 +26,7 @@
 
     /** {@code inherited}: a listener that other processes read as well; null for one of its own. */
     static AcceptingChannel of(ServerSocketChannel inherited, Gatekeeper gatekeeper) {
-        return inherited == null ? new AcceptingChannel(gatekeeper)
-            : new AcceptingChannel(inherited, gatekeeper);
+        return inherited == null ? new AcceptingChannel(gatekeeper) : new AcceptingChannel(inherited, gatekeeper);
     }
 
     private AcceptingChannel(Gatekeeper gatekeeper) {
@@ -43,8 +42,7 @@
 
     // An allocator that counts bytes ends each pass behind one accept, which brings none.
     private void acceptAll() {
-        config().setRecvByteBufAllocator(new ServerChannelRecvByteBufAllocator()
-            .maxMessagesPerRead(Integer.MAX_VALUE));
+        config().setRecvByteBufAllocator(new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(Integer.MAX_VALUE));
     }
 
     @Override
--- a/src/main/java/junctionhead/front/http1/Client.java
+++ b/src/main/java/junctionhead/front/http1/Client.java
@@ -37,44 +37,44 @@
 final class Client extends ChannelInboundHandlerAdapter implements Intake.Taker {
     // A client is owed an error or a close within 3 s: the look at all clients comes on top of this. How long
     // one may be silent or at rest, and linger after its last answer, is the budget's.
-    private static final long HEAD = TimeUnit.MILLISECONDS.toNanos(2_400);      // a head
-    private static final long BODY = TimeUnit.MILLISECONDS.toNanos(2_000);      // a body that is held whole
-    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(5_000);    // answers that nobody reads
+    private static final long HEAD = TimeUnit.MILLISECONDS.toNanos(2_400); // a head
+    private static final long BODY = TimeUnit.MILLISECONDS.toNanos(2_000); // a body that is held whole
+    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(5_000); // answers that nobody reads
     private static final long STALLED = TimeUnit.MILLISECONDS.toNanos(15_000); // a long body's progress
     private static final String PEER_RESET = "peer reset";
     private static final int LINGER_BYTES = 64 * 1024;
-    private static final int READS_AT_ONCE = 32;    // each of up to four buffers: 4 MiB, bounded all the same
-    private static final int AHEAD_MOST = 16;       // requests that may be sent ahead
+    private static final int READS_AT_ONCE = 32; // each of up to four buffers: 4 MiB, bounded all the same
+    private static final int AHEAD_MOST = 16; // requests that may be sent ahead
     private static final int KEPT_MOST = 64 * 1024; // bytes that are kept behind them
 
-    private record Taken(HttpRequest head, byte[] body, Stream rest, long length) { }
+    private record Taken(HttpRequest head, byte[] body, Stream rest, long length) {}
 
     private final ClientServer server;
     private final Channel channel;
     private final Intake intake;
     private final RequestDecoder decoder = new RequestDecoder();
-    private final Gate gate = new Gate(KEPT_MOST, () ->
-        bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead"));
+    private final Gate gate =
+            new Gate(KEPT_MOST, () -> bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead"));
     private final ArrayDeque<Taken> ahead = new ArrayDeque<>();
-    private RequestRules.Problem problem;           // the last answer to give, when its turn comes
-    private Runnable gone;                          // set while the module owes an answer here
-    private int charged;                            // bytes of the request that is being answered
-    private boolean serving;                        // a request is being answered
-    private boolean receiving;                      // part of a request has come in
-    private boolean headed;                         // its head has
-    private Stream upload;                          // of the request that is served, if it is long
-    private Outflow outflow;                        // of a long answer, until its last byte
-    private long moved;                             // of long bodies: bytes when last looked at
+    private RequestRules.Problem problem; // the last answer to give, when its turn comes
+    private Runnable gone; // set while the module owes an answer here
+    private int charged; // bytes of the request that is being answered
+    private boolean serving; // a request is being answered
+    private boolean receiving; // part of a request has come in
+    private boolean headed; // its head has
+    private Stream upload; // of the request that is served, if it is long
+    private Outflow outflow; // of a long answer, until its last byte
+    private long moved; // of long bodies: bytes when last looked at
     private long movedAt;
-    private long linger = LINGER_BYTES;             // bytes that are read behind the last answer
-    private boolean ending;                         // the last answer has been written
-    private int unwritten;                          // answers that have not left whole
-    private long since = System.nanoTime();         // the beginning of the receipt
-    private final Lease lease;                      // what it has of the budget
-    private long unreadSince;                       // 0: answers leave
+    private long linger = LINGER_BYTES; // bytes that are read behind the last answer
+    private boolean ending; // the last answer has been written
+    private int unwritten; // answers that have not left whole
+    private long since = System.nanoTime(); // the beginning of the receipt
+    private final Lease lease; // what it has of the budget
+    private long unreadSince; // 0: answers leave
     private String closeReason = "peer";
-    private long reads;                             // so far
-    private boolean reading;                        // within one
+    private long reads; // so far
+    private boolean reading; // within one
 
     Client(ClientServer server, Channel channel) {
         this.server = server;
@@ -219,15 +219,15 @@
 
     @Override
     public void begun(HttpRequest head) {
-        if (!receiving) {                           // behind another one, in the same read
+        if (!receiving) { // behind another one, in the same read
             receiving = true;
             since = System.nanoTime();
         }
         headed = true;
         since = System.nanoTime();
         if (HttpUtil.is100ContinueExpected(head) && !serving) {
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
@@ -248,17 +248,17 @@
         headed = false;
         if (lease.ending()) {
             letGo(taken.rest());
-            return;                                 // behind the end: its client asks elsewhere
+            return; // behind the end: its client asks elsewhere
         }
         server.budget().asked(lease, System.nanoTime());
         server.room().take(body.length);
-        if (ahead.size() >= AHEAD_MOST) {           // in what had been read already
+        if (ahead.size() >= AHEAD_MOST) { // in what had been read already
             letGo(taken);
             bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead");
         } else if (serving || !channel.isWritable()) {
             ahead.add(taken);
             if (ahead.size() >= AHEAD_MOST) {
-                gate.shut();                        // what follows waits until answers have left
+                gate.shut(); // what follows waits until answers have left
             }
         } else {
             serve(taken);
@@ -280,7 +280,7 @@
     @Override
     public void cut(HttpResponseStatus status, String why) {
         Taken last = ahead.peekLast();
-        if (last != null) {                         // its turn has not come
+        if (last != null) { // its turn has not come
             letGo(ahead.removeLast());
             intake.drop();
             bad(status, why);
@@ -292,7 +292,7 @@
             left.run();
         }
         if (outflow != null) {
-            breakOff();                             // its answer has begun
+            breakOff(); // its answer has begun
         } else {
             refuse(status, why);
         }
@@ -352,14 +352,13 @@
     }
 
     /** Writes the answer to the request that is being served; one that can't be kept open ends it. */
-    void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value,
-            boolean keep) {
+    void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value, boolean keep) {
         gone = null;
-        linger = intake.flows() ? Order.LENGTH_MOST : LINGER_BYTES;     // it may write all before it reads
+        linger = intake.flows() ? Order.LENGTH_MOST : LINGER_BYTES; // it may write all before it reads
         letGo();
         boolean more = receiving || problem != null || decoder.holdsMore();
-        boolean stay = server.budget().answered(lease, keep && server.keeps() && !intake.flows(), more,
-            System.nanoTime());
+        boolean stay =
+                server.budget().answered(lease, keep && server.keeps() && !intake.flows(), more, System.nanoTime());
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         if (type != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
@@ -391,7 +390,7 @@
         if (stay) {
             serving = false;
             if (more && problem == null && !receiving && ahead.isEmpty()) {
-                receiving = true;                   // the next one's beginning: its time runs from here
+                receiving = true; // the next one's beginning: its time runs from here
                 since = System.nanoTime();
             }
             next();
@@ -406,7 +405,7 @@
     void pass(Answer answer, boolean keep, boolean old) {
         gone = null;
         letGo();
-        boolean framed = answer.length() >= 0 || !old;  // HTTP/1.0 knows no chunks: RFC 9112, 6.1
+        boolean framed = answer.length() >= 0 || !old; // HTTP/1.0 knows no chunks: RFC 9112, 6.1
         boolean wanted = keep && server.keeps() && !intake.flows() && framed;
         DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (answer.type() != null) {
@@ -488,8 +487,8 @@
                 } else if (problem != null) {
                     plain(problem.status(), problem.text(), false);
                 }
-                if (gate.isShut() && ahead.isEmpty()) {     // one read may bring as many again
-                    since = System.nanoTime();      // what had begun to come in was kept waiting here
+                if (gate.isShut() && ahead.isEmpty()) { // one read may bring as many again
+                    since = System.nanoTime(); // what had begun to come in was kept waiting here
                     gate.open();
                 }
                 if (!channel.config().isAutoRead() && !intake.flows()) {
--- a/src/main/java/junctionhead/front/http1/ClientServer.java
+++ b/src/main/java/junctionhead/front/http1/ClientServer.java
@@ -33,9 +33,9 @@
 import junctionhead.core.Answer;
 import junctionhead.core.Dispatcher;
 import junctionhead.core.Drill;
+import junctionhead.core.Invariants.Violation;
 import junctionhead.core.Order;
 import junctionhead.core.OrderRules;
-import junctionhead.core.Invariants.Violation;
 import junctionhead.core.Reply;
 import junctionhead.core.RequestLog.Event;
 import junctionhead.core.Room;
@@ -48,15 +48,15 @@
 /** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
 public final class ClientServer {
     private static final int BACKLOG = 1024;
-    private static final int ACCEPTS = 16;          // in one pass over the sockets, as Netty does
-    private static final long LOOK_MS = 200;        // between looks at what takes too long
-    private static final long ACCEPT_RETRY_MS = 5;  // behind one that has failed
-    private static final long AGAIN_MS = 20;        // while new connections wait to be accepted
-    private static final int READ_MOST = 32 << 10;  // bytes at once
-    private static final int READS = 4;             // in one turn: none keeps the others waiting
-    private static final int CLOSES = 8;            // of those at rest, in one turn of the loop
-    private static final int STRANGERS = 8;         // taken in every so often during a rehearsal
-    private static final long EARLY = 2 << 20;      // bytes of long bodies that wait for their attempts
+    private static final int ACCEPTS = 16; // in one pass over the sockets, as Netty does
+    private static final long LOOK_MS = 200; // between looks at what takes too long
+    private static final long ACCEPT_RETRY_MS = 5; // behind one that has failed
+    private static final long AGAIN_MS = 20; // while new connections wait to be accepted
+    private static final int READ_MOST = 32 << 10; // bytes at once
+    private static final int READS = 4; // in one turn: none keeps the others waiting
+    private static final int CLOSES = 8; // of those at rest, in one turn of the loop
+    private static final int STRANGERS = 8; // taken in every so often during a rehearsal
+    private static final long EARLY = 2 << 20; // bytes of long bodies that wait for their attempts
 
     private final EventLoop loop;
     private SettingsReader.Boot boot;
@@ -65,24 +65,30 @@
     private final Consumer<String> log;
     private final Room room;
     private final Room early = new Room(EARLY);
-    private final Set<Client> clients = new LinkedHashSet<>();  // the oldest first
+    private final Set<Client> clients = new LinkedHashSet<>(); // the oldest first
     private final LifeCycle life;
     private Channel listener;
-    private boolean shared;                         // the listener is not this process's own
-    private boolean winding;                        // some at rest are about to be closed
+    private boolean shared; // the listener is not this process's own
+    private boolean winding; // some at rest are about to be closed
     private boolean makingRoom;
-    private boolean waking;                         // room is made once all sockets have been looked at
-    private boolean acceptFails;                    // it is tried again soon
+    private boolean waking; // room is made once all sockets have been looked at
+    private boolean acceptFails; // it is tried again soon
     private long failedAccepts;
-    private int strangers;                          // taken in during a rehearsal since the last look
-    private boolean again;                          // room will be looked for again soon
-    private long comers;                            // connections so far
-    private long reads;                             // times that bytes of theirs were read, so far
-    private Drill rehearsal;                    // while it is on
-    private String elsewhere;                       // another protocol at which clients may ask, if any
-
-    public ClientServer(EventLoop loop, SettingsReader.Boot boot, Dispatcher dispatcher, Budget budget,
-            Room room, LifeCycle life, Consumer<String> log) {
+    private int strangers; // taken in during a rehearsal since the last look
+    private boolean again; // room will be looked for again soon
+    private long comers; // connections so far
+    private long reads; // times that bytes of theirs were read, so far
+    private Drill rehearsal; // while it is on
+    private String elsewhere; // another protocol at which clients may ask, if any
+
+    public ClientServer(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Dispatcher dispatcher,
+            Budget budget,
+            Room room,
+            LifeCycle life,
+            Consumer<String> log) {
         this.room = room;
         this.life = life;
         this.loop = loop;
@@ -100,29 +106,33 @@
     public InetSocketAddress listen(InetSocketAddress at, ServerSocketChannel inherited) throws IOException {
         shared = inherited != null;
         try {
-            ServerBootstrap bootstrap = new ServerBootstrap().group(loop, loop)
-                .channelFactory(() -> AcceptingChannel.of(inherited, new Gatekeeper()))
-                // Known before it listens: on a slow machine a connection came in before bind had returned
-                // to the starting thread, found no listener, and was dropped unanswered.
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        listener = channel;
-                        // Before this process is ready whoever came before it accepts.
-                        channel.config().setAutoRead(!shared);
-                    }
-                })
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                    new AdaptiveRecvByteBufAllocator(64, 2_048, READ_MOST).maxMessagesPerRead(READS))
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        opened(channel);
-                    }
-                });
-            Channel bound = (shared ? bootstrap.register() : bootstrap.bind(at)).sync().channel();
+            ServerBootstrap bootstrap = new ServerBootstrap()
+                    .group(loop, loop)
+                    .channelFactory(() -> AcceptingChannel.of(inherited, new Gatekeeper()))
+                    // Known before it listens: on a slow machine a connection came in before bind had returned
+                    // to the starting thread, found no listener, and was dropped unanswered.
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            listener = channel;
+                            // Before this process is ready whoever came before it accepts.
+                            channel.config().setAutoRead(!shared);
+                        }
+                    })
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childOption(
+                            ChannelOption.RECVBUF_ALLOCATOR,
+                            new AdaptiveRecvByteBufAllocator(64, 2_048, READ_MOST).maxMessagesPerRead(READS))
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            opened(channel);
+                        }
+                    });
+            Channel bound =
+                    (shared ? bootstrap.register() : bootstrap.bind(at)).sync().channel();
             SocketsFirst.every(loop, LOOK_MS, TimeUnit.MILLISECONDS, this::look);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
@@ -133,13 +143,16 @@
 
     /** Listens for a rehearsal at a socket of the file system; {@code then} gets it, or null, on the loop. */
     public void listenBeside(Path path, Consumer<Channel> then) {
-        ChannelFuture bound = new ServerBootstrap().group(loop, loop)
-            .channel(NioServerDomainSocketChannel.class).childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    opened(channel);
-                }
-            }).bind(UnixDomainSocketAddress.of(path));
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerDomainSocketChannel.class)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        opened(channel);
+                    }
+                })
+                .bind(UnixDomainSocketAddress.of(path));
         bound.addListener(done -> then.accept(done.isSuccess() ? bound.channel() : null));
     }
 
@@ -166,8 +179,10 @@
         if (most == Long.MAX_VALUE || winding) {
             return;
         }
-        List<Client> over = clients.stream().filter(c -> c.lease().atRest() && c.lease().since(now) >= most)
-            .limit(CLOSES).toList();
+        List<Client> over = clients.stream()
+                .filter(c -> c.lease().atRest() && c.lease().since(now) >= most)
+                .limit(CLOSES)
+                .toList();
         over.forEach(Client::close);
         if (over.size() == CLOSES) {
             winding = true;
@@ -264,7 +279,8 @@
 
     Lease leaseFor(Client client, Channel channel) {
         Object address = channel.remoteAddress() instanceof InetSocketAddress from
-            ? Budget.address(from.getAddress().getAddress()) : "gone";
+                ? Budget.address(from.getAddress().getAddress())
+                : "gone";
         return budget.client(address, 1, client::close, System.nanoTime());
     }
 
@@ -282,7 +298,7 @@
     // Makes room before an accept can fail; where the budget names none to go, new ones wait in the backlog.
     private void makeRoom() {
         if (makingRoom || waking) {
-            return;                                 // what it closes tells of its end here
+            return; // what it closes tells of its end here
         }
         if (dispatcher.mayLieUnread() && !budget.admits(Side.CLIENT, System.nanoTime())) {
             // Of those that seem to rest some hold a request that has not been read.
@@ -299,16 +315,18 @@
         makingRoom = false;
         budget.waiting(!room);
         if (listener.isOpen()) {
-            boolean open = room && !acceptFails && (rehearsal == null || strangers < STRANGERS)
-                && life.accepts(shared);
+            boolean open = room && !acceptFails && (rehearsal == null || strangers < STRANGERS) && life.accepts(shared);
             accept(open, !room ? "no room" : rehearsal != null ? "warm-up" : "life cycle");
             if (!open && !again) {
-                again = true;                       // a newcomer's fair time may be over before anything ends
-                loop.schedule(() -> {
-                    again = false;
-                    strangers = 0;
-                    makeRoom();
-                }, AGAIN_MS, TimeUnit.MILLISECONDS);
+                again = true; // a newcomer's fair time may be over before anything ends
+                loop.schedule(
+                        () -> {
+                            again = false;
+                            strangers = 0;
+                            makeRoom();
+                        },
+                        AGAIN_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
     }
@@ -318,9 +336,10 @@
         // One at least: room for it was made before the listener was read.
         @Override
         public boolean mayAccept(int accepted) {
-            return accepted == 0 || accepted < ACCEPTS
-                && accepted < budget.room(Side.CLIENT, System.nanoTime())
-                && (rehearsal == null || strangers + accepted < STRANGERS);
+            return accepted == 0
+                    || accepted < ACCEPTS
+                            && accepted < budget.room(Side.CLIENT, System.nanoTime())
+                            && (rehearsal == null || strangers + accepted < STRANGERS);
         }
 
         @Override
@@ -331,10 +350,13 @@
             }
             acceptFails = true;
             accept(false, "accept failed");
-            loop.schedule(() -> {
-                acceptFails = false;
-                makeRoom();
-            }, ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        acceptFails = false;
+                        makeRoom();
+                    },
+                    ACCEPT_RETRY_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -354,19 +376,24 @@
         boolean rehearsing = rehearsal != null && rehearsal.knows(fields);
         if (rehearsing && path.equals(Drill.HOP)) {
             boolean declined = rehearsal.declines();
-            client.write(declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(new byte[256]), null, declined ? "Srv-Declined" : "Srv-Load",
-                declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2", keep);
+            client.write(
+                    declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+                    Unpooled.wrappedBuffer(new byte[256]),
+                    null,
+                    declined ? "Srv-Declined" : "Srv-Load",
+                    declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
+                    keep);
         } else if (path.startsWith("/-/") && !(rehearsing && path.equals(Drill.PATH))) {
             boolean asked = path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
-            HttpResponseStatus status = !asked ? HttpResponseStatus.NOT_FOUND
-                : life.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+            HttpResponseStatus status = !asked
+                    ? HttpResponseStatus.NOT_FOUND
+                    : life.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
             client.plain(status, !asked ? "not found" : life.ready() ? "ready" : "not ready", keep);
         } else {
             Order order;
             try {
                 order = OrderRules.order(request.method().name(), path, fields, body, boot)
-                    .passing(rest, length);
+                        .passing(rest, length);
                 fields.endToEnd();
             } catch (IllegalArgumentException e) {
                 client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
@@ -378,10 +405,9 @@
                 client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
                 return;
             }
-            OneAnswer answer = new OneAnswer(client, keep,
-                request.protocolVersion().equals(HttpVersion.HTTP_1_0));
-            Runnable leave =
-                to.take(path.equals(Drill.PATH) ? order.to(Drill.HOP) : order, answer);
+            OneAnswer answer =
+                    new OneAnswer(client, keep, request.protocolVersion().equals(HttpVersion.HTTP_1_0));
+            Runnable leave = to.take(path.equals(Drill.PATH) ? order.to(Drill.HOP) : order, answer);
             if (!answer.given) {
                 client.owed(leave);
             }
@@ -392,7 +418,7 @@
     private static final class OneAnswer implements Reply {
         private final Client client;
         private final boolean keep;
-        private final boolean old;                  // HTTP/1.0
+        private final boolean old; // HTTP/1.0
         private boolean given;
 
         OneAnswer(Client client, boolean keep, boolean old) {
@@ -420,17 +446,20 @@
                 client.pass(answer, keep, old);
                 return;
             }
-            client.write(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()), answer.type(), null,
-                null, keep);
+            client.write(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()), answer.type(), null, null, keep);
         }
 
         @Override
         public void refuse(long retryAfter) {
             given();
             String seconds = retryAfter <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfter / 1e6);
-            client.write(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                Unpooled.copiedBuffer("refused: trying again is harmless\n", StandardCharsets.UTF_8),
-                "text/plain", "Retry-After", seconds, keep);
+            client.write(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    Unpooled.copiedBuffer("refused: trying again is harmless\n", StandardCharsets.UTF_8),
+                    "text/plain",
+                    "Retry-After",
+                    seconds,
+                    keep);
         }
 
         @Override
--- a/src/main/java/junctionhead/front/http1/Intake.java
+++ b/src/main/java/junctionhead/front/http1/Intake.java
@@ -47,7 +47,7 @@
     private byte[] body;
     private int length;
     private boolean over;
-    private Inflow inflow;                          // of a long body, until its last byte
+    private Inflow inflow; // of a long body, until its last byte
 
     /** {@code early}: what long bodies may take that come in before anybody takes them. */
     Intake(Taker taker, Room room, Room early) {
@@ -101,7 +101,7 @@
         }
         if (length + bytes > Order.BODY_MOST) {
             flow(channel, -1);
-            if (inflow != null) {                   // not refused at once
+            if (inflow != null) { // not refused at once
                 inflow.more(more, false);
             }
             return;
@@ -148,7 +148,7 @@
      */
     private final class Inflow extends Source {
         private final ArrayDeque<byte[]> held = new ArrayDeque<>();
-        private int charged;                        // of what is held
+        private int charged; // of what is held
         private boolean dropped;
         private boolean whole;
         private long bytes;
@@ -176,7 +176,7 @@
             held.clear();
             early.give(charged);
             charged = 0;
-            pull(true);                             // its client may have to finish before it reads
+            pull(true); // its client may have to finish before it reads
         }
 
         private void more(ByteBuf more, boolean last) {
--- a/src/main/java/junctionhead/front/http1/RequestDecoder.java
+++ b/src/main/java/junctionhead/front/http1/RequestDecoder.java
@@ -9,17 +9,19 @@
 final class RequestDecoder extends HttpRequestDecoder {
     private static final int LINE_MOST = 4 * 1024;
     private static final int HEAD_MOST = 8 * 1024;
-    private static final int PIECE = 32 * 1024;     // bytes that are handed on at once
+    private static final int PIECE = 32 * 1024; // bytes that are handed on at once
 
     RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(LINE_MOST).setMaxHeaderSize(HEAD_MOST)
-            .setMaxChunkSize(PIECE));
+        super(new HttpDecoderConfig()
+                .setMaxInitialLineLength(LINE_MOST)
+                .setMaxHeaderSize(HEAD_MOST)
+                .setMaxChunkSize(PIECE));
     }
 
     /** Whether more has been read than what it has handed on: at least the beginning of another request. */
     boolean holdsMore() {
         ByteBuf rest = internalBuffer();
-        return rest.isReadable() && rest.forEachByte(b -> b <= ' ') >= 0;   // empty lines don't count
+        return rest.isReadable() && rest.forEachByte(b -> b <= ' ') >= 0; // empty lines don't count
     }
 
     // By itself the decoder drops the length and goes on: an upstream that went by the length instead would
--- a/src/main/java/junctionhead/front/http1/RequestRules.java
+++ b/src/main/java/junctionhead/front/http1/RequestRules.java
@@ -12,16 +12,18 @@
 /** What a request must be like for everybody to read the same end of it (RFC 9112, section 6). */
 final class RequestRules {
     /** Why a request is not taken. */
-    record Problem(HttpResponseStatus status, String text) { }
+    record Problem(HttpResponseStatus status, String text) {}
 
-    private RequestRules() { }
+    private RequestRules() {}
 
     /** What is wrong with how a request says where it ends; null if nothing is. */
     static Problem framing(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
-        if (!codings.isEmpty() && (!chunked || !request.protocolVersion().equals(HttpVersion.HTTP_1_1)
-                || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH))) {
+        if (!codings.isEmpty()
+                && (!chunked
+                        || !request.protocolVersion().equals(HttpVersion.HTTP_1_1)
+                        || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH))) {
             return bad("a Transfer-Encoding that isn't chunked alone");
         }
         long length;
@@ -41,7 +43,8 @@
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
         return expected != null && !expected.equalsIgnoreCase("100-continue")
-            ? new Problem(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation") : null;
+                ? new Problem(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation")
+                : null;
     }
 
     private static Problem bad(String text) {
--- a/src/main/java/junctionhead/front/http3/Connection.java
+++ b/src/main/java/junctionhead/front/http3/Connection.java
@@ -23,8 +23,8 @@
 
 /** One connection of a client and its streams. On the event loop. */
 final class Connection extends ChannelInboundHandlerAdapter {
-    private static final long LAST = (1L << 62) - 4;    // the greatest id of a client's stream
-    private static final double BURST = 100;        // streams ended by their client that are borne
+    private static final long LAST = (1L << 62) - 4; // the greatest id of a client's stream
+    private static final double BURST = 100; // streams ended by their client that are borne
     private static final double PER_SECOND = 20;
 
     private final Http3Server server;
@@ -32,8 +32,8 @@
     private final Sessions.Session session;
     private final ResetGuard resets;
     private final Set<RequestStream> streams = new LinkedHashSet<>();
-    private long next;                              // the least id that has not been seen
-    private long refused = Long.MAX_VALUE;          // streams from here on are rejected
+    private long next; // the least id that has not been seen
+    private long refused = Long.MAX_VALUE; // streams from here on are rejected
     private boolean late;
     private boolean clientClosed;
 
@@ -44,19 +44,28 @@
         resets = new ResetGuard(BURST, PER_SECOND, now);
         session = server.sessions.open(address(channel), () -> end(ErrorCodes.EXCESSIVE_LOAD), now);
         if (session != null) {
-            channel.pipeline().addLast(this, new Http3ServerConnectionHandler(
-                new ChannelInitializer<QuicStreamChannel>() {
-                    @Override
-                    protected void initChannel(QuicStreamChannel stream) {
-                        opened(stream);
-                    }
-                }, null, null, Codes.settings(), true), new Quiet());
+            channel.pipeline()
+                    .addLast(
+                            this,
+                            new Http3ServerConnectionHandler(
+                                    new ChannelInitializer<QuicStreamChannel>() {
+                                        @Override
+                                        protected void initChannel(QuicStreamChannel stream) {
+                                            opened(stream);
+                                        }
+                                    },
+                                    null,
+                                    null,
+                                    Codes.settings(),
+                                    true),
+                            new Quiet());
         }
     }
 
     private static Object address(QuicChannel channel) {
         return channel.remoteSocketAddress() instanceof InetSocketAddress from
-            ? Budget.address(from.getAddress().getAddress()) : "unknown";
+                ? Budget.address(from.getAddress().getAddress())
+                : "unknown";
     }
 
     Sessions.Session session() {
--- a/src/main/java/junctionhead/front/http3/Http3Server.java
+++ b/src/main/java/junctionhead/front/http3/Http3Server.java
@@ -36,17 +36,17 @@
  */
 public final class Http3Server {
     /** What bounds it; {@code idle} in ms, {@code streams} at once on a connection. */
-    public record Limits(Sessions.Limits sessions, int streams, long idle) { }
+    public record Limits(Sessions.Limits sessions, int streams, long idle) {}
 
-    private static final long LOOK_MS = 200;        // between looks at what takes too long
+    private static final long LOOK_MS = 200; // between looks at what takes too long
     // A connection's window: two whole bodies at once. What more of its streams send waits with the client.
     private static final long WINDOW = 2L * Order.BODY_MOST;
-    private static final int CONTROL_STREAMS = 3;   // and two of QPACK (RFC 9114, section 6.2)
+    private static final int CONTROL_STREAMS = 3; // and two of QPACK (RFC 9114, section 6.2)
     private static final int CONTROL_WINDOW = 4 * 1024;
-    private static final int CONNECTION_IDS = 4;    // spare ones, for clients whose path changes
+    private static final int CONNECTION_IDS = 4; // spare ones, for clients whose path changes
     private static final int DATAGRAM = 1_350;
-    private static final int READS_AT_ONCE = 16;    // each of up to sixteen datagrams
-    private static final int CONNECTION_REFUSED = 0x02;     // RFC 9000, section 20.1
+    private static final int READS_AT_ONCE = 16; // each of up to sixteen datagrams
+    private static final int CONNECTION_REFUSED = 0x02; // RFC 9000, section 20.1
 
     final EventLoop loop;
     SettingsReader.Boot boot;
@@ -56,7 +56,7 @@
     private final Limits limits;
     private final Consumer<String> log;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private QuicSslContext context;                 // of new connections
+    private QuicSslContext context; // of new connections
     private final DatagramCounter datagrams = new DatagramCounter();
     private Channel socket;
     private Future<?> looking;
@@ -65,8 +65,14 @@
     private boolean closing;
 
     /** {@code log} must not block. */
-    public Http3Server(EventLoop loop, SettingsReader.Boot boot, Dispatcher dispatcher, Room room,
-            Identity identity, Limits limits, Consumer<String> log) {
+    public Http3Server(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Dispatcher dispatcher,
+            Room room,
+            Identity identity,
+            Limits limits,
+            Consumer<String> log) {
         this.loop = loop;
         this.boot = boot;
         this.dispatcher = dispatcher;
@@ -79,37 +85,48 @@
 
     // Without early data: a replayed request must not reach an upstream (RFC 9114, section 10.9).
     private static QuicSslContext context(Identity identity) {
-        return QuicSslContextBuilder.forServer(identity.key(), null,
-            identity.chain().toArray(X509Certificate[]::new))
-            .applicationProtocols(Http3.supportedApplicationProtocols()).earlyData(false).build();
+        return QuicSslContextBuilder.forServer(
+                        identity.key(), null, identity.chain().toArray(X509Certificate[]::new))
+                .applicationProtocols(Http3.supportedApplicationProtocols())
+                .earlyData(false)
+                .build();
     }
 
     /** Listens; called from another thread than the loop's, and returns the address in use. */
     public InetSocketAddress listen(InetSocketAddress at) throws IOException {
         ChannelHandler codec = Http3.newQuicServerCodecBuilder()
-            .sslEngineProvider(connection -> context.newEngine(connection.alloc()))
-            .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
-            .maxSendUdpPayloadSize(DATAGRAM).maxRecvUdpPayloadSize(DATAGRAM)
-            .initialMaxData(WINDOW).initialMaxStreamDataBidirectionalRemote(Order.BODY_MOST)
-            .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
-            .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
-            .initialMaxStreamsBidirectional(limits.streams())
-            .activeMigration(true).activeConnectionIdLimit(CONNECTION_IDS)
-            .tokenHandler(new RetryHandler(sessions))
-            .handler(new ChannelInitializer<QuicChannel>() {
-                @Override
-                protected void initChannel(QuicChannel channel) {
-                    opened(channel);
-                }
-            }).build();
-        try {
-            socket = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-                .handler(new ChannelInitializer<Channel>() {
+                .sslEngineProvider(connection -> context.newEngine(connection.alloc()))
+                .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
+                .maxSendUdpPayloadSize(DATAGRAM)
+                .maxRecvUdpPayloadSize(DATAGRAM)
+                .initialMaxData(WINDOW)
+                .initialMaxStreamDataBidirectionalRemote(Order.BODY_MOST)
+                .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
+                .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
+                .initialMaxStreamsBidirectional(limits.streams())
+                .activeMigration(true)
+                .activeConnectionIdLimit(CONNECTION_IDS)
+                .tokenHandler(new RetryHandler(sessions))
+                .handler(new ChannelInitializer<QuicChannel>() {
                     @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(datagrams, codec);
+                    protected void initChannel(QuicChannel channel) {
+                        opened(channel);
                     }
-                }).bind(at).sync().channel();
+                })
+                .build();
+        try {
+            socket = new Bootstrap()
+                    .group(loop)
+                    .channel(NioDatagramChannel.class)
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline().addLast(datagrams, codec);
+                        }
+                    })
+                    .bind(at)
+                    .sync()
+                    .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted");
@@ -195,7 +212,7 @@
     /** Ends all connections, once all that was taken has been answered. */
     public void end() {
         if (!looking.cancel(false)) {
-            return;                                 // told before: more may be taken while it stops
+            return; // told before: more may be taken while it stops
         }
         log.accept(sessions.summary());
         List.copyOf(connections).forEach(c -> c.end(ErrorCodes.NO_ERROR));
--- a/src/main/java/junctionhead/front/http3/RequestStream.java
+++ b/src/main/java/junctionhead/front/http3/RequestStream.java
@@ -32,8 +32,8 @@
 
 /** One request of a client on its stream, and its one final answer (RFC 9114, section 4.1). On the loop. */
 final class RequestStream extends Http3RequestStreamInboundHandler implements Reply {
-    private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_000);   // a whole request
-    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(5_000);    // an answer that nobody reads
+    private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_000); // a whole request
+    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(5_000); // an answer that nobody reads
 
     private final Connection connection;
     private final Http3Server server;
@@ -43,14 +43,14 @@
     private final long since = System.nanoTime();
     private HeadRules.Head head;
     private Http3Headers headers;
-    private final Gathered body = new Gathered();   // its bytes are taken from the room
-    private Runnable gone;                          // set while the core owes an answer here
+    private final Gathered body = new Gathered(); // its bytes are taken from the room
+    private Runnable gone; // set while the core owes an answer here
     private boolean answered;
-    private final boolean late;                     // behind our GOAWAY
+    private final boolean late; // behind our GOAWAY
     private boolean rejected;
     private boolean cancelled;
     private long answeredAt;
-    private long unread;                            // bytes of the answer that have not left
+    private long unread; // bytes of the answer that have not left
 
     RequestStream(Connection connection, QuicStreamChannel stream, boolean reject) {
         this.connection = connection;
@@ -174,8 +174,8 @@
         if (cause instanceof QuicException || answered || rejected) {
             ended();
         } else {
-            long code = cause instanceof Http3Exception known ? known.errorCode().code()
-                : ErrorCodes.MESSAGE_ERROR;
+            long code =
+                    cause instanceof Http3Exception known ? known.errorCode().code() : ErrorCodes.MESSAGE_ERROR;
             malformed(new Malformed(code, "malformed"));
         }
     }
@@ -193,7 +193,7 @@
     private void malformed(Malformed why) {
         rejected = true;
         drop();
-        connection.cancelled();                     // costs its client what a reset stream does
+        connection.cancelled(); // costs its client what a reset stream does
         Codes.reset(stream, why.code());
     }
 
@@ -207,8 +207,9 @@
         String path = head.path();
         if (path != null && path.startsWith("/-/")) {
             boolean asked = path.equals("/-/ready") && head.method().equals("GET");
-            refuse(!asked ? 404 : server.isReady() ? 200 : 503, !asked ? "not found"
-                : server.isReady() ? "ready" : "not ready");
+            refuse(
+                    !asked ? 404 : server.isReady() ? 200 : 503,
+                    !asked ? "not found" : server.isReady() ? "ready" : "not ready");
             return;
         }
         Order order;
@@ -251,8 +252,7 @@
 
     @Override
     public void refuse(long retryAfter) {
-        write(503, "refused: trying again is harmless\n".getBytes(StandardCharsets.UTF_8), "text/plain",
-            retryAfter);
+        write(503, "refused: trying again is harmless\n".getBytes(StandardCharsets.UTF_8), "text/plain", retryAfter);
     }
 
     @Override
--- a/src/main/java/junctionhead/front/http3/RetryHandler.java
+++ b/src/main/java/junctionhead/front/http3/RetryHandler.java
@@ -43,6 +43,9 @@
 
     private static byte[] raw(InetSocketAddress address) {
         byte[] ip = address.getAddress().getAddress();
-        return ByteBuffer.allocate(ip.length + 2).put(ip).putShort((short) address.getPort()).array();
+        return ByteBuffer.allocate(ip.length + 2)
+                .put(ip)
+                .putShort((short) address.getPort())
+                .array();
     }
 }
--- a/src/main/java/junctionhead/front/management/Calls.java
+++ b/src/main/java/junctionhead/front/management/Calls.java
@@ -7,17 +7,17 @@
 /** The operators' calls: what each asks for, and what is answered. Decides without I/O. */
 final class Calls {
     /** Its status (RFC 9110, section 15), one line of text, and what {@code Allow} says, or null. */
-    record Answer(int status, String text, String allow) { }
+    record Answer(int status, String text, String allow) {}
 
-    private record Call(String method, Function<Operations, Answer> run) { }
+    private record Call(String method, Function<Operations, Answer> run) {}
 
     private static final Map<String, Call> CALLS = Map.of(
-        "/api/ready", new Call("GET", o -> o.ready() ? yes("ready")
-            : new Answer(503, "not ready: " + o.state(), null)),
-        "/api/evacuate", new Call("POST", o -> told(o.evacuate(), o, "evacuating", "sent away already")),
-        "/api/rejoin", new Call("POST", o -> told(o.rejoin(), o, "taking clients", "not sent away")));
+            "/api/ready",
+                    new Call("GET", o -> o.ready() ? yes("ready") : new Answer(503, "not ready: " + o.state(), null)),
+            "/api/evacuate", new Call("POST", o -> told(o.evacuate(), o, "evacuating", "sent away already")),
+            "/api/rejoin", new Call("POST", o -> told(o.rejoin(), o, "taking clients", "not sent away")));
 
-    private Calls() { }
+    private Calls() {}
 
     private static Answer yes(String text) {
         return new Answer(200, text, null);
--- a/src/main/java/junctionhead/front/management/Door.java
+++ b/src/main/java/junctionhead/front/management/Door.java
@@ -39,15 +39,15 @@
 public final class Door {
     private static final int CALLERS = 16;
     private static final int BACKLOG = 64;
-    private static final long CALL_MS = 5_000;      // for a whole call
-    private static final long LEAVE_MS = 1_000;     // for the answer to be read
+    private static final long CALL_MS = 5_000; // for a whole call
+    private static final long LEAVE_MS = 1_000; // for the answer to be read
     private static final int LINE_MOST = 1_024;
     private static final int HEAD_MOST = 4_096;
-    private static final int BODY_MOST = 4_096;     // nothing in it is asked for
+    private static final int BODY_MOST = 4_096; // nothing in it is asked for
 
     private final EventLoop loop;
     private final Operations operations;
-    private final Set<Channel> callers = new LinkedHashSet<>();     // the oldest first
+    private final Set<Channel> callers = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
 
     public Door(EventLoop loop, Operations operations) {
@@ -62,15 +62,21 @@
      */
     public InetSocketAddress listen(InetSocketAddress at) throws IOException {
         try {
-            listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<NioSocketChannel>() {
-                    @Override
-                    protected void initChannel(NioSocketChannel channel) {
-                        opened(channel);
-                    }
-                }).bind(at).sync().channel();
+            listener = new ServerBootstrap()
+                    .group(loop, loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childHandler(new ChannelInitializer<NioSocketChannel>() {
+                        @Override
+                        protected void initChannel(NioSocketChannel channel) {
+                            opened(channel);
+                        }
+                    })
+                    .bind(at)
+                    .sync()
+                    .channel();
             return (InetSocketAddress) listener.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -92,9 +98,13 @@
         callers.add(channel);
         channel.closeFuture().addListener(closed -> callers.remove(channel));
         loop.schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
-        channel.pipeline().addLast(new HttpRequestDecoder(new HttpDecoderConfig()
-            .setMaxInitialLineLength(LINE_MOST).setMaxHeaderSize(HEAD_MOST)), new HttpResponseEncoder(),
-            new Caller(channel));
+        channel.pipeline()
+                .addLast(
+                        new HttpRequestDecoder(new HttpDecoderConfig()
+                                .setMaxInitialLineLength(LINE_MOST)
+                                .setMaxHeaderSize(HEAD_MOST)),
+                        new HttpResponseEncoder(),
+                        new Caller(channel));
     }
 
     /** One caller and its call. */
@@ -111,12 +121,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
             if (answered) {
-                return;                             // one call to a connection
+                return; // one call to a connection
             }
             if (!part.decoderResult().isSuccess()) {
                 Throwable cause = part.decoderResult().cause();
-                if (cause instanceof TooLongHttpLineException
-                        || cause instanceof TooLongHttpHeaderException) {
+                if (cause instanceof TooLongHttpLineException || cause instanceof TooLongHttpHeaderException) {
                     answer(new Calls.Answer(431, "too long", null));
                 } else {
                     answer(new Calls.Answer(400, "not a call in HTTP/1.1", null));
@@ -138,18 +147,21 @@
 
         private void answer(Calls.Answer answer) {
             answered = true;
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(answer.status()),
-                Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain")
-                .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
-                .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(answer.status()),
+                    Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_TYPE, "text/plain")
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
+                    .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             if (answer.allow() != null) {
                 response.headers().set(HttpHeaderNames.ALLOW, answer.allow());
             }
             // Closed at once, with bytes unread, the connection would be reset before the answer is read.
-            channel.writeAndFlush(response).addListener(written -> channel.shutdownOutput()
-                .addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
+            channel.writeAndFlush(response)
+                    .addListener(
+                            written -> channel.shutdownOutput().addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
             loop.schedule(() -> channel.close(), LEAVE_MS, TimeUnit.MILLISECONDS);
         }
 
--- a/src/main/java/junctionhead/handover/Handover.java
+++ b/src/main/java/junctionhead/handover/Handover.java
@@ -30,7 +30,7 @@
 public final class Handover {
     private static final String VERSION = "1";
     private static final int LINE_MOST = 1_024;
-    private static final int PATH_MOST = 100;       // bytes: what the address of such a socket holds
+    private static final int PATH_MOST = 100; // bytes: what the address of such a socket holds
 
     private final EventLoop loop;
     private final Path path;
@@ -54,13 +54,16 @@
             then.accept(false);
             return;
         }
-        ChannelFuture connected = new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST), new StringEncoder());
-                }
-            }).connect(UnixDomainSocketAddress.of(path));
+        ChannelFuture connected = new Bootstrap()
+                .group(loop)
+                .channel(NioDomainSocketChannel.class)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST), new StringEncoder());
+                    }
+                })
+                .connect(UnixDomainSocketAddress.of(path));
         connected.addListener(done -> {
             if (done.isSuccess()) {
                 predecessor = connected.channel();
@@ -70,7 +73,7 @@
                 });
                 predecessor.writeAndFlush(Succession.HELLO + " " + VERSION + "\n");
             }
-            then.accept(done.isSuccess());          // refused: left behind by a process that is gone
+            then.accept(done.isSuccess()); // refused: left behind by a process that is gone
         });
     }
 
@@ -92,7 +95,8 @@
     }
 
     private void listen() {
-        Path own = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+        Path own = path.resolveSibling(
+                path.getFileName() + "." + ProcessHandle.current().pid());
         if (own.toString().length() > PATH_MOST) {
             log.accept("upgrades go by signals alone: too long a path: " + own);
             return;
@@ -103,24 +107,27 @@
             log.accept("upgrades go by signals alone: " + e);
             return;
         }
-        new ServerBootstrap().group(loop, loop).channel(NioServerDomainSocketChannel.class)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST), new StringDecoder(),
-                        new Successor());
-                }
-            }).bind(UnixDomainSocketAddress.of(own)).addListener(bound -> {
-                try {
-                    if (!bound.isSuccess()) {
-                        throw new IOException(bound.cause());
+        new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerDomainSocketChannel.class)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new LineBasedFrameDecoder(LINE_MOST), new StringDecoder(), new Successor());
+                    }
+                })
+                .bind(UnixDomainSocketAddress.of(own))
+                .addListener(bound -> {
+                    try {
+                        if (!bound.isSuccess()) {
+                            throw new IOException(bound.cause());
+                        }
+                        Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                    } catch (IOException e) {
+                        log.accept("upgrades go by signals alone: " + e);
                     }
-                    Files.move(own, path, StandardCopyOption.ATOMIC_MOVE,
-                        StandardCopyOption.REPLACE_EXISTING);
-                } catch (IOException e) {
-                    log.accept("upgrades go by signals alone: " + e);
-                }
-            });
+                });
     }
 
     /** A process that may succeed this one. */
--- a/src/main/java/junctionhead/http1/Http1Fields.java
+++ b/src/main/java/junctionhead/http1/Http1Fields.java
@@ -17,13 +17,24 @@
  */
 public final class Http1Fields implements Fields {
     // Not strings: these keep the hash that each look-up takes.
-    private static final AsciiString[] HOP_BY_HOP = Stream.of("connection", "keep-alive",
-        "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer",
-        "transfer-encoding", "upgrade", "expect", "content-length", Order.DEADLINE)
-        .map(AsciiString::cached).toArray(AsciiString[]::new);
+    private static final AsciiString[] HOP_BY_HOP = Stream.of(
+                    "connection",
+                    "keep-alive",
+                    "proxy-connection",
+                    "proxy-authenticate",
+                    "proxy-authorization",
+                    "te",
+                    "trailer",
+                    "transfer-encoding",
+                    "upgrade",
+                    "expect",
+                    "content-length",
+                    Order.DEADLINE)
+            .map(AsciiString::cached)
+            .toArray(AsciiString[]::new);
 
     private final HttpHeaders headers;
-    private boolean hostless;                       // no Host came: each carrier names its own
+    private boolean hostless; // no Host came: each carrier names its own
 
     public Http1Fields(HttpHeaders headers) {
         this.headers = headers;
@@ -55,8 +66,10 @@
     public Http1Fields endToEnd() {
         List<String> connection = headers.getAll(HttpHeaderNames.CONNECTION);
         if (!connection.isEmpty()) {
-            connection.stream().flatMap(v -> Stream.of(v.toLowerCase(Locale.ROOT).split("\\s*,\\s*")))
-                .filter(name -> !name.isEmpty()).forEach(headers::remove);
+            connection.stream()
+                    .flatMap(v -> Stream.of(v.toLowerCase(Locale.ROOT).split("\\s*,\\s*")))
+                    .filter(name -> !name.isEmpty())
+                    .forEach(headers::remove);
         }
         for (AsciiString name : HOP_BY_HOP) {
             headers.remove(name);
--- a/src/main/java/junctionhead/http1/Source.java
+++ b/src/main/java/junctionhead/http1/Source.java
@@ -32,7 +32,7 @@
     }
 
     /** It has its taker. */
-    protected void begin() { }
+    protected void begin() {}
 
     @Override
     public final void pull(boolean room) {
--- a/src/main/java/junctionhead/http3/BoxPlan.java
+++ b/src/main/java/junctionhead/http3/BoxPlan.java
@@ -10,7 +10,7 @@
  */
 public final class BoxPlan {
     /** {@code connections}: at once for one upstream; {@code streams}: at once on one, whatever it allows. */
-    public record Limits(int connections, int streams, long backOffFirst, long backOffMost) { }
+    public record Limits(int connections, int streams, long backOffFirst, long backOffMost) {}
 
     /** How a request goes on. */
     public enum Way {
@@ -25,15 +25,20 @@
     }
 
     /** {@code dial}: {@link #link} is new, and its handshake is to be begun. */
-    public record Choice(Way way, Link link, boolean dial) { }
+    public record Choice(Way way, Link link, boolean dial) {}
 
     /** One connection to the upstream. */
     public static final class Link {
-        private enum State { DIALLING, UP, GOING, CLOSED }
+        private enum State {
+            DIALLING,
+            UP,
+            GOING,
+            CLOSED
+        }
 
         private State state = State.DIALLING;
-        private int open;                           // streams, and requests that wait for the handshake
-        private long allowed = Long.MAX_VALUE;      // streams that the peer lets us open from here on
+        private int open; // streams, and requests that wait for the handshake
+        private long allowed = Long.MAX_VALUE; // streams that the peer lets us open from here on
         private long goAway = Long.MAX_VALUE;
         private long restsSince;
 
@@ -63,8 +68,8 @@
     private final Limits limits;
     private final List<Link> links = new ArrayList<>(2);
     private int failures;
-    private long backAt = Long.MIN_VALUE;           // before it HTTP/3 isn't tried
-    private boolean trial;                          // one handshake tries whether it works again
+    private long backAt = Long.MIN_VALUE; // before it HTTP/3 isn't tried
+    private boolean trial; // one handshake tries whether it works again
 
     public BoxPlan(Limits limits) {
         this.limits = limits;
--- a/src/main/java/junctionhead/http3/Endings.java
+++ b/src/main/java/junctionhead/http3/Endings.java
@@ -26,7 +26,7 @@
         TOO_LONG
     }
 
-    private Endings() { }
+    private Endings() {}
 
     /**
      * @param given whether the last byte of the request has been handed to the QUIC stack: from then on it
@@ -39,8 +39,8 @@
             case NO_STREAM, BEYOND_GOAWAY -> Outcome.NOT_SENT;
             // Section 4.1.1: the server has not processed any of it. What a server says so has been turned
             // away by it, as with Srv-Declined.
-            case STREAM_RESET -> code == ErrorCodes.REQUEST_REJECTED ? Outcome.FULL
-                : given ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            case STREAM_RESET ->
+                code == ErrorCodes.REQUEST_REJECTED ? Outcome.FULL : given ? Outcome.RESET : Outcome.CONNECT_FAILED;
             case CONNECTION_LOST -> given ? Outcome.RESET : Outcome.CONNECT_FAILED;
             case BAD_ANSWER, TOO_LONG -> given ? Outcome.RESET : Outcome.CONNECT_FAILED;
         };
--- a/src/main/java/junctionhead/http3/ErrorCodes.java
+++ b/src/main/java/junctionhead/http3/ErrorCodes.java
@@ -11,5 +11,5 @@
     public static final long MESSAGE_ERROR = 0x10e;
     public static final long FRAME_UNEXPECTED = 0x105;
 
-    private ErrorCodes() { }
+    private ErrorCodes() {}
 }
--- a/src/main/java/junctionhead/http3/HeadRules.java
+++ b/src/main/java/junctionhead/http3/HeadRules.java
@@ -10,22 +10,23 @@
 public final class HeadRules {
     /** Bytes of a field section, counted as the settings count them: 32 more for each field (4.2.2). */
     public static final long SECTION_MOST = 8 * 1024;
+
     private static final int PER_FIELD = 32;
-    private static final Set<String> OF_CONNECTIONS = Set.of("connection", "keep-alive", "proxy-connection",
-        "transfer-encoding", "upgrade");
+    private static final Set<String> OF_CONNECTIONS =
+            Set.of("connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade");
     private static final long LENGTH_MOST = 1L << 50;
 
     /** A request's head; {@code length} is -1 where it announces none; {@code authority} may be null. */
-    public record Head(String method, String scheme, String authority, String path, long length) { }
+    public record Head(String method, String scheme, String authority, String path, long length) {}
 
     /** An answer's head; {@code length} is -1 where it announces none. */
-    public record Status(int status, long length) { }
+    public record Status(int status, long length) {}
 
     // What stands in any head, as far as it has been read.
     private static final class Reader {
         private final Set<String> pseudo;
         private final String[] values = new String[5];
-        private boolean plain;                      // a field that is no pseudo-header has been read
+        private boolean plain; // a field that is no pseudo-header has been read
         private String host;
         private long length = -1;
         private long size;
@@ -73,8 +74,8 @@
 
         // One length only: two equal ones are read as one by some, and as an error by others.
         private void length(String value) throws Malformed {
-            boolean digits = !value.isEmpty() && value.length() <= 16
-                && value.chars().allMatch(c -> c >= '0' && c <= '9');
+            boolean digits =
+                    !value.isEmpty() && value.length() <= 16 && value.chars().allMatch(c -> c >= '0' && c <= '9');
             if (length >= 0 || !digits || Long.parseLong(value) > LENGTH_MOST) {
                 throw bad("bad content-length");
             }
@@ -86,7 +87,7 @@
         }
     }
 
-    private HeadRules() { }
+    private HeadRules() {}
 
     private static int slot(String name) {
         return switch (name) {
@@ -102,8 +103,8 @@
     private static final Set<String> OF_ANSWERS = Set.of(":status");
 
     /** Reads a request's head, in the order in which its fields came. */
-    public static Head request(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>>
-            fields) throws Malformed {
+    public static Head request(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
+            throws Malformed {
         Reader r = new Reader(OF_REQUESTS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             r.read(field.getKey(), field.getValue());
@@ -117,41 +118,42 @@
         }
         if (method.equals("CONNECT")) {
             if (scheme != null || path != null || authority == null || authority.isEmpty()) {
-                throw bad("CONNECT names its authority alone");             // section 4.4
+                throw bad("CONNECT names its authority alone"); // section 4.4
             }
         } else if (scheme == null || !scheme.equals("https") && !scheme.equals("http")) {
             throw bad("no or unknown :scheme");
         } else if (path == null || !path.startsWith("/") && !(path.equals("*") && method.equals("OPTIONS"))) {
             throw bad("no or bad :path");
-        } else if (authority == null && r.host == null || authority != null && authority.isEmpty()
+        } else if (authority == null && r.host == null
+                || authority != null && authority.isEmpty()
                 || r.host != null && r.host.isEmpty()) {
             throw bad("no authority");
         } else if (authority != null && r.host != null && !authority.equals(r.host)) {
             throw bad("authority and host differ");
         }
         if (authority != null && authority.indexOf('@') >= 0) {
-            throw bad("an authority with userinfo");                       // section 4.3.1
+            throw bad("an authority with userinfo"); // section 4.3.1
         }
         return new Head(method, scheme, authority == null ? r.host : authority, path, r.length);
     }
 
     /** Reads an answer's head. */
-    public static Status answer(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>>
-            fields) throws Malformed {
+    public static Status answer(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
+            throws Malformed {
         Reader r = new Reader(OF_ANSWERS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             r.read(field.getKey(), field.getValue());
         }
         String status = r.value(":status");
         if (status == null || !status.matches("[1-5][0-9][0-9]") || status.equals("101")) {
-            throw bad("no or bad :status");                                 // 101: section 4.5
+            throw bad("no or bad :status"); // 101: section 4.5
         }
         return new Status(Integer.parseInt(status), r.length);
     }
 
     /** Reads trailers, which name no pseudo-headers (section 4.3). */
-    public static void trailers(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>>
-            fields) throws Malformed {
+    public static void trailers(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
+            throws Malformed {
         Reader r = new Reader(Set.of());
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             r.read(field.getKey(), field.getValue());
@@ -162,8 +164,8 @@
     }
 
     /** Whether a field section is longer than is taken; its request gets a 431. */
-    public static boolean tooLong(Iterable<? extends Map.Entry<? extends CharSequence,
-            ? extends CharSequence>> fields) {
+    public static boolean tooLong(
+            Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields) {
         long size = 0;
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             size += field.getKey().length() + field.getValue().length() + PER_FIELD;
@@ -174,11 +176,11 @@
     private static void text(String name, String value) throws Malformed {
         String rest = name.startsWith(":") ? name.substring(1) : name;
         if (rest.isEmpty() || !token(rest) || rest.chars().anyMatch(c -> c >= 'A' && c <= 'Z')) {
-            throw bad("a bad field name");                                  // section 4.2
+            throw bad("a bad field name"); // section 4.2
         }
         boolean bad = value.chars().anyMatch(c -> c == 0 || c == '\r' || c == '\n' || c > 255);
         if (bad || !value.isEmpty() && (blank(value.charAt(0)) || blank(value.charAt(value.length() - 1)))) {
-            throw bad("a bad value of " + name);                            // section 10.3
+            throw bad("a bad value of " + name); // section 10.3
         }
     }
 
--- a/src/main/java/junctionhead/http3/MessageState.java
+++ b/src/main/java/junctionhead/http3/MessageState.java
@@ -5,7 +5,12 @@
  * against the length that its head announced and against what is held at most. Decides without I/O.
  */
 public final class MessageState {
-    private enum At { BEFORE, DATA, TRAILERS, END }
+    private enum At {
+        BEFORE,
+        DATA,
+        TRAILERS,
+        END
+    }
 
     private final long most;
     private At at = At.BEFORE;
--- a/src/main/java/junctionhead/http3/RetryTokens.java
+++ b/src/main/java/junctionhead/http3/RetryTokens.java
@@ -18,7 +18,8 @@
     public static final int ID = Long.BYTES + 16;
     /** Bytes of the longest token. */
     public static final int MOST = Long.BYTES + 20 + 16;
-    private static final int MAC = 16;              // of 32: enough against guesses that live 10 s
+
+    private static final int MAC = 16; // of 32: enough against guesses that live 10 s
     private static final long LIFE = 10_000_000_000L;
     private static final long AHEAD = 1_000_000_000L;
 
@@ -37,7 +38,11 @@
     /** A token for a client at an address that begins with this connection id (of 20 bytes at most). */
     public byte[] write(byte[] id, byte[] address, long now) {
         byte[] sum = sum(now, id, address);
-        return ByteBuffer.allocate(ID + id.length).putLong(now).put(sum, 0, MAC).put(id).array();
+        return ByteBuffer.allocate(ID + id.length)
+                .putLong(now)
+                .put(sum, 0, MAC)
+                .put(id)
+                .array();
     }
 
     /** The connection id that the client began with; null where the token isn't one of ours for it now. */
@@ -53,8 +58,11 @@
     }
 
     private byte[] sum(long at, byte[] id, byte[] address) {
-        mac.update(ByteBuffer.allocate(Long.BYTES + 2).putLong(at).put((byte) id.length)
-            .put((byte) address.length).array());
+        mac.update(ByteBuffer.allocate(Long.BYTES + 2)
+                .putLong(at)
+                .put((byte) id.length)
+                .put((byte) address.length)
+                .array());
         mac.update(id);
         return mac.doFinal(address);
     }
--- a/src/main/java/junctionhead/http3/Sessions.java
+++ b/src/main/java/junctionhead/http3/Sessions.java
@@ -13,8 +13,7 @@
      * What is borne. {@code rest}: ns that one may be at rest while others want in; {@code handshake}: ns
      * that one may take until it is established.
      */
-    public record Limits(int connections, int perAddress, int handshakes, long unread, long rest,
-            long handshake) { }
+    public record Limits(int connections, int perAddress, int handshakes, long unread, long rest, long handshake) {}
 
     /** One connection. */
     public static final class Session {
@@ -23,7 +22,7 @@
         private boolean established;
         private int streams;
         private long unread;
-        private long since;                         // at rest or begun
+        private long since; // at rest or begun
 
         private Session(Object address, Runnable closer, long now) {
             this.address = address;
@@ -42,12 +41,12 @@
 
     private final Limits limits;
     private final LinkedHashSet<Session> all = new LinkedHashSet<>();
-    private final LinkedHashSet<Session> young = new LinkedHashSet<>();     // handshakes, the oldest first
-    private final LinkedHashSet<Session> resting = new LinkedHashSet<>();   // the longest at rest first
+    private final LinkedHashSet<Session> young = new LinkedHashSet<>(); // handshakes, the oldest first
+    private final LinkedHashSet<Session> resting = new LinkedHashSet<>(); // the longest at rest first
     private final Map<Object, Integer> byAddress = new HashMap<>();
     private long unread;
     private long turnedAway;
-    private long gone;                              // ended for room or for memory
+    private long gone; // ended for room or for memory
 
     public Sessions(Limits limits) {
         this.limits = limits;
@@ -67,8 +66,7 @@
      */
     public Session open(Object address, Runnable closer, long now) {
         boolean crowd = byAddress.getOrDefault(address, 0) >= limits.perAddress();
-        if (crowd || young.size() >= limits.handshakes()
-                || all.size() >= limits.connections() && !room(now)) {
+        if (crowd || young.size() >= limits.handshakes() || all.size() >= limits.connections() && !room(now)) {
             turnedAway++;
             return null;
         }
@@ -96,7 +94,7 @@
                 end(s);
                 return true;
             }
-            break;                                  // those behind it rest for less long
+            break; // those behind it rest for less long
         }
         return false;
     }
@@ -174,7 +172,6 @@
     }
 
     public String summary() {
-        return "http3: " + all.size() + " connections, " + turnedAway + " turned away, " + gone
-            + " ended for room";
+        return "http3: " + all.size() + " connections, " + turnedAway + " turned away, " + gone + " ended for room";
     }
 }
--- a/src/main/java/junctionhead/http3/wire/Codes.java
+++ b/src/main/java/junctionhead/http3/wire/Codes.java
@@ -2,9 +2,9 @@
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.handler.codec.http3.DefaultHttp3SettingsFrame;
 import io.netty.handler.codec.http3.Http3Settings;
 import io.netty.handler.codec.http3.Http3SettingsFrame;
-import io.netty.handler.codec.http3.DefaultHttp3SettingsFrame;
 import io.netty.handler.codec.quic.QuicChannel;
 import io.netty.handler.codec.quic.QuicStreamChannel;
 import io.netty.handler.codec.quic.QuicStreamResetException;
@@ -12,7 +12,7 @@
 
 /** What both sides ask of the codec. For the event loop's thread. */
 public final class Codes {
-    private Codes() { }
+    private Codes() {}
 
     /**
      * Our settings: no dynamic table of fields, so that no stream waits for another and no table grows
@@ -20,8 +20,10 @@
      * which ends what is longer than its setting.
      */
     public static Http3SettingsFrame settings() {
-        return new DefaultHttp3SettingsFrame(new Http3Settings().qpackMaxTableCapacity(0)
-            .qpackBlockedStreams(0).maxFieldSectionSize(2 * HeadRules.SECTION_MOST));
+        return new DefaultHttp3SettingsFrame(new Http3Settings()
+                .qpackMaxTableCapacity(0)
+                .qpackBlockedStreams(0)
+                .maxFieldSectionSize(2 * HeadRules.SECTION_MOST));
     }
 
     /** Ends a connection with a code of HTTP/3 (CONNECTION_CLOSE of type 0x1d). */
--- a/src/main/java/junctionhead/http3/wire/Gathered.java
+++ b/src/main/java/junctionhead/http3/wire/Gathered.java
@@ -15,8 +15,7 @@
     public void add(ByteBuf more) {
         int count = more.readableBytes();
         if (length + count > bytes.length) {
-            bytes = Arrays.copyOf(bytes, length == 0 ? count
-                : (int) Math.min(Order.BODY_MOST, 2L * (length + count)));
+            bytes = Arrays.copyOf(bytes, length == 0 ? count : (int) Math.min(Order.BODY_MOST, 2L * (length + count)));
         }
         more.readBytes(bytes, length, count);
         length += count;
--- a/src/main/java/junctionhead/http3/wire/Http3Fields.java
+++ b/src/main/java/junctionhead/http3/wire/Http3Fields.java
@@ -18,9 +18,19 @@
 public final class Http3Fields implements Fields {
     private static final String DEADLINE = Order.DEADLINE.toLowerCase(Locale.ROOT);
     // Of one connection or one hop; the carrier sets its own length and deadline.
-    private static final Set<String> OF_ONE_HOP = Set.of("te", "trailer", "expect", "content-length",
-        "proxy-authenticate", "proxy-authorization", "connection", "keep-alive", "proxy-connection",
-        "transfer-encoding", "upgrade", DEADLINE);
+    private static final Set<String> OF_ONE_HOP = Set.of(
+            "te",
+            "trailer",
+            "expect",
+            "content-length",
+            "proxy-authenticate",
+            "proxy-authorization",
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "transfer-encoding",
+            "upgrade",
+            DEADLINE);
 
     private final Http3Headers headers;
 
--- a/src/main/java/junctionhead/http3/wire/Quiet.java
+++ b/src/main/java/junctionhead/http3/wire/Quiet.java
@@ -9,5 +9,5 @@
  */
 public final class Quiet extends ChannelInboundHandlerAdapter {
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) { }
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
 }
--- a/src/main/java/junctionhead/log/LineSink.java
+++ b/src/main/java/junctionhead/log/LineSink.java
@@ -82,7 +82,8 @@
         notifyAll();
         long until = System.nanoTime() + millis * 1_000_000;
         try {
-            for (long left = millis; (writing || !waiting.isEmpty() || dropped > 0) && left > 0;
+            for (long left = millis;
+                    (writing || !waiting.isEmpty() || dropped > 0) && left > 0;
                     left = (until - System.nanoTime()) / 1_000_000) {
                 wait(left);
             }
--- a/src/main/java/junctionhead/log/NettyLog.java
+++ b/src/main/java/junctionhead/log/NettyLog.java
@@ -47,8 +47,8 @@
             }
             lastAt.put(level, now);
             String text = "event=netty_" + level + " logger=" + logger + " "
-                + message.replace('\n', ' ').replace('\r', ' ')
-                + (cause == null ? "" : " cause=" + cause) + (held == 0 ? "" : " held_back=" + held);
+                    + message.replace('\n', ' ').replace('\r', ' ')
+                    + (cause == null ? "" : " cause=" + cause) + (held == 0 ? "" : " held_back=" + held);
             held = 0;
             return text;
         }
@@ -69,8 +69,12 @@
         }
 
         private void write(String level, String message, Throwable cause) {
-            String line = limiter.line(level, name().substring(name().lastIndexOf('.') + 1),
-                String.valueOf(message), cause, System.nanoTime());
+            String line = limiter.line(
+                    level,
+                    name().substring(name().lastIndexOf('.') + 1),
+                    String.valueOf(message),
+                    cause,
+                    System.nanoTime());
             if (line != null) {
                 sink.accept(line);
             }
@@ -97,19 +101,19 @@
         }
 
         @Override
-        public void trace(String message) { }
+        public void trace(String message) {}
 
         @Override
-        public void trace(String format, Object argument) { }
+        public void trace(String format, Object argument) {}
 
         @Override
-        public void trace(String format, Object first, Object second) { }
+        public void trace(String format, Object first, Object second) {}
 
         @Override
-        public void trace(String format, Object... arguments) { }
+        public void trace(String format, Object... arguments) {}
 
         @Override
-        public void trace(String message, Throwable cause) { }
+        public void trace(String message, Throwable cause) {}
 
         @Override
         public boolean isDebugEnabled() {
@@ -117,19 +121,19 @@
         }
 
         @Override
-        public void debug(String message) { }
+        public void debug(String message) {}
 
         @Override
-        public void debug(String format, Object argument) { }
+        public void debug(String format, Object argument) {}
 
         @Override
-        public void debug(String format, Object first, Object second) { }
+        public void debug(String format, Object first, Object second) {}
 
         @Override
-        public void debug(String format, Object... arguments) { }
+        public void debug(String format, Object... arguments) {}
 
         @Override
-        public void debug(String message, Throwable cause) { }
+        public void debug(String message, Throwable cause) {}
 
         @Override
         public boolean isInfoEnabled() {
@@ -137,20 +141,19 @@
         }
 
         @Override
-        public void info(String message) { }
+        public void info(String message) {}
 
         @Override
-        public void info(String format, Object argument) { }
+        public void info(String format, Object argument) {}
 
         @Override
-        public void info(String format, Object first, Object second) { }
+        public void info(String format, Object first, Object second) {}
 
         @Override
-        public void info(String format, Object... arguments) { }
+        public void info(String format, Object... arguments) {}
 
         @Override
-        public void info(String message, Throwable cause) { }
-
+        public void info(String message, Throwable cause) {}
 
         @Override
         public boolean isWarnEnabled() {
--- a/src/main/java/junctionhead/loop/SocketsFirst.java
+++ b/src/main/java/junctionhead/loop/SocketsFirst.java
@@ -17,7 +17,7 @@
     // Passes that a timer waits for at most: a loop that is always late still comes to its timers.
     private static final int PASSES = 3;
 
-    private SocketsFirst() { }
+    private SocketsFirst() {}
 
     /** A task that has been asked for. */
     public static final class Handle {
--- a/src/main/java/junctionhead/membership/Discovery.java
+++ b/src/main/java/junctionhead/membership/Discovery.java
@@ -43,7 +43,7 @@
 public final class Discovery implements Membership {
     private static final int LINE_MOST = 4 << 20;
     private static final int CONNECT_MS = 2_000;
-    private static final int UNANSWERED_MOST = 3;   // watches at once, where the next is begun beside
+    private static final int UNANSWERED_MOST = 3; // watches at once, where the next is begun beside
 
     /** Whom it tells. */
     public interface News {
@@ -56,7 +56,7 @@
     }
 
     private final EventLoop loop;
-    private final Set<Call> calls = new LinkedHashSet<>();      // under way
+    private final Set<Call> calls = new LinkedHashSet<>(); // under way
     private InetSocketAddress address;
     private final SettingsReader.Boot boot;
     private final News news;
@@ -64,12 +64,17 @@
     private final boolean pushed;
     private final Versions versions;
     private final Silence silence;
-    private Call watch;                             // the newest
-    private boolean wanted;                         // a watch, whether one is open or not
+    private Call watch; // the newest
+    private boolean wanted; // a watch, whether one is open or not
 
     /** {@code rev}: the version of the list that is in use. */
-    public Discovery(EventLoop loop, InetSocketAddress address, SettingsReader.Boot boot, long rev,
-            News news, Consumer<String> log) {
+    public Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            SettingsReader.Boot boot,
+            long rev,
+            News news,
+            Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
@@ -106,7 +111,9 @@
     // Beside those that have not answered: one of them may, and so may be the first to be heard again.
     private void watchBeside() {
         List<Call> waiting = watches();
-        waiting.stream().limit(Math.max(0, waiting.size() - UNANSWERED_MOST + 1)).forEach(Call::drop);
+        waiting.stream()
+                .limit(Math.max(0, waiting.size() - UNANSWERED_MOST + 1))
+                .forEach(Call::drop);
         watch = new Call("/api/targets?watch=1&from=" + versions.inUse(), true);
         watch.open();
     }
@@ -151,7 +158,7 @@
         private final long begun = millis();
         private long heardAt = begun;
         private SocketsFirst.Handle patience;
-        private boolean answered;                   // the module has had what its call was for
+        private boolean answered; // the module has had what its call was for
         private boolean over;
 
         Call(String uri, boolean watching) {
@@ -162,24 +169,24 @@
         void open() {
             calls.add(this);
             heard();
-            ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new Bodies(),
-                            new Lists(LINE_MOST), Call.this);
-                    }
-                }).connect(address);
+            ChannelFuture connected = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .handler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel ch) {
+                            ch.pipeline().addLast(new HttpClientCodec(), new Bodies(), new Lists(LINE_MOST), Call.this);
+                        }
+                    })
+                    .connect(address);
             channel = connected.channel();
             channel.closeFuture().addListener(closed -> ended(false));
             connected.addListener(done -> {
                 if (done.isSuccess()) {
-                    DefaultFullHttpRequest ask =
-                        new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-                    ask.headers().set(HttpHeaderNames.HOST,
-                        Addresses.text(address));
+                    DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+                    ask.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
                     channel.writeAndFlush(ask);
                 } else {
                     ended(false);
@@ -232,7 +239,7 @@
             Targets targets;
             if (text.isEmpty()) {
                 if (answered || !watching) {
-                    return;                         // nothing has changed
+                    return; // nothing has changed
                 }
                 targets = new Targets(versions.inUse(), false, List.of());
             } else {
@@ -247,12 +254,12 @@
             }
             Versions.Verdict verdict = versions.judge(targets.rev(), targets.all(), asked, !answered);
             if (verdict == Versions.Verdict.CONFUSED) {
-                if (watch != this) {                // one is under way that will say it
+                if (watch != this) { // one is under way that will say it
                     ended(false);
                     return;
                 }
                 log.accept("discovery went back from version " + versions.inUse() + " to " + targets.rev()
-                    + ": asking for the whole list");
+                        + ": asking for the whole list");
                 versions.forget();
                 restart(silence.pause(millis(), true));
                 return;
@@ -266,7 +273,7 @@
                 watches().stream().filter(c -> c != this).forEach(Call::drop);
                 toldFor = silence.toldFor(heardAt) * 1000;
             }
-            if (verdict == Versions.Verdict.OLD) {  // the call has done what it was for; nothing is undone
+            if (verdict == Versions.Verdict.OLD) { // the call has done what it was for; nothing is undone
                 targets = new Targets(versions.inUse(), false, List.of());
             }
             news.list(targets.all() ? ListKind.COMPLETE : ListKind.PARTIAL, targets, toldFor);
@@ -290,7 +297,7 @@
             boolean last = watch == this;
             drop();
             if (!last && watching) {
-                return;                             // another one is under way in its place
+                return; // another one is under way in its place
             }
             if (watching && answered) {
                 silence.broke(millis(), heardAt, silent);
--- a/src/main/java/junctionhead/membership/Lists.java
+++ b/src/main/java/junctionhead/membership/Lists.java
@@ -22,8 +22,8 @@
 final class Lists extends JsonObjectDecoder {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private JsonParser check;                       // of a value that is spread over lines
-    private int checked;                            // bytes of it
+    private JsonParser check; // of a value that is spread over lines
+    private int checked; // bytes of it
 
     Lists(int most) {
         super(most);
--- a/src/main/java/junctionhead/membership/Silence.java
+++ b/src/main/java/junctionhead/membership/Silence.java
@@ -9,19 +9,20 @@
 final class Silence {
     // Two lines are missing. The new watch has the rest of the 6 s to bring what the old one missed.
     private static final long MISSING = 4_500;
-    private static final long UNANSWERED = 5_000;   // a call that waits its turn at a discovery that is asked
-    private static final long AT_ONCE = 700;        // an agent does not keep anybody waiting
+    private static final long UNANSWERED = 5_000; // a call that waits its turn at a discovery that is asked
+    private static final long AT_ONCE = 700; // an agent does not keep anybody waiting
     private static final long TOLD = 6_000;
-    private static final long NOT_AGAIN = 1_000;    // between watches that are begun anew at once
+    private static final long NOT_AGAIN = 1_000; // between watches that are begun anew at once
     private static final long PAUSE = 500;
     /** Of {@link #next}: it is told as a failure, and whoever asked decides when to ask again. */
     static final long TELL = -1;
-    private static final long SPREAD = 1_000;       // over which all balancers begin anew at one discovery
+
+    private static final long SPREAD = 1_000; // over which all balancers begin anew at one discovery
 
     private final boolean pushed;
     private final long turn;
-    private long againAt = Long.MIN_VALUE / 2;      // when one was begun anew at once last
-    private long blindSince = -1;                   // from when on something may have been told unheard
+    private long againAt = Long.MIN_VALUE / 2; // when one was begun anew at once last
+    private long blindSince = -1; // from when on something may have been told unheard
 
     /**
      * One of a fleet's.
