--- a/src/main/java/junctionhead/membership/TargetsReader.java
+++ b/src/main/java/junctionhead/membership/TargetsReader.java
@@ -17,7 +17,7 @@
 public final class TargetsReader {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private TargetsReader() { }
+    private TargetsReader() {}
 
     public static Targets parse(String json, SettingsReader.Boot boot) {
         try (JsonParser parser = FACTORY.createParser(json)) {
@@ -47,18 +47,24 @@
                 case "terminated" -> Policy.State.GONE;
                 default -> throw new IllegalArgumentException("unknown state: '" + e.get("state") + "'");
             };
-            InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null ? null
-                : Addresses.parse(String.valueOf(e.get("endpoint")));
+            InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null
+                    ? null
+                    : Addresses.parse(String.valueOf(e.get("endpoint")));
             double weight = number(e.get("capacity_hint"), 1);
             long startedAt = (long) (number(e.get("boot_ms"), 0) * 1000);
-            list.add(new Targets.Target(new Policy.Server(uid, state, startedAt,
-                weight > 0 ? weight : 1, (int) number(e.get("pod_group"), -1),
-                boot.kinds().indexOf(SettingsReader.plain(e.get("model"))),
-                boot.zones().indexOf(SettingsReader.plain(e.get("az")))), endpoint,
-                e.get("http3") instanceof String at ? Addresses.parse(at) : null));
+            list.add(new Targets.Target(
+                    new Policy.Server(
+                            uid,
+                            state,
+                            startedAt,
+                            weight > 0 ? weight : 1,
+                            (int) number(e.get("pod_group"), -1),
+                            boot.kinds().indexOf(SettingsReader.plain(e.get("model"))),
+                            boot.zones().indexOf(SettingsReader.plain(e.get("az")))),
+                    endpoint,
+                    e.get("http3") instanceof String at ? Addresses.parse(at) : null));
         }
-        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")),
-            List.copyOf(list));
+        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
     }
 
     private static double number(Object value, double otherwise) {
--- a/src/main/java/junctionhead/membership/Versions.java
+++ b/src/main/java/junctionhead/membership/Versions.java
@@ -46,7 +46,7 @@
             rev = version;
             return Verdict.TAKE;
         }
-        if (first && all && version < asked) {      // no answer to that call is older, unless it counts anew
+        if (first && all && version < asked) { // no answer to that call is older, unless it counts anew
             rev = version;
             return Verdict.TAKE;
         }
--- a/src/main/java/junctionhead/node/DryRun.java
+++ b/src/main/java/junctionhead/node/DryRun.java
@@ -32,28 +32,33 @@
         """;
 
     // What only an upgrade needs: there is no descriptor to inherit here.
-    private static final List<String> UPGRADE = List.of("junctionhead.handover.Handover",
-        "junctionhead.service.Succession", "junctionhead.service.Succession$Step",
-        "io.netty.channel.socket.nio.NioDomainSocketChannel",
-        "io.netty.channel.socket.nio.NioServerDomainSocketChannel",
-        "io.netty.handler.codec.LineBasedFrameDecoder",
-        "io.netty.handler.codec.string.StringDecoder", "io.netty.handler.codec.string.StringEncoder",
-        "java.net.UnixDomainSocketAddress", "sun.nio.ch.InheritedChannel", "sun.nio.ch.UnixDomainSockets",
-        "sun.nio.ch.InheritedChannel$InheritedServerSocketChannelImpl");
+    private static final List<String> UPGRADE = List.of(
+            "junctionhead.handover.Handover",
+            "junctionhead.service.Succession",
+            "junctionhead.service.Succession$Step",
+            "io.netty.channel.socket.nio.NioDomainSocketChannel",
+            "io.netty.channel.socket.nio.NioServerDomainSocketChannel",
+            "io.netty.handler.codec.LineBasedFrameDecoder",
+            "io.netty.handler.codec.string.StringDecoder",
+            "io.netty.handler.codec.string.StringEncoder",
+            "java.net.UnixDomainSocketAddress",
+            "sun.nio.ch.InheritedChannel",
+            "sun.nio.ch.UnixDomainSockets",
+            "sun.nio.ch.InheritedChannel$InheritedServerSocketChannelImpl");
 
-    private DryRun() { }
+    private DryRun() {}
 
     private static void call(InetSocketAddress door) throws IOException {
         try (Socket caller = new Socket(door.getAddress(), door.getPort())) {
-            caller.getOutputStream().write("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII));
+            caller.getOutputStream()
+                    .write("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             caller.getInputStream().readAllBytes();
         }
     }
 
     public static void main(String[] args) throws Exception {
-        Hangup.onEach(() -> { });
-        Node node = new Node(Config.of(Map.of(), JSON.std.mapFrom(CONFIG)), Balance::new, true, line -> { });
+        Hangup.onEach(() -> {});
+        Node node = new Node(Config.of(Map.of(), JSON.std.mapFrom(CONFIG)), Balance::new, true, line -> {});
         node.start();
         boolean ready = node.awaitReady(TimeUnit.SECONDS.toMillis(30));
         call(node.door());
--- a/src/main/java/junctionhead/node/Extension.java
+++ b/src/main/java/junctionhead/node/Extension.java
@@ -16,7 +16,7 @@
  */
 public interface Extension {
     /** What a node lends it, all of it for the event loop's thread; {@code log} must not block. */
-    record Lent(EventLoop loop, Config config, Dispatcher dispatcher, Room room, Consumer<String> log) { }
+    record Lent(EventLoop loop, Config config, Dispatcher dispatcher, Room room, Consumer<String> log) {}
 
     /** What it has become in one node; all but {@link #listen} is called on the event loop. */
     interface Part {
--- a/src/main/java/junctionhead/node/Hangup.java
+++ b/src/main/java/junctionhead/node/Hangup.java
@@ -9,7 +9,7 @@
  * carries is reached by its name, as the compiler warns of each direct use.
  */
 final class Hangup {
-    private Hangup() { }
+    private Hangup() {}
 
     /** Runs {@code action} at each SIGHUP, on a thread of its own; false where the platform has none. */
     static boolean onEach(Runnable action) {
@@ -27,7 +27,7 @@
             Class<?> type = Class.forName("sun.misc.SignalHandler");
             Object proxy = Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler);
             signal.getMethod("handle", signal, type)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
             return true;
         } catch (ReflectiveOperationException e) {
             return false;
--- a/src/main/java/junctionhead/node/Node.java
+++ b/src/main/java/junctionhead/node/Node.java
@@ -44,47 +44,50 @@
 /** One real balancer: its start, its readiness and its orderly stop. */
 public final class Node {
     private static final long LINGER_MS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.LINGER);
-    private static final long FOLLOW_MS = 50;       // between looks at what the life cycle says
-    private static final long FORMER_MS = 10_000;   // for which classes that were dropped are served
+    private static final long FOLLOW_MS = 50; // between looks at what the life cycle says
+    private static final long FORMER_MS = 10_000; // for which classes that were dropped are served
     // The platform kills a process no sooner than 0.7 s and the longest deadline after it has told it to end.
     private static final long LAST_ANSWERS = 600_000;
-    private static final long CALL_MS = 5;          // between looks at whether it may end
-    private static final long FLUSH_MS = 20;        // for the last answers to arrive
-    static final long LAST_LINES_MS = 500;  // for the last lines, if somebody reads them
+    private static final long CALL_MS = 5; // between looks at whether it may end
+    private static final long FLUSH_MS = 20; // for the last answers to arrive
+    static final long LAST_LINES_MS = 500; // for the last lines, if somebody reads them
 
     private final Consumer<String> log;
     private final WholeMillis group = new WholeMillis();
     private final EventLoop loop = group.next();
     private final Dispatcher dispatcher;
     private final Upstreams upstreams;
-    private final Discovery discovery;              // null where the list stands in the configuration
-    private final StaticList fixed;                 // null where it doesn't
+    private final Discovery discovery; // null where the list stands in the configuration
+    private final StaticList fixed; // null where it doesn't
     private final Budget budget;
     private final ClientServer clients;
-    private final Handover handover;                // null where the listener is its own
+    private final Handover handover; // null where the listener is its own
     private final LifeCycle life = new LifeCycle(System.nanoTime());
-    private final Door door;                        // null where operators have none
-    private final Config config;                    // as it was started
-    private Config used;                            // with what has been taken over since; under this lock
-    private SettingsReader.Boot boot;               // in use, on the loop
+    private final Door door; // null where operators have none
+    private final Config config; // as it was started
+    private Config used; // with what has been taken over since; under this lock
+    private SettingsReader.Boot boot; // in use, on the loop
     private int retunings;
-    private final Extension.Part extra;             // null where there is none
+    private final Extension.Part extra; // null where there is none
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
-    private volatile InetSocketAddress calls;       // where operators call
-    private volatile InetSocketAddress besides;     // where the extension listens
+    private volatile InetSocketAddress calls; // where operators call
+    private volatile InetSocketAddress besides; // where the extension listens
     private boolean hasList;
     private boolean rehearsed;
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
-    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse,
-            Consumer<String> log) {
+    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse, Consumer<String> log) {
         this(config, module, rehearse, null, log);
     }
 
     /** The same with what stands beside HTTP/1.1; {@code extension} may be null. */
-    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse,
-            Extension extension, Consumer<String> log) {
+    Node(
+            Config config,
+            BiFunction<Policy.Settings, Long, Policy> module,
+            boolean rehearse,
+            Extension extension,
+            Consumer<String> log) {
         this.rehearsed = !rehearse;
         this.config = config;
         this.used = config;
@@ -96,16 +99,16 @@
         dispatcher.logTo(RequestLog.of(System.getenv(), log));
         upstreams = new Upstreams(loop, config.boot(), budget, dispatcher::now, dispatcher);
         boolean asked = config.discovery() != null;
-        discovery = asked ? new Discovery(loop, config.discovery(), config.boot(), config.known().rev(),
-            this::listed, log) : null;
+        discovery = asked
+                ? new Discovery(
+                        loop, config.discovery(), config.boot(), config.known().rev(), this::listed, log)
+                : null;
         fixed = asked ? null : new StaticList(config.known(), this::listed);
         Room room = new Room(Room.CLIENTS);
         clients = new ClientServer(loop, config.boot(), dispatcher, budget, room, life, log);
-        handover = !config.inherited() ? null
-            : new Handover(loop, shared("honeyspindle.sock"), this::step, log);
+        handover = !config.inherited() ? null : new Handover(loop, shared("honeyspindle.sock"), this::step, log);
         door = config.management() == null ? null : new Door(loop, new Orders());
-        extra = extension == null ? null
-            : extension.of(new Extension.Lent(loop, config, dispatcher, room, log));
+        extra = extension == null ? null : extension.of(new Extension.Lent(loop, config, dispatcher, room, log));
         dispatcher.attach(extra == null ? upstreams : extra.carrier(upstreams), asked ? discovery : fixed);
     }
 
@@ -133,7 +136,7 @@
         try {
             node = new Node(first.get(), Balance::new, true, extension, log);
             at = signals.starting(node);
-        } catch (Exception e) {     // sync() rethrows what bind failed with, whatever its type
+        } catch (Exception e) { // sync() rethrows what bind failed with, whatever its type
             signals.failed();
             log.accept(e instanceof Config.Bad || e instanceof IOException ? e.getMessage() : e.toString());
             log.close(LAST_LINES_MS);
@@ -151,17 +154,17 @@
             try {
                 calls = door.listen(config.management());
                 log.accept("management on " + Addresses.text(calls));
-            } catch (Exception e) {     // sync() rethrows what bind failed with, whatever its type
-                throw new IOException("management: can't listen on " + Addresses.text(config.management())
-                    + ": " + e.getMessage(), e);
+            } catch (Exception e) { // sync() rethrows what bind failed with, whatever its type
+                throw new IOException(
+                        "management: can't listen on " + Addresses.text(config.management()) + ": " + e.getMessage(),
+                        e);
             }
         }
         InetSocketAddress at;
         try {
             at = clients.listen(config.listen(), config.inherited() ? inherited() : null);
         } catch (Exception e) {
-            throw new IOException("can't listen on " + Addresses.text(config.listen()) + ": "
-                + e.getMessage(), e);
+            throw new IOException("can't listen on " + Addresses.text(config.listen()) + ": " + e.getMessage(), e);
         }
         InetSocketAddress beside = extra == null ? null : extra.listen();
         if (beside != null) {
@@ -270,7 +273,7 @@
                 }
             }
             case ALONE -> log.accept("no other process any more");
-            case NOTHING -> { }
+            case NOTHING -> {}
             default -> throw new IllegalStateException("no such step: " + step);
         }
         share();
@@ -304,9 +307,8 @@
         try {
             fresh = read.get();
             problem = used.problem(fresh);
-        } catch (RuntimeException e) {      // not Bad alone: a file may hold what no check foresaw
-            log.accept("configuration not taken over: "
-                + (e instanceof Config.Bad ? e.getMessage() : e.toString()));
+        } catch (RuntimeException e) { // not Bad alone: a file may hold what no check foresaw
+            log.accept("configuration not taken over: " + (e instanceof Config.Bad ? e.getMessage() : e.toString()));
             return;
         }
         List<String> waiting = used.waiting(fresh);
@@ -318,11 +320,15 @@
             return;
         }
         boolean other = !fresh.boot().equals(used.boot());
-        log.accept("configuration taken over: " + (fixed != null
-            ? fresh.known().list().size() + " upstreams"
-            : "discovery at " + Addresses.text(fresh.discovery()))
-            + (other ? "; settings with classes " + String.join(", ", fresh.boot().classes()) : "")
-            + (waiting.isEmpty() ? "" : "; new " + String.join(", ", waiting) + " wait for a restart"));
+        log.accept("configuration taken over: "
+                + (fixed != null
+                        ? fresh.known().list().size() + " upstreams"
+                        : "discovery at " + Addresses.text(fresh.discovery()))
+                + (other
+                        ? "; settings with classes "
+                                + String.join(", ", fresh.boot().classes())
+                        : "")
+                + (waiting.isEmpty() ? "" : "; new " + String.join(", ", waiting) + " wait for a restart"));
         used = used.with(fresh);
         loop.execute(() -> {
             if (other) {
@@ -344,12 +350,15 @@
         boot = Retuning.withFormer(boot, fresh);
         tune();
         if (!boot.equals(fresh)) {
-            loop.schedule(() -> {
-                if (mine == retunings) {
-                    boot = fresh;
-                    tune();
-                }
-            }, FORMER_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (mine == retunings) {
+                            boot = fresh;
+                            tune();
+                        }
+                    },
+                    FORMER_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -375,8 +384,9 @@
 
     private void listed(Policy.ListKind kind, Targets targets, long toldFor) {
         dispatcher.listed(kind, targets, toldFor);
-        boolean usable = kind == Policy.ListKind.COMPLETE || targets != null
-            && targets.list().stream().anyMatch(t -> t.server().state() == Policy.State.UP);
+        boolean usable = kind == Policy.ListKind.COMPLETE
+                || targets != null
+                        && targets.list().stream().anyMatch(t -> t.server().state() == Policy.State.UP);
         if (usable) {
             hasList = true;
             readyIfSo();
@@ -462,14 +472,14 @@
         SocketsFirst.after(loop, LINGER_MS, TimeUnit.MILLISECONDS, () -> look(last));
         await();
         log.accept("stopped: " + dispatcher.summary() + "; " + budget.summary());
-        if (!config.inherited()) {      // its end would take standard error along, and the last lines
+        if (!config.inherited()) { // its end would take standard error along, and the last lines
             group.end();
         }
     }
 
     // Each time behind a pass over the sockets.
     private void look(LastCall last) {
-        int passing = clients.passes() ? 1 : 0;     // a long answer: it takes as long as it takes
+        int passing = clients.passes() ? 1 : 0; // a long answer: it takes as long as it takes
         LastCall.Step step = last.look(clients.sight(dispatcher.owed() + passing));
         if (step == LastCall.Step.END) {
             end();
--- a/src/main/java/junctionhead/node/Rehearsal.java
+++ b/src/main/java/junctionhead/node/Rehearsal.java
@@ -33,14 +33,14 @@
  * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
  */
 final class Rehearsal implements Drill {
-    private static final String TOKEN = "Rehearsal";    // a header with what no stranger knows
+    private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
 
     private static final int REQUESTS = 300;
     private static final int AT_ONCE = 8;
-    private static final int DECLINED = 3;          // every third is turned away in the last part
+    private static final int DECLINED = 3; // every third is turned away in the last part
     private static final int SERVERS = 8;
-    private static final long MOST_MS = 4_000;      // where the machine is busy
-    private static final long WAIT = 1_000_000;     // µs for one request
+    private static final long MOST_MS = 4_000; // where the machine is busy
+    private static final long WAIT = 1_000_000; // µs for one request
 
     private final EventLoop loop;
     private final SettingsReader.Boot boot;
@@ -64,7 +64,7 @@
         this.then = then;
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
         Policy policy = new Balance(boot.settings(), config.seed());
-        dispatcher = new Dispatcher(new NettyLoop(loop), Clock.system(), boot, policy, line -> { });
+        dispatcher = new Dispatcher(new NettyLoop(loop), Clock.system(), boot, policy, line -> {});
         Budget budget = new Budget(config.connections(), System.nanoTime());
         IdleRest rest = IdleRest.trusting(boot.idleClose());
         back = new Upstreams(loop, boot, budget, dispatcher::now, ListNews.NONE, through, rest);
@@ -85,8 +85,14 @@
     void start(InetSocketAddress self) {
         List<Targets.Target> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            Policy.Server server = new Policy.Server("rehearsal-" + i, Policy.State.UP, 0, 1, 0, i % 2,
-                boot.settings().zone());
+            Policy.Server server = new Policy.Server(
+                    "rehearsal-" + i,
+                    Policy.State.UP,
+                    0,
+                    1,
+                    0,
+                    i % 2,
+                    boot.settings().zone());
             targets.add(new Targets.Target(server, self));
         }
         Targets all = new Targets(0, true, targets);
@@ -110,15 +116,18 @@
         }
         int number = begun++ % boot.classes().size();
         Policy.Effect effect = boot.settings().classes().get(number).effect();
-        HttpHeaders headers = new DefaultHttpHeaders().set(TOKEN, token).set("Req-Id", "rehearsal-" + begun)
-            .set("Req-Kind", boot.classes().get(number)).set("Req-Cost", Integer.toString(begun));
+        HttpHeaders headers = new DefaultHttpHeaders()
+                .set(TOKEN, token)
+                .set("Req-Id", "rehearsal-" + begun)
+                .set("Req-Kind", boot.classes().get(number))
+                .set("Req-Cost", Integer.toString(begun));
         if (effect == Policy.Effect.KEYED) {
             headers.set("Idempotency-Key", "rehearsal-" + begun);
         }
         String method = effect == Policy.Effect.SAFE ? "GET" : "POST";
         byte[] body = new byte[effect == Policy.Effect.SAFE ? 0 : 200];
-        Order order = new Order("rehearsal-" + begun, method, PATH, new Http1Fields(headers), body, number,
-            0, null, WAIT, -1, false);
+        Order order = new Order(
+                "rehearsal-" + begun, method, PATH, new Http1Fields(headers), body, number, 0, null, WAIT, -1, false);
         front.send("rehearsal-0", order, WAIT, Long.MAX_VALUE, (outcome, answer, load) -> {
             ended++;
             if (ended >= REQUESTS) {
--- a/src/main/java/junctionhead/node/Signals.java
+++ b/src/main/java/junctionhead/node/Signals.java
@@ -14,9 +14,9 @@
 final class Signals {
     private final LineSink log;
     private final Supplier<Config> again;
-    private Node node;                              // once it listens; under this lock, like the rest
+    private Node node; // once it listens; under this lock, like the rest
     private boolean failed;
-    private boolean hangup;                         // came before
+    private boolean hangup; // came before
 
     Signals(LineSink log, Supplier<Config> again) {
         this.log = log;
@@ -39,7 +39,7 @@
             asked = hangup;
         }
         if (asked) {
-            fresh.reload(again);                    // it may have read the file before it was replaced
+            fresh.reload(again); // it may have read the file before it was replaced
         }
         return at;
     }
@@ -65,7 +65,7 @@
         Node ending;
         synchronized (this) {
             if (failed) {
-                return;                             // with an exit code of its own
+                return; // with an exit code of its own
             }
             ending = node;
         }
--- a/src/main/java/junctionhead/node/http3/Http3Extension.java
+++ b/src/main/java/junctionhead/node/http3/Http3Extension.java
@@ -23,17 +23,24 @@
 
         private final Lent lent;
         private final Http3 told;
-        private final Http3Server server;           // null where no client speaks it
-        private Identity identity;                  // shown to clients
-        private Http3Upstreams upstreams;           // null where no upstream does
+        private final Http3Server server; // null where no client speaks it
+        private Identity identity; // shown to clients
+        private Http3Upstreams upstreams; // null where no upstream does
 
         InNode(Lent lent) {
             this.lent = lent;
             told = lent.config().http3();
             identity = told.identity();
-            server = told.listen() == null ? null : new Http3Server(lent.loop(), lent.config().boot(),
-                lent.dispatcher(), lent.room(), told.identity(),
-                new Http3Server.Limits(told.sessions(), told.streams(), told.idle()), lent.log());
+            server = told.listen() == null
+                    ? null
+                    : new Http3Server(
+                            lent.loop(),
+                            lent.config().boot(),
+                            lent.dispatcher(),
+                            lent.room(),
+                            told.identity(),
+                            new Http3Server.Limits(told.sessions(), told.streams(), told.idle()),
+                            lent.log());
         }
 
         @Override
@@ -41,10 +48,14 @@
             if (told.trust().isEmpty()) {
                 return usual;
             }
-            upstreams = new Http3Upstreams(lent.loop(), lent.config().boot(), lent.dispatcher()::now,
-                lent.dispatcher(), usual,
-                new Http3Upstreams.Limits(told.upstream(), told.trust(), told.serverName(), told.idle(),
-                    true), lent.log());
+            upstreams = new Http3Upstreams(
+                    lent.loop(),
+                    lent.config().boot(),
+                    lent.dispatcher()::now,
+                    lent.dispatcher(),
+                    usual,
+                    new Http3Upstreams.Limits(told.upstream(), told.trust(), told.serverName(), told.idle(), true),
+                    lent.log());
             return upstreams;
         }
 
--- a/src/main/java/junctionhead/node/http3/Rehearsal3.java
+++ b/src/main/java/junctionhead/node/http3/Rehearsal3.java
@@ -9,8 +9,8 @@
 import junctionhead.Policy;
 import junctionhead.config.Config;
 import junctionhead.core.Clock;
-import junctionhead.core.ListNews;
 import junctionhead.core.Fields;
+import junctionhead.core.ListNews;
 import junctionhead.core.Order;
 import junctionhead.core.Targets;
 import junctionhead.http3.BoxPlan;
@@ -25,8 +25,8 @@
 final class Rehearsal3 {
     private static final int REQUESTS = 300;
     private static final int AT_ONCE = 10;
-    private static final long MOST_MS = 3_000;      // then clients are served as they come
-    private static final long WAIT = 1_000_000;     // µs for one answer
+    private static final long MOST_MS = 3_000; // then clients are served as they come
+    private static final long WAIT = 1_000_000; // µs for one answer
     private static final String SELF = "self";
 
     private final EventLoop loop;
@@ -40,15 +40,30 @@
     Rehearsal3(EventLoop loop, Config config, Http3 told, InetSocketAddress at, Clock clock, Runnable done) {
         this.loop = loop;
         this.done = done;
-        carrier = new Http3Upstreams(loop, config.boot(), clock, ListNews.NONE, null,
-            new Http3Upstreams.Limits(new BoxPlan.Limits(2, AT_ONCE, WAIT, WAIT), told.identity().chain(),
-                null, told.idle(), false),
-            line -> { });
+        carrier = new Http3Upstreams(
+                loop,
+                config.boot(),
+                clock,
+                ListNews.NONE,
+                null,
+                new Http3Upstreams.Limits(
+                        new BoxPlan.Limits(2, AT_ONCE, WAIT, WAIT),
+                        told.identity().chain(),
+                        null,
+                        told.idle(),
+                        false),
+                line -> {});
         limit = loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
         InetSocketAddress own = at.getAddress().isAnyLocalAddress()
-            ? new InetSocketAddress(InetAddress.getLoopbackAddress(), at.getPort()) : at;
-        carrier.listed(new Targets(0, true, List.of(new Targets.Target(new Policy.Server(SELF,
-            Policy.State.UP, 0, 1, -1, -1, -1), own, own))), clock.now());
+                ? new InetSocketAddress(InetAddress.getLoopbackAddress(), at.getPort())
+                : at;
+        carrier.listed(
+                new Targets(
+                        0,
+                        true,
+                        List.of(new Targets.Target(
+                                new Policy.Server(SELF, Policy.State.UP, 0, 1, -1, -1, -1), own, own))),
+                clock.now());
     }
 
     void start() {
@@ -66,12 +81,11 @@
         }
         begun++;
         out++;
-        Order order = new Order("rehearsal", "GET", "/-/ready", Fields.NONE, new byte[0], -1, 0, null, WAIT,
-            -1, false);
+        Order order = new Order("rehearsal", "GET", "/-/ready", Fields.NONE, new byte[0], -1, 0, null, WAIT, -1, false);
         carrier.send(SELF, order, WAIT, Long.MAX_VALUE, (outcome, answer, load) -> {
             out--;
             if (answer == null) {
-                end();                              // no way to itself: clients come cold
+                end(); // no way to itself: clients come cold
             } else {
                 loop.execute(this::ask);
             }
--- a/src/main/java/junctionhead/service/LastCall.java
+++ b/src/main/java/junctionhead/service/LastCall.java
@@ -9,7 +9,11 @@
  */
 public final class LastCall {
     /** What is to be done at a look. */
-    public enum Step { GO_ON, CLOSE_LISTENER, END }
+    public enum Step {
+        GO_ON,
+        CLOSE_LISTENER,
+        END
+    }
 
     /**
      * What the loop has seen by now.
@@ -21,16 +25,16 @@
      * @param resting connections now that may yet send one
      * @param unsent connections now whose answers have not left whole
      */
-    public record Sight(long comers, long reads, int owed, int halves, int resting, int unsent) { }
+    public record Sight(long comers, long reads, int owed, int halves, int resting, int unsent) {}
 
-    private static final int QUIET = 2;             // looks in a row that found nothing new
-    private static final int COMERS_MOST = 80;      // looks before the listener is closed all the same
-    private static final int HALVES_MOST = 80;      // looks for the rest of a request to come
-    private static final int UNSENT_MOST = 400;     // looks for answers to leave
+    private static final int QUIET = 2; // looks in a row that found nothing new
+    private static final int COMERS_MOST = 80; // looks before the listener is closed all the same
+    private static final int HALVES_MOST = 80; // looks for the rest of a request to come
+    private static final int UNSENT_MOST = 400; // looks for answers to leave
 
     private Sight last;
-    private boolean closed;                         // the listener
-    private int looks;                              // in this part of the end
+    private boolean closed; // the listener
+    private int looks; // in this part of the end
     private int quiet;
 
     /** Another look, behind a pass over the sockets; after {@link Step#END} none follows. */
@@ -48,8 +52,10 @@
             quiet = 0;
             return Step.CLOSE_LISTENER;
         }
-        boolean over = now.owed() == 0 && now.resting() == 0
-            && (now.halves() == 0 || looks >= HALVES_MOST) && (now.unsent() == 0 || looks >= UNSENT_MOST);
+        boolean over = now.owed() == 0
+                && now.resting() == 0
+                && (now.halves() == 0 || looks >= HALVES_MOST)
+                && (now.unsent() == 0 || looks >= UNSENT_MOST);
         return over && quiet >= QUIET ? Step.END : Step.GO_ON;
     }
 }
--- a/src/main/java/junctionhead/service/LifeCycle.java
+++ b/src/main/java/junctionhead/service/LifeCycle.java
@@ -24,22 +24,27 @@
     }
 
     /** What came of an operator's call. */
-    public enum Verdict { DONE, ALREADY, NOT_POSSIBLE }
+    public enum Verdict {
+        DONE,
+        ALREADY,
+        NOT_POSSIBLE
+    }
 
     private static final long MS = 1_000_000;
     /** Clients go on coming for so long after they have been sent away, in ns. */
     public static final long LINGER = 600 * MS;
-    private static final long RESTED = 500 * MS;            // who rests so long hardly asks just then
-    private static final long EVACUATE = 1_600 * MS;        // after that nobody rests
-    private static final long LATE_REST = 200 * MS;         // of who comes all the same
+
+    private static final long RESTED = 500 * MS; // who rests so long hardly asks just then
+    private static final long EVACUATE = 1_600 * MS; // after that nobody rests
+    private static final long LATE_REST = 200 * MS; // of who comes all the same
     private static final long HAND_OVER = 2_000 * MS;
     private static final long NO_LIMIT = Long.MAX_VALUE;
 
     private State state = State.STARTING;
-    private long since;                             // ns: the present state's beginning
-    private boolean prepared;                       // it could serve
-    private boolean succeeded;                      // a successor takes what comes
-    private boolean called;                         // nothing more comes before it ends
+    private long since; // ns: the present state's beginning
+    private boolean prepared; // it could serve
+    private boolean succeeded; // a successor takes what comes
+    private boolean called; // nothing more comes before it ends
 
     /** {@code now}: its beginning. */
     public LifeCycle(long now) {
@@ -148,8 +153,7 @@
 
     /** Whether it may leave by itself once nothing is held: a successor has had the clients for a while. */
     public boolean left(long now) {
-        return state == State.HANDING_OVER && now - since >= HAND_OVER
-            || state == State.STOPPING && succeeded;
+        return state == State.HANDING_OVER && now - since >= HAND_OVER || state == State.STOPPING && succeeded;
     }
 
     /** Whether an answer leaves its connection open, where nothing else speaks against it. */
--- a/src/main/java/junctionhead/upstream/AnswerReader.java
+++ b/src/main/java/junctionhead/upstream/AnswerReader.java
@@ -34,8 +34,8 @@
  */
 final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
     private static final int HEAD_MOST = 8 * 1024;
-    private static final int PIECE = 32 * 1024;     // bytes that are handed on at once
-    private static final int HINTS_MOST = 8;        // 1xx answers ahead of one
+    private static final int PIECE = 32 * 1024; // bytes that are handed on at once
+    private static final int HINTS_MOST = 8; // 1xx answers ahead of one
 
     /** Whom it tells, once for each request. */
     interface Taker {
@@ -60,17 +60,17 @@
 
     private final Taker taker;
     private final Decoder decoder = new Decoder();
-    private boolean expecting;                      // a request has been sent whose answer hasn't been told
+    private boolean expecting; // a request has been sent whose answer hasn't been told
     private boolean spoilt;
     private HttpResponse head;
     private byte[] body;
     private int length;
-    private boolean passed;                         // whole, told at the end of the read
-    private boolean toEnd;                          // the present answer ends with the connection
+    private boolean passed; // whole, told at the end of the read
+    private boolean toEnd; // the present answer ends with the connection
     private int hints;
-    private boolean hint;                           // within a 1xx answer
-    private Answer whole;                           // told at the end of the read
-    private Rest rest;                              // of a long answer that is passed on
+    private boolean hint; // within a 1xx answer
+    private Answer whole; // told at the end of the read
+    private Rest rest; // of a long answer that is passed on
     private Channel channel;
 
     AnswerReader(Taker taker) {
@@ -93,7 +93,7 @@
             return;
         }
         if (whole != null || rest != null && rest.ended || !part.decoderResult().isSuccess()) {
-            spoil();                                // a second answer, or one that can't be read
+            spoil(); // a second answer, or one that can't be read
             return;
         }
         if (part instanceof HttpResponse answer) {
@@ -102,14 +102,16 @@
         if (!spoilt && part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
             if (hint) {
-                hint = !last;                       // the answer itself is still to come
+                hint = !last; // the answer itself is still to come
             } else if (rest != null) {
                 rest.more(content.content(), last);
             } else if (add(content.content()) && last && rest != null) {
                 rest.more(Unpooled.EMPTY_BUFFER, true);
             } else if (!spoilt && rest == null && last) {
-                whole = new Answer(head.status().code(), new Http1Fields(head.headers()),
-                    body.length == length ? body : Arrays.copyOf(body, length));
+                whole = new Answer(
+                        head.status().code(),
+                        new Http1Fields(head.headers()),
+                        body.length == length ? body : Arrays.copyOf(body, length));
             }
         }
     }
@@ -201,7 +203,7 @@
 
         private void more(ByteBuf bytes, boolean last) {
             if (taker() == null || spoilt) {
-                return;                             // nobody took it: dropped
+                return; // nobody took it: dropped
             }
             if (bytes.isReadable()) {
                 taker().piece(ByteBufUtil.getBytes(bytes));
@@ -282,7 +284,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object part) throws Exception {
             if (spoilt || !expecting) {
-                ReferenceCountUtil.release(part);   // nobody asked
+                ReferenceCountUtil.release(part); // nobody asked
                 if (!spoilt) {
                     spoil();
                 }
--- a/src/main/java/junctionhead/upstream/AttemptRules.java
+++ b/src/main/java/junctionhead/upstream/AttemptRules.java
@@ -4,7 +4,7 @@
 
 /** What the ending of an attempt proves. No I/O. */
 final class AttemptRules {
-    private AttemptRules() { }
+    private AttemptRules() {}
 
     /**
      * An upstream begins with a request when its last byte has come. One that says before that it has served
--- a/src/main/java/junctionhead/upstream/TimedChannel.java
+++ b/src/main/java/junctionhead/upstream/TimedChannel.java
@@ -11,7 +11,7 @@
  */
 final class TimedChannel extends NioSocketChannel {
     private final Clock clock;
-    private static final Runnable NOTHING = () -> { };
+    private static final Runnable NOTHING = () -> {};
 
     private long until = Long.MAX_VALUE;
     private Runnable late = NOTHING;
@@ -34,7 +34,7 @@
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
         long time = until;
         Runnable told = late;
-        until = Long.MAX_VALUE;                     // what has begun goes on
+        until = Long.MAX_VALUE; // what has begun goes on
         late = NOTHING;
         if (clock.now() >= time) {
             throw new IOException("too late to be begun");
--- a/src/main/java/junctionhead/upstream/Upstreams.java
+++ b/src/main/java/junctionhead/upstream/Upstreams.java
@@ -57,15 +57,15 @@
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
 public final class Upstreams implements Carrier {
     private static final AsciiString DEADLINE = AsciiString.cached(Order.DEADLINE);
-    private static final int READS = 4;             // in one turn: none keeps the others waiting
+    private static final int READS = 4; // in one turn: none keeps the others waiting
     private static final int READ_MOST = 32 << 10;
-    private static final int CONNECT_MS = 1_000;    // where the settings give no limit
+    private static final int CONNECT_MS = 1_000; // where the settings give no limit
 
     private static final class Upstream {
         final String id;
         InetSocketAddress endpoint;
-        long stopAt = DrainGrace.NEVER;               // when the grace of its drain is over
-        final ArrayDeque<Connection> idle = new ArrayDeque<>();     // the most recently used last
+        long stopAt = DrainGrace.NEVER; // when the grace of its drain is over
+        final ArrayDeque<Connection> idle = new ArrayDeque<>(); // the most recently used last
 
         Upstream(String id) {
             this.id = id;
@@ -78,14 +78,13 @@
     private final Clock clock;
     private final ListNews news;
     private final Bootstrap bootstrap;
-    private final SocketAddress all;                // where every upstream stands, or null
+    private final SocketAddress all; // where every upstream stands, or null
     private IdleRest rest;
     private final Map<String, Upstream> upstreams = new HashMap<>();
     private final Future<?> sweep;
 
     /** {@code news}: of the list, which comes before what is begun. */
-    public Upstreams(EventLoop loop, SettingsReader.Boot boot, Budget budget, Clock clock,
-            ListNews news) {
+    public Upstreams(EventLoop loop, SettingsReader.Boot boot, Budget budget, Clock clock, ListNews news) {
         this(loop, boot, budget, clock, news, null, new IdleRest(boot.idleClose()));
     }
 
@@ -93,8 +92,14 @@
      * The same where all upstreams stand at one socket of the file system; null: each at its own address.
      * {@code rest}: how their idle connections rest, until other settings hold.
      */
-    public Upstreams(EventLoop loop, SettingsReader.Boot boot, Budget budget, Clock clock,
-            ListNews news, SocketAddress all, IdleRest rest) {
+    public Upstreams(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Budget budget,
+            Clock clock,
+            ListNews news,
+            SocketAddress all,
+            IdleRest rest) {
         this.news = news;
         this.all = all;
         this.loop = loop;
@@ -102,13 +107,17 @@
         this.budget = budget;
         this.clock = clock;
         this.rest = rest;
-        this.bootstrap = new Bootstrap().group(loop)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis())
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(64, 2_048, READ_MOST)
-                .maxMessagesPerRead(READS));
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis())
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new AdaptiveRecvByteBufAllocator(64, 2_048, READ_MOST).maxMessagesPerRead(READS));
         if (all == null) {
-            bootstrap.channelFactory(() -> new TimedChannel(clock)).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.ALLOW_HALF_CLOSURE, true);
+            bootstrap
+                    .channelFactory(() -> new TimedChannel(clock))
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.ALLOW_HALF_CLOSURE, true);
         } else {
             bootstrap.channel(NioDomainSocketChannel.class);
         }
@@ -171,7 +180,7 @@
 
     // The one used last of those that have settled: those before it have rested for longer.
     private Connection ready(Upstream u) {
-        for (Iterator<Connection> i = u.idle.descendingIterator(); i.hasNext();) {
+        for (Iterator<Connection> i = u.idle.descendingIterator(); i.hasNext(); ) {
             Connection c = i.next();
             if (c.settled() && c.usable()) {
                 return c;
@@ -183,13 +192,16 @@
     /** Gives up after the time that a connection may take. */
     @Override
     public void probe(String server, boolean report, Listener listener) {
-        Order order = new Order("", "GET", report ? "/-/load" : "/-/healthy",
-            Fields.NONE, new byte[0], -1, 0, null, 0, -1, false);
+        Order order = new Order(
+                "", "GET", report ? "/-/load" : "/-/healthy", Fields.NONE, new byte[0], -1, 0, null, 0, -1, false);
         Call call = new Call(order, 0, Long.MAX_VALUE, listener);
-        call.timer = loop.schedule(() -> {
-            boolean asked = call.giveUp() == Fate.MAY_HAVE_RUN;
-            listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
-        }, connectMillis(), TimeUnit.MILLISECONDS);
+        call.timer = loop.schedule(
+                () -> {
+                    boolean asked = call.giveUp() == Fate.MAY_HAVE_RUN;
+                    listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
+                },
+                connectMillis(),
+                TimeUnit.MILLISECONDS);
         start(server, call);
     }
 
@@ -220,13 +232,16 @@
         Connection connection = new Connection(u);
         connection.call = call;
         call.connection = connection;
-        ChannelFuture connected = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpRequestEncoder(), connection.reader.decoder(),
-                    connection.reader);
-            }
-        }).connect(all == null ? u.endpoint : all);
+        ChannelFuture connected = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new HttpRequestEncoder(), connection.reader.decoder(), connection.reader);
+                    }
+                })
+                .connect(all == null ? u.endpoint : all);
         connection.channel = connected.channel();
         connection.channel.closeFuture().addListener(closed -> connection.closed());
         connected.addListener(done -> {
@@ -262,8 +277,9 @@
         long now = clock.now();
         upstreams.values().removeIf(u -> u.stopAt < now - DrainGrace.FORGET);
         for (Upstream u : upstreams.values()) {
-            for (Connection c = u.idle.peekFirst(); c != null && (!c.channel.isActive()
-                    || rest.ends(now - c.idleSince, u.idle.size() - 1)); c = u.idle.peekFirst()) {
+            for (Connection c = u.idle.peekFirst();
+                    c != null && (!c.channel.isActive() || rest.ends(now - c.idleSince, u.idle.size() - 1));
+                    c = u.idle.peekFirst()) {
                 c.close();
             }
         }
@@ -281,8 +297,8 @@
     /** A request on its way to an upstream. */
     private static final class Call implements Attempt {
         private final Order order;
-        private final long waitMillis;              // 0: not told to the upstream
-        private final long before;                  // µs: from then on it is not begun
+        private final long waitMillis; // 0: not told to the upstream
+        private final long before; // µs: from then on it is not begun
         private final Listener listener;
         private Connection connection;
         private Future<?> timer;
@@ -346,14 +362,19 @@
                 } else {
                     headers.set(HttpHeaderNames.CONTENT_LENGTH, order.length());
                 }
-                return new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(order.method()),
-                    order.uri(), headers);
+                return new DefaultHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.valueOf(order.method()), order.uri(), headers);
             }
             if (order.body().length > 0 || !order.method().equals("GET")) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, order.body().length);
             }
-            return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(order.method()),
-                order.uri(), Unpooled.wrappedBuffer(order.body()), headers, EmptyHttpHeaders.INSTANCE);
+            return new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.valueOf(order.method()),
+                    order.uri(),
+                    Unpooled.wrappedBuffer(order.body()),
+                    headers,
+                    EmptyHttpHeaders.INSTANCE);
         }
     }
 
@@ -365,9 +386,9 @@
         private final Lease lease;
         private Channel channel;
         private Call call;
-        private boolean begun;                      // some of the request may have been written
-        private boolean written;                    // all of it has been
-        private boolean rested;                     // it has been idle
+        private boolean begun; // some of the request may have been written
+        private boolean written; // all of it has been
+        private boolean rested; // it has been idle
         private long idleSince;
 
         Connection(Upstream upstream) {
@@ -393,10 +414,10 @@
         // It stands, and news of the list has been read.
         private void go() {
             if (!channel.isActive()) {
-                return;                     // it has ended meanwhile, and closed() has told so
+                return; // it has ended meanwhile, and closed() has told so
             }
             if (call == null) {
-                rest();                     // its attempt was given up meanwhile: the handshake is paid for
+                rest(); // its attempt was given up meanwhile: the handshake is paid for
                 return;
             }
             SendPermit permit = permit();
@@ -407,7 +428,7 @@
                 write(call, permit);
             } else {
                 finish(permit.refusal(), null, null);
-                rest();                     // closes it where its upstream drains or has moved
+                rest(); // closes it where its upstream drains or has moved
             }
         }
 
@@ -415,8 +436,13 @@
         private SendPermit permit() {
             long awaitedUntil = call.listener.awaitedUntil();
             long before = call == null ? Long.MIN_VALUE : call.before;
-            return SendGuard.decide(clock.now(), awaitedUntil, before, upstream.stopAt,
-                !endpoint.equals(upstream.endpoint), news.graceHolds());
+            return SendGuard.decide(
+                    clock.now(),
+                    awaitedUntil,
+                    before,
+                    upstream.stopAt,
+                    !endpoint.equals(upstream.endpoint),
+                    news.graceHolds());
         }
 
         private void write(Call next, SendPermit permit) {
@@ -473,7 +499,7 @@
         private void upload(Call next, SendPermit permit) {
             Sink sink = new Sink(channel);
             sink.begin(next.message(endpoint), next.order.body());
-            if (leaves(permit) && call == next) {   // else it has broken at its first bytes
+            if (leaves(permit) && call == next) { // else it has broken at its first bytes
                 next.order.rest().to(new Upload(next, sink));
             }
         }
@@ -482,9 +508,9 @@
         private final class Upload implements Stream.Taker {
             private final Call next;
             private final Sink sink;
-            private long left;                      // bytes until the last; many where that is not known
+            private long left; // bytes until the last; many where that is not known
             private byte[] last;
-            private ChannelFuture flushed;          // of the piece before it, if any
+            private ChannelFuture flushed; // of the piece before it, if any
 
             Upload(Call next, Sink sink) {
                 this.next = next;
@@ -520,7 +546,7 @@
                     return;
                 }
                 long until = next.listener.awaitedUntil();
-                if (call != next) {                 // withdrawn: its client has gone
+                if (call != next) { // withdrawn: its client has gone
                     return;
                 }
                 if (last != null) {
@@ -560,7 +586,8 @@
             }
             Call answered = call;
             call = null;
-            answered.end(answer.outcome(), answer, LoadReport.parse(answer.fields().get("Srv-Load")));
+            answered.end(
+                    answer.outcome(), answer, LoadReport.parse(answer.fields().get("Srv-Load")));
         }
 
         @Override
@@ -619,14 +646,14 @@
             }
             String report = answer.fields().get("Srv-Load");
             if (report == null && answered.waitMillis == 0) {
-                report = new String(answer.body(), StandardCharsets.UTF_8);     // of a probe
+                report = new String(answer.body(), StandardCharsets.UTF_8); // of a probe
             }
             answered.end(answer.outcome(), answer, LoadReport.parse(report));
         }
 
         @Override
         public void spoilt() {
-            close();                                // what became of the request is told in closed()
+            close(); // what became of the request is told in closed()
         }
 
         private void closed() {
--- a/src/main/java/junctionhead/upstream/http3/Box.java
+++ b/src/main/java/junctionhead/upstream/http3/Box.java
@@ -16,7 +16,7 @@
     private final InetSocketAddress endpoint;
     private final BoxPlan plan;
     private final Map<Link, Channel3> channels = new HashMap<>();
-    private long stopAt = DrainGrace.NEVER;         // when the grace of its drain is over
+    private long stopAt = DrainGrace.NEVER; // when the grace of its drain is over
 
     Box(Http3Upstreams owner, String id, InetSocketAddress endpoint, BoxPlan plan) {
         this.owner = owner;
@@ -70,7 +70,7 @@
             return;
         }
         Channel3 channel = channels.get(choice.link());
-        if (channel == null) {                      // its dial has failed within the call
+        if (channel == null) { // its dial has failed within the call
             call.end(Outcome.CONNECT_FAILED, null, null);
         } else {
             channel.carry(call);
--- a/src/main/java/junctionhead/upstream/http3/Call.java
+++ b/src/main/java/junctionhead/upstream/http3/Call.java
@@ -41,21 +41,20 @@
     private final Http3Upstreams owner;
     private final Box box;
     private final Order order;
-    private final long waitMillis;                  // 0: not told to the upstream
-    private final long before;                      // µs: from then on it is not begun
+    private final long waitMillis; // 0: not told to the upstream
+    private final long before; // µs: from then on it is not begun
     private final Carrier.Listener listener;
     private final MessageState state = new MessageState(Order.BODY_MOST);
     private Channel3 connection;
     private QuicStreamChannel stream;
     private Future<?> timer;
-    private boolean given;                          // the request's last byte is with the QUIC stack
+    private boolean given; // the request's last byte is with the QUIC stack
     private boolean ended;
     private Http3Headers headers;
     private int status;
     private final Gathered body = new Gathered();
 
-    Call(Http3Upstreams owner, Box box, Order order, long waitMillis, long before,
-            Carrier.Listener listener) {
+    Call(Http3Upstreams owner, Box box, Order order, long waitMillis, long before, Carrier.Listener listener) {
         this.before = before;
         this.owner = owner;
         this.box = box;
@@ -69,12 +68,15 @@
     }
 
     void giveUpAfter(long micros) {
-        timer = owner.loop.schedule(() -> {
-            if (!ended) {
-                boolean asked = giveUp() == Carrier.Fate.MAY_HAVE_RUN;
-                listener.ended(asked ? Policy.Outcome.TIMEOUT : Policy.Outcome.CONNECT_FAILED, null, null);
-            }
-        }, micros, TimeUnit.MICROSECONDS);
+        timer = owner.loop.schedule(
+                () -> {
+                    if (!ended) {
+                        boolean asked = giveUp() == Carrier.Fate.MAY_HAVE_RUN;
+                        listener.ended(asked ? Policy.Outcome.TIMEOUT : Policy.Outcome.CONNECT_FAILED, null, null);
+                    }
+                },
+                micros,
+                TimeUnit.MICROSECONDS);
     }
 
     boolean isOpen() {
@@ -92,12 +94,11 @@
     /** The look before its first byte; its client may have closed, and then it is over. */
     SendPermit permit(long stopAt) {
         long awaitedUntil = ended ? SendGuard.NOBODY : listener.awaitedUntil();
-        return SendGuard.decide(owner.clock.now(), awaitedUntil, before, stopAt, false,
-            owner.news.graceHolds());
+        return SendGuard.decide(owner.clock.now(), awaitedUntil, before, stopAt, false, owner.news.graceHolds());
     }
 
     void opened(QuicStreamChannel on, SendPermit permit) {
-        if (ended) {                                // given up meanwhile
+        if (ended) { // given up meanwhile
             Codes.reset(on, ErrorCodes.REQUEST_CANCELLED);
             return;
         }
@@ -119,7 +120,7 @@
         // From here on the upstream may have all of it, and may begin with it.
         last.addListener(done -> {
             given |= done.isSuccess();
-            if (!done.isSuccess()) {                // told at once, not when its time is up
+            if (!done.isSuccess()) { // told at once, not when its time is up
                 ended(How.STREAM_RESET, -1);
             }
         });
@@ -186,10 +187,10 @@
         Answer answer = new Answer(status, new Http3Fields(headers), all);
         String report = answer.fields().get("Srv-Load");
         if (report == null && waitMillis == 0) {
-            report = new String(all, StandardCharsets.UTF_8);       // of a probe
+            report = new String(all, StandardCharsets.UTF_8); // of a probe
         }
         end(answer.outcome(), answer, LoadReport.parse(report));
-        if (!given) {                               // an early answer: the rest is not sent any more
+        if (!given) { // an early answer: the rest is not sent any more
             Codes.reset(stream, ErrorCodes.REQUEST_CANCELLED);
         }
     }
--- a/src/main/java/junctionhead/upstream/http3/Channel3.java
+++ b/src/main/java/junctionhead/upstream/http3/Channel3.java
@@ -32,7 +32,7 @@
     private final Box box;
     private final Link link;
     private final Set<Call> calls = new LinkedHashSet<>();
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>();    // for the handshake
+    private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // for the handshake
     private QuicChannel channel;
     private Future<?> patience;
     private boolean connected;
@@ -46,10 +46,13 @@
     /** Begins the handshake; what waits for it when its time is over has not been sent. */
     void dial() {
         Http3Upstreams owner = box.owner();
-        patience = owner.loop.schedule(() -> {
-            Codes.end(channel, ErrorCodes.NO_ERROR);
-            lost();
-        }, owner.connectMicros(), TimeUnit.MICROSECONDS);
+        patience = owner.loop.schedule(
+                () -> {
+                    Codes.end(channel, ErrorCodes.NO_ERROR);
+                    lost();
+                },
+                owner.connectMicros(),
+                TimeUnit.MICROSECONDS);
         owner.socket(box.endpoint()).addListener((ChannelFuture bound) -> {
             if (!bound.isSuccess()) {
                 lost();
@@ -60,25 +63,33 @@
     }
 
     private void connect(Channel socket) {
-        QuicChannel.newBootstrap(socket).attr(Http3Upstreams.PEER, box.endpoint())
-            .handler(new ChannelInitializer<QuicChannel>() {
-                @Override
-                protected void initChannel(QuicChannel quic) {
-                    channel = quic;
-                    quic.closeFuture().addListener(closed -> lost());
-                    quic.pipeline().addLast(new Streams(), new Http3ClientConnectionHandler(new Control(),
-                        null, null, Codes.settings(), true), new Quiet());
-                }
-            }).remoteAddress(box.endpoint()).connect().addListener(done -> {
-                if (!done.isSuccess()) {
-                    lost();
-                } else if (over) {
-                    Codes.end(channel, ErrorCodes.NO_ERROR);
-                } else {
-                    connected = true;
-                    upIfSo();
-                }
-            });
+        QuicChannel.newBootstrap(socket)
+                .attr(Http3Upstreams.PEER, box.endpoint())
+                .handler(new ChannelInitializer<QuicChannel>() {
+                    @Override
+                    protected void initChannel(QuicChannel quic) {
+                        channel = quic;
+                        quic.closeFuture().addListener(closed -> lost());
+                        quic.pipeline()
+                                .addLast(
+                                        new Streams(),
+                                        new Http3ClientConnectionHandler(
+                                                new Control(), null, null, Codes.settings(), true),
+                                        new Quiet());
+                    }
+                })
+                .remoteAddress(box.endpoint())
+                .connect()
+                .addListener(done -> {
+                    if (!done.isSuccess()) {
+                        lost();
+                    } else if (over) {
+                        Codes.end(channel, ErrorCodes.NO_ERROR);
+                    } else {
+                        connected = true;
+                        upIfSo();
+                    }
+                });
     }
 
     // Not before the codec has asked the stack how many streams there may be: else it counts down from 0,
@@ -149,7 +160,7 @@
         if (calls.remove(call)) {
             waiting.remove(call);
             box.plan().released(link, box.owner().clock.now());
-            if (link.idleSince(Long.MIN_VALUE)) {   // nothing is left on one that is going
+            if (link.idleSince(Long.MIN_VALUE)) { // nothing is left on one that is going
                 end();
             }
         }
--- a/src/main/java/junctionhead/upstream/http3/Http3Upstreams.java
+++ b/src/main/java/junctionhead/upstream/http3/Http3Upstreams.java
@@ -44,12 +44,12 @@
      * {@code trust}: who signs their certificates; {@code serverName}: null where these name addresses;
      * {@code named}: whether they are held to it; {@code idle} in ms.
      */
-    public record Limits(BoxPlan.Limits plan, List<X509Certificate> trust, String serverName, long idle,
-            boolean named) { }
+    public record Limits(
+            BoxPlan.Limits plan, List<X509Certificate> trust, String serverName, long idle, boolean named) {}
 
-    private static final long LOOK_MS = 250;        // between looks for connections at rest
-    private static final long FAREWELL_MS = 100;    // for the last packets to leave
-    private static final long CONNECT = 1_000_000;  // µs, where the settings give no limit
+    private static final long LOOK_MS = 250; // between looks for connections at rest
+    private static final long FAREWELL_MS = 100; // for the last packets to leave
+    private static final long CONNECT = 1_000_000; // µs, where the settings give no limit
     private static final long WINDOW = 16L * Order.BODY_MOST;
     private static final int CONTROL_STREAMS = 3;
     private static final int CONTROL_WINDOW = 4 * 1024;
@@ -73,8 +73,14 @@
      * {@code news}: of the list, which comes before what is begun; {@code other} carries what HTTP/3 doesn't,
      * null: nothing does; {@code log} must not block.
      */
-    public Http3Upstreams(EventLoop loop, SettingsReader.Boot boot, Clock clock, ListNews news, Carrier other,
-            Limits limits, Consumer<String> log) {
+    public Http3Upstreams(
+            EventLoop loop,
+            SettingsReader.Boot boot,
+            Clock clock,
+            ListNews news,
+            Carrier other,
+            Limits limits,
+            Consumer<String> log) {
         this.loop = loop;
         this.news = news;
         this.boot = boot;
@@ -83,9 +89,11 @@
         this.limits = limits;
         this.log = log;
         context = QuicSslContextBuilder.forClient()
-            .trustManager(limits.trust().toArray(X509Certificate[]::new))
-            .endpointIdentificationAlgorithm(limits.named() ? "HTTPS" : "")
-            .applicationProtocols(Http3.supportedApplicationProtocols()).earlyData(false).build();
+                .trustManager(limits.trust().toArray(X509Certificate[]::new))
+                .endpointIdentificationAlgorithm(limits.named() ? "HTTPS" : "")
+                .applicationProtocols(Http3.supportedApplicationProtocols())
+                .earlyData(false)
+                .build();
         sweep = loop.scheduleWithFixedDelay(this::closeOld, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -106,15 +114,22 @@
             return bound;
         }
         ChannelHandler codec = Http3.newQuicClientCodecBuilder()
-            .sslEngineProvider(connection -> engine(connection.attr(PEER).get(), connection.alloc()))
-            .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
-            .maxSendUdpPayloadSize(DATAGRAM).maxRecvUdpPayloadSize(DATAGRAM)
-            .initialMaxData(WINDOW).initialMaxStreamDataBidirectionalLocal(Order.BODY_MOST)
-            .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
-            .initialMaxStreamsUnidirectional(CONTROL_STREAMS).initialMaxStreamsBidirectional(0).build();
-        bound = new Bootstrap().group(loop).channelFactory(() -> new NioDatagramChannel(
-            six ? SocketProtocolFamily.INET6 : SocketProtocolFamily.INET)).handler(codec)
-            .bind(new InetSocketAddress(six ? "::" : "0.0.0.0", 0));
+                .sslEngineProvider(connection -> engine(connection.attr(PEER).get(), connection.alloc()))
+                .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
+                .maxSendUdpPayloadSize(DATAGRAM)
+                .maxRecvUdpPayloadSize(DATAGRAM)
+                .initialMaxData(WINDOW)
+                .initialMaxStreamDataBidirectionalLocal(Order.BODY_MOST)
+                .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
+                .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
+                .initialMaxStreamsBidirectional(0)
+                .build();
+        bound = new Bootstrap()
+                .group(loop)
+                .channelFactory(
+                        () -> new NioDatagramChannel(six ? SocketProtocolFamily.INET6 : SocketProtocolFamily.INET))
+                .handler(codec)
+                .bind(new InetSocketAddress(six ? "::" : "0.0.0.0", 0));
         if (six) {
             socket6 = bound;
         } else {
@@ -169,7 +184,7 @@
     @Override
     public Attempt send(String server, Order order, long wait, long before, Listener listener) {
         Box box = boxes.get(server);
-        if (box == null || order.rest() != null && other != null) {     // uploads go over HTTP/1.1
+        if (box == null || order.rest() != null && other != null) { // uploads go over HTTP/1.1
             return other.send(server, order, wait, before, listener);
         }
         BoxPlan.Choice choice = clock.now() >= box.stopAt() ? null : box.choose();
@@ -203,8 +218,8 @@
             other.probe(server, report, listener);
             return;
         }
-        Order order = new Order("", "GET", report ? "/-/load" : "/-/healthy", Fields.NONE, new byte[0], -1, 0,
-            null, 0, -1, false);
+        Order order = new Order(
+                "", "GET", report ? "/-/load" : "/-/healthy", Fields.NONE, new byte[0], -1, 0, null, 0, -1, false);
         Call call = new Call(this, box, order, 0, Long.MAX_VALUE, listener);
         call.giveUpAfter(connectMicros());
         box.carry(choice, call);
@@ -230,12 +245,15 @@
     public void end() {
         sweep.cancel(false);
         boxes.values().forEach(Box::end);
-        loop.schedule(() -> {
-            for (ChannelFuture socket : new ChannelFuture[] {socket4, socket6}) {
-                if (socket != null) {
-                    socket.channel().close();
-                }
-            }
-        }, FAREWELL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    for (ChannelFuture socket : new ChannelFuture[] {socket4, socket6}) {
+                        if (socket != null) {
+                            socket.channel().close();
+                        }
+                    }
+                },
+                FAREWELL_MS,
+                TimeUnit.MILLISECONDS);
     }
 }
--- a/src/rig/java/junctionhead/cli/Calls.java
+++ b/src/rig/java/junctionhead/cli/Calls.java
@@ -14,7 +14,7 @@
 final class Calls {
     private static final int WAIT_MS = 5_000;
 
-    private Calls() { }
+    private Calls() {}
 
     private abstract static class Call implements Callable<Integer> {
         @Parameters(paramLabel = "ADDRESS", description = "what `management` says, as 127.0.0.1:8081")
@@ -34,8 +34,9 @@
             try (Socket socket = new Socket()) {
                 socket.connect(to, WAIT_MS);
                 socket.setSoTimeout(WAIT_MS);
-                socket.getOutputStream().write((line() + " HTTP/1.1\r\nHost: " + address
-                    + "\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write((line() + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Length: 0\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
                 ByteArrayOutputStream answer = new ByteArrayOutputStream();
                 socket.getInputStream().transferTo(answer);
                 String[] parts = answer.toString(StandardCharsets.UTF_8).split("\r\n\r\n", 2);
@@ -49,9 +50,12 @@
         }
     }
 
-    @Command(name = "ready", mixinStandardHelpOptions = true,
-        description = "Whether a balancer takes clients.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:yes", "1:no, or it can't be called"})
+    @Command(
+            name = "ready",
+            mixinStandardHelpOptions = true,
+            description = "Whether a balancer takes clients.",
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {"0:yes", "1:no, or it can't be called"})
     static final class Ready extends Call {
         @Override
         String line() {
@@ -59,8 +63,10 @@
         }
     }
 
-    @Command(name = "evacuate", mixinStandardHelpOptions = true,
-        description = "Sends a balancer's clients away; it goes on running.")
+    @Command(
+            name = "evacuate",
+            mixinStandardHelpOptions = true,
+            description = "Sends a balancer's clients away; it goes on running.")
     static final class Evacuate extends Call {
         @Override
         String line() {
@@ -68,8 +74,7 @@
         }
     }
 
-    @Command(name = "rejoin", mixinStandardHelpOptions = true,
-        description = "Has a balancer take clients again.")
+    @Command(name = "rejoin", mixinStandardHelpOptions = true, description = "Has a balancer take clients again.")
     static final class Rejoin extends Call {
         @Override
         String line() {
--- a/src/rig/java/junctionhead/cli/Cli.java
+++ b/src/rig/java/junctionhead/cli/Cli.java
@@ -26,15 +26,34 @@
 import picocli.CommandLine.Parameters;
 
 /** The command line of the whole product; the served archive has {@code serve} and {@code wirehost} only. */
-@Command(name = "honeyspindle", mixinStandardHelpOptions = true, version = "honeyspindle 0.1.0",
-    description = "A balancer for HTTP services that loses nothing, does nothing twice and keeps drains.",
-    synopsisSubcommandLabel = "COMMAND", subcommands = {Cli.DemoCommand.class, Cli.BenchCommand.class,
-        HeldProcessesCommand.class, FleetCommand.class, SoakCommand.class,
-        Cli.Check.class, Cli.Defaults.class, Cli.Serve.class, Calls.Ready.class, Calls.Evacuate.class,
-        Calls.Rejoin.class,
-        Cli.Wirehost.class, AutoComplete.GenerateCompletion.class},
-    exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:all went well", "1:it failed, as told",
-        "2:the command line can't be used", "130:ended by SIGINT"})
+@Command(
+        name = "honeyspindle",
+        mixinStandardHelpOptions = true,
+        version = "honeyspindle 0.1.0",
+        description = "A balancer for HTTP services that loses nothing, does nothing twice and keeps drains.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            Cli.DemoCommand.class,
+            Cli.BenchCommand.class,
+            HeldProcessesCommand.class,
+            FleetCommand.class,
+            SoakCommand.class,
+            Cli.Check.class,
+            Cli.Defaults.class,
+            Cli.Serve.class,
+            Calls.Ready.class,
+            Calls.Evacuate.class,
+            Calls.Rejoin.class,
+            Cli.Wirehost.class,
+            AutoComplete.GenerateCompletion.class
+        },
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:all went well",
+            "1:it failed, as told",
+            "2:the command line can't be used",
+            "130:ended by SIGINT"
+        })
 public final class Cli implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -48,16 +67,22 @@
 
     /** The exit code; exceptions are told in one line. */
     static int run(String... args) {
-        return new CommandLine(new Cli()).setExecutionExceptionHandler((e, command, parsed) -> {
-            command.getErr().println("honeyspindle: " + e.getMessage());
-            return 1;
-        }).execute(args);
+        return new CommandLine(new Cli())
+                .setExecutionExceptionHandler((e, command, parsed) -> {
+                    command.getErr().println("honeyspindle: " + e.getMessage());
+                    return 1;
+                })
+                .execute(args);
     }
 
     /** Where the balancer's classes are: beside this archive, or on the class path as it is. */
     static String served() {
         try {
-            Path own = Path.of(Cli.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path own = Path.of(Cli.class
+                    .getProtectionDomain()
+                    .getCodeSource()
+                    .getLocation()
+                    .toURI());
             Path beside = own.resolveSibling("junctionhead.jar");
             if (Files.isRegularFile(own) && Files.isRegularFile(beside)) {
                 return beside.toString();
@@ -69,24 +94,38 @@
     }
 
     /** Boxes, discovery, a balancer and load on this machine. */
-    @Command(name = "demo", mixinStandardHelpOptions = true, description =
-        "Starts stand-in boxes, a discovery, a balancer and load on this machine, lets faults happen, and "
-        + "ends with the tally.", exitCodeListHeading = "%nExit codes:%n", exitCodeList = {
-            "0:every order was taken and answered, none booked twice, drains kept, no cold box fell",
-            "1:one of these failed: its order and history are named", "2:the command line can't be used",
-            "130:ended by SIGINT, after the tally"})
+    @Command(
+            name = "demo",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Starts stand-in boxes, a discovery, a balancer and load on this machine, lets faults happen, and "
+                            + "ends with the tally.",
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:every order was taken and answered, none booked twice, drains kept, no cold box fell",
+                "1:one of these failed: its order and history are named",
+                "2:the command line can't be used",
+                "130:ended by SIGINT, after the tally"
+            })
     static final class DemoCommand implements Callable<Integer> {
         @Option(names = "--seconds", paramLabel = "N", description = "how long the load lasts")
         private long seconds;
+
         @Option(names = "--rate", paramLabel = "N", description = "requests a second")
         private double rate;
+
         @Option(names = "--scenario", paramLabel = "FILE", description = "another scenario (docs/rig.md)")
         private File scenario;
-        @Option(names = "--http3", paramLabel = "N", description = "half of the orders over so many HTTP/3 "
-            + "connections, and half of the boxes speak it")
+
+        @Option(
+                names = "--http3",
+                paramLabel = "N",
+                description = "half of the orders over so many HTTP/3 " + "connections, and half of the boxes speak it")
         private int http3;
+
         @Option(names = "--loss", paramLabel = "SHARE", description = "of the datagrams of these clients")
         private double loss;
+
         @Option(names = "--plain", description = "plain lines, also on a terminal")
         private boolean plain;
 
@@ -94,8 +133,8 @@
         public Integer call() throws IOException, InterruptedException {
             boolean terminal = !plain && System.console() != null;
             Http3Run run = http3 > 0 ? new Http3Run(loss, http3, 1) : null;
-            Demo demo = Demo.of(scenario == null ? null : scenario.toPath(), seconds, rate, served(), run,
-                System.out, terminal);
+            Demo demo = Demo.of(
+                    scenario == null ? null : scenario.toPath(), seconds, rate, served(), run, System.out, terminal);
             Thread hook = new Thread(() -> {
                 try {
                     demo.abort(20);
@@ -108,37 +147,55 @@
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                return code;                        // on its way down: the signal gives the exit code
+                return code; // on its way down: the signal gives the exit code
             }
             return code;
         }
     }
 
     /** What the balancer costs on this machine. */
-    @Command(name = "bench", mixinStandardHelpOptions = true, description =
-        "Measures CPU a request and latencies through the balancer, through a bare pass-through and "
-        + "straight to the boxes, in turn.")
+    @Command(
+            name = "bench",
+            mixinStandardHelpOptions = true,
+            description = "Measures CPU a request and latencies through the balancer, through a bare pass-through and "
+                    + "straight to the boxes, in turn.")
     static final class BenchCommand implements Callable<Integer> {
-        @Option(names = "--seconds", paramLabel = "N", defaultValue = "5",
-            description = "of each round and way (default ${DEFAULT-VALUE})")
+        @Option(
+                names = "--seconds",
+                paramLabel = "N",
+                defaultValue = "5",
+                description = "of each round and way (default ${DEFAULT-VALUE})")
         private long seconds;
-        @Option(names = "--rounds", paramLabel = "N", defaultValue = "3",
-            description = "counted ones, after one to warm up (default ${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--rounds",
+                paramLabel = "N",
+                defaultValue = "3",
+                description = "counted ones, after one to warm up (default ${DEFAULT-VALUE})")
         private int rounds;
-        @Option(names = "--rate", paramLabel = "N", defaultValue = "2000",
-            description = "requests a second (default ${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--rate",
+                paramLabel = "N",
+                defaultValue = "2000",
+                description = "requests a second (default ${DEFAULT-VALUE})")
         private double rate;
-        @Option(names = "--boxes", paramLabel = "N", split = ",", defaultValue = "8,100",
-            description = "how many (default ${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--boxes",
+                paramLabel = "N",
+                split = ",",
+                defaultValue = "8,100",
+                description = "how many (default ${DEFAULT-VALUE})")
         private List<Integer> boxes;
+
         @Option(names = "--json", paramLabel = "FILE", description = "writes the figures there as well")
         private File json;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            var result = new Bench(System.out, served(), System.getProperty("java.class.path"), seconds,
-                rounds,
-                rate).run(boxes);
+            var result = new Bench(System.out, served(), System.getProperty("java.class.path"), seconds, rounds, rate)
+                    .run(boxes);
             if (json != null) {
                 Files.writeString(json.toPath(), Bench.json(result));
             }
@@ -147,12 +204,14 @@
     }
 
     /** A balancer, told by a file or as the platform does. */
-    @Command(name = "serve", mixinStandardHelpOptions = true, description =
-        "Runs a balancer, told by a configuration file, or without one by ROUTER_NAME, ROUTER_LISTEN, "
-
-        + "ROUTER_DISCOVERY and ROUTER_CONFIG. SIGHUP makes it read its file again, "
-        + "SIGTERM ends it in "
-        + "order.")
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Runs a balancer, told by a configuration file, or without one by ROUTER_NAME, ROUTER_LISTEN, "
+                            + "ROUTER_DISCOVERY and ROUTER_CONFIG. SIGHUP makes it read its file again, "
+                            + "SIGTERM ends it in "
+                            + "order.")
     static final class Serve implements Callable<Integer> {
         @Option(names = "--config", paramLabel = "FILE", description = "see `config` and `check`")
         private File config;
@@ -174,14 +233,18 @@
     }
 
     private static String told(File file, Exception e) {
-        return e instanceof Problems.Bad ? e.getMessage()
-            : "can't read " + file + " (" + e.getClass().getSimpleName() + ")";
+        return e instanceof Problems.Bad
+                ? e.getMessage()
+                : "can't read " + file + " (" + e.getClass().getSimpleName() + ")";
     }
 
     /** Whether a file can be used. */
-    @Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Names every problem of a configuration file, each with its line.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:it can be used", "1:it can't, as told"})
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Names every problem of a configuration file, each with its line.",
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {"0:it can be used", "1:it can't, as told"})
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         private File file;
@@ -200,8 +263,10 @@
     }
 
     /** The defaults. */
-    @Command(name = "config", mixinStandardHelpOptions = true,
-        description = "Prints a configuration file with all defaults and what they mean.")
+    @Command(
+            name = "config",
+            mixinStandardHelpOptions = true,
+            description = "Prints a configuration file with all defaults and what they mean.")
     static final class Defaults implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -213,8 +278,10 @@
     }
 
     /** The decisions on the simulator's wire. */
-    @Command(name = "wirehost", mixinStandardHelpOptions = true,
-        description = "The decisions on the simulator's wire, on standard input and output.")
+    @Command(
+            name = "wirehost",
+            mixinStandardHelpOptions = true,
+            description = "The decisions on the simulator's wire, on standard input and output.")
     static final class Wirehost implements Callable<Integer> {
         @Override
         public Integer call() {
--- a/src/rig/java/junctionhead/cli/FleetCommand.java
+++ b/src/rig/java/junctionhead/cli/FleetCommand.java
@@ -12,8 +12,11 @@
 import picocli.CommandLine.Parameters;
 
 /** Many processes of the program together. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, subcommands = FleetCommand.Run.class,
-    description = "Many processes of the program before stand-in boxes on this machine.")
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        subcommands = FleetCommand.Run.class,
+        description = "Many processes of the program before stand-in boxes on this machine.")
 final class FleetCommand implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -22,28 +25,35 @@
     }
 
     /** One run. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description =
-        "Starts the processes that a plan asks for, plays its load and troubles, and tells how evenly the "
-        + "boxes were used and whether the rules were kept; ends all that it started.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:the rules were kept",
-            "1:they were not, or it could not be played: what came is told",
-            "2:the command line can't be used"})
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Starts the processes that a plan asks for, plays its load and troubles, and tells how evenly the "
+                            + "boxes were used and whether the rules were kept; ends all that it started.",
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:the rules were kept",
+                "1:they were not, or it could not be played: what came is told",
+                "2:the command line can't be used"
+            })
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "a plan (docs/rig.md)")
         private File plan;
-        @Option(names = "--processes", paramLabel = "N",
-            description = "in place of the plan's; each takes some 70 MB")
+
+        @Option(names = "--processes", paramLabel = "N", description = "in place of the plan's; each takes some 70 MB")
         private int processes;
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "-1",
-            description = "in place of the plan's")
+
+        @Option(names = "--seed", paramLabel = "N", defaultValue = "-1", description = "in place of the plan's")
         private long seed;
+
         @Option(names = "--json", paramLabel = "FILE", description = "adds the figures there as a line")
         private File json;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            try (FleetRun run = FleetRun.of(plan.toPath(), processes, seed,
-                    System.getProperty("java.class.path"), System.out)) {
+            try (FleetRun run =
+                    FleetRun.of(plan.toPath(), processes, seed, System.getProperty("java.class.path"), System.out)) {
                 Thread hook = new Thread(run::close);
                 Runtime.getRuntime().addShutdownHook(hook);
                 FleetRun.Result result = run.play();
--- a/src/rig/java/junctionhead/cli/HeldProcessesCommand.java
+++ b/src/rig/java/junctionhead/cli/HeldProcessesCommand.java
@@ -8,34 +8,51 @@
 import picocli.CommandLine.Option;
 
 /** Processes of the program that stand still with requests in their sockets. */
-@Command(name = "standstills", mixinStandardHelpOptions = true, description =
-    "Starts processes of the program, stand-in boxes and a discovery on this machine, lets each process "
-    + "stand still at a point of its life with requests in its sockets, "
-    + "and tells what became of these.",
-    exitCodeListHeading = "%nExit codes:%n", exitCodeList = {
-        "0:each request was served once, and no drained box got one", "1:one was not: what came is told",
-        "2:the command line can't be used"})
+@Command(
+        name = "standstills",
+        mixinStandardHelpOptions = true,
+        description =
+                "Starts processes of the program, stand-in boxes and a discovery on this machine, lets each process "
+                        + "stand still at a point of its life with requests in its sockets, "
+                        + "and tells what became of these.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:each request was served once, and no drained box got one",
+            "1:one was not: what came is told",
+            "2:the command line can't be used"
+        })
 final class HeldProcessesCommand implements Callable<Integer> {
-    @Option(names = "--processes", paramLabel = "N", defaultValue = "3",
-        description = "how many (default ${DEFAULT-VALUE}); each takes some 70 MB")
+    @Option(
+            names = "--processes",
+            paramLabel = "N",
+            defaultValue = "3",
+            description = "how many (default ${DEFAULT-VALUE}); each takes some 70 MB")
     private int processes;
-    @Option(names = "--at", paramLabel = "POINT", split = ",",
-        description = "${COMPLETION-CANDIDATES} (default all)")
+
+    @Option(names = "--at", paramLabel = "POINT", split = ",", description = "${COMPLETION-CANDIDATES} (default all)")
     private List<HeldProcesses.When> points = List.of(HeldProcesses.When.values());
-    @Option(names = "--kept", paramLabel = "N", defaultValue = "60",
-        description = "connections that each has had before, of which three in four carry a request "
-            + "(default ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--kept",
+            paramLabel = "N",
+            defaultValue = "60",
+            description = "connections that each has had before, of which three in four carry a request "
+                    + "(default ${DEFAULT-VALUE})")
     private int kept;
-    @Option(names = "--fresh", paramLabel = "N", defaultValue = "25",
-        description = "connections that come while it stands (default ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--fresh",
+            paramLabel = "N",
+            defaultValue = "25",
+            description = "connections that come while it stands (default ${DEFAULT-VALUE})")
     private int fresh;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         int code = 0;
         for (HeldProcesses.When when : points) {
-            try (HeldProcesses run = new HeldProcesses(System.getProperty("java.class.path"),
-                    new HeldProcesses.Size(processes, kept, fresh))) {
+            try (HeldProcesses run = new HeldProcesses(
+                    System.getProperty("java.class.path"), new HeldProcesses.Size(processes, kept, fresh))) {
                 Thread hook = new Thread(run::close);
                 Runtime.getRuntime().addShutdownHook(hook);
                 HeldProcesses.Outcome outcome = run.play(when);
--- a/src/rig/java/junctionhead/cli/SoakCommand.java
+++ b/src/rig/java/junctionhead/cli/SoakCommand.java
@@ -7,26 +7,48 @@
 import picocli.CommandLine.Option;
 
 /** Processes of the program under faults that overlap in time. */
-@Command(name = "soak", mixinStandardHelpOptions = true, description =
-    "Starts processes of the program, stand-in servers and a discovery on this machine, holds, kills, ends "
-    + "and reloads processes, lets servers fail and clients close their connections, "
-    + "and tells what went wrong.",
-    exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:nothing went wrong with any seed",
-        "1:something did, as told", "2:the command line can't be used"})
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
+        description =
+                "Starts processes of the program, stand-in servers and a discovery on this machine, holds, kills, ends "
+                        + "and reloads processes, lets servers fail and clients close their connections, "
+                        + "and tells what went wrong.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:nothing went wrong with any seed",
+            "1:something did, as told",
+            "2:the command line can't be used"
+        })
 final class SoakCommand implements Callable<Integer> {
     private static final int EXAMPLES = 5;
 
-    @Option(names = "--processes", paramLabel = "N", defaultValue = "10",
-        description = "how many (default ${DEFAULT-VALUE}); each takes some 80 MB")
+    @Option(
+            names = "--processes",
+            paramLabel = "N",
+            defaultValue = "10",
+            description = "how many (default ${DEFAULT-VALUE}); each takes some 80 MB")
     private int processes;
-    @Option(names = "--seconds", paramLabel = "N", defaultValue = "15",
-        description = "how long the load lasts (default ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--seconds",
+            paramLabel = "N",
+            defaultValue = "15",
+            description = "how long the load lasts (default ${DEFAULT-VALUE})")
     private int seconds;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
-        description = "the first seed (default ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "the first seed (default ${DEFAULT-VALUE})")
     private long seed;
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "1",
-        description = "how many seeds in a row (default ${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "how many seeds in a row (default ${DEFAULT-VALUE})")
     private int seeds;
 
     @Override
--- a/src/rig/java/junctionhead/rig/BalancerProcess.java
+++ b/src/rig/java/junctionhead/rig/BalancerProcess.java
@@ -21,12 +21,22 @@
 
 /** The real balancer as a process of its own, told of a scenario as the platform would tell it. */
 final class BalancerProcess implements Balancer {
-    private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-Xms40m", "-Xmx40m",
-        "-XX:MaxDirectMemorySize=16m", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=16m",
-        "-XX:TieredStopAtLevel=1", "-XX:Tier3InvocationThreshold=100",
-        "-XX:Tier3MinInvocationThreshold=50", "-XX:Tier3CompileThreshold=600", "-Xss256k",
-        "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError", "-Dio.netty.allocator.type=unpooled",
-        "-Dio.netty.leakDetection.level=disabled");
+    private static final List<String> FLAGS = List.of(
+            "-XX:+UseSerialGC",
+            "-Xms40m",
+            "-Xmx40m",
+            "-XX:MaxDirectMemorySize=16m",
+            "-XX:MaxMetaspaceSize=48m",
+            "-XX:ReservedCodeCacheSize=16m",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:Tier3InvocationThreshold=100",
+            "-XX:Tier3MinInvocationThreshold=50",
+            "-XX:Tier3CompileThreshold=600",
+            "-Xss256k",
+            "-XX:-UsePerfData",
+            "-XX:+ExitOnOutOfMemoryError",
+            "-Dio.netty.allocator.type=unpooled",
+            "-Dio.netty.leakDetection.level=disabled");
 
     private final Process process;
     private final Path folder;
@@ -42,9 +52,9 @@
      * @param classPath what holds the balancer
      * @throws IOException with its last lines, where it doesn't come up within {@code seconds}
      */
-    static BalancerProcess start(String classPath, Scenario scenario, String known,
-        InetSocketAddress discovery,
-            long seconds) throws IOException, InterruptedException {
+    static BalancerProcess start(
+            String classPath, Scenario scenario, String known, InetSocketAddress discovery, long seconds)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("honeyspindle-rig");
         BalancerProcess started = null;
         try {
@@ -60,8 +70,16 @@
             }
             command.addAll(List.of("-cp", classPath, "junctionhead.Main", "serve"));
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-            builder.environment().putAll(Map.of("ROUTER_NAME", "rig", "ROUTER_LISTEN", "127.0.0.1:0",
-                "ROUTER_DISCOVERY", Addresses.text(discovery), "ROUTER_CONFIG", config.toString()));
+            builder.environment()
+                    .putAll(Map.of(
+                            "ROUTER_NAME",
+                            "rig",
+                            "ROUTER_LISTEN",
+                            "127.0.0.1:0",
+                            "ROUTER_DISCOVERY",
+                            Addresses.text(discovery),
+                            "ROUTER_CONFIG",
+                            config.toString()));
             started = new BalancerProcess(builder.start(), folder);
             started.awaitReady(seconds);
             return started;
@@ -81,8 +99,9 @@
      * @param classPath what holds the tools as well
      * @param identity a certificate and its key in PEM, for the balancer and its boxes
      */
-    static BalancerProcess http3(String classPath, Scenario scenario, InetSocketAddress discovery,
-            String[] identity, long seconds) throws IOException, InterruptedException {
+    static BalancerProcess http3(
+            String classPath, Scenario scenario, InetSocketAddress discovery, String[] identity, long seconds)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("honeyspindle-rig");
         Files.writeString(folder.resolve("cert.pem"), identity[0]);
         Files.writeString(folder.resolve("key.pem"), identity[1]);
@@ -91,10 +110,11 @@
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(FLAGS);
-        command.addAll(List.of("-cp", classPath, "junctionhead.cli.Cli", "serve", "--config",
-            config.toString()));
-        return ready(new BalancerProcess(
-            new ProcessBuilder(command).redirectErrorStream(true).start(), folder), seconds);
+        command.addAll(List.of("-cp", classPath, "junctionhead.cli.Cli", "serve", "--config", config.toString()));
+        return ready(
+                new BalancerProcess(
+                        new ProcessBuilder(command).redirectErrorStream(true).start(), folder),
+                seconds);
     }
 
     private static BalancerProcess ready(BalancerProcess started, long seconds)
@@ -116,8 +136,11 @@
         command.addAll(FLAGS);
         command.addAll(List.of("-cp", classPath, PassThrough.class.getName()));
         boxes.forEach(b -> command.add(Addresses.text(b)));
-        return ready(new BalancerProcess(new ProcessBuilder(command).redirectErrorStream(true).start(),
-            Files.createTempDirectory("honeyspindle-rig")), seconds);
+        return ready(
+                new BalancerProcess(
+                        new ProcessBuilder(command).redirectErrorStream(true).start(),
+                        Files.createTempDirectory("honeyspindle-rig")),
+                seconds);
     }
 
     private BalancerProcess(Process process, Path folder) {
@@ -129,19 +152,21 @@
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 synchronized (lines) {
                     lines.add(line);
                 }
                 int beside = line.indexOf("http3 on ");
                 if (beside >= 0) {
-                    http3 = Addresses.parse(line.substring(beside + "http3 on ".length()).strip());
+                    http3 = Addresses.parse(
+                            line.substring(beside + "http3 on ".length()).strip());
                 }
                 int at = line.indexOf("listening on ");
                 if (at >= 0) {
-                    address = Addresses.parse(line.substring(at + "listening on ".length()).strip());
+                    address = Addresses.parse(
+                            line.substring(at + "listening on ".length()).strip());
                     listening.countDown();
                 }
             }
@@ -158,8 +183,9 @@
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         boolean told = listening.await(seconds, TimeUnit.SECONDS);
         while (told && address != null && System.nanoTime() < until && process.isAlive()) {
-            HttpURLConnection ask = (HttpURLConnection) URI.create("http://" + Addresses.text(address)
-                + "/-/ready").toURL().openConnection();
+            HttpURLConnection ask = (HttpURLConnection) URI.create("http://" + Addresses.text(address) + "/-/ready")
+                    .toURL()
+                    .openConnection();
             ask.setConnectTimeout(1_000);
             ask.setReadTimeout(1_000);
             try {
@@ -167,7 +193,7 @@
                     return;
                 }
             } catch (IOException e) {
-                TimeUnit.MILLISECONDS.sleep(20);    // it takes in few strangers while it rehearses
+                TimeUnit.MILLISECONDS.sleep(20); // it takes in few strangers while it rehearses
             } finally {
                 ask.disconnect();
             }
@@ -195,7 +221,7 @@
                 }
             }
         } catch (IOException e) {
-            return 0;                               // another kind of system, or it has ended
+            return 0; // another kind of system, or it has ended
         }
         return 0;
     }
@@ -225,9 +251,9 @@
     /** By SIGTERM. */
     @Override
     public int stop() throws InterruptedException {
-        process.toHandle().destroy();               // Process.destroy would close the stream of its log
+        process.toHandle().destroy(); // Process.destroy would close the stream of its log
         if (process.waitFor(10, TimeUnit.SECONDS)) {
-            reader.join(2_000);                     // its last lines
+            reader.join(2_000); // its last lines
             return process.exitValue();
         }
         process.destroyForcibly();
@@ -257,9 +283,13 @@
         settings.put("Balancers", 1);
         settings.put("MembershipMode", "ask");
         settings.put("Quantum", 2_000);
-        settings.put("Areas", new ArrayList<>(new TreeSet<>(
-            scenario.boxes().stream().map(Scenario.Boxes::zone).toList())));
-        settings.put("Kinds", scenario.boxes().stream().map(Scenario.Boxes::model).distinct().toList());
+        settings.put(
+                "Areas",
+                new ArrayList<>(new TreeSet<>(
+                        scenario.boxes().stream().map(Scenario.Boxes::zone).toList())));
+        settings.put(
+                "Kinds",
+                scenario.boxes().stream().map(Scenario.Boxes::model).distinct().toList());
         List<Map<String, Object>> classes = new ArrayList<>();
         for (Scenario.Kind kind : scenario.kinds()) {
             Map<String, Object> c = new LinkedHashMap<>();
@@ -274,14 +304,52 @@
             classes.add(c);
         }
         settings.put("Classes", classes);
-        settings.put("Limits", Map.of("TryLimit", 3, "MayDuplicate", true, "Cancel", true, "Probes", true,
-            "DialTimeout", 500_000, "IdleClose", 30_000_000, "RetryAfter", true, "MaxRetryAfter", 2_000_000));
-        settings.put("Rules", Map.of("AnswerSlack", 8_000, "DrainGrace", Demo.GRACE, "AskWithin", 10_000_000,
-            "ColdFrom", scenario.cold().from(), "RampTime", scenario.cold().ramp(), "OverloadFactor",
-            scenario.cold().overload(), "Fall", scenario.cold().fall()));
+        settings.put(
+                "Limits",
+                Map.of(
+                        "TryLimit",
+                        3,
+                        "MayDuplicate",
+                        true,
+                        "Cancel",
+                        true,
+                        "Probes",
+                        true,
+                        "DialTimeout",
+                        500_000,
+                        "IdleClose",
+                        30_000_000,
+                        "RetryAfter",
+                        true,
+                        "MaxRetryAfter",
+                        2_000_000));
+        settings.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        8_000,
+                        "DrainGrace",
+                        Demo.GRACE,
+                        "AskWithin",
+                        10_000_000,
+                        "ColdFrom",
+                        scenario.cold().from(),
+                        "RampTime",
+                        scenario.cold().ramp(),
+                        "OverloadFactor",
+                        scenario.cold().overload(),
+                        "Fall",
+                        scenario.cold().fall()));
         settings.put("Stats", Map.of("How", "answers", "Fields", List.of("outstanding")));
         settings.put("WorthBy", "work");
-        return Map.of("seed", Long.toHexString(scenario.seed()), "limits", Map.of("sockets", 1024),
-            "settings", settings, "known", JSON.std.mapFrom(known));
+        return Map.of(
+                "seed",
+                Long.toHexString(scenario.seed()),
+                "limits",
+                Map.of("sockets", 1024),
+                "settings",
+                settings,
+                "known",
+                JSON.std.mapFrom(known));
     }
 }
--- a/src/rig/java/junctionhead/rig/BalancerToml.java
+++ b/src/rig/java/junctionhead/rig/BalancerToml.java
@@ -8,7 +8,7 @@
 
 /** The configuration file of a balancer that stands for a scenario. No I/O. */
 final class BalancerToml {
-    private BalancerToml() { }
+    private BalancerToml() {}
 
     static String of(Scenario s, InetSocketAddress discovery) {
         return of(s, discovery, "rig", 0, 1);
@@ -17,8 +17,10 @@
     /** One of so many, by its place among them. */
     static String of(Scenario s, InetSocketAddress discovery, String name, int rank, int balancers) {
         StringBuilder out = new StringBuilder();
-        List<String> zones = s.boxes().stream().map(Scenario.Boxes::zone).distinct().sorted().toList();
-        List<String> models = s.boxes().stream().map(Scenario.Boxes::model).distinct().toList();
+        List<String> zones =
+                s.boxes().stream().map(Scenario.Boxes::zone).distinct().sorted().toList();
+        List<String> models =
+                s.boxes().stream().map(Scenario.Boxes::model).distinct().toList();
         line(out, "[node]");
         line(out, "name = \"" + name + "\"");
         line(out, "listen = \"127.0.0.1:0\"");
@@ -61,7 +63,7 @@
         line(out, "certificate = \"cert.pem\"");
         line(out, "key = \"key.pem\"");
         line(out, "trust = \"cert.pem\"");
-        line(out, "connections = 1000");            // all clients of a run come from one address
+        line(out, "connections = 1000"); // all clients of a run come from one address
         line(out, "per-address = 1000");
         return out.toString();
     }
--- a/src/rig/java/junctionhead/rig/Bench.java
+++ b/src/rig/java/junctionhead/rig/Bench.java
@@ -50,15 +50,21 @@
         this.rate = rate;
     }
 
-    private record Round(double cpu, double p50, double p99, double p999, long ends, long bad) { }
+    private record Round(double cpu, double p50, double p99, double p999, long ends, long bad) {}
 
     private static Scenario scenario(int boxes, long seconds, double rate, long seed) {
-        return new Scenario("bench", seed, seconds * 1_000_000, rate, 256,
-            new Scenario.Cold(0.3, 8_000_000, 3, 1_000_000, 5_000_000),
-            List.of(new Scenario.Boxes("box", boxes, 64, 1, 1_000, "a", "m", 1)),
-            List.of(new Scenario.Kind("read", Policy.Effect.SAFE, 7, 2_000, 500_000, 2_000_000, 1, 0.2, 0),
-                new Scenario.Kind("order", Policy.Effect.UNSAFE, 3, 2_000, 500_000, 2_000_000, 1, 0.2, 0)),
-            List.of());
+        return new Scenario(
+                "bench",
+                seed,
+                seconds * 1_000_000,
+                rate,
+                256,
+                new Scenario.Cold(0.3, 8_000_000, 3, 1_000_000, 5_000_000),
+                List.of(new Scenario.Boxes("box", boxes, 64, 1, 1_000, "a", "m", 1)),
+                List.of(
+                        new Scenario.Kind("read", Policy.Effect.SAFE, 7, 2_000, 500_000, 2_000_000, 1, 0.2, 0),
+                        new Scenario.Kind("order", Policy.Effect.UNSAFE, 3, 2_000, 500_000, 2_000_000, 1, 0.2, 0)),
+                List.of());
     }
 
     /** Measures with each of these numbers of boxes; returns what goes into the JSON file. */
@@ -83,10 +89,10 @@
         List<Script.Order> every = new ArrayList<>();
         for (int i = 0; i < (rounds + 1) * WAYS.size(); i++) {
             String prefix = i + "-";
-            List<Script.Order> script = Script.of(scenario(boxes, seconds, rate, 1
-                + i / WAYS.size())).stream()
-                .map(o -> new Script.Order(o.number(), prefix + o.id(), o.at(), o.kind(), prefix + o.key(),
-                    o.work())).toList();
+            List<Script.Order> script = Script.of(scenario(boxes, seconds, rate, 1 + i / WAYS.size())).stream()
+                    .map(o ->
+                            new Script.Order(o.number(), prefix + o.id(), o.at(), o.kind(), prefix + o.key(), o.work()))
+                    .toList();
             scripts.add(script);
             every.addAll(script);
         }
@@ -94,16 +100,22 @@
         Fleet fleet = new Fleet(scenario, every, boxLoops.next(), clock, ledger, 0);
         fleet.open();
         try (Balancer bare = BalancerProcess.bare(ownPath, fleet.addresses(), READY_S);
-             Balancer real = BalancerProcess.start(classPath, scenario, fleet.list(), fleet.discoveryAt(),
-                 READY_S)) {
+                Balancer real =
+                        BalancerProcess.start(classPath, scenario, fleet.list(), fleet.discoveryAt(), READY_S)) {
             Map<String, List<Round>> results = new LinkedHashMap<>();
             WAYS.forEach(w -> results.put(w, new ArrayList<>()));
             for (int i = 0; i < scripts.size(); i++) {
                 String way = WAYS.get(i % WAYS.size());
                 Balancer through = way.equals("bare") ? bare : way.equals("balancer") ? real : null;
                 RequestCounts counts = new RequestCounts(scenario);
-                Load load = new Load(scenario, scripts.get(i), loadLoops.next(), clock, ledger, counts,
-                    through == null ? fleet.addresses() : List.of(through.address()));
+                Load load = new Load(
+                        scenario,
+                        scripts.get(i),
+                        loadLoops.next(),
+                        clock,
+                        ledger,
+                        counts,
+                        through == null ? fleet.addresses() : List.of(through.address()));
                 CountDownLatch over = new CountDownLatch(1);
                 long cpu = through == null ? 0 : through.cpuMicros();
                 load.start(clock.now() + 20_000, over::countDown);
@@ -115,10 +127,14 @@
                 RequestCounts.Line line = counts.all();
                 Histogram h = line.latency;
                 if (i >= WAYS.size()) {
-                    results.get(way).add(new Round((double) used / line.taken,
-                        h.getValueAtPercentile(50) / 1e3,
-                        h.getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, line.taken,
-                        line.taken - line.inTime));
+                    results.get(way)
+                            .add(new Round(
+                                    (double) used / line.taken,
+                                    h.getValueAtPercentile(50) / 1e3,
+                                    h.getValueAtPercentile(99) / 1e3,
+                                    h.getValueAtPercentile(99.9) / 1e3,
+                                    line.taken,
+                                    line.taken - line.inTime));
                 }
             }
             return tell(boxes, results);
@@ -130,11 +146,23 @@
     }
 
     private Map<String, Object> tell(int boxes, Map<String, List<Round>> results) {
-        out.printf(Locale.ROOT, "%d boxes, %.0f requests a second, %d rounds of %d s each way; medians%n",
-            boxes,
-            rate, rounds, seconds);
-        out.printf(Locale.ROOT, "%-10s %14s %16s %9s %9s %9s %9s%n", "way", "CPU µs/request", "a core, req/s",
-            "p50 ms", "p99 ms", "p99.9 ms", "not good");
+        out.printf(
+                Locale.ROOT,
+                "%d boxes, %.0f requests a second, %d rounds of %d s each way; medians%n",
+                boxes,
+                rate,
+                rounds,
+                seconds);
+        out.printf(
+                Locale.ROOT,
+                "%-10s %14s %16s %9s %9s %9s %9s%n",
+                "way",
+                "CPU µs/request",
+                "a core, req/s",
+                "p50 ms",
+                "p99 ms",
+                "p99.9 ms",
+                "not good");
         Map<String, Object> json = new LinkedHashMap<>();
         for (String way : WAYS) {
             List<Round> list = results.get(way);
@@ -148,20 +176,31 @@
             row.put("requests", list.stream().mapToLong(Round::ends).sum());
             row.put("not_good", list.stream().mapToLong(Round::bad).sum());
             json.put(way, row);
-            out.printf(Locale.ROOT, "%-10s %14s %16s %9.2f %9.2f %9.2f %9s%n", way,
-                cpu > 0 ? String.format(Locale.ROOT, "%.1f", cpu) : "-",
-                cpu > 0 ? String.format(Locale.ROOT, "%.0f", 1e6 / cpu) : "-", row.get("p50_ms"),
-                row.get("p99_ms"), row.get("p999_ms"), row.get("not_good"));
+            out.printf(
+                    Locale.ROOT,
+                    "%-10s %14s %16s %9.2f %9.2f %9.2f %9s%n",
+                    way,
+                    cpu > 0 ? String.format(Locale.ROOT, "%.1f", cpu) : "-",
+                    cpu > 0 ? String.format(Locale.ROOT, "%.0f", 1e6 / cpu) : "-",
+                    row.get("p50_ms"),
+                    row.get("p99_ms"),
+                    row.get("p999_ms"),
+                    row.get("not_good"));
         }
         double[] ratios = new double[rounds];
         for (int i = 0; i < rounds; i++) {
-            ratios[i] = results.get("balancer").get(i).cpu() / results.get("bare").get(i).cpu();
+            ratios[i] = results.get("balancer").get(i).cpu()
+                    / results.get("bare").get(i).cpu();
         }
         json.put("ratio_to_bare", median(ratios));
         json.put("ratio_least", Arrays.stream(ratios).min().orElse(0));
         json.put("ratio_most", Arrays.stream(ratios).max().orElse(0));
-        out.printf(Locale.ROOT, "CPU of the balancer over the bare pass-through: %.2f (%.2f to %.2f)%n%n",
-            median(ratios), json.get("ratio_least"), json.get("ratio_most"));
+        out.printf(
+                Locale.ROOT,
+                "CPU of the balancer over the bare pass-through: %.2f (%.2f to %.2f)%n%n",
+                median(ratios),
+                json.get("ratio_least"),
+                json.get("ratio_most"));
         out.flush();
         return json;
     }
--- a/src/rig/java/junctionhead/rig/Demo.java
+++ b/src/rig/java/junctionhead/rig/Demo.java
@@ -23,14 +23,17 @@
 public final class Demo implements AutoCloseable {
     /** µs after a drain was told within which requests may still be sent: rule 3. */
     static final long GRACE = 1_000_000;
-    static final long SLACK = 50_000;       // of each of the rules' time limits on sockets
-    private static final long LEAD = 200_000;       // µs from readiness to the first order
+
+    static final long SLACK = 50_000; // of each of the rules' time limits on sockets
+    private static final long LEAD = 200_000; // µs from readiness to the first order
     private static final long READY_S = 60;
-    private static final int LINES = 60;            // of the balancer's log that are shown at most
+    private static final int LINES = 60; // of the balancer's log that are shown at most
 
     /** How a run ended. */
     public enum End {
-        CLEAN(0), BROKEN(1), INTERRUPTED(130);
+        CLEAN(0),
+        BROKEN(1),
+        INTERRUPTED(130);
 
         private final int code;
 
@@ -47,7 +50,7 @@
     /** Where the balancer comes from; in tests another one than the real. */
     interface Balancers {
         Balancer start(Scenario scenario, String known, InetSocketAddress discovery)
-            throws IOException, InterruptedException;
+                throws IOException, InterruptedException;
     }
 
     private final Scenario scenario;
@@ -62,7 +65,7 @@
     private final CountDownLatch over = new CountDownLatch(1);
     private final CountDownLatch told = new CountDownLatch(1);
     private final AtomicBoolean aborted = new AtomicBoolean();
-    private final Http3Run http3;                   // null where all speak HTTP/1.1
+    private final Http3Run http3; // null where all speak HTTP/1.1
     private volatile Balancer balancer;
     private Fleet fleet;
 
@@ -89,13 +92,18 @@
                 fleet.speakHttp3(http3.identity());
             }
             fleet.open();
-            out.printf(Locale.ROOT,
-                "%s: %d boxes, %.0f requests a second for %.0f s, seed %d; the fleet can do "
-                + "%.1f times that%n", scenario.name(), scenario.boxNames().size(), scenario.rate(),
-                scenario.lasting() / 1e6, scenario.seed(), scenario.headroom());
+            out.printf(
+                    Locale.ROOT,
+                    "%s: %d boxes, %.0f requests a second for %.0f s, seed %d; the fleet can do " + "%.1f times that%n",
+                    scenario.name(),
+                    scenario.boxNames().size(),
+                    scenario.rate(),
+                    scenario.lasting() / 1e6,
+                    scenario.seed(),
+                    scenario.headroom());
             balancer = balancers.start(scenario, fleet.list(), fleet.discoveryAt());
-            Load load = new Load(scenario, script, loadLoops.next(), clock, ledger, counts,
-                List.of(balancer.address()));
+            Load load =
+                    new Load(scenario, script, loadLoops.next(), clock, ledger, counts, List.of(balancer.address()));
             if (http3 != null) {
                 load.through(http3.open(loadLoops.next(), balancer.http3()));
             }
@@ -116,16 +124,17 @@
             List<Fleet.Standing> boxes = standings();
             tell(used, boxes);
             if (http3 != null) {
-                out.printf(Locale.ROOT, "most memory of the balancer: %.1f MiB; %s%n", memory / 1024.0,
-                    http3.summary());
+                out.printf(
+                        Locale.ROOT, "most memory of the balancer: %.1f MiB; %s%n", memory / 1024.0, http3.summary());
             }
             boolean orderly = alive && exit == 0;
             if (!orderly) {
                 out.println("the balancer " + (alive ? "ended with code " + exit : "died") + ": "
-                    + String.join(" | ", balancer.log()));
+                        + String.join(" | ", balancer.log()));
             }
-            return aborted.get() ? End.INTERRUPTED
-                : orderly && Report.isClean(counts, ledger, boxes) ? End.CLEAN : End.BROKEN;
+            return aborted.get()
+                    ? End.INTERRUPTED
+                    : orderly && Report.isClean(counts, ledger, boxes) ? End.CLEAN : End.BROKEN;
         } finally {
             told.countDown();
             close();
@@ -143,7 +152,8 @@
         boolean clean = Report.isClean(counts, ledger, boxes);
         List<String> said = balancer.log();
         said.subList(Math.max(0, said.size() - LINES), said.size()).stream()
-            .filter(l -> !clean || l.contains("stopped: ")).forEach(out::println);
+                .filter(l -> !clean || l.contains("stopped: "))
+                .forEach(out::println);
         out.flush();
     }
 
@@ -161,14 +171,23 @@
             List<Fleet.Standing> boxes = standings();
             RequestCounts.Recent recent = counts.recent();
             RequestCounts.Line all = counts.all();
-            String line = String.format(Locale.ROOT,
-                "%5.0f s %6d/s p50 %7.1f ms p99 %7.1f ms  worth %.3f  refused %d failed %d none %d",
-                (clock.now() - begin) / 1e6, recent.ends(), recent.p50() / 1e3, recent.p99() / 1e3,
-                all.worthInTime(), all.refused, all.failed, all.unanswered);
+            String line = String.format(
+                    Locale.ROOT,
+                    "%5.0f s %6d/s p50 %7.1f ms p99 %7.1f ms  worth %.3f  refused %d failed %d none %d",
+                    (clock.now() - begin) / 1e6,
+                    recent.ends(),
+                    recent.p50() / 1e3,
+                    recent.p99() / 1e3,
+                    all.worthInTime(),
+                    all.refused,
+                    all.failed,
+                    all.unanswered);
             if (!terminal) {
                 StringBuilder odd = new StringBuilder();
-                boxes.stream().filter(b -> !b.word().equals("up"))
-                    .forEach(b -> odd.append("  ").append(b.name()).append(' ').append(b.word()));
+                boxes.stream()
+                        .filter(b -> !b.word().equals("up"))
+                        .forEach(b ->
+                                odd.append("  ").append(b.name()).append(' ').append(b.word()));
                 out.println(line + odd);
                 continue;
             }
@@ -183,15 +202,23 @@
         int height = 1;
         out.println("\u001b[2K" + line);
         for (RequestCounts.Line of : counts.lines()) {
-            out.printf(Locale.ROOT, "\u001b[2K  %-16s worth %.3f  p50 %7.1f ms  p99 %7.1f ms%n", of.name,
-                of.worthInTime(), of.latency.getValueAtPercentile(50) / 1e3,
-                of.latency.getValueAtPercentile(99) / 1e3);
+            out.printf(
+                    Locale.ROOT,
+                    "\u001b[2K  %-16s worth %.3f  p50 %7.1f ms  p99 %7.1f ms%n",
+                    of.name,
+                    of.worthInTime(),
+                    of.latency.getValueAtPercentile(50) / 1e3,
+                    of.latency.getValueAtPercentile(99) / 1e3);
             height++;
         }
         for (Fleet.Standing box : boxes.subList(0, Math.min(boxes.size(), 24))) {
-            out.printf(Locale.ROOT, "\u001b[2K  %-12s %-9s in flight %4d  served %8d%n", box.name(),
-                box.word(),
-                box.inFlight(), box.served());
+            out.printf(
+                    Locale.ROOT,
+                    "\u001b[2K  %-12s %-9s in flight %4d  served %8d%n",
+                    box.name(),
+                    box.word(),
+                    box.inFlight(),
+                    box.served());
             height++;
         }
         out.flush();
@@ -240,26 +267,40 @@
      * @param classPath where the balancer's classes are
      * @throws IllegalArgumentException with a line for each problem of the scenario
      */
-    public static Demo of(java.nio.file.Path file, long seconds, double rate, String classPath,
-            Http3Run http3, PrintStream out, boolean terminal) throws IOException {
+    public static Demo of(
+            java.nio.file.Path file,
+            long seconds,
+            double rate,
+            String classPath,
+            Http3Run http3,
+            PrintStream out,
+            boolean terminal)
+            throws IOException {
         try {
             Scenario scenario;
             if (file == null) {
                 try (var in = Demo.class.getResourceAsStream("demo.toml")) {
-                    scenario = ScenarioReader.read("demo.toml",
-                        new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8));
+                    scenario = ScenarioReader.read(
+                            "demo.toml", new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8));
                 }
             } else {
                 scenario = ScenarioReader.read(file);
             }
             Scenario played = scenario.with(seconds, rate);
             if (http3 == null) {
-                return new Demo(played, (s, known, discovery) ->
-                    BalancerProcess.start(classPath, s, known, discovery, READY_S), out, terminal);
+                return new Demo(
+                        played,
+                        (s, known, discovery) -> BalancerProcess.start(classPath, s, known, discovery, READY_S),
+                        out,
+                        terminal);
             }
-            return new Demo(played, (s, known, discovery) -> BalancerProcess.http3(
-                System.getProperty("java.class.path"), s, discovery, http3.pem(), READY_S), http3, out,
-                terminal);
+            return new Demo(
+                    played,
+                    (s, known, discovery) -> BalancerProcess.http3(
+                            System.getProperty("java.class.path"), s, discovery, http3.pem(), READY_S),
+                    http3,
+                    out,
+                    terminal);
         } catch (Problems.Bad e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/src/rig/java/junctionhead/rig/DepartedClients.java
+++ b/src/rig/java/junctionhead/rig/DepartedClients.java
@@ -37,14 +37,22 @@
     }
 
     /** How clients end their connections. */
-    public enum Close { FIN, RESET }
+    public enum Close {
+        FIN,
+        RESET
+    }
 
     /** How many requests' clients left, and the histories of those that were sent on all the same. */
     public record Outcome(Arrival arrival, Close close, int left, List<String> sentOn) {
         /** One line. */
         public String summary() {
-            return String.format(Locale.ROOT, "%-11s %-5s %d clients left, %d requests sent on after 0.1 s",
-                arrival, close, left, sentOn.size());
+            return String.format(
+                    Locale.ROOT,
+                    "%-11s %-5s %d clients left, %d requests sent on after 0.1 s",
+                    arrival,
+                    close,
+                    left,
+                    sentOn.size());
         }
     }
 
@@ -52,11 +60,11 @@
     private static final int LONG_BODY = 80 * 1024; // more than is held whole, less than sockets hold unread
     private static final int PER_BURST = 20;
     private static final int SERVERS = 20;
-    private static final long HOLD_LEAST_MILLIS = 170;  // beyond the 0.1 s and the slack of the rules
+    private static final long HOLD_LEAST_MILLIS = 170; // beyond the 0.1 s and the slack of the rules
     private static final long HOLD_SPREAD_MILLIS = 120;
-    private static final long REST_MILLIS = 60;         // for used connections to be at rest
-    private static final long SETTLE_MILLIS = 400;      // for what is sent on to reach a server
-    private static final long WORK = 5_000;             // µs
+    private static final long REST_MILLIS = 60; // for used connections to be at rest
+    private static final long SETTLE_MILLIS = 400; // for what is sent on to reach a server
+    private static final long WORK = 5_000; // µs
 
     private final Testbed testbed;
     private final int processes;
@@ -81,11 +89,16 @@
     }
 
     private static Scenario scenario() {
-        return new Scenario("departed", 7, 0, 0, 0, new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-            List.of(new Scenario.Boxes("server", SERVERS, 512, 1, 10_000, "a", "m", 1)),
-            List.of(new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, WORK, 30_000_000, 60_000_000, 1, 1,
-                0)),
-            List.of());
+        return new Scenario(
+                "departed",
+                7,
+                0,
+                0,
+                0,
+                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.Boxes("server", SERVERS, 512, 1, 10_000, "a", "m", 1)),
+                List.of(new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, WORK, 30_000_000, 60_000_000, 1, 1, 0)),
+                List.of());
     }
 
     /** Starts the processes, holds each of them again and again, and tells what reached the servers. */
@@ -108,7 +121,8 @@
             throw new IOException(e.getCause().getMessage() + testbed.log(), e.getCause());
         }
         List<String> sentOn = testbed.ledger.findings().stream()
-            .map(f -> f.breach() + " " + f.order() + ": " + String.join(", ", f.history())).toList();
+                .map(f -> f.breach() + " " + f.order() + ": " + String.join(", ", f.history()))
+                .toList();
         return new Outcome(arrival, close, (int) testbed.ledger.count(Ledger.Final.LEFT), sentOn);
     }
 
--- a/src/rig/java/junctionhead/rig/FaultSoak.java
+++ b/src/rig/java/junctionhead/rig/FaultSoak.java
@@ -28,8 +28,16 @@
      * What came of one seed; {@code notes}: what is allowed and still worth a look, as failures that the
      * program gave because the module had not answered in time.
      */
-    public record Outcome(long seed, int processes, long served, long refused, long failed, long left,
-            long lostToKills, List<String> violations, List<String> notes) {
+    public record Outcome(
+            long seed,
+            int processes,
+            long served,
+            long refused,
+            long failed,
+            long left,
+            long lostToKills,
+            List<String> violations,
+            List<String> notes) {
         /** Whether something was served and nothing went wrong. */
         public boolean isClean() {
             return served > 0 && violations.isEmpty();
@@ -37,20 +45,29 @@
 
         /** One line. */
         public String summary() {
-            return String.format(Locale.ROOT, "seed %d, %d processes: %d served, %d refused, %d failed, %d"
-                + " clients left, %d lost to kills, %d violations", seed, processes, served, refused, failed,
-                left, lostToKills, violations.size());
+            return String.format(
+                    Locale.ROOT,
+                    "seed %d, %d processes: %d served, %d refused, %d failed, %d"
+                            + " clients left, %d lost to kills, %d violations",
+                    seed,
+                    processes,
+                    served,
+                    refused,
+                    failed,
+                    left,
+                    lostToKills,
+                    violations.size());
         }
     }
 
-    private static final int CLIENTS = 4;           // of each process
+    private static final int CLIENTS = 4; // of each process
     private static final int MOST_REQUESTS = 4_000; // of one client
     private static final int FAULT_THREADS = 32;
     private static final long SETTLE_MILLIS = 500;
     private static final List<String> BUGS = List.of(": invariant violated: ", ": fault ", "Exception");
 
-    private static final List<String> CONTEXT = List.of("event=list_received", "discovery", "listening on",
-        "stood still");
+    private static final List<String> CONTEXT =
+            List.of("event=list_received", "discovery", "listening on", "stood still");
 
     private final SoakPlan plan;
     private final Testbed testbed;
@@ -73,8 +90,13 @@
         for (int client = 0; client < processes * CLIENTS; client++) {
             for (int i = 0; i < MOST_REQUESTS; i++) {
                 int kind = i % kinds.size();
-                requests.add(new Script.Order(i, SoakClient.id(client, i), 0, kind, "k",
-                    kinds.get(kind).work()));
+                requests.add(new Script.Order(
+                        i,
+                        SoakClient.id(client, i),
+                        0,
+                        kind,
+                        "k",
+                        kinds.get(kind).work()));
             }
         }
         testbed = new Testbed(classPath, plan.scenario(), requests);
@@ -117,15 +139,24 @@
 
     private Outcome outcome() {
         List<String> violations = new ArrayList<>(mishaps);
-        testbed.ledger.findings().forEach(f ->
-            violations.add(f.breach() + " " + f.order() + ": " + String.join(", ", f.history())
-                + logged(f.order())));
-        testbed.log().stream().filter(line -> BUGS.stream().anyMatch(line::contains))
-            .forEach(violations::add);
+        testbed.ledger
+                .findings()
+                .forEach(f -> violations.add(
+                        f.breach() + " " + f.order() + ": " + String.join(", ", f.history()) + logged(f.order())));
+        testbed.log().stream()
+                .filter(line -> BUGS.stream().anyMatch(line::contains))
+                .forEach(violations::add);
         Ledger ledger = testbed.ledger;
-        return new Outcome(plan.seed(), plan.processes(), ledger.count(Ledger.Final.SERVED),
-            ledger.count(Ledger.Final.REFUSED), ledger.count(Ledger.Final.FAILED),
-            ledger.count(Ledger.Final.LEFT), ledger.count(Ledger.Final.LOST), violations, notes());
+        return new Outcome(
+                plan.seed(),
+                plan.processes(),
+                ledger.count(Ledger.Final.SERVED),
+                ledger.count(Ledger.Final.REFUSED),
+                ledger.count(Ledger.Final.FAILED),
+                ledger.count(Ledger.Final.LEFT),
+                ledger.count(Ledger.Final.LOST),
+                violations,
+                notes());
     }
 
     private List<String> notes() {
@@ -145,9 +176,10 @@
     // What the processes logged of a request, where their request log is on.
     private String logged(String id) {
         return testbed.logOf("request=" + id + " ").stream()
-            .filter(line -> line.contains("request=" + id + " ")
-                || CONTEXT.stream().anyMatch(line::contains))
-            .map(line -> "\n    " + line).collect(Collectors.joining());
+                .filter(line ->
+                        line.contains("request=" + id + " ") || CONTEXT.stream().anyMatch(line::contains))
+                .map(line -> "\n    " + line)
+                .collect(Collectors.joining());
     }
 
     // ---------------------------------------------------------------- faults of processes
@@ -172,14 +204,14 @@
     private void hold(SoakTarget target, long micros) throws IOException, InterruptedException {
         Member member = target.beginHold();
         if (member == null) {
-            return;                                 // it is held, or down
+            return; // it is held, or down
         }
         try {
             member.signal(Member.Signal.STOP);
             Thread.sleep(TimeUnit.MICROSECONDS.toMillis(micros));
             member.signal(Member.Signal.CONT);
         } catch (IOException e) {
-            if (target.isUp(member)) {              // else it has ended meanwhile, as it was told
+            if (target.isUp(member)) { // else it has ended meanwhile, as it was told
                 throw e;
             }
         } finally {
@@ -191,7 +223,7 @@
         Member member = target.upMember();
         if (member != null) {
             member.rewrite(testbed.configuration(place, plan.processes())
-                .replace("aim = \"500000us\"", "aim = \"" + (500_000 + System.nanoTime() % 1_000) + "us\""));
+                    .replace("aim = \"500000us\"", "aim = \"" + (500_000 + System.nanoTime() % 1_000) + "us\""));
             try {
                 member.signal(Member.Signal.HUP);
             } catch (IOException e) {
@@ -202,11 +234,10 @@
         }
     }
 
-    private void replace(SoakTarget target, int place, boolean kill)
-            throws IOException, InterruptedException {
+    private void replace(SoakTarget target, int place, boolean kill) throws IOException, InterruptedException {
         Member member = target.beginEnd(kill);
         if (member == null) {
-            return;                                 // it is down already
+            return; // it is down already
         }
         restarts.incrementAndGet();
         try {
--- a/src/rig/java/junctionhead/rig/Fleet.java
+++ b/src/rig/java/junctionhead/rig/Fleet.java
@@ -20,8 +20,7 @@
     private final StandInDiscovery discovery;
     private InetSocketAddress discoveryAt;
 
-    Fleet(Scenario scenario, List<Script.Order> script, EventLoop loop, Clock clock, Ledger ledger,
-            long grace) {
+    Fleet(Scenario scenario, List<Script.Order> script, EventLoop loop, Clock clock, Ledger ledger, long grace) {
         this.scenario = scenario;
         this.loop = loop;
         this.clock = clock;
@@ -41,8 +40,18 @@
                     cell = new Cell();
                     cells++;
                 }
-                boxes.add(new StandInServer(kind.name() + "-" + (i + 1), kind, scenario.cold(), loop, lag,
-                    clock, ledger, cell, cells - 1, known::get, chance.split()));
+                boxes.add(new StandInServer(
+                        kind.name() + "-" + (i + 1),
+                        kind,
+                        scenario.cold(),
+                        loop,
+                        lag,
+                        clock,
+                        ledger,
+                        cell,
+                        cells - 1,
+                        known::get,
+                        chance.split()));
             }
         }
         discovery = new StandInDiscovery(loop, clock, grace, boxes);
@@ -117,23 +126,26 @@
                     box.restart(() -> discovery.started(box.name()));
                 }
             }
-            default -> discovery.set(box.name(),
-                on ? StandInDiscovery.State.TERMINATING : StandInDiscovery.State.IN_SERVICE);
+            default ->
+                discovery.set(box.name(), on ? StandInDiscovery.State.TERMINATING : StandInDiscovery.State.IN_SERVICE);
         }
     }
 
     /** How a box stands, in a word, with what it holds. */
-    record Standing(String name, String word, int inFlight, long served, long declined, long falls) { }
+    record Standing(String name, String word, int inFlight, long served, long declined, long falls) {}
 
     /** To be called on the loop. */
     List<Standing> standings() {
         List<Standing> all = new ArrayList<>();
         for (StandInServer box : boxes) {
-            String word = !box.isUp() ? "down" : box.isStalled() ? "stalled"
-                : discovery.state(box.name()) != StandInDiscovery.State.IN_SERVICE ? "draining"
-                : box.warmth() < 1 ? "cold" : "up";
-            all.add(new Standing(box.name(), word, box.inFlight(), box.served(), box.declined(),
-                box.falls()));
+            String word = !box.isUp()
+                    ? "down"
+                    : box.isStalled()
+                            ? "stalled"
+                            : discovery.state(box.name()) != StandInDiscovery.State.IN_SERVICE
+                                    ? "draining"
+                                    : box.warmth() < 1 ? "cold" : "up";
+            all.add(new Standing(box.name(), word, box.inFlight(), box.served(), box.declined(), box.falls()));
         }
         return all;
     }
@@ -145,7 +157,9 @@
 
     /** What each can do, beside the others, in the order of {@link #standings}. */
     double[] weights() {
-        return boxes.stream().mapToDouble(b -> b.kind().cores() * b.kind().speed()).toArray();
+        return boxes.stream()
+                .mapToDouble(b -> b.kind().cores() * b.kind().speed())
+                .toArray();
     }
 
     /** How many watches discovery holds; on the loop. */
--- a/src/rig/java/junctionhead/rig/FleetPlan.java
+++ b/src/rig/java/junctionhead/rig/FleetPlan.java
@@ -10,5 +10,4 @@
  * @param uneven of the logarithm of what a balancer gets
  * @param settle µs between the last one's readiness and the load
  */
-record FleetPlan(Scenario scenario, int processes, int wave, double uneven, long settle,
-        List<Trouble> troubles) { }
+record FleetPlan(Scenario scenario, int processes, int wave, double uneven, long settle, List<Trouble> troubles) {}
--- a/src/rig/java/junctionhead/rig/FleetRun.java
+++ b/src/rig/java/junctionhead/rig/FleetRun.java
@@ -33,18 +33,32 @@
  * process that was started.
  */
 public final class FleetRun implements AutoCloseable {
-    private static final int WATCHING_S = 60;       // until each process has its watch
-    private static final long LEAD = 200_000;       // µs
+    private static final int WATCHING_S = 60; // until each process has its watch
+    private static final long LEAD = 200_000; // µs
     private static final int EXAMPLES = 5;
-    private static final int CONNECTIONS = 20_000;  // of clients: thin loads over many balancers rest in many
+    private static final int CONNECTIONS = 20_000; // of clients: thin loads over many balancers rest in many
 
     /**
      * What came of it. Times in µs; {@code cpu} of all processes under load, without restarts; {@code queue}:
      * the most that a box held at any look, ten a second.
      */
-    public record Result(FleetPlan plan, Spread spread, long asked, long served, long refused, long failed,
-            long lost, long unanswered, long connections, long queue, long p50, long p90, long p99, long cpu,
-            long falls, List<String> breaches) {
+    public record Result(
+            FleetPlan plan,
+            Spread spread,
+            long asked,
+            long served,
+            long refused,
+            long failed,
+            long lost,
+            long unanswered,
+            long connections,
+            long queue,
+            long p50,
+            long p90,
+            long p99,
+            long cpu,
+            long falls,
+            List<String> breaches) {
         /** Whether the rules were kept, and something was asked. */
         public boolean isClean() {
             return asked > 0 && breaches.isEmpty() && falls == 0 && unanswered == 0;
@@ -53,14 +67,34 @@
         /** One line of JSON. */
         public String json() {
             Scenario s = plan.scenario();
-            return String.format(Locale.ROOT, "{\"name\":\"%s\",\"seed\":%d,\"processes\":%d,\"boxes\":%d,"
-                + "\"load\":%.2f,\"uneven\":%.2f,%s,\"asked\":%d,\"served\":%d,\"refused\":%d,"
-                + "\"failed\":%d,"
-                + "\"lost\":%d,\"unanswered\":%d,\"connections\":%.3f,\"queue\":%d,\"p50\":%d,\"p90\":%d,"
-                + "\"p99\":%d,\"cpu\":%d,\"falls\":%d,\"breaches\":%d}", s.name(), s.seed(), plan.processes(),
-                s.boxNames().size(), 1 / s.headroom(), plan.uneven(), spread.json(), asked, served, refused,
-                failed, lost, unanswered, (double) connections / Math.max(1, asked), queue, p50, p90, p99,
-                cpu / Math.max(1, asked), falls, breaches.size());
+            return String.format(
+                    Locale.ROOT,
+                    "{\"name\":\"%s\",\"seed\":%d,\"processes\":%d,\"boxes\":%d,"
+                            + "\"load\":%.2f,\"uneven\":%.2f,%s,\"asked\":%d,\"served\":%d,\"refused\":%d,"
+                            + "\"failed\":%d,"
+                            + "\"lost\":%d,\"unanswered\":%d,\"connections\":%.3f,\"queue\":%d,\"p50\":%d,\"p90\":%d,"
+                            + "\"p99\":%d,\"cpu\":%d,\"falls\":%d,\"breaches\":%d}",
+                    s.name(),
+                    s.seed(),
+                    plan.processes(),
+                    s.boxNames().size(),
+                    1 / s.headroom(),
+                    plan.uneven(),
+                    spread.json(),
+                    asked,
+                    served,
+                    refused,
+                    failed,
+                    lost,
+                    unanswered,
+                    (double) connections / Math.max(1, asked),
+                    queue,
+                    p50,
+                    p90,
+                    p99,
+                    cpu / Math.max(1, asked),
+                    falls,
+                    breaches.size());
         }
     }
 
@@ -77,7 +111,7 @@
     private final ScheduledExecutorService hands = Executors.newScheduledThreadPool(8);
     private final List<Script.Order> script;
     private final Fleet boxes;
-    private final List<Member> members = new CopyOnWriteArrayList<>();      // by place: the present ones
+    private final List<Member> members = new CopyOnWriteArrayList<>(); // by place: the present ones
     private final List<Member> former = new CopyOnWriteArrayList<>();
     private final List<String> mishaps = new CopyOnWriteArrayList<>();
     private Load load;
@@ -88,8 +122,16 @@
     FleetRun(FleetPlan plan, String classPath, PrintStream out) {
         this.plan = plan;
         Scenario of = plan.scenario();
-        this.scenario = new Scenario(of.name(), of.seed(), of.lasting(), of.rate(), CONNECTIONS, of.cold(),
-            of.boxes(), of.kinds(), of.faults());
+        this.scenario = new Scenario(
+                of.name(),
+                of.seed(),
+                of.lasting(),
+                of.rate(),
+                CONNECTIONS,
+                of.cold(),
+                of.boxes(),
+                of.kinds(),
+                of.faults());
         this.classPath = classPath;
         this.out = out;
         this.counts = new RequestCounts(scenario);
@@ -108,10 +150,26 @@
         try {
             FleetPlan plan = ScenarioReader.fleet(file);
             Scenario s = plan.scenario();
-            Scenario seeded = new Scenario(s.name(), seed < 0 ? s.seed() : seed, s.lasting(), s.rate(),
-                s.connections(), s.cold(), s.boxes(), s.kinds(), s.faults());
-            return new FleetRun(new FleetPlan(seeded, processes > 0 ? processes : plan.processes(),
-                plan.wave(), plan.uneven(), plan.settle(), plan.troubles()), classPath, out);
+            Scenario seeded = new Scenario(
+                    s.name(),
+                    seed < 0 ? s.seed() : seed,
+                    s.lasting(),
+                    s.rate(),
+                    s.connections(),
+                    s.cold(),
+                    s.boxes(),
+                    s.kinds(),
+                    s.faults());
+            return new FleetRun(
+                    new FleetPlan(
+                            seeded,
+                            processes > 0 ? processes : plan.processes(),
+                            plan.wave(),
+                            plan.uneven(),
+                            plan.settle(),
+                            plan.troubles()),
+                    classPath,
+                    out);
         } catch (Problems.Bad e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
@@ -124,7 +182,9 @@
         Thread.sleep(plan.settle() / 1_000);
         Shares shares = Shares.of(plan.processes(), plan.uneven(), scenario.seed());
         SplittableRandom random = new SplittableRandom(scenario.seed() ^ 0xdea1);
-        int[] dealt = script.stream().mapToInt(o -> shares.balancer(random.nextDouble())).toArray();
+        int[] dealt = script.stream()
+                .mapToInt(o -> shares.balancer(random.nextDouble()))
+                .toArray();
         List<InetSocketAddress> at = new ArrayList<>();
         for (Member member : members) {
             at.add(member.address());
@@ -139,26 +199,39 @@
         troubles(begin);
         long queue = watch(over, begin);
         List<Fleet.Standing> boxesNow = onBoxes(boxes::standings);
-        Spread spread = Spread.of(boxesNow.stream().mapToLong(Fleet.Standing::served).toArray(),
-            boxes.weights());
+        Spread spread =
+                Spread.of(boxesNow.stream().mapToLong(Fleet.Standing::served).toArray(), boxes.weights());
         long cpu = 0;
         for (int i = 0; i < members.size(); i++) {
             cpu += Math.max(0, members.get(i).cpuMicros() - cpuBefore[i]);
         }
         RequestCounts.Line all = counts.all();
         List<String> breaches = new ArrayList<>(mishaps);
-        ledger.findings().forEach(f -> breaches.add(Report.words(f.breach()) + ": " + f.order() + ": "
-            + String.join(", ", f.history())));
-        return new Result(plan, spread, all.taken, all.inTime + all.late, all.refused, all.failed,
-            ledger.count(Ledger.Final.LOST), ledger.count(Ledger.Final.NONE),
-            onBoxes(boxes::connections) - connections, queue, all.latency.getValueAtPercentile(50),
-            all.latency.getValueAtPercentile(90), all.latency.getValueAtPercentile(99), cpu,
-            boxesNow.stream().mapToLong(Fleet.Standing::falls).sum(), breaches);
+        ledger.findings()
+                .forEach(f -> breaches.add(
+                        Report.words(f.breach()) + ": " + f.order() + ": " + String.join(", ", f.history())));
+        return new Result(
+                plan,
+                spread,
+                all.taken,
+                all.inTime + all.late,
+                all.refused,
+                all.failed,
+                ledger.count(Ledger.Final.LOST),
+                ledger.count(Ledger.Final.NONE),
+                onBoxes(boxes::connections) - connections,
+                queue,
+                all.latency.getValueAtPercentile(50),
+                all.latency.getValueAtPercentile(90),
+                all.latency.getValueAtPercentile(99),
+                cpu,
+                boxesNow.stream().mapToLong(Fleet.Standing::falls).sum(),
+                breaches);
     }
 
     private Member start(int place) throws IOException {
-        Member member = Member.start(classPath,
-            BalancerToml.of(scenario, boxes.discoveryAt(), "n" + place, place, plan.processes()));
+        Member member = Member.start(
+                classPath, BalancerToml.of(scenario, boxes.discoveryAt(), "n" + place, place, plan.processes()));
         if (closed) {
             member.close();
             throw new IOException("the run has ended");
@@ -176,8 +249,12 @@
             for (Member member : members.subList(from, members.size())) {
                 member.awaitReady();
             }
-            out.printf(Locale.ROOT, "%d of %d ready after %.1f s%n", members.size(), plan.processes(),
-                (System.nanoTime() - begun) / 1e9);
+            out.printf(
+                    Locale.ROOT,
+                    "%d of %d ready after %.1f s%n",
+                    members.size(),
+                    plan.processes(),
+                    (System.nanoTime() - begun) / 1e9);
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WATCHING_S);
         while (onBoxes(boxes::watches) < members.size()) {
@@ -201,13 +278,21 @@
         long most = 0;
         for (int look = 1; !over.await(100, TimeUnit.MILLISECONDS); look++) {
             List<Fleet.Standing> now = onBoxes(boxes::standings);
-            most = Math.max(most, now.stream().mapToLong(Fleet.Standing::inFlight).max().orElse(0));
+            most = Math.max(
+                    most, now.stream().mapToLong(Fleet.Standing::inFlight).max().orElse(0));
             if (look % 10 == 0) {
                 RequestCounts.Recent recent = counts.recent();
                 RequestCounts.Line all = counts.all();
-                out.printf(Locale.ROOT, "%5.0f s %6d/s p50 %7.1f ms p99 %7.1f ms  refused %d failed %d"
-                    + " none %d%n", (clock.now() - begin) / 1e6, recent.ends(), recent.p50() / 1e3,
-                    recent.p99() / 1e3, all.refused, all.failed, all.unanswered);
+                out.printf(
+                        Locale.ROOT,
+                        "%5.0f s %6d/s p50 %7.1f ms p99 %7.1f ms  refused %d failed %d" + " none %d%n",
+                        (clock.now() - begin) / 1e6,
+                        recent.ends(),
+                        recent.p50() / 1e3,
+                        recent.p99() / 1e3,
+                        all.refused,
+                        all.failed,
+                        all.unanswered);
             }
         }
         return most;
@@ -218,8 +303,10 @@
     private void troubles(long begin) {
         for (Trouble trouble : plan.troubles()) {
             for (int place : trouble.struck(plan.processes(), scenario.seed())) {
-                hands.schedule(() -> guarded(place, () -> befall(trouble, place)),
-                    Math.max(0, begin + trouble.at() - clock.now()), TimeUnit.MICROSECONDS);
+                hands.schedule(
+                        () -> guarded(place, () -> befall(trouble, place)),
+                        Math.max(0, begin + trouble.at() - clock.now()),
+                        TimeUnit.MICROSECONDS);
             }
         }
     }
@@ -279,7 +366,7 @@
         former.add(before);
         Member next = start(place);
         members.set(place, next);
-        cpuBefore[place] = Long.MAX_VALUE;          // a start is not counted as work on requests
+        cpuBefore[place] = Long.MAX_VALUE; // a start is not counted as work on requests
         next.awaitReady();
         load.broken(place, false);
         load.moved(place, next.address());
--- a/src/rig/java/junctionhead/rig/HeldProcesses.java
+++ b/src/rig/java/junctionhead/rig/HeldProcesses.java
@@ -47,14 +47,20 @@
     }
 
     /** How many processes, connections that each has had before, and new ones that come while it stands. */
-    public record Size(int processes, int kept, int fresh) { }
+    public record Size(int processes, int kept, int fresh) {}
 
     /**
      * How many answers were owed, what came instead of some, how often, what broke a rule, and the histories
      * of some such orders; {@code missed}: processes that came to their stall too late to be counted.
      */
-    public record Outcome(When when, int owed, int missed, Map<String, Integer> wrong,
-            Map<String, Integer> breaches, List<String> examples, List<String> log) {
+    public record Outcome(
+            When when,
+            int owed,
+            int missed,
+            Map<String, Integer> wrong,
+            Map<String, Integer> breaches,
+            List<String> examples,
+            List<String> log) {
         public boolean isClean() {
             return owed > 0 && wrong.isEmpty() && breaches.isEmpty();
         }
@@ -62,25 +68,30 @@
         /** One line. */
         public String summary() {
             int other = wrong.values().stream().mapToInt(n -> n).sum();
-            return String.format(Locale.ROOT, "%-10s owed %d, served %d%s%s%s", when, owed, owed - other,
-                missed == 0 ? "" : ", " + missed + " processes came too late",
-                wrong.isEmpty() ? "" : ", instead " + wrong,
-                breaches.isEmpty() ? "" : ", breaches " + breaches);
+            return String.format(
+                    Locale.ROOT,
+                    "%-10s owed %d, served %d%s%s%s",
+                    when,
+                    owed,
+                    owed - other,
+                    missed == 0 ? "" : ", " + missed + " processes came too late",
+                    wrong.isEmpty() ? "" : ", instead " + wrong,
+                    breaches.isEmpty() ? "" : ", breaches " + breaches);
         }
     }
 
-    private record Owed(String id, String what, Wire wire) { }
+    private record Owed(String id, String what, Wire wire) {}
 
-    private static final long[] STALLS = {150, 700, 1_500};     // ms, in turn
-    private static final long DRAINED = 1_300;      // ms from the news: the grace with its slack, and more
-    private static final long[] BEFORE = {50, 150, 300};        // ms from SIGTERM to the stall, in turn
-    private static final long NEARLY_RESTED = 4_300;            // ms, of the 5 s that a rest may last
-    private static final int AT_ONCE = 20;          // requests of those that only open connections
-    private static final long IN_TIME = 500_000_000;            // ns from a cue whose own time is 0.6 s
+    private static final long[] STALLS = {150, 700, 1_500}; // ms, in turn
+    private static final long DRAINED = 1_300; // ms from the news: the grace with its slack, and more
+    private static final long[] BEFORE = {50, 150, 300}; // ms from SIGTERM to the stall, in turn
+    private static final long NEARLY_RESTED = 4_300; // ms, of the 5 s that a rest may last
+    private static final int AT_ONCE = 20; // requests of those that only open connections
+    private static final long IN_TIME = 500_000_000; // ns from a cue whose own time is 0.6 s
     private static final int EXAMPLES = 5;
     private static final int BOXES = 20;
-    private static final long QUICK = 1_000;        // µs of work, before the stall
-    private static final long LONG = 100_000;       // and for what comes at it: answers are owed for a while
+    private static final long QUICK = 1_000; // µs of work, before the stall
+    private static final long LONG = 100_000; // and for what comes at it: answers are owed for a while
 
     private final Size size;
     private final ExecutorService lives = Executors.newCachedThreadPool();
@@ -92,11 +103,18 @@
     /** {@code classPath}: what holds the program with its tools. */
     public HeldProcesses(String classPath, Size size) throws InterruptedException {
         this.size = size;
-        Scenario.Kind kind = new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, QUICK, 30_000_000,
-            60_000_000, 1, 1, 0);
-        Scenario scenario = new Scenario("standstill", 7, 0, 0, 0,
-            new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-            List.of(new Scenario.Boxes("box", BOXES, 512, 1, 10_000, "a", "m", 1)), List.of(kind), List.of());
+        Scenario.Kind kind =
+                new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, QUICK, 30_000_000, 60_000_000, 1, 1, 0);
+        Scenario scenario = new Scenario(
+                "standstill",
+                7,
+                0,
+                0,
+                0,
+                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.Boxes("box", BOXES, 512, 1, 10_000, "a", "m", 1)),
+                List.of(kind),
+                List.of());
         List<Script.Order> script = new ArrayList<>();
         for (int i = 0; i < size.processes() * (size.kept() + size.fresh()); i++) {
             script.add(new Script.Order(i, "q" + i, 0, 0, "k", QUICK));
@@ -133,10 +151,11 @@
         }
         after(when, wrong);
         Map<String, Integer> breaches = new TreeMap<>();
-        ledger.findings().forEach(f ->
-            breaches.merge(f.breach().name().toLowerCase(Locale.ROOT), 1, Integer::sum));
-        List<String> examples = ledger.findings().stream().limit(EXAMPLES)
-            .map(f -> f.order() + ": " + String.join(", ", f.history())).toList();
+        ledger.findings().forEach(f -> breaches.merge(f.breach().name().toLowerCase(Locale.ROOT), 1, Integer::sum));
+        List<String> examples = ledger.findings().stream()
+                .limit(EXAMPLES)
+                .map(f -> f.order() + ": " + String.join(", ", f.history()))
+                .toList();
         return new Outcome(when, owed, missed, wrong, breaches, examples, log());
     }
 
@@ -176,12 +195,20 @@
         for (Owed owed : all) {
             Wire.Answer answer = owed.wire().answer();
             boolean served = answer.status() == 200 && answer.text().equals(owed.id());
-            ledger.answered(owed.id(), served ? Ledger.Final.SERVED : answer.status() == 503
-                ? Ledger.Final.REFUSED : answer.status() == 0 ? Ledger.Final.NONE : Ledger.Final.FAILED,
-                testbed.clock.now());
+            ledger.answered(
+                    owed.id(),
+                    served
+                            ? Ledger.Final.SERVED
+                            : answer.status() == 503
+                                    ? Ledger.Final.REFUSED
+                                    : answer.status() == 0 ? Ledger.Final.NONE : Ledger.Final.FAILED,
+                    testbed.clock.now());
             if (!served) {
-                wrong.merge(owed.what() + ": " + answer.status() + " " + answer.text().strip(), 1,
-                    Integer::sum);
+                wrong.merge(
+                        owed.what() + ": " + answer.status() + " "
+                                + answer.text().strip(),
+                        1,
+                        Integer::sum);
             }
         }
     }
@@ -224,16 +251,16 @@
             switch (when) {
                 case SIGHUP -> {
                     member.rewrite(testbed.configuration(number, size.processes())
-                        .replace("aim = \"30000000us\"", "aim = \"20000000us\""));
+                            .replace("aim = \"30000000us\"", "aim = \"20000000us\""));
                     member.signal(Member.Signal.HUP);
                 }
                 case SIGTERM -> member.signal(Member.Signal.TERM);
                 case DRAIN -> {
-                    drain.await();                  // all stand, and requests came before the news
+                    drain.await(); // all stand, and requests came before the news
                     since = System.nanoTime();
                     stands = DRAINED;
                 }
-                default -> { }
+                default -> {}
             }
             Thread.sleep(Math.max(0, stands - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since)));
             member.signal(Member.Signal.CONT);
@@ -298,8 +325,11 @@
 
         private String[] order(String id) {
             ledger.asked(id, Policy.Effect.UNSAFE, testbed.clock.now());
-            return new String[] {"POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n"
-                + "Req-Kind: order\r\nReq-Deadline-Ms: 60000\r\nContent-Length: 8\r\n", "\r\nabcdefgh"};
+            return new String[] {
+                "POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n"
+                        + "Req-Kind: order\r\nReq-Deadline-Ms: 60000\r\nContent-Length: 8\r\n",
+                "\r\nabcdefgh"
+            };
         }
 
         private Owed late(Wire wire, String what) throws IOException {
--- a/src/rig/java/junctionhead/rig/Http3Clients.java
+++ b/src/rig/java/junctionhead/rig/Http3Clients.java
@@ -47,7 +47,7 @@
         void ended(Final how, String text);
     }
 
-    private static final int FIRST = 20;            // requests of each connection before the load
+    private static final int FIRST = 20; // requests of each connection before the load
     private static final long FIRST_S = 10;
 
     private final EventLoop loop;
@@ -61,8 +61,10 @@
         this.loop = loop;
         this.to = to;
         this.connections = new Connection[connections];
-        context = QuicSslContextBuilder.forClient().trustManager(trust)
-            .applicationProtocols(Http3.supportedApplicationProtocols()).build();
+        context = QuicSslContextBuilder.forClient()
+                .trustManager(trust)
+                .applicationProtocols(Http3.supportedApplicationProtocols())
+                .build();
     }
 
     /**
@@ -70,12 +72,18 @@
      * measures a balancer, not a client that is being loaded and compiled. Not for the loop's thread.
      */
     void open() throws InterruptedException {
-        socket = new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-            .handler(Http3.newQuicClientCodecBuilder()
-                .sslEngineProvider(q -> context.newEngine(q.alloc(), "127.0.0.1", to.getPort()))
-                .maxIdleTimeout(30, TimeUnit.SECONDS).initialMaxData(1 << 22)
-                .initialMaxStreamDataBidirectionalLocal(1 << 17).build())
-            .bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        socket = new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(Http3.newQuicClientCodecBuilder()
+                        .sslEngineProvider(q -> context.newEngine(q.alloc(), "127.0.0.1", to.getPort()))
+                        .maxIdleTimeout(30, TimeUnit.SECONDS)
+                        .initialMaxData(1 << 22)
+                        .initialMaxStreamDataBidirectionalLocal(1 << 17)
+                        .build())
+                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel();
         CountDownLatch warm = new CountDownLatch(connections.length * FIRST);
         loop.execute(() -> {
             for (int i = 0; i < connections.length; i++) {
@@ -106,7 +114,7 @@
         }
 
         @Override
-        public void asked() { }
+        public void asked() {}
 
         @Override
         public void ended(Final how, String text) {
@@ -141,23 +149,28 @@
         private boolean over;
 
         Connection() {
-            QuicChannel.newBootstrap(socket).handler(new ChannelInitializer<QuicChannel>() {
-                @Override
-                protected void initChannel(QuicChannel quic) {
-                    quic.pipeline().addLast(new Http3ClientConnectionHandler(null, null, null,
-                        Codes.settings(), true));
-                    quic.closeFuture().addListener(closed -> over = true);
-                }
-            }).remoteAddress(to).connect().addListener(done -> {
-                if (done.isSuccess()) {
-                    channel = (QuicChannel) done.getNow();
-                    waiting.forEach(this::send);
-                } else {
-                    over = true;
-                    waiting.forEach(a -> a.ended(Final.NOT_TAKEN, null));   // nobody has seen them
-                }
-                waiting.clear();
-            });
+            QuicChannel.newBootstrap(socket)
+                    .handler(new ChannelInitializer<QuicChannel>() {
+                        @Override
+                        protected void initChannel(QuicChannel quic) {
+                            quic.pipeline()
+                                    .addLast(
+                                            new Http3ClientConnectionHandler(null, null, null, Codes.settings(), true));
+                            quic.closeFuture().addListener(closed -> over = true);
+                        }
+                    })
+                    .remoteAddress(to)
+                    .connect()
+                    .addListener(done -> {
+                        if (done.isSuccess()) {
+                            channel = (QuicChannel) done.getNow();
+                            waiting.forEach(this::send);
+                        } else {
+                            over = true;
+                            waiting.forEach(a -> a.ended(Final.NOT_TAKEN, null)); // nobody has seen them
+                        }
+                        waiting.clear();
+                    });
         }
 
         void ask(Asking asking) {
@@ -222,11 +235,15 @@
 
         @Override
         protected void channelInputClosed(ChannelHandlerContext context) {
-            end(status == null ? Final.NONE : switch (status) {
-                case "200" -> Final.SERVED;
-                case "503", "429" -> Final.REFUSED;
-                default -> status.startsWith("4") ? Final.NOT_TAKEN : Final.FAILED;
-            }, text.toString());
+            end(
+                    status == null
+                            ? Final.NONE
+                            : switch (status) {
+                                case "200" -> Final.SERVED;
+                                case "503", "429" -> Final.REFUSED;
+                                default -> status.startsWith("4") ? Final.NOT_TAKEN : Final.FAILED;
+                            },
+                    text.toString());
         }
 
         @Override
@@ -243,7 +260,10 @@
 
     /** A head with the fields of an order, lower case as HTTP/3 wants it. */
     static Http3Headers head(String method, String path) {
-        return new DefaultHttp3Headers(false).method(method).scheme("https").authority("boxes.local")
-            .path(path);
+        return new DefaultHttp3Headers(false)
+                .method(method)
+                .scheme("https")
+                .authority("boxes.local")
+                .path(path);
     }
 }
--- a/src/rig/java/junctionhead/rig/Http3Run.java
+++ b/src/rig/java/junctionhead/rig/Http3Run.java
@@ -27,10 +27,13 @@
         this.seed = seed;
         this.connections = connections;
         try {
-            bundle = new CertificateBuilder().subject("CN=honeyspindle rig").addSanIpAddress("127.0.0.1")
-                .setIsCertificateAuthority(true).algorithm(CertificateBuilder.Algorithm.ecp256)
-                .buildSelfSigned();
-        } catch (Exception e) {                     // of three kinds, none of which should be
+            bundle = new CertificateBuilder()
+                    .subject("CN=honeyspindle rig")
+                    .addSanIpAddress("127.0.0.1")
+                    .setIsCertificateAuthority(true)
+                    .algorithm(CertificateBuilder.Algorithm.ecp256)
+                    .buildSelfSigned();
+        } catch (Exception e) { // of three kinds, none of which should be
             throw new IllegalStateException("no certificate can be made", e);
         }
     }
@@ -47,8 +50,7 @@
     /** Clients of the balancer, through the path. */
     Http3Clients open(EventLoop loop, InetSocketAddress balancer) throws InterruptedException {
         relay = new UdpRelay(loop, balancer, new RelayScript(seed, faults));
-        Http3Clients clients =
-            new Http3Clients(loop, relay.open(), bundle.getCertificate(), connections);
+        Http3Clients clients = new Http3Clients(loop, relay.open(), bundle.getCertificate(), connections);
         clients.open();
         return clients;
     }
--- a/src/rig/java/junctionhead/rig/Http3Side.java
+++ b/src/rig/java/junctionhead/rig/Http3Side.java
@@ -52,9 +52,10 @@
         this.loop = loop;
         this.clock = clock;
         this.taker = taker;
-        context = QuicSslContextBuilder.forServer(identity.key(), null,
-            identity.chain().toArray(X509Certificate[]::new))
-            .applicationProtocols(Http3.supportedApplicationProtocols()).build();
+        context = QuicSslContextBuilder.forServer(
+                        identity.key(), null, identity.chain().toArray(X509Certificate[]::new))
+                .applicationProtocols(Http3.supportedApplicationProtocols())
+                .build();
     }
 
     InetSocketAddress address() {
@@ -63,33 +64,46 @@
 
     /** Listens, at the address that it had before if it had one. */
     ChannelFuture open() {
-        return new Bootstrap().group(loop).channel(NioDatagramChannel.class)
-            .handler(Http3.newQuicServerCodecBuilder().sslContext(context)
-                .maxIdleTimeout(30, TimeUnit.SECONDS).initialMaxData(1 << 22)
-                .initialMaxStreamDataBidirectionalRemote(1 << 17).initialMaxStreamsBidirectional(STREAMS)
-                .handler(new ChannelInitializer<QuicChannel>() {
-                    @Override
-                    protected void initChannel(QuicChannel channel) {
-                        connections.add(channel);
-                        channel.closeFuture().addListener(closed -> connections.remove(channel));
-                        channel.pipeline().addLast(new Http3ServerConnectionHandler(
-                            new ChannelInitializer<QuicStreamChannel>() {
-                                @Override
-                                protected void initChannel(QuicStreamChannel stream) {
-                                    Stream line = new Stream(stream);
-                                    stream.closeFuture().addListener(closed -> taker.gone(line));
-                                    stream.pipeline().addFirst(line.last).addLast(line);
-                                }
-                            }, null, null, Codes.settings(), true));
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(Http3.newQuicServerCodecBuilder()
+                        .sslContext(context)
+                        .maxIdleTimeout(30, TimeUnit.SECONDS)
+                        .initialMaxData(1 << 22)
+                        .initialMaxStreamDataBidirectionalRemote(1 << 17)
+                        .initialMaxStreamsBidirectional(STREAMS)
+                        .handler(new ChannelInitializer<QuicChannel>() {
+                            @Override
+                            protected void initChannel(QuicChannel channel) {
+                                connections.add(channel);
+                                channel.closeFuture().addListener(closed -> connections.remove(channel));
+                                channel.pipeline()
+                                        .addLast(new Http3ServerConnectionHandler(
+                                                new ChannelInitializer<QuicStreamChannel>() {
+                                                    @Override
+                                                    protected void initChannel(QuicStreamChannel stream) {
+                                                        Stream line = new Stream(stream);
+                                                        stream.closeFuture().addListener(closed -> taker.gone(line));
+                                                        stream.pipeline()
+                                                                .addFirst(line.last)
+                                                                .addLast(line);
+                                                    }
+                                                },
+                                                null,
+                                                null,
+                                                Codes.settings(),
+                                                true));
+                            }
+                        })
+                        .build())
+                .bind(address == null ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : address)
+                .addListener((ChannelFuture done) -> {
+                    if (done.isSuccess()) {
+                        socket = done.channel();
+                        address = (InetSocketAddress) socket.localAddress();
                     }
-                }).build())
-            .bind(address == null ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : address)
-            .addListener((ChannelFuture done) -> {
-                if (done.isSuccess()) {
-                    socket = done.channel();
-                    address = (InetSocketAddress) socket.localAddress();
-                }
-            });
+                });
     }
 
     /** The process dies: its connections go unsaid with its socket. */
@@ -127,24 +141,29 @@
         @Override
         protected void channelInputClosed(ChannelHandlerContext context) {
             if (head != null) {
-                Function<String, String> field = n -> head.get(n) == null ? null : head.get(n).toString();
-                taker.take(this, field.apply("req-id"), field.apply(":path"),
-                    String.valueOf(field.apply("idempotency-key")), begunAt);
+                Function<String, String> field =
+                        n -> head.get(n) == null ? null : head.get(n).toString();
+                taker.take(
+                        this,
+                        field.apply("req-id"),
+                        field.apply(":path"),
+                        String.valueOf(field.apply("idempotency-key")),
+                        begunAt);
             }
         }
 
         @Override
         public void answer(int status, String text, boolean unseen) {
             Http3Headers out = new DefaultHttp3Headers(false);
-            out.status(Integer.toString(status)).add("content-length", Integer.toString(text.length()))
-                .add("srv-load", "TEXT inflight=" + taker.load());
+            out.status(Integer.toString(status))
+                    .add("content-length", Integer.toString(text.length()))
+                    .add("srv-load", "TEXT inflight=" + taker.load());
             if (unseen) {
                 out.add("srv-declined", "1");
             }
             last.last();
             stream.write(new DefaultHttp3HeadersFrame(out));
-            stream.writeAndFlush(new DefaultHttp3DataFrame(Unpooled.copiedBuffer(text,
-                StandardCharsets.US_ASCII)));
+            stream.writeAndFlush(new DefaultHttp3DataFrame(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/src/rig/java/junctionhead/rig/Ledger.java
+++ b/src/rig/java/junctionhead/rig/Ledger.java
@@ -14,7 +14,11 @@
 final class Ledger {
     /** What a client got. */
     enum Final {
-        SERVED, REFUSED, FAILED, NOT_TAKEN, NONE,
+        SERVED,
+        REFUSED,
+        FAILED,
+        NOT_TAKEN,
+        NONE,
         /** None, because its balancer was killed, or stood still for its time, by the run's own script. */
         LOST,
         /** None, because it closed its connection before it came: nothing is owed. */
@@ -22,16 +26,22 @@
     }
 
     /** What goes against the rules. */
-    enum Breach { BOOKED_TWICE, REFUSED_AFTER_IT_RAN, UNANSWERED, ANSWERED_TWICE, SERVED_UNBOOKED,
+    enum Breach {
+        BOOKED_TWICE,
+        REFUSED_AFTER_IT_RAN,
+        UNANSWERED,
+        ANSWERED_TWICE,
+        SERVED_UNBOOKED,
         SENT_AFTER_DRAIN,
         /** A request reached a server long after its client had closed its connection. */
-        SENT_AFTER_CLOSE }
+        SENT_AFTER_CLOSE
+    }
 
     /** µs after a client's close until which a request may still be sent on. */
     static final long CLOSE_GRACE = 100_000;
 
     /** A breach, the order it concerns and all that was noted of it. */
-    record Finding(Breach breach, String order, List<String> history) { }
+    record Finding(Breach breach, String order, List<String> history) {}
 
     private static final class Entry {
         final Policy.Effect effect;
@@ -65,8 +75,8 @@
         runs++;
         Entry entry = entries.get(order);
         if (entry == null) {
-            findings.add(new Finding(Breach.BOOKED_TWICE, order,
-                List.of(at + " ran on " + box + ", and nobody asked for it")));
+            findings.add(new Finding(
+                    Breach.BOOKED_TWICE, order, List.of(at + " ran on " + box + ", and nobody asked for it")));
             return;
         }
         entry.runs++;
@@ -138,8 +148,7 @@
     synchronized void sentAfterDrain(String order, String box, long late, long at) {
         Entry entry = entries.get(order);
         if (entry != null) {
-            entry.history.add(at + " sent to " + box + ", " + late / 1000
-                + " ms after the grace of its drain");
+            entry.history.add(at + " sent to " + box + ", " + late / 1000 + " ms after the grace of its drain");
             find(Breach.SENT_AFTER_DRAIN, order, entry);
         }
     }
--- a/src/rig/java/junctionhead/rig/Load.java
+++ b/src/rig/java/junctionhead/rig/Load.java
@@ -43,6 +43,7 @@
      * µs beyond an order's deadline after which its client has waited in vain: more than a noisy machine's.
      */
     static final long PATIENCE = 500_000;
+
     private static final int BODY = 200;
 
     private final Scenario scenario;
@@ -51,9 +52,9 @@
     private final Clock clock;
     private final Ledger ledger;
     private final RequestCounts counts;
-    private final List<InetSocketAddress> to;       // null: nobody asks there for now
-    private final IntUnaryOperator dealt;           // the place among these of an order, by its number
-    private final long[] brokenUntil;               // what is there is dead or stands still, or was
+    private final List<InetSocketAddress> to; // null: nobody asks there for now
+    private final IntUnaryOperator dealt; // the place among these of an order, by its number
+    private final long[] brokenUntil; // what is there is dead or stands still, or was
     private final List<ArrayDeque<Connection>> idle = new ArrayList<>();
     private final ArrayDeque<Asking> waiting = new ArrayDeque<>();
     private final Set<Connection> connections = new HashSet<>();
@@ -62,15 +63,28 @@
     private int open;
     private boolean stopped;
     private Runnable then;
-    private Http3Clients http3;                     // null where all clients speak HTTP/1.1
+    private Http3Clients http3; // null where all clients speak HTTP/1.1
 
-    Load(Scenario scenario, List<Script.Order> script, EventLoop loop, Clock clock, Ledger ledger,
-            RequestCounts counts, List<InetSocketAddress> to) {
+    Load(
+            Scenario scenario,
+            List<Script.Order> script,
+            EventLoop loop,
+            Clock clock,
+            Ledger ledger,
+            RequestCounts counts,
+            List<InetSocketAddress> to) {
         this(scenario, script, loop, clock, ledger, counts, to, order -> order % to.size());
     }
 
-    Load(Scenario scenario, List<Script.Order> script, EventLoop loop, Clock clock, Ledger ledger,
-            RequestCounts counts, List<InetSocketAddress> to, IntUnaryOperator dealt) {
+    Load(
+            Scenario scenario,
+            List<Script.Order> script,
+            EventLoop loop,
+            Clock clock,
+            Ledger ledger,
+            RequestCounts counts,
+            List<InetSocketAddress> to,
+            IntUnaryOperator dealt) {
         this.dealt = dealt;
         this.brokenUntil = new long[to.size()];
         this.scenario = scenario;
@@ -129,8 +143,7 @@
             send(new Asking(script.get(next++)));
         }
         if (!stopped && next < script.size()) {
-            loop.schedule(this::step, Math.max(1, begun + script.get(next).at() - clock.now()),
-                TimeUnit.MICROSECONDS);
+            loop.schedule(this::step, Math.max(1, begun + script.get(next).at() - clock.now()), TimeUnit.MICROSECONDS);
         } else {
             ended();
         }
@@ -151,7 +164,7 @@
         }
         int target = dealt.applyAsInt(asking.order.number());
         for (int i = 0; to.get(target) == null && i < to.size(); i++) {
-            target = (target + 1) % to.size();      // clients know of those that are away
+            target = (target + 1) % to.size(); // clients know of those that are away
         }
         if (to.get(target) == null) {
             asking.end(Final.NOT_TAKEN);
@@ -174,22 +187,28 @@
     private void dial(Asking asking, int target) {
         Connection connection = new Connection(target);
         connections.add(connection);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2_000).handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17),
-                        connection);
-                }
-            }).connect(to.get(target)).addListener((io.netty.channel.ChannelFuture done) -> {
-                connection.channel = done.channel();
-                if (done.isSuccess()) {
-                    connection.ask(asking);
-                } else {
-                    connections.remove(connection);
-                    asking.end(Final.NOT_TAKEN);        // nobody has seen it
-                }
-            });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2_000)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17), connection);
+                    }
+                })
+                .connect(to.get(target))
+                .addListener((io.netty.channel.ChannelFuture done) -> {
+                    connection.channel = done.channel();
+                    if (done.isSuccess()) {
+                        connection.ask(asking);
+                    } else {
+                        connections.remove(connection);
+                        asking.end(Final.NOT_TAKEN); // nobody has seen it
+                    }
+                });
     }
 
     private final class Asking implements Http3Clients.Asking {
@@ -211,13 +230,18 @@
 
         DefaultFullHttpRequest message() {
             boolean safe = kind.effect() == Policy.Effect.SAFE;
-            DefaultFullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/api/" + order.key(),
-                safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY]));
+            DefaultFullHttpRequest message = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/api/" + order.key(),
+                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY]));
             long left = Math.max(1, (due() + kind.deadline() - clock.now()) / 1000);
-            message.headers().set("Host", "boxes.local").set("Req-Id", order.id()).set("Req-Kind",
-                kind.name())
-                .set("Req-Deadline-Ms", Long.toString(left)).set("Req-Cost", Long.toString(order.work()));
+            message.headers()
+                    .set("Host", "boxes.local")
+                    .set("Req-Id", order.id())
+                    .set("Req-Kind", kind.name())
+                    .set("Req-Deadline-Ms", Long.toString(left))
+                    .set("Req-Cost", Long.toString(order.work()));
             if (kind.effect() == Policy.Effect.KEYED) {
                 message.headers().set("Idempotency-Key", order.key());
             }
@@ -232,8 +256,10 @@
             boolean safe = kind.effect() == Policy.Effect.SAFE;
             Http3Headers head = Http3Clients.head(safe ? "GET" : "POST", "/api/" + order.key());
             long left = Math.max(1, (due() + kind.deadline() - clock.now()) / 1000);
-            head.add("req-id", order.id()).add("req-kind", kind.name())
-                .add("req-deadline-ms", Long.toString(left)).add("req-cost", Long.toString(order.work()));
+            head.add("req-id", order.id())
+                    .add("req-kind", kind.name())
+                    .add("req-deadline-ms", Long.toString(left))
+                    .add("req-cost", Long.toString(order.work()));
             if (kind.effect() == Policy.Effect.KEYED) {
                 head.add("idempotency-key", order.key());
             }
@@ -248,16 +274,19 @@
         /** Notes that it is on its way, and waits for its answer no longer than its client would. */
         @Override
         public void asked() {
-            asked(() -> { });
+            asked(() -> {});
         }
 
         void asked(Runnable whenInVain) {
             ledger.asked(order.id(), kind.effect(), clock.now());
             counts.taken(order.kind(), order.work());
-            patience = loop.schedule(() -> {
-                end(Final.NONE);
-                whenInVain.run();
-            }, due() + kind.deadline() + PATIENCE - clock.now(), TimeUnit.MICROSECONDS);
+            patience = loop.schedule(
+                    () -> {
+                        end(Final.NONE);
+                        whenInVain.run();
+                    },
+                    due() + kind.deadline() + PATIENCE - clock.now(),
+                    TimeUnit.MICROSECONDS);
         }
 
         @Override
@@ -313,9 +342,13 @@
             int status = answer.status().code();
             boolean keep = HttpUtil.isKeepAlive(answer);
             if (ended != null) {
-                ended.ended(status == 200 ? Final.SERVED : status == 503 || status == 429 ? Final.REFUSED
-                    : status >= 400 && status < 500 ? Final.NOT_TAKEN : Final.FAILED,
-                    answer.content().toString(StandardCharsets.US_ASCII));
+                ended.ended(
+                        status == 200
+                                ? Final.SERVED
+                                : status == 503 || status == 429
+                                        ? Final.REFUSED
+                                        : status >= 400 && status < 500 ? Final.NOT_TAKEN : Final.FAILED,
+                        answer.content().toString(StandardCharsets.US_ASCII));
             }
             if (!keep) {
                 channel.close();
--- a/src/rig/java/junctionhead/rig/LoopLag.java
+++ b/src/rig/java/junctionhead/rig/LoopLag.java
@@ -10,14 +10,14 @@
  * in its socket for so long, and is not to be taken for a fault of the program. On that loop.
  */
 final class LoopLag {
-    private static final long EVERY = 5_000;        // µs between two looks
-    private static final long KEPT = 1_000_000;     // µs for which a lag is kept in view
+    private static final long EVERY = 5_000; // µs between two looks
+    private static final long KEPT = 1_000_000; // µs for which a lag is kept in view
 
-    private record Lag(long at, long micros) { }
+    private record Lag(long at, long micros) {}
 
     private final EventLoop loop;
     private final Clock clock;
-    private final ArrayDeque<Lag> lags = new ArrayDeque<>();    // each less than the one before it
+    private final ArrayDeque<Lag> lags = new ArrayDeque<>(); // each less than the one before it
     private long expectedAt;
 
     LoopLag(EventLoop loop, Clock clock) {
@@ -32,10 +32,13 @@
 
     private void expect() {
         expectedAt = clock.now() + EVERY;
-        loop.schedule(() -> {
-            add(clock.now());
-            expect();
-        }, EVERY, TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    add(clock.now());
+                    expect();
+                },
+                EVERY,
+                TimeUnit.MICROSECONDS);
     }
 
     private void add(long now) {
--- a/src/rig/java/junctionhead/rig/PassThrough.java
+++ b/src/rig/java/junctionhead/rig/PassThrough.java
@@ -50,17 +50,23 @@
     /** Listens on a free port, passes on to the addresses in {@code args}, and ends with the process. */
     public static void main(String[] args) throws InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        PassThrough self = new PassThrough(group.next(),
-            List.of(args).stream().map(Addresses::parse).toList());
-        Channel listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1024).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST),
-                        self.new Client());
-                }
-            }).bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        PassThrough self = new PassThrough(
+                group.next(), List.of(args).stream().map(Addresses::parse).toList());
+        Channel listener = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), self.new Client());
+                    }
+                })
+                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel();
         System.err.println("listening on " + Addresses.text((InetSocketAddress) listener.localAddress()));
         listener.closeFuture().sync();
     }
@@ -91,21 +97,26 @@
 
     private void dial(int number, FullHttpRequest request, Channel client) {
         Box box = new Box(number);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), box);
-                }
-            }).connect(boxes.get(number)).addListener((io.netty.channel.ChannelFuture done) -> {
-                if (done.isSuccess()) {
-                    box.channel = done.channel();
-                    box.pass(request, client);
-                } else {
-                    request.release();
-                    client.close();
-                }
-            });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), box);
+                    }
+                })
+                .connect(boxes.get(number))
+                .addListener((io.netty.channel.ChannelFuture done) -> {
+                    if (done.isSuccess()) {
+                        box.channel = done.channel();
+                        box.pass(request, client);
+                    } else {
+                        request.release();
+                        client.close();
+                    }
+                });
     }
 
     private final class Box extends SimpleChannelInboundHandler<FullHttpResponse> {
--- a/src/rig/java/junctionhead/rig/RelayScript.java
+++ b/src/rig/java/junctionhead/rig/RelayScript.java
@@ -27,7 +27,7 @@
     }
 
     /** {@code copies}: 0, 1 or 2; {@code delay} in µs; {@code flip}: a bit to turn over, or -1. */
-    public record Fate(int copies, long delay, int flip) { }
+    public record Fate(int copies, long delay, int flip) {}
 
     private final SplittableRandom chance;
     private Faults faults;
@@ -52,8 +52,9 @@
         if (drop < faults.drop()) {
             return new Fate(0, 0, -1);
         }
-        return new Fate(twice < faults.twice() ? 2 : 1,
-            late < faults.late() ? (long) (late / faults.late() * faults.jitter()) : 0,
-            bent < faults.corrupt() ? (int) (bent / faults.corrupt() * bytes * 8) : -1);
+        return new Fate(
+                twice < faults.twice() ? 2 : 1,
+                late < faults.late() ? (long) (late / faults.late() * faults.jitter()) : 0,
+                bent < faults.corrupt() ? (int) (bent / faults.corrupt() * bytes * 8) : -1);
     }
 }
--- a/src/rig/java/junctionhead/rig/RequestCounts.java
+++ b/src/rig/java/junctionhead/rig/RequestCounts.java
@@ -76,11 +76,10 @@
     }
 
     /** Ends and latencies since the last call. */
-    record Recent(long ends, long p50, long p99) { }
+    record Recent(long ends, long p50, long p99) {}
 
     synchronized Recent recent() {
-        Recent told = new Recent(recentEnds, recent.getValueAtPercentile(50),
-            recent.getValueAtPercentile(99));
+        Recent told = new Recent(recentEnds, recent.getValueAtPercentile(50), recent.getValueAtPercentile(99));
         recent.reset();
         recentEnds = 0;
         return told;
