--- a/src/rig/java/junctionhead/rig/Scenario.java
+++ b/src/rig/java/junctionhead/rig/Scenario.java
@@ -9,21 +9,35 @@
  * faults
  * count from the beginning of the load. With its seed it says all that is left to chance.
  */
-record Scenario(String name, long seed, long lasting, double rate, int connections, Cold cold,
-        List<Boxes> boxes, List<Kind> kinds, List<Fault> faults) {
+record Scenario(
+        String name,
+        long seed,
+        long lasting,
+        double rate,
+        int connections,
+        Cold cold,
+        List<Boxes> boxes,
+        List<Kind> kinds,
+        List<Fault> faults) {
     /**
      * Boxes alike. {@code speed} divides the work; {@code cellSize} boxes in turn share what they remember.
      */
-    record Boxes(String name, int count, int cores, double speed, int queue, String zone, String model,
-            int cellSize) { }
+    record Boxes(String name, int count, int cores, double speed, int queue, String zone, String model, int cellSize) {}
 
     /** How boxes start: at this share of their speed, rising evenly; more than factor times it fells one. */
-    record Cold(double from, long ramp, double overload, long fall, long down) { }
+    record Cold(double from, long ramp, double overload, long fall, long down) {}
 
     /** A class of requests; {@code share} is its part of the load, {@code window} how long keys are known. */
-    record Kind(String name, Policy.Effect effect, double share, long work, long aim, long deadline,
-        double worth,
-            double lateShare, long window) { }
+    record Kind(
+            String name,
+            Policy.Effect effect,
+            double share,
+            long work,
+            long aim,
+            long deadline,
+            double worth,
+            double lateShare,
+            long window) {}
 
     /** What may befall boxes, or the discovery. */
     enum What {
@@ -56,8 +70,7 @@
     /** {@code what} befalls {@code boxes} (names, {@code *} at the end stands for any rest) for a while. */
     record Fault(long at, String boxes, What what, long lasting, double amount) {
         boolean strikes(String box) {
-            return boxes.endsWith("*") ? box.startsWith(boxes.substring(0, boxes.length() - 1))
-                : boxes.equals(box);
+            return boxes.endsWith("*") ? box.startsWith(boxes.substring(0, boxes.length() - 1)) : boxes.equals(box);
         }
     }
 
@@ -74,15 +87,26 @@
 
     /** Work that the warm fleet does in a second over what the load brings in one. */
     double headroom() {
-        double can = boxes.stream().mapToDouble(b -> b.count() * b.cores() * b.speed()).sum();
+        double can = boxes.stream()
+                .mapToDouble(b -> b.count() * b.cores() * b.speed())
+                .sum();
         double shares = kinds.stream().mapToDouble(Kind::share).sum();
-        double work = kinds.stream().mapToDouble(k -> k.share() * k.work() / 1e6).sum() / shares;
+        double work =
+                kinds.stream().mapToDouble(k -> k.share() * k.work() / 1e6).sum() / shares;
         return can / (rate * work);
     }
 
     /** The same for another time and, where {@code other} is above 0, at another rate. */
     Scenario with(long seconds, double other) {
-        return new Scenario(name, seed, seconds > 0 ? seconds * 1_000_000 : lasting, other > 0 ? other : rate,
-            connections, cold, boxes, kinds, faults);
+        return new Scenario(
+                name,
+                seed,
+                seconds > 0 ? seconds * 1_000_000 : lasting,
+                other > 0 ? other : rate,
+                connections,
+                cold,
+                boxes,
+                kinds,
+                faults);
     }
 }
--- a/src/rig/java/junctionhead/rig/Script.java
+++ b/src/rig/java/junctionhead/rig/Script.java
@@ -11,9 +11,9 @@
  */
 final class Script {
     /** An order; {@code at} in µs from the beginning, {@code work} in µs of one core at speed 1. */
-    record Order(int number, String id, long at, int kind, String key, long work) { }
+    record Order(int number, String id, long at, int kind, String key, long work) {}
 
-    private Script() { }
+    private Script() {}
 
     static List<Order> of(Scenario scenario) {
         SplittableRandom seeds = new SplittableRandom(scenario.seed());
@@ -21,7 +21,8 @@
         SplittableRandom choice = seeds.split();
         SplittableRandom works = seeds.split();
         SplittableRandom keys = seeds.split();
-        double shares = scenario.kinds().stream().mapToDouble(Scenario.Kind::share).sum();
+        double shares =
+                scenario.kinds().stream().mapToDouble(Scenario.Kind::share).sum();
         List<Order> orders = new ArrayList<>();
         double at = 0;
         while (true) {
@@ -31,16 +32,19 @@
             }
             double point = choice.nextDouble() * shares;
             int kind = 0;
-            while (kind < scenario.kinds().size() - 1 && point >= scenario.kinds().get(kind).share()) {
+            while (kind < scenario.kinds().size() - 1
+                    && point >= scenario.kinds().get(kind).share()) {
                 point -= scenario.kinds().get(kind).share();
                 kind++;
             }
             // Erlang of order 2: varied, without the far tail that hides what the balancer does.
-            double work = -Math.log((1 - works.nextDouble()) * (1 - works.nextDouble())) / 2
-                * scenario.kinds().get(kind).work();
+            double work = -Math.log((1 - works.nextDouble()) * (1 - works.nextDouble()))
+                    / 2
+                    * scenario.kinds().get(kind).work();
             int number = orders.size();
-            orders.add(new Order(number, "o" + number, (long) at, kind,
-                Long.toHexString(keys.nextLong()), Math.max(1, (long) work)));
+            orders.add(new Order(
+                    number, "o" + number, (long) at, kind, Long.toHexString(keys.nextLong()), Math.max(1, (long)
+                            work)));
         }
     }
 }
--- a/src/rig/java/junctionhead/rig/ServerModel.java
+++ b/src/rig/java/junctionhead/rig/ServerModel.java
@@ -42,21 +42,20 @@
         void done(Job job, long at);
     }
 
-    private static final double SLACK = 0.25;       // of the budget of a fall, for chance
+    private static final double SLACK = 0.25; // of the budget of a fall, for chance
 
     private final int cores;
     private final double speed;
     private final int queueMost;
     private final Scenario.Cold cold;
-    private final PriorityQueue<Job> running =
-        new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.end));
+    private final PriorityQueue<Job> running = new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.end));
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private long startedAt = Long.MIN_VALUE / 2;    // long ago: warm
+    private long startedAt = Long.MIN_VALUE / 2; // long ago: warm
     private long last;
-    private double done;                            // work that a core would have done so far
+    private double done; // work that a core would have done so far
     private double slowness = 1;
     private boolean stalled;
-    private double pressure;                        // work sent beyond what the overload factor allows
+    private double pressure; // work sent beyond what the overload factor allows
 
     ServerModel(Scenario.Boxes kind, Scenario.Cold cold, long now) {
         this.cores = kind.cores();
@@ -100,11 +99,12 @@
         while (true) {
             double pace = speedAt(last);
             Job first = running.peek();
-            long end = first == null || pace <= 0 ? Long.MAX_VALUE
-                : last + Math.max(0, (long) Math.ceil((first.end - done) / pace));
+            long end = first == null || pace <= 0
+                    ? Long.MAX_VALUE
+                    : last + Math.max(0, (long) Math.ceil((first.end - done) / pace));
             long to = Math.min(now, end);
             if (warmth(last) < 1) {
-                to = Math.min(to, last + 10_000);   // a speed that rises is taken in steps
+                to = Math.min(to, last + 10_000); // a speed that rises is taken in steps
             }
             done += (to - last) * pace;
             pressure = Math.max(0, pressure - (to - last) * limit(last));
--- a/src/rig/java/junctionhead/rig/SoakClient.java
+++ b/src/rig/java/junctionhead/rig/SoakClient.java
@@ -13,16 +13,16 @@
  * any point. Blocks; for one thread.
  */
 final class SoakClient {
-    private static final long NEW_CONNECTIONS = TimeUnit.MILLISECONDS.toNanos(200);     // behind SIGTERM
-    private static final long LATE = 1_000_000;     // µs behind the deadline; 0.5 s are allowed
-    private static final double KEPT = 0.6;         // of requests, where a connection is there
-    private static final double LEAVES = 0.3;       // of requests
-    private static final double HALF = 0.1;         // of those that leave: before the request is whole
-    private static final double RESETS = 0.4;       // of those that leave
-    private static final double AT_ONCE = 0.5;      // of those that leave: right behind the request
-    private static final int LINGER_MILLIS = 250;   // the others, at most
+    private static final long NEW_CONNECTIONS = TimeUnit.MILLISECONDS.toNanos(200); // behind SIGTERM
+    private static final long LATE = 1_000_000; // µs behind the deadline; 0.5 s are allowed
+    private static final double KEPT = 0.6; // of requests, where a connection is there
+    private static final double LEAVES = 0.3; // of requests
+    private static final double HALF = 0.1; // of those that leave: before the request is whole
+    private static final double RESETS = 0.4; // of those that leave
+    private static final double AT_ONCE = 0.5; // of those that leave: right behind the request
+    private static final int LINGER_MILLIS = 250; // the others, at most
     private static final int THINK_MILLIS = 30;
-    private static final int HALF_LENGTH = 40;      // within the head
+    private static final int HALF_LENGTH = 40; // within the head
     private static final String BODY = "abcdefgh";
 
     private final SoakPlan plan;
@@ -36,8 +36,7 @@
     private Wire kept;
     private int next;
 
-    SoakClient(SoakPlan plan, int number, int most, Testbed testbed, List<SoakTarget> targets,
-            List<String> mishaps) {
+    SoakClient(SoakPlan plan, int number, int most, Testbed testbed, List<SoakTarget> targets, List<String> mishaps) {
         this.plan = plan;
         this.number = number;
         this.most = most;
@@ -68,12 +67,13 @@
             forget();
             kept = connect();
             if (kept == null) {
-                return;                             // nobody listens at present
+                return; // nobody listens at present
             }
         }
         int request = next++;
         String id = id(number, request);
-        Scenario.Kind kind = plan.scenario().kinds().get(request % plan.scenario().kinds().size());
+        Scenario.Kind kind =
+                plan.scenario().kinds().get(request % plan.scenario().kinds().size());
         if (random.nextDouble() < LEAVES) {
             leave(id, kind);
             return;
@@ -138,9 +138,9 @@
     private static String head(String id, Scenario.Kind kind) {
         boolean safe = kind.effect() == Policy.Effect.SAFE;
         return (safe ? "GET" : "POST") + " /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Kind: "
-            + kind.name() + "\r\nReq-Deadline-Ms: " + kind.deadline() / 1_000 + "\r\n"
-            + (kind.effect() == Policy.Effect.KEYED ? "Idempotency-Key: " + id + "\r\n" : "")
-            + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n");
+                + kind.name() + "\r\nReq-Deadline-Ms: " + kind.deadline() / 1_000 + "\r\n"
+                + (kind.effect() == Policy.Effect.KEYED ? "Idempotency-Key: " + id + "\r\n" : "")
+                + (safe ? "\r\n" : "Content-Length: " + BODY.length() + "\r\n\r\n");
     }
 
     private static String whole(String id, Scenario.Kind kind) {
@@ -156,7 +156,7 @@
                 try {
                     return testbed.connect(to);
                 } catch (IOException e) {
-                    continue;                       // it has just ended
+                    continue; // it has just ended
                 }
             }
         }
--- a/src/rig/java/junctionhead/rig/SoakTarget.java
+++ b/src/rig/java/junctionhead/rig/SoakTarget.java
@@ -5,15 +5,19 @@
 
 /** One place among the processes of a soak: who stands there, and what befalls it. For any thread. */
 final class SoakTarget {
-    private enum State { UP, ENDING, DOWN }
+    private enum State {
+        UP,
+        ENDING,
+        DOWN
+    }
 
     private Member member;
     private State state = State.UP;
-    private long endingAt;                          // System.nanoTime
+    private long endingAt; // System.nanoTime
     private boolean held;
     private long heldMicros;
     private boolean killing;
-    private long killedAt = Long.MIN_VALUE;         // System.nanoTime, when the last one had died
+    private long killedAt = Long.MIN_VALUE; // System.nanoTime, when the last one had died
 
     SoakTarget(Member member) {
         this.member = member;
--- a/src/rig/java/junctionhead/rig/StandInDiscovery.java
+++ b/src/rig/java/junctionhead/rig/StandInDiscovery.java
@@ -38,17 +38,22 @@
 final class StandInDiscovery {
     /** µs after which what it has to tell counts as told, whether or not it arrived. */
     static final long TOLD = 6_000_000;
+
     private static final long BEAT_MS = 2_000;
 
-    enum State { IN_SERVICE, TERMINATING, TERMINATED }
+    enum State {
+        IN_SERVICE,
+        TERMINATING,
+        TERMINATED
+    }
 
     private static final class Entry {
         final StandInServer box;
         State state = State.IN_SERVICE;
         long bootMillis;
         long drainedAt;
-        boolean heard;                              // by the balancer, of its state
-        long told;                                  // of its drain, or when it counts as told
+        boolean heard; // by the balancer, of its state
+        long told; // of its drain, or when it counts as told
 
         Entry(StandInServer box) {
             this.box = box;
@@ -88,28 +93,37 @@
 
     /** Listens; not for the loop's own thread. */
     InetSocketAddress open() throws InterruptedException {
-        listener = new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    all.add(channel);
-                    channel.closeFuture().addListener(closed -> {
-                        all.remove(channel);
-                        watches.remove(channel);
-                        mute.remove(channel);
-                    });
-                    channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-                        new Handler());
-                    if (down) {
-                        channel.close();
+        listener = new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        all.add(channel);
+                        channel.closeFuture().addListener(closed -> {
+                            all.remove(channel);
+                            watches.remove(channel);
+                            mute.remove(channel);
+                        });
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Handler());
+                        if (down) {
+                            channel.close();
+                        }
                     }
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
-        loop.scheduleWithFixedDelay(() -> {
-            if (!silent) {
-                watches.forEach(w -> line(w, "\n"));
-            }
-        }, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    if (!silent) {
+                        watches.forEach(w -> line(w, "\n"));
+                    }
+                },
+                BEAT_MS,
+                BEAT_MS,
+                TimeUnit.MILLISECONDS);
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -184,7 +198,8 @@
             if (entry.state != State.IN_SERVICE) {
                 long now = clock.now();
                 entry.told = graceFromLastWatch && entry.heard
-                    ? Math.min(entry.drainedAt + TOLD, now) : Math.min(entry.told, now);
+                        ? Math.min(entry.drainedAt + TOLD, now)
+                        : Math.min(entry.told, now);
                 entry.heard = true;
                 entry.box.sendsEndAt(entry.told + grace);
             }
@@ -194,7 +209,7 @@
     /** Open watches bring one more beat and then nothing; they end when the network is whole again. */
     void cut(boolean on) {
         if (on) {
-            watches.forEach(w -> line(w, "\n"));    // the longest time until it can be noticed
+            watches.forEach(w -> line(w, "\n")); // the longest time until it can be noticed
             mute.addAll(watches);
             watches.clear();
         } else {
@@ -229,14 +244,27 @@
             if (whole && e.state == State.TERMINATED) {
                 continue;
             }
-            out.append(comma).append("{\"uid\":\"").append(e.box.name()).append("\",\"endpoint\":\"")
-                .append(Addresses.text(e.box.address())).append("\",\"az\":\"").append(e.box.kind().zone())
-                .append("\",\"model\":\"").append(e.box.kind().model()).append("\",\"pod_group\":")
-                .append(e.box.cellNumber()).append(",\"state\":\"").append(e.state.name().toLowerCase())
-                .append("\",\"capacity_hint\":").append(e.box.kind().speed() * e.box.kind().cores())
-                .append(",\"boot_ms\":").append(e.bootMillis);
+            out.append(comma)
+                    .append("{\"uid\":\"")
+                    .append(e.box.name())
+                    .append("\",\"endpoint\":\"")
+                    .append(Addresses.text(e.box.address()))
+                    .append("\",\"az\":\"")
+                    .append(e.box.kind().zone())
+                    .append("\",\"model\":\"")
+                    .append(e.box.kind().model())
+                    .append("\",\"pod_group\":")
+                    .append(e.box.cellNumber())
+                    .append(",\"state\":\"")
+                    .append(e.state.name().toLowerCase())
+                    .append("\",\"capacity_hint\":")
+                    .append(e.box.kind().speed() * e.box.kind().cores())
+                    .append(",\"boot_ms\":")
+                    .append(e.bootMillis);
             if (e.box.http3() != null) {
-                out.append(",\"http3\":\"").append(Addresses.text(e.box.http3())).append('"');
+                out.append(",\"http3\":\"")
+                        .append(Addresses.text(e.box.http3()))
+                        .append('"');
             }
             out.append('}');
             comma = ",";
@@ -263,8 +291,8 @@
                 told(List.copyOf(entries.values()));
             } else {
                 byte[] body = list().getBytes(StandardCharsets.UTF_8);
-                var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    Unpooled.wrappedBuffer(body));
+                var answer = new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
                 answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
                 channel.writeAndFlush(answer);
                 told(List.copyOf(entries.values()));
--- a/src/rig/java/junctionhead/rig/StandInServer.java
+++ b/src/rig/java/junctionhead/rig/StandInServer.java
@@ -38,7 +38,7 @@
 /** An order box on a socket: HTTP/1.1 round a {@link ServerModel}, and what befalls it. On one event loop. */
 final class StandInServer implements ServerModel.Told {
     /** What the box is told of an order beyond the request itself. */
-    record Known(Policy.Effect effect, long work, long window) { }
+    record Known(Policy.Effect effect, long work, long window) {}
 
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -56,12 +56,12 @@
     private final ServerModel model;
     private final Set<Connection> connections = new HashSet<>();
     private final Map<Line, ServerModel.Job> jobs = new HashMap<>();
-    private Http3Side http3;                        // null where it speaks HTTP/1.1 only
+    private Http3Side http3; // null where it speaks HTTP/1.1 only
     private Channel listener;
     private InetSocketAddress address;
     private Future<?> timer;
     private long timerAt = NEVER;
-    private long sendsEnd = NEVER;                  // nothing new may reach it from then on
+    private long sendsEnd = NEVER; // nothing new may reach it from then on
     private boolean stalled;
     private boolean refusing;
     private double errors;
@@ -72,8 +72,17 @@
     private long declined;
     private long falls;
 
-    StandInServer(String name, Scenario.Boxes kind, Scenario.Cold cold, EventLoop loop, LoopLag lag,
-            Clock clock, Ledger ledger, Cell cell, int cellNumber, Function<String, Known> orders,
+    StandInServer(
+            String name,
+            Scenario.Boxes kind,
+            Scenario.Cold cold,
+            EventLoop loop,
+            LoopLag lag,
+            Clock clock,
+            Ledger ledger,
+            Cell cell,
+            int cellNumber,
+            Function<String, Known> orders,
             SplittableRandom chance) {
         this.name = name;
         this.kind = kind;
@@ -124,24 +133,33 @@
     }
 
     private io.netty.channel.ChannelFuture bind(InetSocketAddress at) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    opened++;
-                    Connection connection = new Connection(channel);
-                    connections.add(connection);
-                    channel.pipeline().addLast(new HttpServerCodec(), connection.first(),
-                        new HttpObjectAggregator(1 << 17), connection);
-                }
-            }).bind(at).addListener((io.netty.channel.ChannelFuture done) -> {
-                if (done.isSuccess()) {
-                    listener = done.channel();
-                    address = (InetSocketAddress) listener.localAddress();
-                }
-            });
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        opened++;
+                        Connection connection = new Connection(channel);
+                        connections.add(connection);
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        connection.first(),
+                                        new HttpObjectAggregator(1 << 17),
+                                        connection);
+                    }
+                })
+                .bind(at)
+                .addListener((io.netty.channel.ChannelFuture done) -> {
+                    if (done.isSuccess()) {
+                        listener = done.channel();
+                        address = (InetSocketAddress) listener.localAddress();
+                    }
+                });
     }
 
     // ---------------------------------------------------------------- what befalls it, on the loop
@@ -192,8 +210,8 @@
             listener.close();
         }
         for (ServerModel.Job lost : model.die()) {
-            ledger.note(lost.order, (lost.isRunning() ? "lost in the middle on " : "lost unbegun on ") + name,
-                clock.now());
+            ledger.note(
+                    lost.order, (lost.isRunning() ? "lost in the middle on " : "lost unbegun on ") + name, clock.now());
         }
         for (Connection connection : List.copyOf(connections)) {
             connection.reset();
@@ -249,8 +267,8 @@
     @Override
     public void begun(ServerModel.Job job, long at) {
         Known known = orders.apply(job.order);
-        boolean effect = known.effect() != Policy.Effect.KEYED
-            || cell.first(((Asked) job.context).key, known.window(), at);
+        boolean effect =
+                known.effect() != Policy.Effect.KEYED || cell.first(((Asked) job.context).key, known.window(), at);
         ledger.ran(job.order, name, effect, at);
     }
 
@@ -276,21 +294,26 @@
             timer.cancel(false);
         }
         timerAt = next;
-        timer = next == NEVER ? null : loop.schedule(() -> {
-            timerAt = NEVER;
-            model.advance(clock.now(), this);
-            plan();
-        }, Math.max(0, next - clock.now()), TimeUnit.MICROSECONDS);
+        timer = next == NEVER
+                ? null
+                : loop.schedule(
+                        () -> {
+                            timerAt = NEVER;
+                            model.advance(clock.now(), this);
+                            plan();
+                        },
+                        Math.max(0, next - clock.now()),
+                        TimeUnit.MICROSECONDS);
     }
 
     // A cold box that is pushed over stays down for a while, and starts again.
     private void fall() {
         falls++;
         kill();
-        loop.schedule(() -> restart(() -> { }), cold.down(), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> restart(() -> {}), cold.down(), TimeUnit.MICROSECONDS);
     }
 
-    private record Asked(Line line, String key) { }
+    private record Asked(Line line, String key) {}
 
     /** A whole request, by whatever protocol; {@code begunAt}: when its first bytes came. */
     void take(Line line, String id, String uri, String key, long begunAt) {
@@ -374,16 +397,23 @@
         }
 
         private void take(FullHttpRequest request) {
-            StandInServer.this.take(this, request.headers().get("Req-Id"), request.uri(),
-                String.valueOf(request.headers().get("Idempotency-Key")), begunAt);
+            StandInServer.this.take(
+                    this,
+                    request.headers().get("Req-Id"),
+                    request.uri(),
+                    String.valueOf(request.headers().get("Idempotency-Key")),
+                    begunAt);
         }
 
         @Override
         public void answer(int status, String text, boolean unseen) {
-            var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(status), Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.length())
-                .set("Srv-Load", "TEXT inflight=" + load());
+            var response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(status),
+                    Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, text.length())
+                    .set("Srv-Load", "TEXT inflight=" + load());
             if (unseen) {
                 response.headers().set("Srv-Declined", "1");
             }
@@ -392,7 +422,7 @@
 
         @Override
         public void reset() {
-            if (channel.isOpen()) {                 // it may have ended, and not have been told so yet
+            if (channel.isOpen()) { // it may have ended, and not have been told so yet
                 ((SocketChannelConfig) channel.config()).setSoLinger(0);
                 channel.close();
             }
--- a/src/rig/java/junctionhead/rig/Testbed.java
+++ b/src/rig/java/junctionhead/rig/Testbed.java
@@ -96,14 +96,16 @@
     /** What all processes have logged, the former ones included, with the times at which it was read. */
     List<String> log() {
         return java.util.stream.Stream.concat(former.stream(), members.stream())
-            .flatMap(member -> member.timedLog().stream()).toList();
+                .flatMap(member -> member.timedLog().stream())
+                .toList();
     }
 
     /** All that those processes have logged one of whose lines has these words. */
     List<String> logOf(String words) {
         return java.util.stream.Stream.concat(former.stream(), members.stream())
-            .filter(member -> member.log().stream().anyMatch(line -> line.contains(words)))
-            .flatMap(member -> member.timedLog().stream()).toList();
+                .filter(member -> member.log().stream().anyMatch(line -> line.contains(words)))
+                .flatMap(member -> member.timedLog().stream())
+                .toList();
     }
 
     /** A new connection of a client. */
--- a/src/rig/java/junctionhead/rig/UdpRelay.java
+++ b/src/rig/java/junctionhead/rig/UdpRelay.java
@@ -22,7 +22,11 @@
  */
 public final class UdpRelay implements AutoCloseable {
     /** Which way of the path is dead. */
-    public enum Hole { NONE, TO_SERVER, TO_CLIENT }
+    public enum Hole {
+        NONE,
+        TO_SERVER,
+        TO_CLIENT
+    }
 
     private final AtomicBoolean closed = new AtomicBoolean();
     private final EventLoop loop;
@@ -43,20 +47,25 @@
     /** Listens; not for the loop's thread. Returns the address for clients. */
     public InetSocketAddress open() throws InterruptedException {
         front = bind(new SimpleChannelInboundHandler<DatagramPacket>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-                Client client = clients.computeIfAbsent(packet.sender(), Client::new);
-                if (hole != Hole.TO_SERVER) {
-                    pass(packet.content(), copy -> client.send(copy));
-                }
-            }
-        }).sync().channel();
+                    @Override
+                    protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
+                        Client client = clients.computeIfAbsent(packet.sender(), Client::new);
+                        if (hole != Hole.TO_SERVER) {
+                            pass(packet.content(), copy -> client.send(copy));
+                        }
+                    }
+                })
+                .sync()
+                .channel();
         return (InetSocketAddress) front.localAddress();
     }
 
     private io.netty.channel.ChannelFuture bind(SimpleChannelInboundHandler<DatagramPacket> handler) {
-        return new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(handler)
-            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .handler(handler)
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     private void pass(ByteBuf content, java.util.function.Consumer<ByteBuf> on) {
@@ -93,7 +102,9 @@
 
     /** Datagrams that came, and ports that were changed. */
     public long[] counts() {
-        return loop.submit(() -> new long[] {relayed, rebinds}).syncUninterruptibly().getNow();
+        return loop.submit(() -> new long[] {relayed, rebinds})
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Does nothing the second time, when its loop may have ended. */
@@ -103,11 +114,12 @@
             return;
         }
         loop.submit(() -> {
-            clients.values().forEach(c -> c.socket.close());
-            if (front != null) {
-                front.close();
-            }
-        }).awaitUninterruptibly(2_000);
+                    clients.values().forEach(c -> c.socket.close());
+                    if (front != null) {
+                        front.close();
+                    }
+                })
+                .awaitUninterruptibly(2_000);
     }
 
     /** One client's address towards the server. */
@@ -144,7 +156,7 @@
 
         @Override
         public boolean isSharable() {
-            return true;                            // one handler, one open socket at a time
+            return true; // one handler, one open socket at a time
         }
     }
 }
--- a/src/rig/java/junctionhead/rig/fleet/Member.java
+++ b/src/rig/java/junctionhead/rig/fleet/Member.java
@@ -22,14 +22,14 @@
  * throw IllegalStateException with the process's last lines where it says or does nothing for too long.
  */
 public final class Member implements AutoCloseable {
-    private static final long PATIENCE_S = 90;      // for a process on a busy machine
+    private static final long PATIENCE_S = 90; // for a process on a busy machine
     private static final Clock CLOCK = Clock.system();
-    private static final int LAST = 8;              // lines that a complaint quotes
+    private static final int LAST = 8; // lines that a complaint quotes
 
     private final Process process;
     private final Path file;
     private final List<String> lines = new ArrayList<>();
-    private final List<Long> times = new ArrayList<>();     // when each was read
+    private final List<Long> times = new ArrayList<>(); // when each was read
 
     private Member(Process process, Path file) {
         this.process = process;
@@ -50,14 +50,24 @@
         Files.writeString(file, toml);
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(List.of("-XX:+UseSerialGC", "-Xms40m", "-Xmx40m", "-XX:TieredStopAtLevel=1",
-            "-Xss256k", "-cp", classPath, "junctionhead.cli.Cli", "serve", "--config", file.toString()));
+        command.addAll(List.of(
+                "-XX:+UseSerialGC",
+                "-Xms40m",
+                "-Xmx40m",
+                "-XX:TieredStopAtLevel=1",
+                "-Xss256k",
+                "-cp",
+                classPath,
+                "junctionhead.cli.Cli",
+                "serve",
+                "--config",
+                file.toString()));
         return new Member(new ProcessBuilder(command).redirectErrorStream(true).start(), file);
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 note(line);
             }
@@ -79,7 +89,9 @@
 
     /** The same with the time at which each line was read here, in µs since 1970. */
     public synchronized List<String> timedLog() {
-        return IntStream.range(0, lines.size()).mapToObj(i -> times.get(i) + " " + lines.get(i)).toList();
+        return IntStream.range(0, lines.size())
+                .mapToObj(i -> times.get(i) + " " + lines.get(i))
+                .toList();
     }
 
     /** Waits for a line with these words, whether it has been said already or not, and returns it. */
@@ -120,17 +132,19 @@
 
     private InetSocketAddress at(String words) throws InterruptedException {
         String line = line(words);
-        return Addresses.parse(line.substring(line.indexOf(words) + words.length()).strip());
+        return Addresses.parse(
+                line.substring(line.indexOf(words) + words.length()).strip());
     }
 
     /** Waits until it says that it is ready; throws IllegalStateException where it does not. */
     public void awaitReady() throws InterruptedException {
         InetSocketAddress at = address();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        for (int status = 0; status != 200;) {
+        for (int status = 0; status != 200; ) {
             try (Wire asks = new Wire()) {
                 status = asks.open(at) && asks.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                    ? asks.answer().status() : 0;
+                        ? asks.answer().status()
+                        : 0;
             }
             if (status != 200 && System.nanoTime() > until) {
                 synchronized (this) {
@@ -143,7 +157,11 @@
 
     /** Processor time that it has used so far, in µs; 0 where it has ended. */
     public long cpuMicros() {
-        return process.toHandle().info().totalCpuDuration().map(d -> d.toNanos() / 1_000).orElse(0L);
+        return process.toHandle()
+                .info()
+                .totalCpuDuration()
+                .map(d -> d.toNanos() / 1_000)
+                .orElse(0L);
     }
 
     /** How many descriptors it has open (Linux). */
@@ -155,8 +173,9 @@
 
     /** Lets it hold at most so many descriptors from here on; its connection budget stays as it is. */
     public void limitDescriptors(int max) throws IOException, InterruptedException {
-        int code = new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()),
-            "--nofile=" + max + ":").start().waitFor();
+        int code = new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()), "--nofile=" + max + ":")
+                .start()
+                .waitFor();
         if (code != 0) {
             throw new IOException("prlimit failed with exit code " + code);
         }
@@ -168,11 +187,19 @@
     }
 
     /** What a process can be told by its id. */
-    public enum Signal { STOP, CONT, TERM, HUP, KILL }
+    public enum Signal {
+        STOP,
+        CONT,
+        TERM,
+        HUP,
+        KILL
+    }
 
     /** Sends the signal; a stalled process takes all but KILL and CONT only when it goes on. */
     public void signal(Signal what) throws IOException, InterruptedException {
-        int code = new ProcessBuilder("kill", "-" + what, Long.toString(process.pid())).start().waitFor();
+        int code = new ProcessBuilder("kill", "-" + what, Long.toString(process.pid()))
+                .start()
+                .waitFor();
         if (code != 0) {
             throw new IOException("no process to tell " + what + ": " + last());
         }
@@ -207,7 +234,7 @@
 
     @Override
     public void close() {
-        process.destroyForcibly();                  // SIGKILL, which a stalled one takes as well
+        process.destroyForcibly(); // SIGKILL, which a stalled one takes as well
         try {
             process.waitFor(PATIENCE_S, TimeUnit.SECONDS);
             Files.deleteIfExists(file);
--- a/src/rig/java/junctionhead/rig/fleet/Shares.java
+++ b/src/rig/java/junctionhead/rig/fleet/Shares.java
@@ -8,7 +8,7 @@
  * any thread.
  */
 public final class Shares {
-    private final double[] upTo;                    // the parts' sums, the last one 1
+    private final double[] upTo; // the parts' sums, the last one 1
 
     private Shares(double[] upTo) {
         this.upTo = upTo;
@@ -37,8 +37,7 @@
 
     // Box and Muller, 1958: one of the two.
     private static double normal(SplittableRandom random) {
-        return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
-            * Math.cos(2 * Math.PI * random.nextDouble());
+        return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
     /** What part that one gets. */
--- a/src/rig/java/junctionhead/rig/fleet/Spread.java
+++ b/src/rig/java/junctionhead/rig/fleet/Spread.java
@@ -46,13 +46,20 @@
         }
         squares /= got.length;
         chance /= got.length;
-        return new Spread(Math.sqrt(squares), Math.sqrt(chance), Math.sqrt(Math.max(0, squares - chance)),
-            least, most, idle);
+        return new Spread(
+                Math.sqrt(squares), Math.sqrt(chance), Math.sqrt(Math.max(0, squares - chance)), least, most, idle);
     }
 
     /** As fields of a JSON object, without its braces. */
     public String json() {
-        return String.format(Locale.ROOT, "\"deviation\":%.3f,\"chance\":%.3f,\"beyond\":%.3f,\"least\":%.3f,"
-            + "\"most\":%.3f,\"idle\":%d", deviation, chance, beyond, least, most, idle);
+        return String.format(
+                Locale.ROOT,
+                "\"deviation\":%.3f,\"chance\":%.3f,\"beyond\":%.3f,\"least\":%.3f," + "\"most\":%.3f,\"idle\":%d",
+                deviation,
+                chance,
+                beyond,
+                least,
+                most,
+                idle);
     }
 }
--- a/src/rig/java/junctionhead/rig/fleet/Trouble.java
+++ b/src/rig/java/junctionhead/rig/fleet/Trouble.java
@@ -30,8 +30,8 @@
             all.add(i);
         }
         Collections.shuffle(all, new Random(seed * 31 + at * 7 + what.ordinal()));
-        List<Integer> struck = new ArrayList<>(all.subList(0,
-            Math.max(1, Math.min(balancers, (int) Math.round(share * balancers)))));
+        List<Integer> struck =
+                new ArrayList<>(all.subList(0, Math.max(1, Math.min(balancers, (int) Math.round(share * balancers)))));
         Collections.sort(struck);
         return struck;
     }
--- a/src/rig/java/junctionhead/rig/fleet/Wire.java
+++ b/src/rig/java/junctionhead/rig/fleet/Wire.java
@@ -14,10 +14,10 @@
  * connection ended without one. Blocks; for one thread.
  */
 public final class Wire implements AutoCloseable {
-    private static final int PATIENCE_MS = 60_000;  // for an answer, on a busy machine
+    private static final int PATIENCE_MS = 60_000; // for an answer, on a busy machine
 
     /** What came: a status, or 0 and why there was none; {@code stays}: it may be used again. */
-    public record Answer(int status, String text, boolean stays) { }
+    public record Answer(int status, String text, boolean stays) {}
 
     private final Socket socket = new Socket();
     private InputStream in;
@@ -73,8 +73,10 @@
             if (body.length < length) {
                 return new Answer(0, "ended within the body", false);
             }
-            return new Answer(Integer.parseInt(text.split(" ")[1]),
-                new String(body, StandardCharsets.ISO_8859_1), !low.contains("connection: close"));
+            return new Answer(
+                    Integer.parseInt(text.split(" ")[1]),
+                    new String(body, StandardCharsets.ISO_8859_1),
+                    !low.contains("connection: close"));
         } catch (IOException e) {
             return new Answer(0, e.getMessage(), false);
         }
@@ -85,7 +87,7 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            throw new IllegalStateException(e);     // on an open socket it does not fail
+            throw new IllegalStateException(e); // on an open socket it does not fail
         }
         close();
     }
@@ -95,7 +97,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            throw new IllegalStateException(e);     // a socket's close does not fail by its peer
+            throw new IllegalStateException(e); // a socket's close does not fail by its peer
         }
     }
 }
--- a/src/test/java/junctionhead/DecisionTraceTest.java
+++ b/src/test/java/junctionhead/DecisionTraceTest.java
@@ -40,7 +40,12 @@
     private static final long SECOND = 1_000_000;
 
     /** The kinds of site. */
-    enum Site { PLAIN, KEYED_FLEET, ORDERED_ZONES, TENANTS_PRICED }
+    enum Site {
+        PLAIN,
+        KEYED_FLEET,
+        ORDERED_ZONES,
+        TENANTS_PRICED
+    }
 
     @ParameterizedTest
     @CsvSource({
@@ -64,41 +69,88 @@
 
     private static Policy.Settings settings(Site site) {
         RequestClass safe = new RequestClass(Effect.SAFE, Scope.ALL, 0, 60_000, 400_000, 0, 1, 0.3, false);
-        RequestClass streamed =
-            new RequestClass(Effect.SAFE, Scope.ALL, 0, 90_000, 900_000, 0.5, 2, 0.6, true);
-        RequestClass unsafe =
-            new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 120_000, 800_000, 0, 6, 0.2, false);
-        RequestClass keyed =
-            new RequestClass(Effect.KEYED, Scope.CELL, 500_000, 80_000, 600_000, 0, 3, 0.4, false);
-        RequestClass zoned = new RequestClass(Effect.KEYED, Scope.ZONE, 700_000, 80_000, 600_000, 0, 4, 0.4,
-            false, false, Set.of(0, 1), Set.of());
-        RequestClass ordered = new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 100_000, 900_000, 0, 5, 0.1,
-            false, true, Set.of(), Set.of(0, 1));
-        Policy.Bounds bounds = new Policy.Bounds(8_000, SECOND, 3 * SECOND, 0.25, 6 * SECOND, 2.5, SECOND,
-            50_000);
+        RequestClass streamed = new RequestClass(Effect.SAFE, Scope.ALL, 0, 90_000, 900_000, 0.5, 2, 0.6, true);
+        RequestClass unsafe = new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 120_000, 800_000, 0, 6, 0.2, false);
+        RequestClass keyed = new RequestClass(Effect.KEYED, Scope.CELL, 500_000, 80_000, 600_000, 0, 3, 0.4, false);
+        RequestClass zoned = new RequestClass(
+                Effect.KEYED, Scope.ZONE, 700_000, 80_000, 600_000, 0, 4, 0.4, false, false, Set.of(0, 1), Set.of());
+        RequestClass ordered = new RequestClass(
+                Effect.UNSAFE, Scope.ALL, 0, 100_000, 900_000, 0, 5, 0.1, false, true, Set.of(), Set.of(0, 1));
+        Policy.Bounds bounds = new Policy.Bounds(8_000, SECOND, 3 * SECOND, 0.25, 6 * SECOND, 2.5, SECOND, 50_000);
         return switch (site) {
-            case PLAIN -> new Policy.Settings(1, 0, 0, List.of(safe, unsafe), List.of(), 0.1,
-                new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0), false, Discovery.PUSH, Reports.NONE,
-                false, new Policy.Limits(3, true, true, true, 100_000, 0), bounds, 2_000);
-            case KEYED_FLEET -> new Policy.Settings(40, 7, 1, List.of(safe, keyed, unsafe, streamed),
-                List.of(), 0.1, new Policy.Goal(1, 0.2, 0.2, 0), new Policy.Prices(0, 0.02), true,
-                Discovery.ASK, Reports.ANSWERS, true,
-                new Policy.Limits(4, true, true, false, 100_000, 2 * SECOND), bounds, 2_000);
-            case ORDERED_ZONES -> new Policy.Settings(4, 2, 0, List.of(ordered, zoned, safe), List.of(),
-                0.1,
-                new Policy.Goal(1, 0, 0.3, 0), new Policy.Prices(0.05, 0), true, Discovery.PUSH,
-                Reports.ANSWERS, true, new Policy.Limits(3, false, true, false, 100_000, SECOND), bounds,
-                1_000);
-            case TENANTS_PRICED -> new Policy.Settings(3, 1, 2, List.of(safe, keyed, unsafe),
-                List.of(new Tenant(30), new Tenant(400), new Tenant(5)), 0.15,
-                new Policy.Goal(1, 0.1, 0.1, 0.4), new Policy.Prices(0.03, 0.05), false, Discovery.ASK,
-                Reports.NONE, false, new Policy.Limits(3, true, false, false, 100_000, SECOND), bounds,
-                5_000);
+            case PLAIN ->
+                new Policy.Settings(
+                        1,
+                        0,
+                        0,
+                        List.of(safe, unsafe),
+                        List.of(),
+                        0.1,
+                        new Policy.Goal(1, 0, 0, 0),
+                        new Policy.Prices(0, 0),
+                        false,
+                        Discovery.PUSH,
+                        Reports.NONE,
+                        false,
+                        new Policy.Limits(3, true, true, true, 100_000, 0),
+                        bounds,
+                        2_000);
+            case KEYED_FLEET ->
+                new Policy.Settings(
+                        40,
+                        7,
+                        1,
+                        List.of(safe, keyed, unsafe, streamed),
+                        List.of(),
+                        0.1,
+                        new Policy.Goal(1, 0.2, 0.2, 0),
+                        new Policy.Prices(0, 0.02),
+                        true,
+                        Discovery.ASK,
+                        Reports.ANSWERS,
+                        true,
+                        new Policy.Limits(4, true, true, false, 100_000, 2 * SECOND),
+                        bounds,
+                        2_000);
+            case ORDERED_ZONES ->
+                new Policy.Settings(
+                        4,
+                        2,
+                        0,
+                        List.of(ordered, zoned, safe),
+                        List.of(),
+                        0.1,
+                        new Policy.Goal(1, 0, 0.3, 0),
+                        new Policy.Prices(0.05, 0),
+                        true,
+                        Discovery.PUSH,
+                        Reports.ANSWERS,
+                        true,
+                        new Policy.Limits(3, false, true, false, 100_000, SECOND),
+                        bounds,
+                        1_000);
+            case TENANTS_PRICED ->
+                new Policy.Settings(
+                        3,
+                        1,
+                        2,
+                        List.of(safe, keyed, unsafe),
+                        List.of(new Tenant(30), new Tenant(400), new Tenant(5)),
+                        0.15,
+                        new Policy.Goal(1, 0.1, 0.1, 0.4),
+                        new Policy.Prices(0.03, 0.05),
+                        false,
+                        Discovery.ASK,
+                        Reports.NONE,
+                        false,
+                        new Policy.Limits(3, true, false, false, 100_000, SECOND),
+                        bounds,
+                        5_000);
         };
     }
 
     /** One thing that happens at a time; {@code order}: events of one time keep their order. */
-    private record Event(long at, int order, Runnable action) { }
+    private record Event(long at, int order, Runnable action) {}
 
     /** A request as the caller sees it. */
     private static final class Call {
@@ -116,7 +168,7 @@
     private static final class History implements Policy.Actions {
         private final SplittableRandom random;
         private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingInt(Event::order));
+                new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingInt(Event::order));
         private final MessageDigest digest;
         private final Policy.Settings settings;
         private final Policy policy;
@@ -176,9 +228,10 @@
             Call call = new Call(id);
             calls.put(id, call);
             int requestClass = random.nextInt(settings.classes().size());
-            int tenant = settings.tenants().isEmpty() ? 0 : random.nextInt(settings.tenants().size());
-            String key = random.nextInt(4) == 0 ? null
-                : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
+            int tenant = settings.tenants().isEmpty()
+                    ? 0
+                    : random.nextInt(settings.tenants().size());
+            String key = random.nextInt(4) == 0 ? null : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
             long work = random.nextInt(3) == 0 ? -1 : 5_000 + random.nextInt(40_000);
             long left = settings.classes().get(requestClass).deadline() / (1 + random.nextInt(3));
             boolean again = random.nextInt(12) == 0;
@@ -210,13 +263,22 @@
             if (chance == 0) {
                 policy.servers(now, ListKind.FAILED, List.of(), this);
             } else if (chance == 1) {
-                policy.servers(now, ListKind.COMPLETE,
-                    servers.stream().filter(s -> s.state() != State.GONE).toList(), this);
+                policy.servers(
+                        now,
+                        ListKind.COMPLETE,
+                        servers.stream().filter(s -> s.state() != State.GONE).toList(),
+                        this);
             } else {
                 State next = State.values()[random.nextInt(3)];
                 boolean cold = before.state() != State.UP && next == State.UP;
-                Server changed = new Server(before.id(), next, cold ? now : before.startedAt(),
-                    before.weight(), before.cell(), before.kind(), before.zone());
+                Server changed = new Server(
+                        before.id(),
+                        next,
+                        cold ? now : before.startedAt(),
+                        before.weight(),
+                        before.cell(),
+                        before.kind(),
+                        before.zone());
                 servers.set(index, changed);
                 policy.servers(now, ListKind.PARTIAL, List.of(changed), this);
             }
@@ -275,8 +337,9 @@
             if (outcome == Outcome.OK) {
                 call.closed = true;
             }
-            Policy.Load load = random.nextInt(2) == 0 ? null
-                : new Policy.Load(inFlight.get(server), 0, Double.NaN, 9_000, Double.NaN, Double.NaN);
+            Policy.Load load = random.nextInt(2) == 0
+                    ? null
+                    : new Policy.Load(inFlight.get(server), 0, Double.NaN, 9_000, Double.NaN, Double.NaN);
             policy.outcome(now, call.id, attempt, outcome, latency, call.closed, load, this);
         }
 
--- a/src/test/java/junctionhead/DispatchTest.java
+++ b/src/test/java/junctionhead/DispatchTest.java
@@ -51,7 +51,7 @@
         for (int seed = 0; seed < 3000; seed++) {
             Harness harness = halves(seed);
             List<String> order = new ArrayList<>();
-            for (int i = 0; i < 60; i++) {      // counts come to differ
+            for (int i = 0; i < 60; i++) { // counts come to differ
                 Harness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, Outcome.OK);
@@ -60,7 +60,9 @@
             Map<String, Integer> counts = new HashMap<>();
             order.forEach(s -> counts.merge(s, 1, Integer::sum));
             List<String> ranked = counts.entrySet().stream()
-                .sorted((a, b) -> b.getValue() - a.getValue()).map(Map.Entry::getKey).toList();
+                    .sorted((a, b) -> b.getValue() - a.getValue())
+                    .map(Map.Entry::getKey)
+                    .toList();
             if (new HashSet<>(counts.values()).size() == counts.size()) {
                 wins.merge(ranked.indexOf(harness.request("x", 0).server), 1, Integer::sum);
             }
@@ -120,18 +122,23 @@
         harness.warmUp(40, 0, 50_000);
         Harness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
-        harness.end(bad, Outcome.ERROR);      // the retry goes elsewhere
+        harness.end(bad, Outcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
         assertTrue(!harness.sentFor("bad").get(1).server.equals(bad.server));
-        for (int i = 0; i < 2; i++) {       // two other servers are empty: the failed one's slot still counts
+        for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
             assertTrue(!harness.request("n" + i, 0).server.equals(bad.server));
         }
     }
 
     /** The part of 1,000 requests, one at a time, that goes to servers with a connection: one of each set. */
     private static double onConnected(double handshake) {
-        Policy.Settings settings = Harness.settings(new Policy.Prices(0, handshake), 1, true,
-            Policy.Discovery.PUSH, List.of(), Harness.kind(Effect.SAFE, Scope.ALL));
+        Policy.Settings settings = Harness.settings(
+                new Policy.Prices(0, handshake),
+                1,
+                true,
+                Policy.Discovery.PUSH,
+                List.of(),
+                Harness.kind(Effect.SAFE, Scope.ALL));
         int found = 0;
         for (int seed = 0; seed < 1_000; seed++) {
             Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(6));
@@ -144,13 +151,18 @@
     @Test
     void ofQueuesAlikeTheOneThatNeedsNoHandshakeWinsWhereThatHasAPrice() {
         assertEquals(0.5, onConnected(0), 0.08);
-        assertEquals(1, onConnected(0.08), 0.001);      // four of six are sampled: one is always among them
+        assertEquals(1, onConnected(0.08), 0.001); // four of six are sampled: one is always among them
     }
 
     @Test
     void aQueueThatIsLongerByMoreThanThePriceLosesForAllItsConnections() {
-        Policy.Settings settings = Harness.settings(new Policy.Prices(0, 0.08), 1, true,
-            Policy.Discovery.PUSH, List.of(), Harness.kind(Effect.SAFE, Scope.ALL));
+        Policy.Settings settings = Harness.settings(
+                new Policy.Prices(0, 0.08),
+                1,
+                true,
+                Policy.Discovery.PUSH,
+                List.of(),
+                Harness.kind(Effect.SAFE, Scope.ALL));
         for (int seed = 0; seed < 50; seed++) {
             Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(6));
             harness.links = Set.of("s0")::contains;
--- a/src/test/java/junctionhead/FleetModel.java
+++ b/src/test/java/junctionhead/FleetModel.java
@@ -28,7 +28,7 @@
     private static final class Box {
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         Server server;
-        final ArrayDeque<Long> sends = new ArrayDeque<>();  // of the last fall window, while it is cold
+        final ArrayDeque<Long> sends = new ArrayDeque<>(); // of the last fall window, while it is cold
         double speed = 1;
         long freeAt;
     }
@@ -64,18 +64,18 @@
         }
     }
 
-    private record Job(Harness at, Harness.Sent sent, long work) { }
+    private record Job(Harness at, Harness.Sent sent, long work) {}
 
-    private record Try(long at, int requestClass, int number, long work) { }
+    private record Try(long at, int requestClass, int number, long work) {}
 
     final List<Harness> balancers = new ArrayList<>();
     final int[] asked;
     final int[] inTime;
     final int[] refused;
-    double worstCold;           // most sent to a cold server in a fall window, in parts of what rule 4 allows
-    double worstFall;           // the same, in parts of what fells it: n + 3 * root of n + 3 of n allowed
+    double worstCold; // most sent to a cold server in a fall window, in parts of what rule 4 allows
+    double worstFall; // the same, in parts of what fells it: n + 3 * root of n + 3 of n allowed
     int coldSends;
-    int opened;                 // connections to servers, of all balancers
+    int opened; // connections to servers, of all balancers
     long now = Harness.START;
     private final Policy.Settings settings;
     private final SplittableRandom random;
@@ -102,10 +102,24 @@
         servers.forEach(s -> boxes.computeIfAbsent(s.id(), id -> new Box()).server = s);
         for (int i = 0; i < instances; i++) {
             Policy.Settings s = settings;
-            Harness harness = new Harness(new Policy.Settings(s.balancers(), i % s.balancers(), s.zone(),
-                s.classes(), s.tenants(), s.overShareWorth(), s.goal(), s.prices(), s.worthByWork(),
-                s.discovery(), s.reports(), s.warmKeys(), s.limits(), s.bounds(), s.tick()),
-                random.nextLong());
+            Harness harness = new Harness(
+                    new Policy.Settings(
+                            s.balancers(),
+                            i % s.balancers(),
+                            s.zone(),
+                            s.classes(),
+                            s.tenants(),
+                            s.overShareWorth(),
+                            s.goal(),
+                            s.prices(),
+                            s.worthByWork(),
+                            s.discovery(),
+                            s.reports(),
+                            s.warmKeys(),
+                            s.limits(),
+                            s.bounds(),
+                            s.tick()),
+                    random.nextLong());
             harness.links = new Connections(harness);
             balancers.add(harness.list(ListKind.PERSISTED, servers));
             seen.add(0);
@@ -150,7 +164,11 @@
             Harness b = balancers.get(random.nextInt(balancers.size()));
             String id = "q" + requests++;
             open.put(id, t);
-            b.request(id, t.requestClass, 0, settings.classes().get(t.requestClass).deadline());
+            b.request(
+                    id,
+                    t.requestClass,
+                    0,
+                    settings.classes().get(t.requestClass).deadline());
         }
         boxes.values().forEach(this::serve);
         for (int i = 0; i < balancers.size(); i++) {
@@ -180,7 +198,8 @@
                 Try t = open.remove(job.sent.request);
                 if (t != null) {
                     long took = now - t.at;
-                    inTime[t.requestClass] += took <= settings.classes().get(t.requestClass).aim() ? 1 : 0;
+                    inTime[t.requestClass] +=
+                            took <= settings.classes().get(t.requestClass).aim() ? 1 : 0;
                 }
             }
         }
@@ -193,8 +212,12 @@
             while (box.sends.peekFirst() <= at - settings.bounds().fallWindow()) {
                 box.sends.pollFirst();
             }
-            double allowed = settings.bounds().overloadFactor() * settings.bounds().fallWindow() / work
-                * box.speed * box.server.weight() * warmth(box);
+            double allowed = settings.bounds().overloadFactor()
+                    * settings.bounds().fallWindow()
+                    / work
+                    * box.speed
+                    * box.server.weight()
+                    * warmth(box);
             worstCold = Math.max(worstCold, box.sends.size() / allowed);
             worstFall = Math.max(worstFall, box.sends.size() / (allowed + 3 * Math.sqrt(allowed) + 3));
             coldSends++;
@@ -208,8 +231,7 @@
     }
 
     private void speed(Box box) {
-        slowed.forEach((prefix, times) ->
-            box.speed = box.server.id().startsWith(prefix) ? 1 / times : box.speed);
+        slowed.forEach((prefix, times) -> box.speed = box.server.id().startsWith(prefix) ? 1 / times : box.speed);
     }
 
     private double warmth(Box box) {
@@ -249,7 +271,8 @@
             if (t != null && how.equals("refused")) {
                 refused[t.requestClass]++;
                 long gone = now - t.at;
-                if (t.number < TRIES && gone < settings.classes().get(t.requestClass).deadline()) {
+                if (t.number < TRIES
+                        && gone < settings.classes().get(t.requestClass).deadline()) {
                     tries.add(new Try(now + BACK_OFF, t.requestClass, t.number + 1, t.work));
                 }
             }
--- a/src/test/java/junctionhead/FleetTest.java
+++ b/src/test/java/junctionhead/FleetTest.java
@@ -29,18 +29,28 @@
     private static final int MANY = 100;
     private static final int MANY_SERVERS = 200;
     private static final long MANY_WORK = 300_000;
-    private static final double MANY_RATE = 2.5 * MANY_SERVERS * 1e6 / MANY_WORK;     // all that they can do
+    private static final double MANY_RATE = 2.5 * MANY_SERVERS * 1e6 / MANY_WORK; // all that they can do
 
     private static Policy.Settings settings() {
-        RequestClass order =
-            new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 600_000, 2_500_000, 0, 3, 0.2, false);
+        RequestClass order = new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 600_000, 2_500_000, 0, 3, 0.2, false);
         RequestClass urgent =
-            new RequestClass(Effect.KEYED, Scope.CELL, 1_000_000, 250_000, 500_000, 0, 9, 0.25, false);
-        return new Policy.Settings(BALANCERS, 0, 0, List.of(order, urgent), List.of(), 0.1,
-            new Policy.Goal(1, 0, 0, 0), new Policy.Prices(0, 0), true, Policy.Discovery.PUSH,
-            Policy.Reports.NONE, false,
-            new Policy.Limits(3, true, true, true, 120_000, 0),
-            new Policy.Bounds(8_000, 1_000_000, 10_000_000, 0.3, 6_000_000, 3, 1_000_000, 0), 2_000);
+                new RequestClass(Effect.KEYED, Scope.CELL, 1_000_000, 250_000, 500_000, 0, 9, 0.25, false);
+        return new Policy.Settings(
+                BALANCERS,
+                0,
+                0,
+                List.of(order, urgent),
+                List.of(),
+                0.1,
+                new Policy.Goal(1, 0, 0, 0),
+                new Policy.Prices(0, 0),
+                true,
+                Policy.Discovery.PUSH,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(3, true, true, true, 120_000, 0),
+                new Policy.Bounds(8_000, 1_000_000, 10_000_000, 0.3, 6_000_000, 3, 1_000_000, 0),
+                2_000);
     }
 
     private static List<Server> servers(String name, State state, long startedAt, int from, int to) {
@@ -69,10 +79,10 @@
             fleet.run(6_000_000, RATE, SHARES, WORK);
             double before = (calm[0] + 3.0 * calm[1]) / (calm[2] + 3.0 * calm[3]);
             double since = (fleet.inTime[0] - calm[0] + 3.0 * (fleet.inTime[1] - calm[1]))
-                / (fleet.asked[0] - calm[2] + 3.0 * (fleet.asked[1] - calm[3]));
+                    / (fleet.asked[0] - calm[2] + 3.0 * (fleet.asked[1] - calm[3]));
             figures.add("seed " + seed + ": worth in time before " + before + ", since " + since
-                + ", refused " + fleet.refused[0] + " and " + fleet.refused[1] + " of " + fleet.asked[0]
-                + " and " + fleet.asked[1]);
+                    + ", refused " + fleet.refused[0] + " and " + fleet.refused[1] + " of " + fleet.asked[0]
+                    + " and " + fleet.asked[1]);
             assertTrue(before > 0.9 && since > 0.87, figures.get(seed - 1));
             sum += since;
         }
@@ -85,8 +95,7 @@
     void noColdServerIsPushedOverByAllBalancersTogether(int balancers, double load) {
         double rate = load * SERVERS * 1e6 / WORK;
         for (int seed = 1; seed <= 3; seed++) {
-            FleetModel fleet =
-                new FleetModel(settings(), balancers, servers("s", State.UP, 0, 0, SERVERS), seed);
+            FleetModel fleet = new FleetModel(settings(), balancers, servers("s", State.UP, 0, 0, SERVERS), seed);
             fleet.run(4_000_000, rate, SHARES, WORK);
             fleet.change(servers("s", State.DRAINING, 0, 0, 20));
             fleet.slow("new", 1.5);
@@ -106,11 +115,27 @@
     @ValueSource(longs = {1, 2, 3})
     void aBusyBalancerUsesAsManyServersAsItNeedsFromTheStart(long seed) {
         Policy.Settings s = settings();
-        RequestClass read =
-            new RequestClass(Effect.SAFE, Scope.ALL, 0, 2_000_000, 8_000_000, 0, 1, 0.2, false);
-        FleetModel fleet = new FleetModel(new Policy.Settings(4, 0, 0, List.of(read, read), List.of(), 0.1,
-            s.goal(), s.prices(), false, s.discovery(), s.reports(), false, s.limits(), s.bounds(), 2_000), 4,
-            servers("s", State.UP, 0, 0, 100), seed);
+        RequestClass read = new RequestClass(Effect.SAFE, Scope.ALL, 0, 2_000_000, 8_000_000, 0, 1, 0.2, false);
+        FleetModel fleet = new FleetModel(
+                new Policy.Settings(
+                        4,
+                        0,
+                        0,
+                        List.of(read, read),
+                        List.of(),
+                        0.1,
+                        s.goal(),
+                        s.prices(),
+                        false,
+                        s.discovery(),
+                        s.reports(),
+                        false,
+                        s.limits(),
+                        s.bounds(),
+                        2_000),
+                4,
+                servers("s", State.UP, 0, 0, 100),
+                seed);
         fleet.run(10_000_000, 0.6 * 100 * 1e6 / 500_000, SHARES, 500_000);
         int asked = fleet.asked[0] + fleet.asked[1];
         int refused = fleet.refused[0] + fleet.refused[1];
@@ -123,21 +148,44 @@
     }
 
     private static FleetModel many(int instances, long seed) {
-        RequestClass order =
-            new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 2_400_000, 9_800_000, 0, 3, 0.2, false);
+        RequestClass order = new RequestClass(Effect.UNSAFE, Scope.ALL, 0, 2_400_000, 9_800_000, 0, 3, 0.2, false);
         RequestClass urgent =
-            new RequestClass(Effect.KEYED, Scope.CELL, 4_000_000, 980_000, 2_000_000, 0, 9, 0.25, false);
+                new RequestClass(Effect.KEYED, Scope.CELL, 4_000_000, 980_000, 2_000_000, 0, 9, 0.25, false);
         Policy.Settings s = settings();
-        return new FleetModel(new Policy.Settings(MANY, 0, 0, List.of(order, urgent), List.of(), 0.1,
-            s.goal(), new Policy.Prices(0, 0.08), true, Policy.Discovery.ASK, Policy.Reports.ANSWERS, false,
-            s.limits(),
-            s.bounds(), 2_000), instances, halves("s", 0, 0, MANY_SERVERS), seed);
+        return new FleetModel(
+                new Policy.Settings(
+                        MANY,
+                        0,
+                        0,
+                        List.of(order, urgent),
+                        List.of(),
+                        0.1,
+                        s.goal(),
+                        new Policy.Prices(0, 0.08),
+                        true,
+                        Policy.Discovery.ASK,
+                        Policy.Reports.ANSWERS,
+                        false,
+                        s.limits(),
+                        s.bounds(),
+                        2_000),
+                instances,
+                halves("s", 0, 0, MANY_SERVERS),
+                seed);
     }
 
     // Every other one is four times as fast, and listed so.
     private static List<Server> halves(String name, long startedAt, int from, int to) {
-        return servers(name, State.UP, startedAt, from, to).stream().map(x -> new Server(x.id(), x.state(),
-            x.startedAt(), x.id().hashCode() % 2 == 0 ? 4 : 1, x.cell(), x.id().hashCode() & 1, 0)).toList();
+        return servers(name, State.UP, startedAt, from, to).stream()
+                .map(x -> new Server(
+                        x.id(),
+                        x.state(),
+                        x.startedAt(),
+                        x.id().hashCode() % 2 == 0 ? 4 : 1,
+                        x.cell(),
+                        x.id().hashCode() & 1,
+                        0))
+                .toList();
     }
 
     /** Chosen by queues alone: 0.28 to 0.31 connections for each request. */
@@ -173,8 +221,8 @@
             fleet.run(1_500_000, load * MANY_RATE, SHARES, MANY_WORK);
             fleet.change(halves("new", fleet.now, 0, 60));
             fleet.run(6_000_000, load * MANY_RATE, SHARES, MANY_WORK);
-            String figures = balancers + " at " + load + ", seed " + seed + ": " + fleet.worstFall
-                + " of a fall, " + fleet.worstCold + " of what is allowed";
+            String figures = balancers + " at " + load + ", seed " + seed + ": " + fleet.worstFall + " of a fall, "
+                    + fleet.worstCold + " of what is allowed";
             assertTrue(fleet.worstFall <= 0.65, figures);
             assertTrue(fleet.coldSends > 200, "they are used: " + fleet.coldSends);
             sum += fleet.worstCold;
--- a/src/test/java/junctionhead/FourRulesTest.java
+++ b/src/test/java/junctionhead/FourRulesTest.java
@@ -35,13 +35,15 @@
 
     private static Harness warmWithoutCopies(RequestClass kind) {
         Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), kind), 5)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunFails(Outcome outcome) {
         Harness harness = warm(UNSAFE);
         harness.end(harness.request("r", 0), outcome);
@@ -50,7 +52,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FULL", "CONNECT_FAILED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"FULL", "CONNECT_FAILED"})
     void anUnsafeRequestThatNeverRanGoesElsewhere(Outcome outcome) {
         Harness harness = warm(UNSAFE);
         Harness.Sent first = harness.request("r", 0);
@@ -74,8 +78,8 @@
 
     @Test
     void aKeyedRequestThatMayNotBeRepeatedAnyMoreIsAnsweredAtOnce() {
-        RequestClass kind = new RequestClass(Effect.KEYED, Scope.CELL, 300_000, Harness.AIM,
-            Harness.DEADLINE, 0, 1, 1, false);
+        RequestClass kind =
+                new RequestClass(Effect.KEYED, Scope.CELL, 300_000, Harness.AIM, Harness.DEADLINE, 0, 1, 1, false);
         Harness harness = warmWithoutCopies(kind);
         Harness.Sent first = harness.request("r", 0);
         harness.pass(310_000);
@@ -95,7 +99,7 @@
     @Test
     void noSecondCopyWhereTheSiteForbidsIt() {
         Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         Harness.Sent first = harness.request("r", 0);
         assertTrue(first.timeout > 0 && first.timeout < Harness.DEADLINE, "room is left for another attempt");
@@ -108,12 +112,12 @@
     void aKeyedRequestStaysWithinTheGroupThatRemembersIt(Scope scope) {
         for (int seed = 0; seed < 20; seed++) {
             Harness harness = new Harness(Harness.settings(Harness.kind(Effect.KEYED, scope)), seed)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+                    .list(ListKind.PERSISTED, Harness.fleet(6));
             harness.warmUp(40, 0, 40_000);
             Harness.Sent first = harness.request("r", 0);
             harness.end(first, Outcome.ERROR);
             Harness.Sent second = harness.sentFor("r").get(1);
-            if (scope != Scope.ALL) {       // cell and zone alternate over the fleet
+            if (scope != Scope.ALL) { // cell and zone alternate over the fleet
                 assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
             }
         }
@@ -124,7 +128,7 @@
     void aKeyedRequestIsNotSentAgainAfterItsWindow(Scope scope) {
         Harness harness = warm(Harness.kind(Effect.KEYED, scope));
         Harness.Sent first = harness.request("r", 0);
-        harness.pass(2_500_000);              // the window is 2 s from the first send
+        harness.pass(2_500_000); // the window is 2 s from the first send
         for (Harness.Sent copy : harness.sentFor("r")) {
             assertTrue(copy.at - first.at < 2_000_000);
         }
@@ -166,15 +170,14 @@
     void aColdServerGetsLessThanItsPart(int balancers) {
         // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
         Policy.Settings settings = Harness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
-        Harness harness = new Harness(settings, 1)
-            .list(ListKind.PERSISTED, Harness.fleet(4));
+        Harness harness = new Harness(settings, 1).list(ListKind.PERSISTED, Harness.fleet(4));
         harness.warmUp(300, 0, 20_000);
         harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
         long born = harness.now;
         harness.warmUp(150, 0, 20_000);
         long sent = harness.sentTo("cold", born);
         double seconds = (harness.now - born) / 1e6;
-        double part = 0.2 + 0.8 * seconds / 20;         // at the end; less before
+        double part = 0.2 + 0.8 * seconds / 20; // at the end; less before
         assertTrue(sent <= 50.0 / 4 * part * 2.5 * seconds, sent + " in " + seconds + " s");
     }
 
@@ -194,12 +197,21 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(SAFE, UNSAFE, Harness.kind(Effect.KEYED, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.CELL), Harness.kind(Effect.KEYED, Scope.ZONE));
+        List<RequestClass> kinds = List.of(
+                SAFE,
+                UNSAFE,
+                Harness.kind(Effect.KEYED, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.CELL),
+                Harness.kind(Effect.KEYED, Scope.ZONE));
         boolean copies = random.nextBoolean();
-        Harness harness = new Harness(Harness.settings(1 + random.nextInt(4), copies,
-            random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-            List.of(new Policy.Tenant(5), new Policy.Tenant(50)), kinds.toArray(new RequestClass[0])), seed);
+        Harness harness = new Harness(
+                Harness.settings(
+                        1 + random.nextInt(4),
+                        copies,
+                        random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
+                        List.of(new Policy.Tenant(5), new Policy.Tenant(50)),
+                        kinds.toArray(new RequestClass[0])),
+                seed);
         Map<String, Server> truth = new TreeMap<>();
         Map<String, Long> deadlines = new TreeMap<>();
         Map<String, Integer> classOf = new TreeMap<>();
@@ -214,13 +226,13 @@
             if (what < 45) {
                 String id = "r" + step;
                 int kind = random.nextInt(kinds.size());
-                long left = random.nextInt(10) == 0 ? random.nextLong(30_000)
-                    : 200_000 + random.nextLong(2_800_000);
+                long left = random.nextInt(10) == 0 ? random.nextLong(30_000) : 200_000 + random.nextLong(2_800_000);
                 deadlines.put(id, harness.now + left);
                 classOf.put(id, kind);
                 harness.request(id, kind, random.nextInt(2), left);
             } else if (what < 88) {
-                List<Harness.Sent> out = harness.sends.stream().filter(s -> !s.ended).toList();
+                List<Harness.Sent> out =
+                        harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
@@ -242,8 +254,14 @@
                 String id = "s" + random.nextInt(8);
                 State state = State.values()[random.nextInt(3)];
                 long started = random.nextBoolean() ? 0 : harness.now - random.nextLong(5_000_000);
-                Server s = new Server(id, state, started, 1 + random.nextInt(3),
-                    random.nextInt(2), random.nextInt(2), random.nextInt(2));
+                Server s = new Server(
+                        id,
+                        state,
+                        started,
+                        1 + random.nextInt(3),
+                        random.nextInt(2),
+                        random.nextInt(2),
+                        random.nextInt(2));
                 truth.put(id, s);
                 harness.list(ListKind.PARTIAL, List.of(s));
                 if (state == State.UP) {
@@ -258,8 +276,8 @@
             }
             // Attempts whose own time-out or request's deadline has come end then, as on the wire.
             for (Harness.Sent s : new ArrayList<>(harness.sends)) {
-                long until = s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request))
-                    : deadlines.get(s.request);
+                long until =
+                        s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request)) : deadlines.get(s.request);
                 if (!s.ended && harness.now >= until) {
                     ended.computeIfAbsent(s.request, k -> new TreeMap<>()).put(s.number, Outcome.TIMEOUT);
                     harness.end(s, Outcome.TIMEOUT);
@@ -285,8 +303,12 @@
         }
     }
 
-    private static void checkRepeat(Harness harness, Harness.Sent s, RequestClass kind,
-            Map<String, Map<Integer, Outcome>> ended, boolean copies) {
+    private static void checkRepeat(
+            Harness harness,
+            Harness.Sent s,
+            RequestClass kind,
+            Map<String, Map<Integer, Outcome>> ended,
+            boolean copies) {
         for (Harness.Sent earlier : harness.sentFor(s.request)) {
             if (earlier.number >= s.number) {
                 continue;
@@ -296,8 +318,8 @@
             assertTrue(copies || !open, "two attempts at once");
             if (open || !outcome.neverRan()) {
                 assertTrue(kind.effect() != Effect.UNSAFE, "an unsafe request went out twice");
-                assertTrue(kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(),
-                    "sent after its window");
+                assertTrue(
+                        kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(), "sent after its window");
             }
             assertTrue(outcome != Outcome.OK, "sent after it was served");
         }
--- a/src/test/java/junctionhead/FurtherRulesTest.java
+++ b/src/test/java/junctionhead/FurtherRulesTest.java
@@ -22,13 +22,24 @@
     private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
 
     private static RequestClass ordered(Effect effect) {
-        return new RequestClass(effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            true, Set.of(), Set.of());
+        return new RequestClass(
+                effect,
+                Scope.ALL,
+                2_000_000,
+                Harness.AIM,
+                Harness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                true,
+                Set.of(),
+                Set.of());
     }
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            false, zones, kinds);
+        return new RequestClass(
+                Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, false, zones, kinds);
     }
 
     private static Harness fleet(RequestClass... kinds) {
@@ -54,7 +65,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"TIMEOUT", "RESET", "CANCELLED"})
     void aKeyRestsAfterAnAttemptThatMayStillRun(Outcome outcome) {
         Harness harness = fleet(ordered(Effect.UNSAFE));
         Harness.Sent first = harness.keyed("a", 0, "k");
@@ -105,23 +118,25 @@
     @Test
     void aBoundClassGoesNowhereElse() {
         Harness harness = fleet(SAFE, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
-        for (int i = 0; i < 40; i++) {          // zones and kinds alternate over the fleet
+        for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.pass(10_000);
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.ERROR));
         harness.pass(Harness.DEADLINE);
-        harness.sends.stream().filter(s -> s.request.startsWith("z"))
-            .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
-        harness.sends.stream().filter(s -> s.request.startsWith("k"))
-            .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
+        harness.sends.stream()
+                .filter(s -> s.request.startsWith("z"))
+                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
+        harness.sends.stream()
+                .filter(s -> s.request.startsWith("k"))
+                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
     }
 
     @Test
     void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
-        Harness harness = new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
-            .list(ListKind.PERSISTED, List.of());
+        Harness harness =
+                new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3).list(ListKind.PERSISTED, List.of());
         harness.request("bound", 1);
         harness.request("free", 0);
         harness.list(ListKind.PARTIAL, Harness.fleet(4));
--- a/src/test/java/junctionhead/Harness.java
+++ b/src/test/java/junctionhead/Harness.java
@@ -25,7 +25,7 @@
 
         boolean connected(String server);
 
-        default void sent(String server) { }
+        default void sent(String server) {}
     }
 
     /** An attempt that was sent; {@code ended} once its outcome was told. */
@@ -50,7 +50,7 @@
     final List<Sent> sends = new ArrayList<>();
     final Map<String, Integer> attempts = new LinkedHashMap<>();
     final Map<String, String> finals = new LinkedHashMap<>();
-    final Map<String, Long> within = new LinkedHashMap<>();     // of each request's last send that had one
+    final Map<String, Long> within = new LinkedHashMap<>(); // of each request's last send that had one
     final List<String> cancels = new ArrayList<>();
     final List<String> log = new ArrayList<>();
     long now = START;
@@ -58,7 +58,7 @@
     int watches;
     int doubleFinals;
     Links links = Links.ALL;
-    double reported = Double.NaN;                       // in-flight figure that outcomes carry, if any
+    double reported = Double.NaN; // in-flight figure that outcomes carry, if any
 
     Harness(Policy.Settings settings, long seed) {
         policy = new Balance(settings, seed);
@@ -72,18 +72,38 @@
         return settings(1, true, Policy.Discovery.PUSH, List.of(), classes);
     }
 
-    static Policy.Settings settings(int balancers, boolean copies, Policy.Discovery discovery,
-            List<Policy.Tenant> tenants, Policy.RequestClass... classes) {
+    static Policy.Settings settings(
+            int balancers,
+            boolean copies,
+            Policy.Discovery discovery,
+            List<Policy.Tenant> tenants,
+            Policy.RequestClass... classes) {
         return settings(new Policy.Prices(0, 0), balancers, copies, discovery, tenants, classes);
     }
 
-    static Policy.Settings settings(Policy.Prices prices, int balancers, boolean copies,
-            Policy.Discovery discovery, List<Policy.Tenant> tenants, Policy.RequestClass... classes) {
-        return new Policy.Settings(balancers, 0, 0, List.of(classes), tenants, 0.1,
-            new Policy.Goal(1, 0, 0, 0), prices,
-            true, discovery, Policy.Reports.NONE, false,
-            new Policy.Limits(5, copies, true, true, 250_000, 0),
-            new Policy.Bounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE), 5_000);
+    static Policy.Settings settings(
+            Policy.Prices prices,
+            int balancers,
+            boolean copies,
+            Policy.Discovery discovery,
+            List<Policy.Tenant> tenants,
+            Policy.RequestClass... classes) {
+        return new Policy.Settings(
+                balancers,
+                0,
+                0,
+                List.of(classes),
+                tenants,
+                0.1,
+                new Policy.Goal(1, 0, 0, 0),
+                prices,
+                true,
+                discovery,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(5, copies, true, true, 250_000, 0),
+                new Policy.Bounds(20_000, 1_000_000, 10_000_000, 0.2, 20_000_000, 2.5, 1_500_000, PAUSE),
+                5_000);
     }
 
     static Server up(String id) {
@@ -138,8 +158,15 @@
         if (outcome == Outcome.OK) {
             finals.putIfAbsent(sent.request, "ok");
         }
-        policy.outcome(now, sent.request, sent.number, outcome, now - sent.at, closed,
-            new Policy.Load(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN), this);
+        policy.outcome(
+                now,
+                sent.request,
+                sent.number,
+                outcome,
+                now - sent.at,
+                closed,
+                new Policy.Load(reported, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
+                this);
     }
 
     /** Lets time pass, waking the module when it asked for it. */
@@ -163,7 +190,9 @@
     }
 
     long sentTo(String server, long since) {
-        return sends.stream().filter(s -> s.server.equals(server) && s.at >= since).count();
+        return sends.stream()
+                .filter(s -> s.server.equals(server) && s.at >= since)
+                .count();
     }
 
     List<Sent> sentFor(String request) {
--- a/src/test/java/junctionhead/LearnedTest.java
+++ b/src/test/java/junctionhead/LearnedTest.java
@@ -31,8 +31,10 @@
                 harness.request("q" + harness.now + "/" + i + "/" + j, 0);
             }
             harness.pass(latency);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, bad.getOrDefault(s.server, Outcome.OK)));
         }
     }
 
@@ -66,13 +68,15 @@
         Harness.Sent stuck = harness.request("stuck", 0);
         harness.pass(200_000);
         long from = harness.now;
-        for (int i = 0; i < 40; i++) {          // three at a time: the third finds all queues alike
+        for (int i = 0; i < 40; i++) { // three at a time: the third finds all queues alike
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
             }
             harness.pass(20_000);
-            harness.sends.stream().filter(s -> !s.ended && s != stuck).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && s != stuck)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         assertEquals(0, harness.sentTo(stuck.server, from));
     }
@@ -94,21 +98,22 @@
         // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
         Harness harness = harness(6, SAFE);
         serve(harness, 200, 30_000, Map.of());
-        for (int i = 0; i < 60; i++) {          // everything takes ten times as long
+        for (int i = 0; i < 60; i++) { // everything takes ten times as long
             harness.request("slow" + i, 0);
             harness.pass(50_000);
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 400_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 400_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
         harness.pass(4_000_000);
         int sent = 0;
-        for (int i = 0; i < 10 * 12; i++) {     // twelve at a time
+        for (int i = 0; i < 10 * 12; i++) { // twelve at a time
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sends.stream().anyMatch(s -> !s.ended)) {
                 harness.pass(30_000);
-                harness.sends.stream().filter(s -> !s.ended).toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.OK));
                 sent = 0;
             }
         }
@@ -118,17 +123,21 @@
     @Test
     void anOverShareTenantLosesItsExcessAndKeepsItsShare() {
         // All requests of a tenant over its share were marked, so its share starved too.
-        Harness harness = new Harness(Harness.settings(1, true, Discovery.PUSH,
-            List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+        Harness harness = new Harness(
+                        Harness.settings(
+                                1, true, Discovery.PUSH, List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
-        for (int i = 0; i < 1200; i++) {        // tenant 0 brings 80 a second, tenant 1 20
+        for (int i = 0; i < 1200; i++) { // tenant 0 brings 80 a second, tenant 1 20
             int tenant = i % 5 == 4 ? 1 : 0;
             served.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
             harness.pass(10_000);
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 300_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 300_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
         }
         harness.finals.forEach((id, how) -> {
             if (how.equals("ok")) {
@@ -164,7 +173,7 @@
         Harness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
         harness.again("late", 0, Harness.DEADLINE - Harness.AIM - 200_000);
-        harness.again("quick", 0, Harness.DEADLINE - 150_000);  // this one can still be in time
+        harness.again("quick", 0, Harness.DEADLINE - 150_000); // this one can still be in time
         assertEquals(1, harness.sentFor("quick").size());
         assertEquals("refused", harness.finals.get("late"));
     }
@@ -173,35 +182,36 @@
     void aNextTryThatMayBeInTimeIsServedLikeAnyOther() {
         Harness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("again", 0, Harness.DEADLINE);            // as much time as a first try: age unknown
+        harness.again("again", 0, Harness.DEADLINE); // as much time as a first try: age unknown
         assertEquals(1, harness.sentFor("again").size());
     }
 
     @Test
     void theMostUrgentHeldRequestGoesFirst() {
         // In order of arrival requests with a short aim ran out behind those with a long one.
-        Policy.RequestClass patient = new Policy.RequestClass(Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM,
-            4 * Harness.DEADLINE, 0, 1, 0, false);
+        Policy.RequestClass patient = new Policy.RequestClass(
+                Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
         Harness harness = holding(SAFE, patient);
         harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
         harness.request("urgent", 0);
         harness.list(ListKind.PARTIAL, Harness.fleet(1));
-        assertEquals(List.of("urgent", "patient"), harness.sends.stream().map(s -> s.request).toList());
+        assertEquals(
+                List.of("urgent", "patient"),
+                harness.sends.stream().map(s -> s.request).toList());
     }
 
     @Test
     void discoveryIsAskedAgainAfterErrorsAndSilenceButNotHammered() {
         Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(2));
+                .list(ListKind.PERSISTED, Harness.fleet(2));
         assertEquals(1, harness.watches);
-        harness.pass(7_000_000);                  // silence: asked again within AskWithin
+        harness.pass(7_000_000); // silence: asked again within AskWithin
         assertEquals(2, harness.watches);
-        for (int i = 0; i < 20; i++) {          // 20 s of errors
+        for (int i = 0; i < 20; i++) { // 20 s of errors
             harness.list(ListKind.FAILED, List.of());
             harness.pass(1_000_000);
         }
-        assertTrue(harness.watches >= 5 && harness.watches <= 16,
-            "asked " + harness.watches + " times in 27 s");
+        assertTrue(harness.watches >= 5 && harness.watches <= 16, "asked " + harness.watches + " times in 27 s");
         int before = harness.watches;
         harness.list(ListKind.PARTIAL, List.of());
         harness.pass(60_000_000);
@@ -214,14 +224,14 @@
     private static int sentOf(Harness harness, int requests, int requestClass, int tenant, long latency) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
-            Harness.Sent s = harness.request("o" + harness.now + "/" + i, requestClass, tenant,
-                Harness.DEADLINE);
+            Harness.Sent s = harness.request("o" + harness.now + "/" + i, requestClass, tenant, Harness.DEADLINE);
             harness.pass(latency);
             if (s != null) {
                 sent++;
                 harness.end(s, Outcome.OK);
-                harness.sentFor(s.request).stream().filter(copy -> !copy.ended)
-                    .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
+                harness.sentFor(s.request).stream()
+                        .filter(copy -> !copy.ended)
+                        .forEach(copy -> harness.end(copy, Outcome.CANCELLED));
             }
         }
         return sent;
@@ -250,8 +260,8 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        Policy.RequestClass dear = new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM,
-            Harness.DEADLINE, 0, 9, 0, false);
+        Policy.RequestClass dear =
+                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Harness harness = harness(6, UNSAFE, dear);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
@@ -265,12 +275,11 @@
     @Test
     void oneTenantsExcessDoesNotWidenTheSharesOfAll() {
         // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
-        List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4),
-            new Policy.Tenant(8.4));
+        List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4), new Policy.Tenant(8.4));
         Harness harness = new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         int sent = 0;
-        for (int i = 0; i < 60; i++) {          // 71 s of 270 ms each: this balancer's part of a share is 60
+        for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
             sent += sentOf(harness, 3, 0, 0, 270_000);
             sentOf(harness, i % 10 < 7 ? 1 : 0, 0, 1, 270_000);
             sentOf(harness, i % 10 < 7 ? 1 : 0, 0, 2, 270_000);
@@ -290,7 +299,9 @@
         serve(harness, 100, 20_000, bad);
         long from = harness.now;
         serve(harness, 20, 20_000, bad);
-        long good = harness.sends.stream().filter(s -> s.at >= from && !used.contains(s.server)).count();
+        long good = harness.sends.stream()
+                .filter(s -> s.at >= from && !used.contains(s.server))
+                .count();
         assertTrue(good >= 70, "others have taken over: " + good + " of 80");
     }
 
@@ -303,8 +314,7 @@
     }
 
     private static List<String> used(int servers, long seed) {
-        Harness harness = new Harness(Harness.settings(SAFE), seed)
-            .list(ListKind.PERSISTED, Harness.fleet(servers));
+        Harness harness = new Harness(Harness.settings(SAFE), seed).list(ListKind.PERSISTED, Harness.fleet(servers));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
@@ -322,7 +332,10 @@
                 harness.reported = s.server.equals("s1") ? filled : 2;
                 harness.end(s, Outcome.OK);
             }
-            long last = harness.sends.stream().skip(100).filter(s -> s.server.equals("s1")).count();
+            long last = harness.sends.stream()
+                    .skip(100)
+                    .filter(s -> s.server.equals("s1"))
+                    .count();
             assertTrue(filled != 50 || last <= 15, "a long reported queue is avoided: " + last);
         }
     }
@@ -373,8 +386,7 @@
             harness.pass(Harness.AIM - 5_000);
             int copies = harness.sentFor("silent").size() - 1;
             assertEquals(kind == SAFE ? 1 : 0, copies, "copies of " + kind.effect());
-            assertTrue(harness.sentFor("silent").stream().skip(1)
-                .noneMatch(s -> s.server.equals(silent.server)));
+            assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.server.equals(silent.server)));
         }
     }
 
@@ -406,7 +418,7 @@
             }
         }
         assertEquals(5, refusedUnsent(harness), "the strain is high enough");
-        harness.pass(60_000);               // the servers that were full have rested
+        harness.pass(60_000); // the servers that were full have rested
         Harness.Sent sent = null;
         for (int i = 0; sent == null; i++) {
             sent = harness.request("late" + i, 0);
@@ -418,7 +430,9 @@
 
     private static long refusedUnsent(Harness harness) {
         return harness.finals.entrySet().stream()
-            .filter(e -> e.getValue().equals("refused") && harness.sentFor(e.getKey()).isEmpty()).count();
+                .filter(e -> e.getValue().equals("refused")
+                        && harness.sentFor(e.getKey()).isEmpty())
+                .count();
     }
 
     @Test
@@ -431,12 +445,13 @@
         }
         harness.pass(Harness.AIM);
         long copies = harness.sends.stream()
-            .filter(s -> s.request.startsWith("burst") && s.number > 0).count();
+                .filter(s -> s.request.startsWith("burst") && s.number > 0)
+                .count();
         assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
         Harness full = harness(6, SAFE);
         serve(full, 60, 20_000, Map.of());
         List<Harness.Sent> turned =
-            IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
+                IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
         turned.forEach(s -> full.end(s, Outcome.FULL));
         full.request("wait", 0);
         full.pass(Harness.AIM);
@@ -446,12 +461,28 @@
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
         // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        Policy.RequestClass dear = new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM,
-            Harness.DEADLINE, 0, 9, 0, false);
+        Policy.RequestClass dear =
+                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
         Policy.Settings s = Harness.settings(UNSAFE, dear);
-        Harness harness = new Harness(new Policy.Settings(1, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), false, s.discovery(), s.reports(), false, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(6));
+        Harness harness = new Harness(
+                        new Policy.Settings(
+                                1,
+                                0,
+                                0,
+                                s.classes(),
+                                List.of(),
+                                0.1,
+                                s.goal(),
+                                s.prices(),
+                                false,
+                                s.discovery(),
+                                s.reports(),
+                                false,
+                                s.limits(),
+                                s.bounds(),
+                                s.tick()),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(6));
         for (int i = 0; i < 40; i++) {
             sentOf(harness, 1, 0, 0, 500_000);
             sentOf(harness, 1, 1, 0, 500_000);
@@ -465,14 +496,32 @@
     void aHotKeyGetsMoreServersThanAColdOne() {
         // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
         Policy.Settings s = Harness.settings(SAFE);
-        Harness harness = new Harness(new Policy.Settings(1, 0, 0, s.classes(), List.of(), 0.1, s.goal(),
-            s.prices(), true, s.discovery(), s.reports(), true, s.limits(), s.bounds(), s.tick()), 3)
-            .list(ListKind.PERSISTED, Harness.fleet(20));
+        Harness harness = new Harness(
+                        new Policy.Settings(
+                                1,
+                                0,
+                                0,
+                                s.classes(),
+                                List.of(),
+                                0.1,
+                                s.goal(),
+                                s.prices(),
+                                true,
+                                s.discovery(),
+                                s.reports(),
+                                true,
+                                s.limits(),
+                                s.bounds(),
+                                s.tick()),
+                        3)
+                .list(ListKind.PERSISTED, Harness.fleet(20));
         for (int i = 0; i < 600; i++) {
             Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.pass(10_000);
-            harness.sends.stream().filter(x -> !x.ended && harness.now - x.at >= 60_000).toList()
-                .forEach(x -> harness.end(x, Outcome.OK));
+            harness.sends.stream()
+                    .filter(x -> !x.ended && harness.now - x.at >= 60_000)
+                    .toList()
+                    .forEach(x -> harness.end(x, Outcome.OK));
             assertTrue(sent != null);
         }
         long hot = servers(harness, 0, 2);
@@ -481,8 +530,11 @@
     }
 
     private static long servers(Harness harness, int first, int step) {
-        return harness.sends.stream().filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
-            .map(x -> x.server).distinct().count();
+        return harness.sends.stream()
+                .filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
+                .map(x -> x.server)
+                .distinct()
+                .count();
     }
 
     @Test
@@ -490,13 +542,13 @@
         // Late answers counted twice their aim: refusal rose to 86% in seconds, fell back and rose again.
         Harness harness = harness(6, SAFE);
         sentOf(harness, 40, 0, 0, 50_000);
-        for (int i = 0; i < 20; i++) {          // two seconds of late answers, ten a second
+        for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
             Harness.Sent sent = harness.request("late" + i, 0);
             harness.pass(100_000);
             if (sent != null) {
                 harness.now += 1;
-                harness.policy.outcome(harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM,
-                    true, null, harness);
+                harness.policy.outcome(
+                        harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM, true, null, harness);
                 sent.ended = true;
             }
         }
--- a/src/test/java/junctionhead/LibraryTest.java
+++ b/src/test/java/junctionhead/LibraryTest.java
@@ -38,24 +38,51 @@
 
     @Test
     void impossibleSettingsAreNamed() {
-        assertEquals("impossible aim: 0", assertThrows(IllegalArgumentException.class,
-            () -> new RequestClass(Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false)).getMessage());
-        assertEquals("impossible coldFrom: 0.0", assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0)).getMessage());
-        assertEquals("impossible maxAttempts: 0", assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Limits(0, true, true, true, 1, 0)).getMessage());
-        assertEquals("impossible classes: none", assertThrows(IllegalArgumentException.class,
-            () -> Harness.settings()).getMessage());
+        assertEquals(
+                "impossible aim: 0",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new RequestClass(Effect.SAFE, Scope.ALL, 0, 0, 1, 0, 1, 0, false))
+                        .getMessage());
+        assertEquals(
+                "impossible coldFrom: 0.0",
+                assertThrows(IllegalArgumentException.class, () -> new Policy.Bounds(1, 1, 1, 0, 1, 2, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible maxAttempts: 0",
+                assertThrows(IllegalArgumentException.class, () -> new Policy.Limits(0, true, true, true, 1, 0))
+                        .getMessage());
+        assertEquals(
+                "impossible classes: none",
+                assertThrows(IllegalArgumentException.class, () -> Harness.settings())
+                        .getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
     void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
         Policy.Settings s = Harness.settings(SAFE);
-        assertEquals(complaint, assertThrows(IllegalArgumentException.class,
-            () -> new Policy.Settings(balancers, rank, 0, s.classes(), List.of(), 1, s.goal(), s.prices(),
-                false,
-                s.discovery(), s.reports(), false, s.limits(), s.bounds(), 1_000)).getMessage());
+        assertEquals(
+                complaint,
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> new Policy.Settings(
+                                        balancers,
+                                        rank,
+                                        0,
+                                        s.classes(),
+                                        List.of(),
+                                        1,
+                                        s.goal(),
+                                        s.prices(),
+                                        false,
+                                        s.discovery(),
+                                        s.reports(),
+                                        false,
+                                        s.limits(),
+                                        s.bounds(),
+                                        1_000))
+                        .getMessage());
     }
 
     /** Settings unlike any deployment: sensible behaviour, every request answered. */
@@ -68,25 +95,40 @@
         "8, 3, 20000000, 60000000, 3, false, 8, 2000000",
         "6, 1, 600000, 1200000, 1, false, 50, 30000",
     })
-    void oddSettingsAreServed(int servers, int balancers, long aim, long deadline, int attempts,
-            boolean copies, int rate, long latency) {
+    void oddSettingsAreServed(
+            int servers, int balancers, long aim, long deadline, int attempts, boolean copies, int rate, long latency) {
         for (Effect effect : Effect.values()) {
             RequestClass kind = new RequestClass(effect, Scope.CELL, deadline, aim, deadline, 0, 1, 0, false);
-            Policy.Settings base =
-                Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
-            Harness harness = new Harness(new Policy.Settings(balancers, 0, 0, base.classes(), List.of(), 1,
-                base.goal(), base.prices(), false, base.discovery(), Policy.Reports.NONE, false,
-                new Policy.Limits(attempts, copies, false, false, 1000, 0), base.bounds(), 1_000), 9);
+            Policy.Settings base = Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
+            Harness harness = new Harness(
+                    new Policy.Settings(
+                            balancers,
+                            0,
+                            0,
+                            base.classes(),
+                            List.of(),
+                            1,
+                            base.goal(),
+                            base.prices(),
+                            false,
+                            base.discovery(),
+                            Policy.Reports.NONE,
+                            false,
+                            new Policy.Limits(attempts, copies, false, false, 1000, 0),
+                            base.bounds(),
+                            1_000),
+                    9);
             harness.list(ListKind.PERSISTED, Harness.fleet(servers));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
-                harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= latency).toList()
-                    .forEach(s -> harness.end(s, Outcome.OK));
+                harness.sends.stream()
+                        .filter(s -> !s.ended && harness.now - s.at >= latency)
+                        .toList()
+                        .forEach(s -> harness.end(s, Outcome.OK));
             }
             harness.pass(deadline);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, Outcome.TIMEOUT));
+            harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.TIMEOUT));
             harness.pass(deadline);
             assertEquals(400, harness.finals.size());
             assertEquals(0, harness.doubleFinals);
@@ -101,11 +143,12 @@
         for (int i = 0; i < 30_000; i++) {
             Harness.Sent sent = harness.request("r" + i, 0);
             harness.pass(5_000);
-            harness.sends.stream().filter(s -> !s.ended).toList()
-                .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
-            if (i % 50 == 0) {                  // machines come and go under new names
-                harness.list(ListKind.COMPLETE,
-                    List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
+            harness.sends.stream()
+                    .filter(s -> !s.ended)
+                    .toList()
+                    .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
+            if (i % 50 == 0) { // machines come and go under new names
+                harness.list(ListKind.COMPLETE, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
                 harness.finals.clear();
@@ -122,10 +165,14 @@
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
         String rules = Files.readString(Path.of("src/main/java/junctionhead/Balance.java"));
         String page = Files.readString(Path.of("README.md"));
-        for (String line : List.of("overload: refusing, level ", "ejected ", " ms after failures",
-                "recovered ", "discovery failed ", " times, asking again")) {
-            assertTrue(rules.contains(line),
-                "the module writes: " + line);
+        for (String line : List.of(
+                "overload: refusing, level ",
+                "ejected ",
+                " ms after failures",
+                "recovered ",
+                "discovery failed ",
+                " times, asking again")) {
+            assertTrue(rules.contains(line), "the module writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
--- a/src/test/java/junctionhead/MainTest.java
+++ b/src/test/java/junctionhead/MainTest.java
@@ -23,26 +23,32 @@
 /** The program as it is started: arguments, exit codes and what goes to which stream. */
 class MainTest {
     // What is served: without the libraries of tests, whose log would be found and would have its say.
-    private static final String CLASS_PATH = Arrays.stream(System.getProperty("java.class.path")
-        .split(File.pathSeparator)).filter(entry -> !entry.contains("slf4j") && !entry.contains("archunit"))
-        .collect(Collectors.joining(File.pathSeparator));
+    private static final String CLASS_PATH = Arrays.stream(
+                    System.getProperty("java.class.path").split(File.pathSeparator))
+            .filter(entry -> !entry.contains("slf4j") && !entry.contains("archunit"))
+            .collect(Collectors.joining(File.pathSeparator));
 
-    private record Run(int exit, String out, String err) { }
+    private record Run(int exit, String out, String err) {}
 
     private static Run run(String input, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            CLASS_PATH,
-            "junctionhead.Main"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                CLASS_PATH,
+                "junctionhead.Main"));
         command.addAll(List.of(arguments));
         Path in = Files.createTempFile("junctionhead", ".in");
         Path out = Files.createTempFile("junctionhead", ".out");
         Path err = Files.createTempFile("junctionhead", ".err");
         Files.writeString(in, input);
-        int exit = new ProcessBuilder(command).redirectInput(in.toFile()).redirectOutput(out.toFile())
-            .redirectError(err.toFile()).start().waitFor();
-        Run run = new Run(exit, Files.readString(out, StandardCharsets.UTF_8),
-            Files.readString(err, StandardCharsets.UTF_8));
+        int exit = new ProcessBuilder(command)
+                .redirectInput(in.toFile())
+                .redirectOutput(out.toFile())
+                .redirectError(err.toFile())
+                .start()
+                .waitFor();
+        Run run = new Run(
+                exit, Files.readString(out, StandardCharsets.UTF_8), Files.readString(err, StandardCharsets.UTF_8));
         for (Path file : List.of(in, out, err)) {
             Files.delete(file);
         }
@@ -62,12 +68,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "TICK 1 NOISE | line 2: NOISE: field Balancer: no AT line names the instance",
-        "TICK 1 | line 2: GO: field GO: the input ends within a batch",
-    })
-    void malformedInputIsOneMessageAndExitOne(String words, String complaint)
-            throws IOException, InterruptedException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "TICK 1 NOISE | line 2: NOISE: field Balancer: no AT line names the instance",
+                "TICK 1 | line 2: GO: field GO: the input ends within a batch",
+            })
+    void malformedInputIsOneMessageAndExitOne(String words, String complaint) throws IOException, InterruptedException {
         String input = words.strip().replace(" NOISE", "\nNOISE").replace("TICK 1", "TICK\t1") + "\n";
         Run run = run(input, "wirehost");
         assertEquals(1, run.exit());
@@ -76,10 +83,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "/nowhere/config.json | can't read the configuration /nowhere/config.json: ",
-        "'' | ROUTER_CONFIG is not set",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "/nowhere/config.json | can't read the configuration /nowhere/config.json: ",
+                "'' | ROUTER_CONFIG is not set",
+            })
     void aBalancerWithoutConfigurationEndsWithOneLine(String file, String complaint)
             throws IOException, InterruptedException {
         Process process = serve(file);
@@ -109,7 +118,7 @@
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
             assertTrue(line.startsWith("junctionhead: listening on 127.0.0.1:"), line);
-            process.destroy();                          // SIGTERM
+            process.destroy(); // SIGTERM
             assertEquals(0, process.waitFor());
         }
         Files.delete(config);
@@ -124,8 +133,8 @@
             err.readLine();
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
-            assertEquals("junctionhead: configuration taken over: discovery at 127.0.0.1:7",
-                nextWith("configuration", err));
+            assertEquals(
+                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             Files.writeString(config, "{");
             hangup(process);
             String line = nextWith("configuration", err);
@@ -137,7 +146,11 @@
     }
 
     private static void hangup(Process process) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid())
+                        .start()
+                        .waitFor());
     }
 
     private static String nextWith(String word, BufferedReader lines) throws IOException {
@@ -162,8 +175,11 @@
 
     private static Process serve(String config) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            CLASS_PATH, "junctionhead.Main", "serve");
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                CLASS_PATH,
+                "junctionhead.Main",
+                "serve");
         builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
         if (!config.isEmpty()) {
             builder.environment().put("ROUTER_CONFIG", config);
--- a/src/test/java/junctionhead/QuietActions.java
+++ b/src/test/java/junctionhead/QuietActions.java
@@ -3,35 +3,35 @@
 /** Does nothing of what the module asks for; a test overrides what it looks at. */
 interface QuietActions extends Policy.Actions {
     @Override
-    default void send(String request, String server, long timeout) { }
+    default void send(String request, String server, long timeout) {}
 
     @Override
-    default void refuse(String request, long retryAfter) { }
+    default void refuse(String request, long retryAfter) {}
 
     @Override
-    default void fail(String request) { }
+    default void fail(String request) {}
 
     @Override
-    default void cancel(String request, int attempt) { }
+    default void cancel(String request, int attempt) {}
 
     @Override
-    default void probe(String server) { }
+    default void probe(String server) {}
 
     @Override
-    default void watch(boolean on) { }
+    default void watch(boolean on) {}
 
     @Override
-    default void fetchList() { }
+    default void fetchList() {}
 
     @Override
-    default void closeIdle(String server) { }
+    default void closeIdle(String server) {}
 
     @Override
-    default void tell(int peer, byte[] data) { }
+    default void tell(int peer, byte[] data) {}
 
     @Override
-    default void wakeAfter(long delay) { }
+    default void wakeAfter(long delay) {}
 
     @Override
-    default void remark(String line) { }
+    default void remark(String line) {}
 }
--- a/src/test/java/junctionhead/RandomFourRulesTest.java
+++ b/src/test/java/junctionhead/RandomFourRulesTest.java
@@ -32,7 +32,7 @@
         String answer;
         final List<Server> servers = new ArrayList<>();
         final List<Long> at = new ArrayList<>();
-        final List<Outcome> ended = new ArrayList<>();          // null while out
+        final List<Outcome> ended = new ArrayList<>(); // null while out
     }
 
     /** Takes what happens in its order; each call says what rule is broken, or null. */
@@ -59,9 +59,11 @@
                 if (mayHaveRun && k.kind.effect() == Effect.UNSAFE) {
                     return "an unsafe effect may happen twice";
                 }
-                boolean outside = k.kind.scope() == Scope.CELL && k.servers.get(i).cell() != to.cell()
-                    || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
-                if (mayHaveRun && k.kind.effect() == Effect.KEYED
+                boolean outside = k.kind.scope() == Scope.CELL
+                                && k.servers.get(i).cell() != to.cell()
+                        || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
+                if (mayHaveRun
+                        && k.kind.effect() == Effect.KEYED
                         && (outside || now - k.at.get(i) >= k.kind.keyMemory())) {
                     return "a keyed request left its group or window";
                 }
@@ -82,14 +84,15 @@
                 return "answered too late";
             }
             boolean mayHaveRun = k.ended.stream().anyMatch(o -> o == null || !o.neverRan());
-            boolean harmless = k.kind.effect() == Effect.SAFE
-                || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
+            boolean harmless =
+                    k.kind.effect() == Effect.SAFE || k.kind.effect() == Effect.KEYED && k.kind.scope() == Scope.ALL;
             return how.equals("refused") && mayHaveRun && !harmless ? "refused though it may have run" : null;
         }
 
         String atTheEnd(long now) {
             return requests.values().stream().anyMatch(k -> k.answer == null && now > k.deadline + SLACK)
-                ? "a request was lost" : null;
+                    ? "a request was lost"
+                    : null;
         }
     }
 
@@ -135,9 +138,12 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(Harness.kind(Effect.SAFE, Scope.ALL),
-            Harness.kind(Effect.UNSAFE, Scope.ALL), Harness.kind(Effect.KEYED, Scope.ALL),
-            Harness.kind(Effect.KEYED, Scope.CELL), Harness.kind(Effect.KEYED, Scope.ZONE));
+        List<RequestClass> kinds = List.of(
+                Harness.kind(Effect.SAFE, Scope.ALL),
+                Harness.kind(Effect.UNSAFE, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.ALL),
+                Harness.kind(Effect.KEYED, Scope.CELL),
+                Harness.kind(Effect.KEYED, Scope.ZONE));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Server> servers = new HashMap<>();
@@ -147,7 +153,8 @@
         int answers = 0;
         for (int step = 0; step < 4000; step++) {
             int what = random.nextInt(100);
-            List<Harness.Sent> out = harness.sends.stream().filter(s -> !s.ended).toList();
+            List<Harness.Sent> out =
+                    harness.sends.stream().filter(s -> !s.ended).toList();
             if (what < 40) {
                 RequestClass kind = kinds.get(random.nextInt(kinds.size()));
                 long left = 100_000 + random.nextLong(2_000_000);
@@ -156,8 +163,7 @@
             } else if (what < 80 && !out.isEmpty()) {
                 Harness.Sent s = out.get(random.nextInt(out.size()));
                 Outcome[] all = Outcome.values();
-                end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK
-                    : all[random.nextInt(all.length - 1)]);
+                end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
                 servers.computeIfPresent(id, (i, s) -> s.in(State.values()[random.nextInt(3)]));
@@ -204,21 +210,24 @@
         Policy.Settings settings = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
         Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(5));
         long started = 0;
-        for (int i = 0; i < 1500; i++) {                        // 40 answers a second from each of 5
+        for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
             if (i == 500) {
-                harness.list(ListKind.PARTIAL,
-                    List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+                harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
             }
             for (int j = 0; j < 4; j++) {
                 harness.request("x" + i + "/" + j, 0);
             }
             harness.pass(10_000 + random.nextLong(20_000));
-            harness.sends.stream().filter(s -> !s.ended && harness.now - s.at >= 30_000).toList()
-                .forEach(s -> harness.end(s, Outcome.OK));
+            harness.sends.stream()
+                    .filter(s -> !s.ended && harness.now - s.at >= 30_000)
+                    .toList()
+                    .forEach(s -> harness.end(s, Outcome.OK));
             started = i < 500 ? harness.now : started;
         }
-        List<Long> sends =
-            harness.sends.stream().filter(s -> s.server.equals("cold")).map(s -> s.at).toList();
+        List<Long> sends = harness.sends.stream()
+                .filter(s -> s.server.equals("cold"))
+                .map(s -> s.at)
+                .toList();
         assertTrue(sends.size() > 20, "it is used: " + sends.size());
         assertNull(cold(sends, started, 40, settings.bounds()));
     }
--- a/src/test/java/junctionhead/RandomOrderAndPlacementTest.java
+++ b/src/test/java/junctionhead/RandomOrderAndPlacementTest.java
@@ -61,7 +61,8 @@
 
         static String placed(RequestClass kind, Server server) {
             boolean zone = kind.zones().isEmpty() || kind.zones().contains(server.zone());
-            boolean machine = kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
+            boolean machine =
+                    kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
             return zone && machine ? null : "sent to " + server.id() + ", which is not open to the class";
         }
     }
@@ -85,17 +86,19 @@
     }
 
     private static RequestClass kind(Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
-        return new RequestClass(effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false,
-            inOrder, zones, kinds);
+        return new RequestClass(
+                effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, inOrder, zones, kinds);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void randomEventsKeepOrderAndPlacement(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<RequestClass> kinds = List.of(kind(Effect.SAFE, true, Set.of(), Set.of()),
-            kind(Effect.UNSAFE, true, Set.of(0), Set.of()), kind(Effect.KEYED, false, Set.of(), Set.of(1)),
-            kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
+        List<RequestClass> kinds = List.of(
+                kind(Effect.SAFE, true, Set.of(), Set.of()),
+                kind(Effect.UNSAFE, true, Set.of(0), Set.of()),
+                kind(Effect.KEYED, false, Set.of(), Set.of(1)),
+                kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
         Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
@@ -117,12 +120,12 @@
                 }
                 harness.request(id, number, 0, key, 500_000 + random.nextLong(2_000_000), false);
             } else if (what < 80) {
-                List<Harness.Sent> out = harness.sends.stream().filter(s -> !s.ended).toList();
+                List<Harness.Sent> out =
+                        harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
                     Harness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK
-                        : all[random.nextInt(all.length - 1)];
+                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)];
                     checked = end(harness, checker, sent, outcome, checked, kinds, classOf, servers);
                 }
             } else if (what < 84) {
@@ -142,8 +145,15 @@
         assertTrue(checked > 500, "enough was sent: " + checked);
     }
 
-    private static int end(Harness harness, Checker checker, Harness.Sent sent, Outcome outcome, int checked,
-            List<RequestClass> kinds, Map<String, Integer> classOf, Map<String, Server> servers) {
+    private static int end(
+            Harness harness,
+            Checker checker,
+            Harness.Sent sent,
+            Outcome outcome,
+            int checked,
+            List<RequestClass> kinds,
+            Map<String, Integer> classOf,
+            Map<String, Server> servers) {
         checker.ended(sent.request, outcome, harness.now);
         if (outcome == Outcome.OK) {
             checker.over.put(sent.request, true);
@@ -152,8 +162,13 @@
         return check(harness, checker, checked, kinds, classOf, servers);
     }
 
-    private static int check(Harness harness, Checker checker, int from, List<RequestClass> kinds,
-            Map<String, Integer> classOf, Map<String, Server> servers) {
+    private static int check(
+            Harness harness,
+            Checker checker,
+            int from,
+            List<RequestClass> kinds,
+            Map<String, Integer> classOf,
+            Map<String, Server> servers) {
         harness.finals.keySet().forEach(id -> checker.over.put(id, true));
         int checked = from;
         for (; checked < harness.sends.size(); checked++) {
--- a/src/test/java/junctionhead/RetuneTest.java
+++ b/src/test/java/junctionhead/RetuneTest.java
@@ -16,7 +16,7 @@
 
 /** Settings that change while requests are open: each request keeps the record that it was taken under. */
 class RetuneTest {
-    private record Out(String request, int attempt) { }
+    private record Out(String request, int attempt) {}
 
     private static final class World implements QuietActions {
         final Map<String, Policy.RequestClass> kinds = new HashMap<>();
@@ -32,8 +32,9 @@
         public void send(String request, String server, long timeout) {
             int number = sent.merge(request, 1, Integer::sum) - 1;
             assertTrue(number < most.get(request), request + ": more attempts than when it was taken");
-            assertTrue(!mayHaveRun.contains(request) || kinds.get(request).effect() != Effect.UNSAFE,
-                request + ": unsafe, and may have run");
+            assertTrue(
+                    !mayHaveRun.contains(request) || kinds.get(request).effect() != Effect.UNSAFE,
+                    request + ": unsafe, and may have run");
             out.add(new Out(request, number));
         }
 
@@ -57,15 +58,34 @@
     private static Policy.Settings settings(SplittableRandom random, int classes) {
         List<Policy.RequestClass> kinds = new ArrayList<>();
         for (int i = 0; i < classes; i++) {
-            kinds.add(new Policy.RequestClass(Effect.values()[random.nextInt(3)], Policy.Scope.CELL,
-                1_000_000, 50_000 + random.nextInt(200_000), 400_000, 0, 1 + random.nextInt(3), 0, false));
+            kinds.add(new Policy.RequestClass(
+                    Effect.values()[random.nextInt(3)],
+                    Policy.Scope.CELL,
+                    1_000_000,
+                    50_000 + random.nextInt(200_000),
+                    400_000,
+                    0,
+                    1 + random.nextInt(3),
+                    0,
+                    false));
         }
         int tenants = random.nextInt(3);
-        return new Policy.Settings(2, 0, 0, kinds,
-            java.util.Collections.nCopies(tenants, new Policy.Tenant(50)), 0.1, new Policy.Goal(1, 0, 0, 0),
-            new Policy.Prices(0, 0), false, Policy.Discovery.PUSH,
-            Policy.Reports.NONE, false, new Policy.Limits(1 + random.nextInt(4), random.nextBoolean(), true,
-            false, 0, 0), new Policy.Bounds(8_000, 1_000_000, 0, 0.3, 8_000_000, 3, 1_000_000, 0), 2_000);
+        return new Policy.Settings(
+                2,
+                0,
+                0,
+                kinds,
+                java.util.Collections.nCopies(tenants, new Policy.Tenant(50)),
+                0.1,
+                new Policy.Goal(1, 0, 0, 0),
+                new Policy.Prices(0, 0),
+                false,
+                Policy.Discovery.PUSH,
+                Policy.Reports.NONE,
+                false,
+                new Policy.Limits(1 + random.nextInt(4), random.nextBoolean(), true, false, 0, 0),
+                new Policy.Bounds(8_000, 1_000_000, 0, 0.3, 8_000_000, 3, 1_000_000, 0),
+                2_000);
     }
 
     private static List<Integer> former(SplittableRandom random, int now, int before) {
@@ -98,20 +118,34 @@
                 int what = random.nextInt(20);
                 if (what == 0) {
                     Policy.Settings next = settings(random, 1 + random.nextInt(4));
-                    module.retune(w.now, next, former(random, next.classes().size(), s.classes().size()),
-                        former(random, next.tenants().size(), s.tenants().size()), w);
+                    module.retune(
+                            w.now,
+                            next,
+                            former(random, next.classes().size(), s.classes().size()),
+                            former(random, next.tenants().size(), s.tenants().size()),
+                            w);
                     s = next;
                 } else if (what < 9) {
                     String id = "r" + taken++;
                     int number = random.nextInt(s.classes().size());
                     w.kinds.put(id, s.classes().get(number));
                     w.most.put(id, s.limits().maxAttempts());
-                    int tenant = s.tenants().isEmpty() ? 0 : random.nextInt(s.tenants().size());
+                    int tenant = s.tenants().isEmpty()
+                            ? 0
+                            : random.nextInt(s.tenants().size());
                     module.request(w.now, id, number, tenant, null, 400_000, -1, false, w);
                 } else if (!w.out.isEmpty()) {
                     Out o = w.out.poll();
-                    Outcome[] all = {Outcome.OK, Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL,
-                        Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED};
+                    Outcome[] all = {
+                        Outcome.OK,
+                        Outcome.OK,
+                        Outcome.OK,
+                        Outcome.RESET,
+                        Outcome.FULL,
+                        Outcome.ERROR,
+                        Outcome.TIMEOUT,
+                        Outcome.CONNECT_FAILED
+                    };
                     Outcome outcome = all[random.nextInt(all.length)];
                     boolean open = !w.answers.containsKey(o.request());
                     if (!outcome.neverRan()) {
@@ -120,8 +154,15 @@
                     if (outcome == Outcome.OK && open) {
                         w.answers.put(o.request(), 1);
                     }
-                    module.outcome(w.now, o.request(), o.attempt(), outcome, 10_000,
-                        w.answers.containsKey(o.request()), null, w);
+                    module.outcome(
+                            w.now,
+                            o.request(),
+                            o.attempt(),
+                            outcome,
+                            10_000,
+                            w.answers.containsKey(o.request()),
+                            null,
+                            w);
                 }
             }
             for (int i = 0; i < 2_000; i++) {
--- a/src/test/java/junctionhead/SourceLimitsTest.java
+++ b/src/test/java/junctionhead/SourceLimitsTest.java
@@ -8,12 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 class SourceLimitsTest {
-    private static final int MOST = 1_000;              // the operators run none longer than 1,200
+    private static final int MOST = 1_000; // the operators run none longer than 1,200
 
     @Test
     void theModuleCanBeReviewedInAnHour() throws IOException {
         long lines = Files.readAllLines(Path.of("src/main/java/junctionhead/Balance.java")).stream()
-            .filter(line -> !line.isBlank()).count();
+                .filter(line -> !line.isBlank())
+                .count();
         assertTrue(lines <= MOST, "Balance.java holds " + lines + " non-blank lines, " + MOST + " at most");
     }
 }
--- a/src/test/java/junctionhead/cli/CliTest.java
+++ b/src/test/java/junctionhead/cli/CliTest.java
@@ -18,23 +18,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class CliTest {
-    private static final String CLASS_PATH = Arrays.stream(System.getProperty("java.class.path")
-        .split(java.io.File.pathSeparator)).filter(e -> !e.contains("slf4j") && !e.contains("archunit"))
-        .collect(Collectors.joining(java.io.File.pathSeparator));
+    private static final String CLASS_PATH = Arrays.stream(
+                    System.getProperty("java.class.path").split(java.io.File.pathSeparator))
+            .filter(e -> !e.contains("slf4j") && !e.contains("archunit"))
+            .collect(Collectors.joining(java.io.File.pathSeparator));
 
     static Process start(String... arguments) throws IOException {
         List<String> command = new java.util.ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp", CLASS_PATH,
-            "junctionhead.cli.Cli"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                CLASS_PATH,
+                "junctionhead.cli.Cli"));
         command.addAll(List.of(arguments));
         return new ProcessBuilder(command).redirectErrorStream(true).start();
     }
 
     @ParameterizedTest
-    @CsvSource({"--help, 0, generate-completion", "--version, 0, honeyspindle",
-        "nonsense, 2, Unmatched argument", "ready nowhere, 2, not address:port",
+    @CsvSource({
+        "--help, 0, generate-completion",
+        "--version, 0, honeyspindle",
+        "nonsense, 2, Unmatched argument",
+        "ready nowhere, 2, not address:port",
         "evacuate 127.0.0.1:1, 1, can't call 127.0.0.1:1",
-        "demo --seconds x, 2, Invalid value", "demo --scenario no-such-file, 1, no-such-file"})
+        "demo --seconds x, 2, Invalid value",
+        "demo --scenario no-such-file, 1, no-such-file"
+    })
     void theCommandLineTellsWhatItTakes(String arguments, int exit, String words)
             throws IOException, InterruptedException {
         Process process = start(arguments.split(" "));
@@ -51,15 +59,19 @@
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(1, process.waitFor(), out);
         Files.delete(file);
-        assertTrue(out.contains(":1: rate: not between") && out.contains(":2: lasting: not a time")
-            && out.contains("boxes: missing") && out.contains("class: missing"), out);
+        assertTrue(
+                out.contains(":1: rate: not between")
+                        && out.contains(":2: lasting: not a time")
+                        && out.contains("boxes: missing")
+                        && out.contains("class: missing"),
+                out);
     }
 
     @Test
     void sigintEndsADemoWithItsTallyAndLeavesNoChild() throws IOException, InterruptedException {
         Process demo = start("demo", "--plain", "--seconds", "120", "--rate", "50");
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(demo.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(demo.getInputStream(), StandardCharsets.UTF_8))) {
             StringBuilder out = new StringBuilder();
             String line = in.readLine();
             while (line != null && !line.contains("/s p50")) {
@@ -68,7 +80,11 @@
             }
             List<ProcessHandle> children = demo.descendants().toList();
             assertTrue(!children.isEmpty(), out.toString());
-            assertEquals(0, new ProcessBuilder("kill", "-INT", Long.toString(demo.pid())).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-INT", Long.toString(demo.pid()))
+                            .start()
+                            .waitFor());
             for (line = in.readLine(); line != null; line = in.readLine()) {
                 out.append(line).append('\n');
             }
--- a/src/test/java/junctionhead/cli/ServeTest.java
+++ b/src/test/java/junctionhead/cli/ServeTest.java
@@ -62,7 +62,11 @@
     }
 
     private static void hangup(Process process) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     @Test
@@ -73,14 +77,16 @@
         HttpServer second = box("second");
         Files.writeString(file, file("a", first));
         Process process = CliTest.start("serve", "--config", file.toString());
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             String door = line(in, "management on ").replaceAll(".*management on ", "");
             String at = line(in, "listening on ").replaceAll(".*listening on ", "");
             int[] number = new int[1];
-            HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+            HttpClient client =
+                    HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
             HttpRequest.Builder ask = HttpRequest.newBuilder(URI.create("http://" + at + "/k"))
-                .header("Req-Kind", "read").header("Req-Deadline-Ms", "20000");
+                    .header("Req-Kind", "read")
+                    .header("Req-Deadline-Ms", "20000");
             assertEquals("first", ask(client, ask, number));
             String whole = file("b", second);
             Files.writeString(file, whole.substring(0, whole.length() - 12));
@@ -98,7 +104,7 @@
             }
             assertEquals("second", answer);
             String ready = call("ready", door);
-            while (ready.equals("1 not ready: starting")) {     // it serves before its rehearsal is over
+            while (ready.equals("1 not ready: starting")) { // it serves before its rehearsal is over
                 ready = call("ready", door);
             }
             assertEquals("0 ready", ready);
@@ -125,8 +131,8 @@
 
     private static String ask(HttpClient client, HttpRequest.Builder ask, int[] number)
             throws IOException, InterruptedException {
-        HttpResponse<String> answer = client.send(ask.setHeader("Req-Id", "r" + number[0]++).GET().build(),
-            HttpResponse.BodyHandlers.ofString());
+        HttpResponse<String> answer = client.send(
+                ask.setHeader("Req-Id", "r" + number[0]++).GET().build(), HttpResponse.BodyHandlers.ofString());
         assertEquals(200, answer.statusCode(), answer.body());
         return answer.body();
     }
@@ -139,13 +145,12 @@
             Files.write(file, config.getInputStream().readAllBytes());
             assertEquals(0, config.waitFor());
             Process good = CliTest.start("check", file.toString());
-            assertTrue(new String(good.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
-                .contains("in order"));
+            assertTrue(new String(good.getInputStream().readAllBytes(), StandardCharsets.UTF_8).contains("in order"));
             assertEquals(0, good.waitFor());
             Files.writeString(file, "[nod]\n");
             Process bad = CliTest.start("check", file.toString());
             assertTrue(new String(bad.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
-                .contains(":1: nod: unknown; the nearest known is 'node'"));
+                    .contains(":1: nod: unknown; the nearest known is 'node'"));
             assertEquals(1, bad.waitFor());
         } finally {
             Files.delete(file);
--- a/src/test/java/junctionhead/cli/SignalsTest.java
+++ b/src/test/java/junctionhead/cli/SignalsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** Signals within a start: the process reads its configuration from a pipe, and so waits for the test. */
-@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)   // a pipe waits for ever
+@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD) // a pipe waits for ever
 class SignalsTest {
     private static final String FILE = """
         [node]
@@ -60,8 +60,11 @@
     }
 
     private void signal(String name) throws IOException, InterruptedException {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start()
-            .waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** Reads until each of these has been said, in any order; returns what was. */
@@ -79,15 +82,15 @@
 
     @Test
     void aNewConfigurationWithinTheStartIsTakenOverAndEndsNothing() throws IOException, InterruptedException {
-        try (var writer = Files.newBufferedWriter(pipe)) {      // opens once the process reads
+        try (var writer = Files.newBufferedWriter(pipe)) { // opens once the process reads
             signal("HUP");
             // Replaced meanwhile: what is read again is another pipe.
             Files.move(pipe(folder.resolve("next.toml")), pipe, StandardCopyOption.REPLACE_EXISTING);
             writer.write(FILE);
         }
-        Files.writeString(pipe, FILE);                          // once it reads again
+        Files.writeString(pipe, FILE); // once it reads again
         heard("configuration taken over", "listening on ");
-        signal("HUP");                                          // waits for a file that nobody writes
+        signal("HUP"); // waits for a file that nobody writes
         signal("TERM");
         signal("TERM");
         assertTrue(heard("stopped: ").contains("0 unanswered"));
--- a/src/test/java/junctionhead/config/RetuningTest.java
+++ b/src/test/java/junctionhead/config/RetuningTest.java
@@ -14,11 +14,34 @@
 
 class RetuningTest {
     private static SettingsReader.Boot boot(int balancers, String... namesAndEffects) {
-        Map<String, String> values = new HashMap<>(Map.of("Balancers", Integer.toString(balancers),
-            "Limits.TryLimit", "3", "Limits.MayDuplicate", "1", "Limits.Cancel", "1", "Limits.Probes", "0",
-            "MembershipMode", "push", "Quantum", "1000"));
-        values.putAll(Map.of("Rules.AnswerSlack", "1", "Rules.DrainGrace", "1", "Rules.ColdFrom", "0.5",
-            "Rules.RampTime", "1", "Rules.OverloadFactor", "2", "Rules.Fall", "1"));
+        Map<String, String> values = new HashMap<>(Map.of(
+                "Balancers",
+                Integer.toString(balancers),
+                "Limits.TryLimit",
+                "3",
+                "Limits.MayDuplicate",
+                "1",
+                "Limits.Cancel",
+                "1",
+                "Limits.Probes",
+                "0",
+                "MembershipMode",
+                "push",
+                "Quantum",
+                "1000"));
+        values.putAll(Map.of(
+                "Rules.AnswerSlack",
+                "1",
+                "Rules.DrainGrace",
+                "1",
+                "Rules.ColdFrom",
+                "0.5",
+                "Rules.RampTime",
+                "1",
+                "Rules.OverloadFactor",
+                "2",
+                "Rules.Fall",
+                "1"));
         values.put("Classes.count", Integer.toString(namesAndEffects.length / 2));
         for (int i = 0; i < namesAndEffects.length; i += 2) {
             String at = "Classes." + i / 2 + ".";
@@ -32,9 +55,21 @@
 
     @Test
     void keysOfAListCountWhereAllHaveThem() {
-        assertEquals(Set.of("Quantum", "Classes.count", "Classes.*.Name", "Limits.Cancel"),
-            Retuning.keys(Map.of("Quantum", "1", "Classes.count", "2", "Classes.0.Name", "a",
-                "Classes.1.Name", "b", "Classes.1.KeyTtl", "5", "Limits.Cancel", "1")));
+        assertEquals(
+                Set.of("Quantum", "Classes.count", "Classes.*.Name", "Limits.Cancel"),
+                Retuning.keys(Map.of(
+                        "Quantum",
+                        "1",
+                        "Classes.count",
+                        "2",
+                        "Classes.0.Name",
+                        "a",
+                        "Classes.1.Name",
+                        "b",
+                        "Classes.1.KeyTtl",
+                        "5",
+                        "Limits.Cancel",
+                        "1")));
     }
 
     @Test
@@ -42,17 +77,24 @@
         assertNull(Retuning.problem(boot(2, "a", "safe"), boot(2, "b", "unsafe", "a", "keyed")));
         assertTrue(Retuning.problem(boot(2, "a", "safe"), boot(3, "a", "safe")).contains("restart"));
         assertTrue(Retuning.problem(boot(2, "a", "safe"), boot(2, "a", "safe", "a", "safe"))
-            .contains("twice"));
+                .contains("twice"));
     }
 
     @Test
     void whatWasDroppedOrHasAnotherEffectFollowsBehind() {
-        SettingsReader.Boot merged = Retuning.withFormer(boot(2, "a", "safe", "b", "safe", "c", "keyed"),
-            boot(2, "n", "unsafe", "b", "unsafe", "c", "keyed"));
+        SettingsReader.Boot merged = Retuning.withFormer(
+                boot(2, "a", "safe", "b", "safe", "c", "keyed"), boot(2, "n", "unsafe", "b", "unsafe", "c", "keyed"));
         assertEquals(List.of("n", "b", "c", "a", "b"), merged.classes());
-        assertEquals(List.of(Policy.Effect.UNSAFE, Policy.Effect.UNSAFE, Policy.Effect.KEYED,
-            Policy.Effect.SAFE, Policy.Effect.SAFE), merged.settings().classes()
-                .stream().map(Policy.RequestClass::effect).toList());
+        assertEquals(
+                List.of(
+                        Policy.Effect.UNSAFE,
+                        Policy.Effect.UNSAFE,
+                        Policy.Effect.KEYED,
+                        Policy.Effect.SAFE,
+                        Policy.Effect.SAFE),
+                merged.settings().classes().stream()
+                        .map(Policy.RequestClass::effect)
+                        .toList());
         assertEquals(merged, Retuning.withFormer(merged, merged));
     }
 }
--- a/src/test/java/junctionhead/config/toml/ConfigFileTest.java
+++ b/src/test/java/junctionhead/config/toml/ConfigFileTest.java
@@ -60,10 +60,12 @@
         assertEquals(List.of("read"), recorded.boot().classes());
         assertEquals(200_000, recorded.boot().settings().classes().get(0).aim());
         assertEquals(1_000_000, recorded.boot().settings().classes().get(0).deadline());
-        assertEquals(new Policy.Limits(3, true, true, false, 500_000, 2_000_000),
-            recorded.boot().settings().limits());
-        assertEquals(new Policy.Bounds(8_000, 1_000_000, 0, 0.3, 8_000_000, 3, 1_000_000, 0),
-            recorded.boot().settings().bounds());
+        assertEquals(
+                new Policy.Limits(3, true, true, false, 500_000, 2_000_000),
+                recorded.boot().settings().limits());
+        assertEquals(
+                new Policy.Bounds(8_000, 1_000_000, 0, 0.3, 8_000_000, 3, 1_000_000, 0),
+                recorded.boot().settings().bounds());
         assertEquals(8080, recorded.listen().getPort());
         assertEquals("box-1", recorded.known().servers().get(0).id());
     }
@@ -75,12 +77,14 @@
         Files.writeString(folder.resolve("cert.pem"), made.getCertificatePathPEM());
         Files.writeString(folder.resolve("ca.pem"), made.getCertificatePathPEM());
         Files.writeString(folder.resolve("key.pem"), made.getPrivateKeyPEM());
-        String text = defaults().replace("source = \"static\" ", "source = \"discovery\" ")
-            .replaceAll("(?m)^# (?=[a-z\\[])", "").replaceAll("(?s)\\[\\[membership.server]].*?\\n\\n", "");
+        String text = defaults()
+                .replace("source = \"static\" ", "source = \"discovery\" ")
+                .replaceAll("(?m)^# (?=[a-z\\[])", "")
+                .replaceAll("(?s)\\[\\[membership.server]].*?\\n\\n", "");
         String name = folder.resolve("f.toml").toString();
         Config config = ConfigFile.read(name, text);
-        String least = text.replaceAll(
-            "(?m)^(?!listen|certificate|key|trust|server-name)[a-z-]+ = .*$(?=[^\\[]*\\z)", "");
+        String least =
+                text.replaceAll("(?m)^(?!listen|certificate|key|trust|server-name)[a-z-]+ = .*$(?=[^\\[]*\\z)", "");
         assertTrue(least.length() < text.length() - 500);
         assertEquals(ConfigFile.read(name, least).http3(), config.http3(), "the defaults are as told");
         assertEquals(8500, config.discovery().getPort());
@@ -117,30 +121,33 @@
             connect = 5
             client-floor = 0.9
             """;
-        assertEquals(List.of(
-            "f.toml:1: node.rank: not below node.balancers, which is 1",
-            "f.toml:2: node.listen: not an address: 'localhost'",
-            "f.toml:4: node.sede: unknown; the nearest known is 'seed'",
-            "f.toml:9: membership.server[0].address: not address:port: '127.0.0.1:99999'",
-            "f.toml:10: membership.server[0].wieght: unknown; the nearest known is 'weight'",
-            "f.toml:13: class[0].effect: not one of safe, keyed, unsafe: 'harmless'",
-            "f.toml:14: class[0].aim: not a time like 250ms or 1.5s: '200'",
-            "f.toml:16: class[1].window: missing: for how long a keyed request's key is remembered",
-            "f.toml:16: class[1].name: stands twice: 'read'",
-            "f.toml:19: class[1].aim: longer than the deadline",
-            "f.toml:21: class[1].zones: not among [default]: [b]",
-            "f.toml:23: limits.connect: not a time like 250ms or 1.5s: '5'",
-            "f.toml:24: limits.client-floor: with the others of the table impossible upstreamFloor: 0.2"),
-            assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", text)).problems());
+        assertEquals(
+                List.of(
+                        "f.toml:1: node.rank: not below node.balancers, which is 1",
+                        "f.toml:2: node.listen: not an address: 'localhost'",
+                        "f.toml:4: node.sede: unknown; the nearest known is 'seed'",
+                        "f.toml:9: membership.server[0].address: not address:port: '127.0.0.1:99999'",
+                        "f.toml:10: membership.server[0].wieght: unknown; the nearest known is 'weight'",
+                        "f.toml:13: class[0].effect: not one of safe, keyed, unsafe: 'harmless'",
+                        "f.toml:14: class[0].aim: not a time like 250ms or 1.5s: '200'",
+                        "f.toml:16: class[1].window: missing: for how long a keyed request's key is remembered",
+                        "f.toml:16: class[1].name: stands twice: 'read'",
+                        "f.toml:19: class[1].aim: longer than the deadline",
+                        "f.toml:21: class[1].zones: not among [default]: [b]",
+                        "f.toml:23: limits.connect: not a time like 250ms or 1.5s: '5'",
+                        "f.toml:24: limits.client-floor: with the others of the table impossible upstreamFloor: 0.2"),
+                assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", text))
+                        .problems());
     }
 
     /** A comma in a zone's name would have made two zones of one, and bound servers to the wrong ones. */
     @Test
     void namesThatCouldBeReadAsListsAreProblems() {
-        assertEquals(List.of(
-            "f.toml:4: membership.server[0].zone: not a name without spaces and commas: 'a,b'",
-            "f.toml:6: class[0].name: not a name without spaces and commas: 'read all'"),
-            assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", """
+        assertEquals(
+                List.of(
+                        "f.toml:4: membership.server[0].zone: not a name without spaces and commas: 'a,b'",
+                        "f.toml:6: class[0].name: not a name without spaces and commas: 'read all'"),
+                assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", """
                 [[membership.server]]
                 id = "s"
                 address = "127.0.0.1:1"
@@ -150,7 +157,9 @@
                 effect = "safe"
                 aim = "1s"
                 deadline = "1s"
-                """)).problems().stream().filter(p -> !p.contains("node.zone")).toList());
+                """)).problems().stream()
+                        .filter(p -> !p.contains("node.zone"))
+                        .toList());
     }
 
     @Test
@@ -190,8 +199,9 @@
         assertEquals(5_000_000, stamp.keyMemory());
         assertEquals(java.util.Set.of(1), stamp.zones());
         assertEquals(1, config.boot().settings().zone());
-        assertEquals(new Policy.Server("s1", Policy.State.UP, 0, 2.5, 4, 0, 1),
-            config.known().servers().get(0));
+        assertEquals(
+                new Policy.Server("s1", Policy.State.UP, 0, 2.5, 4, 0, 1),
+                config.known().servers().get(0));
         assertEquals(20, config.boot().settings().tenants().get(0).allowancePerSecond());
         assertTrue(config.waiting(config).isEmpty());
     }
--- a/src/test/java/junctionhead/connections/BudgetTest.java
+++ b/src/test/java/junctionhead/connections/BudgetTest.java
@@ -18,7 +18,7 @@
 
     private long now = 5 * S;
     private final List<String> ended = new ArrayList<>();
-    private Budget budget = new Budget(Limits.of(256), now);        // 192 in all
+    private Budget budget = new Budget(Limits.of(256), now); // 192 in all
 
     private Lease client(String address, String name) {
         return budget.client(address, 1, () -> ended.add(name), now);
@@ -110,7 +110,7 @@
     @Test
     void everythingFromOneAddressIsNotPunished() {
         List<Lease> pool = new ArrayList<>();
-        for (int i = 0; i < 60; i++) {          // a front opens another one where all are busy
+        for (int i = 0; i < 60; i++) { // a front opens another one where all are busy
             pool.add(client("front", "pool"));
             budget.asked(pool.get(i), now);
         }
@@ -175,7 +175,7 @@
             served("greedy", "greedy" + i);
         }
         now += S;
-        for (Lease lease = null; budget.admits(Side.CLIENT, now);) {
+        for (Lease lease = null; budget.admits(Side.CLIENT, now); ) {
             lease = client("busy", "busy");
             budget.asked(lease, now);
         }
@@ -222,7 +222,7 @@
     /** A connection with more of its client's on it goes on, whatever the pressure. */
     @Test
     void whatHasComeInIsNotLostAtTheEndOfAnAnswer() {
-        for (int i = 0; i < 500; i++) {         // nobody asks twice, and room is dear
+        for (int i = 0; i < 500; i++) { // nobody asks twice, and room is dear
             Lease once = client("once" + i, "once");
             budget.asked(once, now);
             budget.answered(once, true, false, now += MS);
@@ -289,7 +289,7 @@
             ups.add(upstream("up" + i));
         }
         ups.forEach(l -> budget.idle(l, now));
-        now += 120 * S;                         // what was needed then counts no more
+        now += 120 * S; // what was needed then counts no more
         fillClients("c");
         assertEquals(92, budget.open(Side.CLIENT));
         while (budget.makeRoom(Side.CLIENT, now) && budget.open(Side.CLIENT) < 154) {
@@ -307,8 +307,7 @@
         fillClients("crowd");
         String line = budget.news(now);
         assertNotNull(line);
-        assertTrue(line.startsWith("connections short: clients 154 of 154 (0 busy, 0 at rest, 154 unasked)"),
-            line);
+        assertTrue(line.startsWith("connections short: clients 154 of 154 (0 busy, 0 at rest, 154 unasked)"), line);
         now += 3 * S;
         budget.endOverdue(now);
         assertNull(budget.news(now), "too soon");
@@ -326,18 +325,23 @@
         assertEquals(Budget.address(one), Budget.address(other));
         other[7] = 1;
         assertFalse(Budget.address(one).equals(Budget.address(other)));
-        assertFalse(Budget.address(new byte[] {10, 0, 0, 1})
-            .equals(Budget.address(new byte[] {10, 0, 0, 2})));
+        assertFalse(Budget.address(new byte[] {10, 0, 0, 1}).equals(Budget.address(new byte[] {10, 0, 0, 2})));
     }
 
     @Test
     void impossibleLimitsAreNamed() {
-        assertEquals("impossible most: 1", assertThrows(IllegalArgumentException.class,
-            () -> new Limits(1, 0.5, 0.5, 1, 1, 1, 1, 1)).getMessage());
-        assertEquals("impossible upstreamFloor: 0.6", assertThrows(IllegalArgumentException.class,
-            () -> new Limits(9, 0.5, 0.6, 1, 1, 1, 1, 1)).getMessage());
-        assertEquals("impossible askMost: 3", assertThrows(IllegalArgumentException.class,
-            () -> new Limits(9, 0.5, 0.5, 1, 1, 2, 1, 3)).getMessage());
+        assertEquals(
+                "impossible most: 1",
+                assertThrows(IllegalArgumentException.class, () -> new Limits(1, 0.5, 0.5, 1, 1, 1, 1, 1))
+                        .getMessage());
+        assertEquals(
+                "impossible upstreamFloor: 0.6",
+                assertThrows(IllegalArgumentException.class, () -> new Limits(9, 0.5, 0.6, 1, 1, 1, 1, 1))
+                        .getMessage());
+        assertEquals(
+                "impossible askMost: 3",
+                assertThrows(IllegalArgumentException.class, () -> new Limits(9, 0.5, 0.5, 1, 1, 2, 1, 3))
+                        .getMessage());
     }
 
     @Test
--- a/src/test/java/junctionhead/connections/TurnoverTest.java
+++ b/src/test/java/junctionhead/connections/TurnoverTest.java
@@ -18,11 +18,15 @@
 class TurnoverTest {
     private static final long MS = 1_000_000;
     private static final long SECONDS = 20;
-    private static final int LIMIT = 128;           // descriptors: 64 in all, 52 for clients
+    private static final int LIMIT = 128; // descriptors: 64 in all, 52 for clients
 
-    enum Way { KEEP, CLOSE, BUDGET }
+    enum Way {
+        KEEP,
+        CLOSE,
+        BUDGET
+    }
 
-    private record Event(long at, Runnable what) { }
+    private record Event(long at, Runnable what) {}
 
     /** What became of the requests. */
     private static final class Run {
@@ -87,7 +91,7 @@
                 return;
             }
             letIn++;
-            Lease lease = budget.client("once" + offered, 1, () -> { }, now);
+            Lease lease = budget.client("once" + offered, 1, () -> {}, now);
             budget.asked(lease, now);
             at(now + 10 * MS, () -> {
                 if (way == Way.KEEP) {
@@ -120,7 +124,7 @@
                 letIn++;
                 reused += kept ? 1 : 0;
                 if (!kept) {
-                    lease = budget.client(address, 1, () -> { }, now);
+                    lease = budget.client(address, 1, () -> {}, now);
                 }
                 Lease mine = lease;
                 budget.asked(mine, now);
@@ -145,10 +149,10 @@
             StringBuilder row = new StringBuilder();
             row.append(String.format(Locale.ROOT, "%2d times the turnover:", times));
             for (Way way : Way.values()) {
-                Run run = new Run(way).play(times * 21, 10);     // 42 connections of 2 s: 21 a second
+                Run run = new Run(way).play(times * 21, 10); // 42 connections of 2 s: 21 a second
                 double share = (double) run.letIn / run.offered;
-                row.append(String.format(Locale.ROOT, "  %s let in %.3f, reused %.2f", way, share,
-                    (double) run.reused / run.letIn));
+                row.append(String.format(
+                        Locale.ROOT, "  %s let in %.3f, reused %.2f", way, share, (double) run.reused / run.letIn));
                 worst = way == Way.BUDGET ? Math.min(worst, share) : worst;
                 keepAtFive = way == Way.KEEP && times == 5 ? share : keepAtFive;
                 if (way == Way.BUDGET && times == 0) {
--- a/src/test/java/junctionhead/core/DispatcherTest.java
+++ b/src/test/java/junctionhead/core/DispatcherTest.java
@@ -45,8 +45,8 @@
     private static final class FakeCarrier implements Carrier {
         final List<Started> started = new ArrayList<>();
         final List<Order> orders = new ArrayList<>();
-        boolean atOnce;                             // fails within send
-        long heard;                                 // of the list last
+        boolean atOnce; // fails within send
+        long heard; // of the list last
 
         @Override
         public void listed(Targets targets, long now) {
@@ -65,24 +65,24 @@
         }
 
         @Override
-        public void probe(String server, boolean report, Listener listener) { }
+        public void probe(String server, boolean report, Listener listener) {}
 
         @Override
-        public void closeIdle(String server) { }
+        public void closeIdle(String server) {}
     }
 
     /** Sends each request once, and fails it when the attempt has ended otherwise than well. */
     private static class OneTry implements Policy {
         final List<String> told = new ArrayList<>();
-        final List<String> seen = new ArrayList<>();    // lists and requests
+        final List<String> seen = new ArrayList<>(); // lists and requests
         boolean silent;
         boolean mayNotCancel;
         int copies = 1;
         long within = Long.MAX_VALUE;
 
         @Override
-        public void retune(long now, Settings settings, List<Integer> formerClasses,
-                List<Integer> formerTenants, Actions out) { }
+        public void retune(
+                long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out) {}
 
         @Override
         public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
@@ -90,8 +90,16 @@
         }
 
         @Override
-        public void request(long now, String request, int requestClass, int tenant, String key, long timeLeft,
-                long work, boolean resubmission, Actions out) {
+        public void request(
+                long now,
+                String request,
+                int requestClass,
+                int tenant,
+                String key,
+                long timeLeft,
+                long work,
+                boolean resubmission,
+                Actions out) {
             seen.add("request");
             for (int i = 0; i < copies; i++) {
                 out.send(request, "s", 50_000, within);
@@ -99,8 +107,15 @@
         }
 
         @Override
-        public void outcome(long now, String request, int attempt, Outcome outcome, long latency,
-                boolean closed, Load load, Actions out) {
+        public void outcome(
+                long now,
+                String request,
+                int attempt,
+                Outcome outcome,
+                long latency,
+                boolean closed,
+                Load load,
+                Actions out) {
             told.add(outcome + (closed ? " closed" : ""));
             if (!closed && !silent) {
                 out.fail(request);
@@ -108,7 +123,7 @@
         }
 
         @Override
-        public void streamStarted(long now, String request, int attempt, Actions out) { }
+        public void streamStarted(long now, String request, int attempt, Actions out) {}
 
         @Override
         public void clientGone(long now, String request, Actions out) {
@@ -119,15 +134,15 @@
         }
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
+        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
 
         @Override
-        public void wake(long now, Actions out) { }
+        public void wake(long now, Actions out) {}
     }
 
     private static final class Answers implements Reply {
         final List<String> given = new ArrayList<>();
-        Runnable unread = () -> { };                // what lies in its connection
+        Runnable unread = () -> {}; // what lies in its connection
 
         @Override
         public void readConnection() {
@@ -162,13 +177,48 @@
     }
 
     private static SettingsReader.Boot boot(String idempotency) {
-        Map<String, String> values = new HashMap<>(Map.of("Balancers", "1", "Quantum", "1000",
-            "MembershipMode", "push", "Classes.count", "1", "Classes.0.Name", "read",
-            "Classes.0.Idempotency", idempotency, "Classes.0.GoalTime", "20000", "Classes.0.GiveUp", "100000",
-            "Classes.0.Gain", "4", "Classes.0.LateShare", "0.25"));
-        values.putAll(Map.of("Limits.TryLimit", "3", "Limits.MayDuplicate", "true", "Limits.Cancel", "true",
-            "Limits.Probes", "false", "Rules.AnswerSlack", "8000", "Rules.DrainGrace", "1000000",
-            "Rules.ColdFrom", "0.3", "Rules.RampTime", "1", "Rules.OverloadFactor", "3", "Rules.Fall", "1"));
+        Map<String, String> values = new HashMap<>(Map.of(
+                "Balancers",
+                "1",
+                "Quantum",
+                "1000",
+                "MembershipMode",
+                "push",
+                "Classes.count",
+                "1",
+                "Classes.0.Name",
+                "read",
+                "Classes.0.Idempotency",
+                idempotency,
+                "Classes.0.GoalTime",
+                "20000",
+                "Classes.0.GiveUp",
+                "100000",
+                "Classes.0.Gain",
+                "4",
+                "Classes.0.LateShare",
+                "0.25"));
+        values.putAll(Map.of(
+                "Limits.TryLimit",
+                "3",
+                "Limits.MayDuplicate",
+                "true",
+                "Limits.Cancel",
+                "true",
+                "Limits.Probes",
+                "false",
+                "Rules.AnswerSlack",
+                "8000",
+                "Rules.DrainGrace",
+                "1000000",
+                "Rules.ColdFrom",
+                "0.3",
+                "Rules.RampTime",
+                "1",
+                "Rules.OverloadFactor",
+                "3",
+                "Rules.Fall",
+                "1"));
         return SettingsReader.read(values, (path, what) -> new IllegalArgumentException(path + what));
     }
 
@@ -177,13 +227,13 @@
     }
 
     private Runnable takeFor(long time) {
-        return dispatcher.take(new Order("r1", "GET", "/k", Fields.NONE, new byte[0], 0, 0, "k", time, -1,
-            false), answers);
+        return dispatcher.take(
+                new Order("r1", "GET", "/k", Fields.NONE, new byte[0], 0, 0, "k", time, -1, false), answers);
     }
 
     private Runnable take() {
-        return dispatcher.take(new Order("r1", "GET", "/k", Fields.NONE, new byte[0], 0, 0, "k", 100_000, -1,
-            false), answers);
+        return dispatcher.take(
+                new Order("r1", "GET", "/k", Fields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false), answers);
     }
 
     private static Answer ok() {
@@ -278,8 +328,7 @@
         Dispatcher unsafe = new Dispatcher(loop, loop, boot("unsafe"), policy, log::add);
         unsafe.attach(carrier, Membership.NONE);
         policy.copies = 2;
-        unsafe.take(new Order("r1", "POST", "/k", Fields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false),
-            answers);
+        unsafe.take(new Order("r1", "POST", "/k", Fields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false), answers);
         assertEquals(SendGuard.NOBODY, carrier.started.get(1).listener.awaitedUntil());
         assertEquals(1, unsafe.invariants().count(Invariants.Violation.SECOND_RUN));
         assertEquals(List.of("invariant violated: second_run r1, 1 so far"), log);
@@ -334,7 +383,7 @@
 
     @Test
     void whatIsTakenBehindTheWordToEndIsAnsweredBeforeTheProcessMayBeKilled() {
-        dispatcher.ending(600_000);                 // the longest deadline is 100 ms
+        dispatcher.ending(600_000); // the longest deadline is 100 ms
         loop.pass(650_000);
         takeFor(5_000_000);
         assertEquals(50_000 - Dispatcher.GUARD - Dispatcher.LAST_WORD, carrier.started.get(0).wait);
@@ -355,7 +404,7 @@
         assertEquals(List.of(), answers.given);
         loop.pass(1);
         assertEquals(List.of("failed"), answers.given, "6 ms before its client's time is over");
-        take();                                     // the wake has come: nothing has lain unread
+        take(); // the wake has come: nothing has lain unread
         assertEquals(50_000, carrier.started.get(1).wait);
     }
 
@@ -367,14 +416,19 @@
         takeFor(900_000);
         takeFor(900_000);
         dispatcher.listed(Policy.ListKind.PARTIAL, new Targets(2, false, List.of()));
-        dispatcher.listed(Policy.ListKind.PARTIAL, new Targets(3, false, List.of(new Targets.Target(
-            new Policy.Server("s", Policy.State.DRAINING, 0, 1, 0, 0, 0), null))));
+        dispatcher.listed(
+                Policy.ListKind.PARTIAL,
+                new Targets(
+                        3,
+                        false,
+                        List.of(new Targets.Target(
+                                new Policy.Server("s", Policy.State.DRAINING, 0, 1, 0, 0, 0), null))));
         assertEquals(loop.now() - 500_000, carrier.heard, "it was told as long ago");
         assertEquals(List.of(), policy.seen);
         loop.pass(0);
         assertEquals(List.of("list of 0", "list of 1", "request", "request"), policy.seen);
         policy.seen.clear();
-        takeFor(900_000);                           // it keeps up again: at once
+        takeFor(900_000); // it keeps up again: at once
         assertEquals(List.of("request"), policy.seen);
     }
 
@@ -385,13 +439,18 @@
             for (boolean before : new boolean[] {true, false}) {
                 int[] left = {Integer.MAX_VALUE};
                 VirtualLoop still = new VirtualLoop();
-                Dispatcher stands = new Dispatcher(still, () -> {
-                    boolean now = --left[0] == 0;
-                    still.stall(now && before ? 1_300_000 : 0);
-                    long read = still.now();
-                    still.stall(now && !before ? 1_300_000 : 0);
-                    return read;
-                }, boot(), new OneTry(), line -> { });
+                Dispatcher stands = new Dispatcher(
+                        still,
+                        () -> {
+                            boolean now = --left[0] == 0;
+                            still.stall(now && before ? 1_300_000 : 0);
+                            long read = still.now();
+                            still.stall(now && !before ? 1_300_000 : 0);
+                            return read;
+                        },
+                        boot(),
+                        new OneTry(),
+                        line -> {});
                 stands.attach(new FakeCarrier(), Membership.NONE);
                 stands.beat();
                 left[0] = look;
@@ -401,8 +460,8 @@
                 String where = (before ? "before look " : "behind look ") + look;
                 if (stood) {
                     assertTrue(stands.mayLieUnread(), where);
-                    still.pass(0);                  // behind passes over the sockets
-                    still.pass(Standstill.BEAT);    // its next one may have been asked for behind it
+                    still.pass(0); // behind passes over the sockets
+                    still.pass(Standstill.BEAT); // its next one may have been asked for behind it
                 } else {
                     assertTrue(look > 1, "it looks");
                 }
@@ -416,7 +475,7 @@
     void whatCameBehindAPassIsNotHeldBackAgain() {
         for (long turn : new long[] {1_000, 150_000, 700_000}) {
             VirtualLoop late = new VirtualLoop();
-            Dispatcher slow = new Dispatcher(late, late, boot(), new OneTry(), line -> { });
+            Dispatcher slow = new Dispatcher(late, late, boot(), new OneTry(), line -> {});
             slow.attach(new FakeCarrier(), Membership.NONE);
             slow.beat();
             late.stall(1_300_000);
@@ -461,16 +520,17 @@
         loop.stall(Standstill.BEAT + 40_000);
         take();
         assertEquals(48_000, carrier.started.get(0).wait);
-        loop.pass(0);                               // the beat has come
+        loop.pass(0); // the beat has come
         take();
         assertEquals(50_000, carrier.started.get(1).wait);
         assertEquals(List.of(), log);
         loop.stall(Standstill.BEAT + 730_000);
         loop.pass(0);
-        loop.stall(Standstill.BEAT + 730_000);      // right after that: no second line
+        loop.stall(Standstill.BEAT + 730_000); // right after that: no second line
         loop.pass(0);
-        assertEquals(List.of("stood still for 730 ms: what came meanwhile lay unread"),
-            log.stream().filter(line -> line.startsWith("stood")).toList());
+        assertEquals(
+                List.of("stood still for 730 ms: what came meanwhile lay unread"),
+                log.stream().filter(line -> line.startsWith("stood")).toList());
     }
 
     @Test
@@ -513,26 +573,26 @@
         }
 
         @Override
-        public void pull(boolean room) { }
+        public void pull(boolean room) {}
 
         @Override
-        public void drop() { }
+        public void drop() {}
     }
 
     private Order upload(Body body) {
         return new Order("u", "POST", "/k", Fields.NONE, new byte[0], 0, 0, null, 400_000, -1, false)
-            .passing(body, 300_000);
+                .passing(body, 300_000);
     }
 
     private static final class Nowhere implements Stream.Taker {
         @Override
-        public void piece(byte[] bytes) { }
+        public void piece(byte[] bytes) {}
 
         @Override
-        public void ended() { }
+        public void ended() {}
 
         @Override
-        public void broken() { }
+        public void broken() {}
     }
 
     @Test
--- a/src/test/java/junctionhead/core/SendGuardTest.java
+++ b/src/test/java/junctionhead/core/SendGuardTest.java
@@ -20,7 +20,8 @@
         assertEquals(Outcome.NOT_SENT, look(100, 100, DrainGrace.NEVER, false).refusal());
         assertTrue(look(99, NEVER, 100, false).granted(), "within its grace");
         assertEquals(Outcome.CONNECT_FAILED, look(100, NEVER, 100, false).refusal());
-        assertEquals(Outcome.CONNECT_FAILED, look(0, 100, DrainGrace.NEVER, true).refusal());
+        assertEquals(
+                Outcome.CONNECT_FAILED, look(0, 100, DrainGrace.NEVER, true).refusal());
         assertEquals(Outcome.NOT_SENT, look(100, 100, 100, true).refusal(), "nor may another take it");
     }
 
--- a/src/test/java/junctionhead/core/StandstillTest.java
+++ b/src/test/java/junctionhead/core/StandstillTest.java
@@ -19,22 +19,49 @@
  * timers run, as {@code SocketsFirst} has it.
  */
 class StandstillTest {
-    private static final long DEADLINE = 400_000;   // µs, of every request
-    private static final long SLACK = 8_000;        // of the settings: a beat less the guards is no more
+    private static final long DEADLINE = 400_000; // µs, of every request
+    private static final long SLACK = 8_000; // of the settings: a beat less the guards is no more
     private static final int SERVERS = 4;
 
     private static SettingsReader.Boot boot() {
-        Map<String, String> values = new HashMap<>(Map.of("Balancers", "1", "Quantum", "1000",
-            "MembershipMode", "push", "Classes.count", "2"));
+        Map<String, String> values = new HashMap<>(
+                Map.of("Balancers", "1", "Quantum", "1000", "MembershipMode", "push", "Classes.count", "2"));
         for (int i = 0; i < 2; i++) {
-            values.putAll(Map.of("Classes." + i + ".Name", "c" + i, "Classes." + i + ".Idempotency",
-                i == 0 ? "safe" : "unsafe", "Classes." + i + ".GoalTime", "200000",
-                "Classes." + i + ".GiveUp", Long.toString(DEADLINE), "Classes." + i + ".Gain", "4",
-                "Classes." + i + ".LateShare", "0.25"));
+            values.putAll(Map.of(
+                    "Classes." + i + ".Name",
+                    "c" + i,
+                    "Classes." + i + ".Idempotency",
+                    i == 0 ? "safe" : "unsafe",
+                    "Classes." + i + ".GoalTime",
+                    "200000",
+                    "Classes." + i + ".GiveUp",
+                    Long.toString(DEADLINE),
+                    "Classes." + i + ".Gain",
+                    "4",
+                    "Classes." + i + ".LateShare",
+                    "0.25"));
         }
-        values.putAll(Map.of("Limits.TryLimit", "3", "Limits.MayDuplicate", "true", "Limits.Cancel", "true",
-            "Limits.Probes", "false", "Rules.AnswerSlack", "8000", "Rules.DrainGrace", "1000000",
-            "Rules.ColdFrom", "0.3", "Rules.RampTime", "1", "Rules.OverloadFactor", "3", "Rules.Fall", "1"));
+        values.putAll(Map.of(
+                "Limits.TryLimit",
+                "3",
+                "Limits.MayDuplicate",
+                "true",
+                "Limits.Cancel",
+                "true",
+                "Limits.Probes",
+                "false",
+                "Rules.AnswerSlack",
+                "8000",
+                "Rules.DrainGrace",
+                "1000000",
+                "Rules.ColdFrom",
+                "0.3",
+                "Rules.RampTime",
+                "1",
+                "Rules.OverloadFactor",
+                "3",
+                "Rules.Fall",
+                "1"));
         return SettingsReader.read(values, (path, what) -> new IllegalArgumentException(path + what));
     }
 
@@ -74,7 +101,7 @@
     /** Servers that answer after a time of their own; the answer waits in the socket until it is read. */
     private final class Servers implements Carrier {
         @Override
-        public void listed(Targets targets, long now) { }
+        public void listed(Targets targets, long now) {}
 
         @Override
         public Attempt send(String server, Order order, long wait, long before, Listener listener) {
@@ -95,20 +122,20 @@
 
                 @Override
                 public boolean withdraw() {
-                    return false;                   // it has been written at once
+                    return false; // it has been written at once
                 }
             };
         }
 
         @Override
-        public void probe(String server, boolean report, Listener listener) { }
+        public void probe(String server, boolean report, Listener listener) {}
 
         @Override
-        public void closeIdle(String server) { }
+        public void closeIdle(String server) {}
     }
 
     /** Bytes that reach the machine at a time, and what reading them does. */
-    private record Arrival(long at, Runnable read) { }
+    private record Arrival(long at, Runnable read) {}
 
     private final VirtualLoop loop = new VirtualLoop();
     private final List<Arrival> arrivals = new ArrayList<>();
@@ -124,7 +151,7 @@
     }
 
     private void run(long micros) {
-        for (long until = loop.now() + micros; loop.now() < until;) {
+        for (long until = loop.now() + micros; loop.now() < until; ) {
             loop.stall(1_000);
             turn();
         }
@@ -137,13 +164,12 @@
             random = new SplittableRandom(seed);
             arrivals.clear();
             Balance module = new Balance(boot().settings(), seed);
-            Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), module, line -> { });
+            Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), module, line -> {});
             dispatcher.attach(new Servers(), Membership.NONE);
             dispatcher.beat();
             List<Targets.Target> targets = new ArrayList<>();
             for (int i = 0; i < SERVERS; i++) {
-                targets.add(new Targets.Target(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0),
-                    null));
+                targets.add(new Targets.Target(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
             }
             dispatcher.listed(Policy.ListKind.COMPLETE, new Targets(1, true, targets));
             List<Asked> all = new ArrayList<>();
@@ -153,7 +179,7 @@
                 if (step == stallAt) {
                     stalled[0] = loop.now();
                     long length = 100_000 + random.nextLong(900_000);
-                    for (int i = 0; i < 20; i++) {  // clients go on asking
+                    for (int i = 0; i < 20; i++) { // clients go on asking
                         loop.stall(length / 20);
                         ask(dispatcher, all);
                     }
@@ -186,8 +212,8 @@
         made++;
         int kind = random.nextInt(2);
         String id = "r" + made;
-        Order order = new Order(id, kind == 0 ? "GET" : "POST", "/k", Fields.NONE, new byte[0], kind, 0, null,
-            DEADLINE, -1, false);
+        Order order = new Order(
+                id, kind == 0 ? "GET" : "POST", "/k", Fields.NONE, new byte[0], kind, 0, null, DEADLINE, -1, false);
         arrivals.add(new Arrival(loop.now(), () -> dispatcher.take(order, asked)));
     }
 }
--- a/src/test/java/junctionhead/core/VirtualLoop.java
+++ b/src/test/java/junctionhead/core/VirtualLoop.java
@@ -5,10 +5,10 @@
 
 /** A loop in virtual time: runs what is due, in order, when a test lets time pass. */
 final class VirtualLoop implements Loop, Clock {
-    private record Entry(long at, long number, Runnable task) { }
+    private record Entry(long at, long number, Runnable task) {}
 
     private final PriorityQueue<Entry> entries =
-        new PriorityQueue<>(Comparator.comparingLong(Entry::at).thenComparingLong(Entry::number));
+            new PriorityQueue<>(Comparator.comparingLong(Entry::at).thenComparingLong(Entry::number));
     private long now = 1_000_000;
     private long number;
 
@@ -41,6 +41,6 @@
             now = Math.max(now, next.at());
             next.task().run();
         }
-        now = Math.max(now, until);                 // a task may have stood still
+        now = Math.max(now, until); // a task may have stood still
     }
 }
--- a/src/test/java/junctionhead/front/http1/AcceptingChannelTest.java
+++ b/src/test/java/junctionhead/front/http1/AcceptingChannelTest.java
@@ -59,9 +59,14 @@
                 throw new IllegalStateException(cause);
             }
         };
-        return new ServerBootstrap().group(group).channelFactory(() -> AcceptingChannel.of(null, gatekeeper))
-            .handler(new Passes()).childHandler(new ChannelInboundHandlerAdapter())
-            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        return new ServerBootstrap()
+                .group(group)
+                .channelFactory(() -> AcceptingChannel.of(null, gatekeeper))
+                .handler(new Passes())
+                .childHandler(new ChannelInboundHandlerAdapter())
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
     // They wait while the loop is busy.
--- a/src/test/java/junctionhead/front/http1/IntakeTest.java
+++ b/src/test/java/junctionhead/front/http1/IntakeTest.java
@@ -24,24 +24,27 @@
     private int passed;
 
     private EmbeddedChannel waiting(int bytes) {
-        EmbeddedChannel channel = new EmbeddedChannel(new Intake(new Intake.Taker() {
-            @Override
-            public void begun(HttpRequest head) { }
+        EmbeddedChannel channel = new EmbeddedChannel(new Intake(
+                new Intake.Taker() {
+                    @Override
+                    public void begun(HttpRequest head) {}
 
-            @Override
-            public void whole(HttpRequest head, byte[] body) { }
+                    @Override
+                    public void whole(HttpRequest head, byte[] body) {}
 
-            @Override
-            public void flowing(HttpRequest head, byte[] first, Stream following, long length) {
-                rest = following;
-            }
+                    @Override
+                    public void flowing(HttpRequest head, byte[] first, Stream following, long length) {
+                        rest = following;
+                    }
 
-            @Override
-            public void bad(HttpResponseStatus status, String why) { }
+                    @Override
+                    public void bad(HttpResponseStatus status, String why) {}
 
-            @Override
-            public void cut(HttpResponseStatus status, String why) { }
-        }, new Room(MOST), early));
+                    @Override
+                    public void cut(HttpResponseStatus status, String why) {}
+                },
+                new Room(MOST),
+                early));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/k");
         head.headers().set("Content-Length", 1_000_000);
         channel.writeInbound(head);
@@ -74,10 +77,10 @@
             }
 
             @Override
-            public void ended() { }
+            public void ended() {}
 
             @Override
-            public void broken() { }
+            public void broken() {}
         });
         assertEquals(60_000, passed);
         more(channel, 90_000);
--- a/src/test/java/junctionhead/handover/HandoverTest.java
+++ b/src/test/java/junctionhead/handover/HandoverTest.java
@@ -35,7 +35,7 @@
     private Path folder;
 
     private Handover handover(Path path) {
-        return new Handover(group.next(), path, steps::add, line -> { });
+        return new Handover(group.next(), path, steps::add, line -> {});
     }
 
     @AfterEach
