--- a/src/test/java/junctionhead/http1/Http1FieldsTest.java
+++ b/src/test/java/junctionhead/http1/Http1FieldsTest.java
@@ -14,9 +14,15 @@
 class Http1FieldsTest {
     @Test
     void whatBelongsToOneConnectionGoesNoFurtherAndTheRestIsNotCopied() {
-        HttpHeaders headers = new DefaultHttpHeaders().add("Connection", "Keep-Alive, X-Own")
-            .add("keep-alive", "5").add("x-own", "1").add("Req-Deadline-MS", "9").add("TE", "trailers")
-            .add("Host", "a").add("X-Kept", "1").add("X-Kept", "2");
+        HttpHeaders headers = new DefaultHttpHeaders()
+                .add("Connection", "Keep-Alive, X-Own")
+                .add("keep-alive", "5")
+                .add("x-own", "1")
+                .add("Req-Deadline-MS", "9")
+                .add("TE", "trailers")
+                .add("Host", "a")
+                .add("X-Kept", "1")
+                .add("X-Kept", "2");
         Http1Fields fields = new Http1Fields(headers).endToEnd();
         assertSame(headers, Http1Fields.of(fields, "b:1"));
         assertEquals(3, headers.size());
--- a/src/test/java/junctionhead/http3/BoxPlanTest.java
+++ b/src/test/java/junctionhead/http3/BoxPlanTest.java
@@ -70,7 +70,7 @@
         assertEquals(Way.NONE, none.way());
         assertNull(none.link());
         plan.released(link, 0);
-        assertEquals(Way.NONE, plan.choose(0).way());       // until the peer says so (MAX_STREAMS)
+        assertEquals(Way.NONE, plan.choose(0).way()); // until the peer says so (MAX_STREAMS)
         plan.allowed(link, 1);
         assertEquals(Way.STREAM, plan.choose(0).way());
     }
--- a/src/test/java/junctionhead/http3/EndingsTest.java
+++ b/src/test/java/junctionhead/http3/EndingsTest.java
@@ -26,13 +26,16 @@
         "CONNECTION_LOST, true, -1, RESET",
         "CONNECTION_LOST, false, -1, CONNECT_FAILED",
         "BAD_ANSWER, true, -1, RESET",
-        "TOO_LONG, true, -1, RESET"})
+        "TOO_LONG, true, -1, RESET"
+    })
     void whatAnEndingProves(How how, boolean given, String code, Outcome outcome) {
         assertEquals(outcome, Endings.outcome(how, given, Long.decode(code)));
     }
 
     @ParameterizedTest
-    @EnumSource(value = How.class, names = {"STREAM_RESET", "CONNECTION_LOST", "BAD_ANSWER", "TOO_LONG"})
+    @EnumSource(
+            value = How.class,
+            names = {"STREAM_RESET", "CONNECTION_LOST", "BAD_ANSWER", "TOO_LONG"})
     void onceGivenOnlyASpecificationProvesThatNothingRan(How how) {
         for (long code = -1; code < 0x400; code++) {
             if (code != ErrorCodes.REQUEST_REJECTED) {
@@ -43,6 +46,7 @@
 
     @Test
     void aRejectionCountsOnlyWhereTheStreamWasReset() {
-        assertFalse(Endings.outcome(How.CONNECTION_LOST, true, ErrorCodes.REQUEST_REJECTED).neverRan());
+        assertFalse(Endings.outcome(How.CONNECTION_LOST, true, ErrorCodes.REQUEST_REJECTED)
+                .neverRan());
     }
 }
--- a/src/test/java/junctionhead/http3/HeadRulesTest.java
+++ b/src/test/java/junctionhead/http3/HeadRulesTest.java
@@ -26,43 +26,78 @@
 
     @Test
     void aHeadIsRead() throws Malformed {
-        assertEquals(new HeadRules.Head("GET", "https", "a.test", "/x?y=1", 7),
-            HeadRules.request(fields(GOOD + "|content-length=7|te=trailers|host=a.test")));
-        assertEquals("b.test", HeadRules.request(fields(":method=GET|:scheme=https|:path=/|host=b.test"))
-            .authority());
-        assertEquals("CONNECT", HeadRules.request(fields(":method=CONNECT|:authority=a.test:1")).method());
-        assertEquals("*",
-            HeadRules.request(fields(":method=OPTIONS|:scheme=http|:authority=a|:path=*")).path());
+        assertEquals(
+                new HeadRules.Head("GET", "https", "a.test", "/x?y=1", 7),
+                HeadRules.request(fields(GOOD + "|content-length=7|te=trailers|host=a.test")));
+        assertEquals(
+                "b.test",
+                HeadRules.request(fields(":method=GET|:scheme=https|:path=/|host=b.test"))
+                        .authority());
+        assertEquals(
+                "CONNECT",
+                HeadRules.request(fields(":method=CONNECT|:authority=a.test:1")).method());
+        assertEquals(
+                "*",
+                HeadRules.request(fields(":method=OPTIONS|:scheme=http|:authority=a|:path=*"))
+                        .path());
         assertEquals(new HeadRules.Status(200, 3), HeadRules.answer(fields(":status=200|content-length=3")));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        ":method=GET|:scheme=https|:authority=a.test",
-        ":method=GET|:scheme=https|:authority=a.test|:path=",
-        ":method=GET|:scheme=https|:authority=a.test|:path=x",
-        ":method=GET|:scheme=https|:authority=a.test|:path=*",
-        ":method=GET|:authority=a.test|:path=/",
-        ":scheme=https|:authority=a.test|:path=/",
-        ":method=GET|:scheme=https|:path=/",
-        ":method=GET|:scheme=https|:authority=|:path=/",
-        ":method=CONNECT|:scheme=https|:authority=a.test|:path=/",
-        GOOD + "|:path=/z", GOOD + "|x=1|:late=1", GOOD + "|:status=200", GOOD + "|:protocol=websocket",
-        "x=1|" + GOOD, GOOD + "|connection=close", GOOD + "|keep-alive=1", GOOD + "|proxy-connection=x",
-        GOOD + "|transfer-encoding=chunked", GOOD + "|upgrade=x", GOOD + "|te=gzip", GOOD + "|Upper=1",
-        GOOD + "|a b=1", GOOD + "|host=b.test", GOOD + "|content-length=", GOOD + "|content-length=-1",
-        GOOD + "|content-length=+1", GOOD + "|content-length=99999999999999999999",
-        GOOD + "|content-length=1|content-length=1", GOOD + "|x=a^b", GOOD + "|x= a", GOOD + "|x=a ",
-        ":method=G ET|:scheme=https|:authority=a.test|:path=/",
-        ":method=GET|:scheme=https|:authority=me@a.test|:path=/"})
+    @ValueSource(
+            strings = {
+                ":method=GET|:scheme=https|:authority=a.test",
+                ":method=GET|:scheme=https|:authority=a.test|:path=",
+                ":method=GET|:scheme=https|:authority=a.test|:path=x",
+                ":method=GET|:scheme=https|:authority=a.test|:path=*",
+                ":method=GET|:authority=a.test|:path=/",
+                ":scheme=https|:authority=a.test|:path=/",
+                ":method=GET|:scheme=https|:path=/",
+                ":method=GET|:scheme=https|:authority=|:path=/",
+                ":method=CONNECT|:scheme=https|:authority=a.test|:path=/",
+                GOOD + "|:path=/z",
+                GOOD + "|x=1|:late=1",
+                GOOD + "|:status=200",
+                GOOD + "|:protocol=websocket",
+                "x=1|" + GOOD,
+                GOOD + "|connection=close",
+                GOOD + "|keep-alive=1",
+                GOOD + "|proxy-connection=x",
+                GOOD + "|transfer-encoding=chunked",
+                GOOD + "|upgrade=x",
+                GOOD + "|te=gzip",
+                GOOD + "|Upper=1",
+                GOOD + "|a b=1",
+                GOOD + "|host=b.test",
+                GOOD + "|content-length=",
+                GOOD + "|content-length=-1",
+                GOOD + "|content-length=+1",
+                GOOD + "|content-length=99999999999999999999",
+                GOOD + "|content-length=1|content-length=1",
+                GOOD + "|x=a^b",
+                GOOD + "|x= a",
+                GOOD + "|x=a ",
+                ":method=G ET|:scheme=https|:authority=a.test|:path=/",
+                ":method=GET|:scheme=https|:authority=me@a.test|:path=/"
+            })
     void aBadHeadIsAnErrorOfTheMessage(String text) {
         Malformed why = assertThrows(Malformed.class, () -> HeadRules.request(fields(text)));
         assertEquals(ErrorCodes.MESSAGE_ERROR, why.code());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"x=1", ":status=101", ":status=99", ":status=20", ":status=2000", ":status=abc",
-        ":status=200|:method=GET", ":status=200|connection=close", "x=1|:status=200"})
+    @ValueSource(
+            strings = {
+                "x=1",
+                ":status=101",
+                ":status=99",
+                ":status=20",
+                ":status=2000",
+                ":status=abc",
+                ":status=200|:method=GET",
+                ":status=200|connection=close",
+                "x=1|:status=200"
+            })
     void aBadAnswerIsNone(String text) {
         assertThrows(Malformed.class, () -> HeadRules.answer(fields(text)));
     }
@@ -84,8 +119,9 @@
     @Test
     void aMessageKeepsItsOrderAndItsLength() throws Malformed {
         MessageState state = new MessageState(10);
-        assertEquals(ErrorCodes.REQUEST_INCOMPLETE,
-            assertThrows(Malformed.class, () -> new MessageState(10).end()).code());
+        assertEquals(
+                ErrorCodes.REQUEST_INCOMPLETE,
+                assertThrows(Malformed.class, () -> new MessageState(10).end()).code());
         assertThrows(Malformed.class, () -> new MessageState(10).data(1));
         state.head(4);
         assertTrue(state.data(3));
--- a/src/test/java/junctionhead/http3/IdentityTest.java
+++ b/src/test/java/junctionhead/http3/IdentityTest.java
@@ -32,8 +32,11 @@
     Path folder;
 
     private static X509Bundle made(CertificateBuilder.Algorithm algorithm) throws Exception {
-        return new CertificateBuilder().subject("CN=a.test").setIsCertificateAuthority(true)
-            .algorithm(algorithm).buildSelfSigned();
+        return new CertificateBuilder()
+                .subject("CN=a.test")
+                .setIsCertificateAuthority(true)
+                .algorithm(algorithm)
+                .buildSelfSigned();
     }
 
     private Config read(String table) throws Exception {
@@ -44,8 +47,9 @@
 
     @Test
     void bothKindsOfKeysAreRead() throws Exception {
-        for (var algorithm : new CertificateBuilder.Algorithm[] {CertificateBuilder.Algorithm.ecp256,
-            CertificateBuilder.Algorithm.rsa2048}) {
+        for (var algorithm : new CertificateBuilder.Algorithm[] {
+            CertificateBuilder.Algorithm.ecp256, CertificateBuilder.Algorithm.rsa2048
+        }) {
             X509Bundle made = made(algorithm);
             Identity read = Identity.parse(made.getCertificatePathPEM(), made.getPrivateKeyPEM());
             assertEquals(made.getCertificate(), read.chain().get(0));
@@ -57,14 +61,21 @@
         X509Bundle one = made(CertificateBuilder.Algorithm.ecp256);
         X509Bundle two = made(CertificateBuilder.Algorithm.ecp256);
         X509Bundle rsa = made(CertificateBuilder.Algorithm.rsa2048);
-        assertEquals("another key than the certificate's", assertThrows(IllegalArgumentException.class,
-            () -> Identity.parse(one.getCertificatePathPEM(), two.getPrivateKeyPEM())).getMessage());
-        assertTrue(assertThrows(IllegalArgumentException.class,
-            () -> Identity.parse(one.getCertificatePathPEM(), rsa.getPrivateKeyPEM())).getMessage()
-            .startsWith("not a EC key"));
+        assertEquals(
+                "another key than the certificate's",
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> Identity.parse(one.getCertificatePathPEM(), two.getPrivateKeyPEM()))
+                        .getMessage());
+        assertTrue(assertThrows(
+                        IllegalArgumentException.class,
+                        () -> Identity.parse(one.getCertificatePathPEM(), rsa.getPrivateKeyPEM()))
+                .getMessage()
+                .startsWith("not a EC key"));
         assertThrows(IllegalArgumentException.class, () -> Identity.parse("", one.getPrivateKeyPEM()));
-        assertThrows(IllegalArgumentException.class,
-            () -> Identity.parse(one.getCertificatePathPEM(), one.getCertificatePathPEM()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> Identity.parse(one.getCertificatePathPEM(), one.getCertificatePathPEM()));
     }
 
     @Test
@@ -92,8 +103,9 @@
     void everyProblemOfTheTableIsNamedWithItsLine() throws Exception {
         X509Bundle one = made(CertificateBuilder.Algorithm.ecp256);
         Files.writeString(folder.resolve("cert.pem"), one.getCertificatePathPEM());
-        Files.writeString(folder.resolve("key.pem"),
-            made(CertificateBuilder.Algorithm.ecp256).getPrivateKeyPEM());
+        Files.writeString(
+                folder.resolve("key.pem"),
+                made(CertificateBuilder.Algorithm.ecp256).getPrivateKeyPEM());
         Files.writeString(folder.resolve("cut.pem"), one.getCertificatePathPEM().substring(0, 200));
         Problems.Bad bad = assertThrows(Problems.Bad.class, () -> read("""
             [http3]
@@ -105,14 +117,18 @@
             streems = 5
             """));
         String file = folder.resolve("balancer.toml").toString();
-        assertEquals(file + ":2: http3.listen: not address:port: 'nowhere'", bad.problems().get(0));
-        assertEquals(file + ":4: http3.key: another key than the certificate's", bad.problems().get(1));
+        assertEquals(
+                file + ":2: http3.listen: not address:port: 'nowhere'",
+                bad.problems().get(0));
+        assertEquals(
+                file + ":4: http3.key: another key than the certificate's",
+                bad.problems().get(1));
         assertTrue(bad.problems().get(2).startsWith(file + ":5: http3.trust: "), bad.getMessage());
         assertTrue(bad.problems().get(3).startsWith(file + ":6: http3.connections: not between"));
         assertTrue(bad.problems().get(4).endsWith("the nearest known is 'streams'"), bad.getMessage());
         assertEquals(5, bad.problems().size());
-        Problems.Bad missing = assertThrows(Problems.Bad.class,
-            () -> read("[http3]\nlisten = \"127.0.0.1:1\"\ncertificate = \"none.pem\"\n"));
+        Problems.Bad missing = assertThrows(
+                Problems.Bad.class, () -> read("[http3]\nlisten = \"127.0.0.1:1\"\ncertificate = \"none.pem\"\n"));
         assertEquals(2, missing.problems().size());
         assertTrue(missing.getMessage().contains("can't read 'none.pem' (NoSuchFileException)"));
     }
--- a/src/test/java/junctionhead/http3/SessionsTest.java
+++ b/src/test/java/junctionhead/http3/SessionsTest.java
@@ -16,8 +16,7 @@
 /** Who is let in, who goes, who proves an address, and who ends streams too often. */
 class SessionsTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-    private final Sessions sessions = new Sessions(new Sessions.Limits(4, 3, 4, 1_000, SECOND,
-        3 * SECOND));
+    private final Sessions sessions = new Sessions(new Sessions.Limits(4, 3, 4, 1_000, SECOND, 3 * SECOND));
     private final List<String> ended = new ArrayList<>();
 
     private Session in(String name, Object address, long now) {
@@ -53,13 +52,13 @@
     @Test
     void halfTheHandshakesMakeNewcomersProveTheirAddressAndAllOfThemShutTheDoor() {
         List<Session> half = new ArrayList<>();
-        half.add(sessions.open("a", () -> { }, 0));
+        half.add(sessions.open("a", () -> {}, 0));
         assertFalse(sessions.mustProve());
-        half.add(sessions.open("b", () -> { }, 0));
+        half.add(sessions.open("b", () -> {}, 0));
         assertTrue(sessions.mustProve());
-        half.add(sessions.open("c", () -> { }, 0));
-        half.add(sessions.open("d", () -> { }, 0));
-        assertNull(sessions.open("e", () -> { }, 0));
+        half.add(sessions.open("c", () -> {}, 0));
+        half.add(sessions.open("d", () -> {}, 0));
+        assertNull(sessions.open("e", () -> {}, 0));
         half.forEach(sessions::closed);
         half.forEach(sessions::closed);
         assertEquals(0, sessions.handshakes());
@@ -73,11 +72,11 @@
             String name = "h" + i;
             sessions.open(name, () -> ended.add(name), i * SECOND);
         }
-        assertNull(sessions.open("late", () -> { }, 3 * SECOND));
+        assertNull(sessions.open("late", () -> {}, 3 * SECOND));
         sessions.endOverdue(4 * SECOND);
         assertEquals(List.of("h0", "h1"), ended);
         assertEquals(2, sessions.handshakes());
-        assertNotNull(sessions.open("late", () -> { }, 4 * SECOND));
+        assertNotNull(sessions.open("late", () -> {}, 4 * SECOND));
     }
 
     @Test
@@ -89,7 +88,7 @@
         assertEquals(List.of(), ended);
         sessions.unread(good, 1);
         assertEquals(List.of("slow"), ended);
-        sessions.unread(slow, -700);                // what it held went with it
+        sessions.unread(slow, -700); // what it held went with it
         sessions.unread(good, 699);
         assertEquals(List.of("slow"), ended);
     }
@@ -123,7 +122,7 @@
         }
         assertEquals(100, borne);
         ResetGuard patient = new ResetGuard(100, 20, 0);
-        for (int i = 0; i < 10_000; i++) {          // a third of 30 requests a second given up
+        for (int i = 0; i < 10_000; i++) { // a third of 30 requests a second given up
             patient.answered();
             patient.answered();
             assertTrue(patient.ended(i * SECOND / 10));
--- a/src/test/java/junctionhead/log/LineSinkTest.java
+++ b/src/test/java/junctionhead/log/LineSinkTest.java
@@ -49,7 +49,7 @@
         for (int i = 1; i <= 10_000; i++) {
             sink.accept(Integer.toString(i));
         }
-        sink.close(10);                             // nobody reads: it is not waited for
+        sink.close(10); // nobody reads: it is not waited for
         pipe.open.countDown();
         sink.close(20_000);
         List<String> lines = pipe.lines();
--- a/src/test/java/junctionhead/log/NettyLogTest.java
+++ b/src/test/java/junctionhead/log/NettyLogTest.java
@@ -25,8 +25,10 @@
         } finally {
             InternalLoggerFactory.setDefaultFactory(before);
         }
-        assertEquals(List.of("event=netty_warning logger=Some no channel for 7 here "
-            + "cause=java.io.IOException: Too many open files"), lines);
+        assertEquals(
+                List.of("event=netty_warning logger=Some no channel for 7 here "
+                        + "cause=java.io.IOException: Too many open files"),
+                lines);
     }
 
     @Test
@@ -36,7 +38,8 @@
         assertNull(limiter.line("warning", "A", "second", null, NettyLog.EVERY - 1));
         assertNotNull(limiter.line("error", "A", "another level", null, NettyLog.EVERY - 1));
         assertNull(limiter.line("warning", "A", "third", null, NettyLog.EVERY - 1));
-        assertEquals("event=netty_warning logger=A fourth held_back=1",
-            limiter.line("warning", "A", "fourth", null, NettyLog.EVERY));
+        assertEquals(
+                "event=netty_warning logger=A fourth held_back=1",
+                limiter.line("warning", "A", "fourth", null, NettyLog.EVERY));
     }
 }
--- a/src/test/java/junctionhead/loop/WholeMillisTest.java
+++ b/src/test/java/junctionhead/loop/WholeMillisTest.java
@@ -24,11 +24,10 @@
 
 class WholeMillisTest {
     private static final int TIMERS = 100;
-    private static final long APART = 4_300_000;    // ns: a wait of whole milliseconds ends before it
+    private static final long APART = 4_300_000; // ns: a wait of whole milliseconds ends before it
 
     /** Turns of a loop for each of its timers, one after the other. */
-    private static double turns(Function<SelectStrategyFactory, EventLoopGroup> groups)
-            throws InterruptedException {
+    private static double turns(Function<SelectStrategyFactory, EventLoopGroup> groups) throws InterruptedException {
         AtomicInteger turns = new AtomicInteger();
         EventLoopGroup group = groups.apply(() -> (now, tasks) -> {
             turns.incrementAndGet();
@@ -45,19 +44,22 @@
     }
 
     private static void next(EventLoop loop, CountDownLatch left) {
-        loop.schedule(() -> {
-            left.countDown();
-            if (left.getCount() > 0) {
-                next(loop, left);
-            }
-        }, APART, TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    left.countDown();
+                    if (left.getCount() > 0) {
+                        next(loop, left);
+                    }
+                },
+                APART,
+                TimeUnit.NANOSECONDS);
     }
 
     @Test
     void aLoopSleepsUntilItsTimersAreDue() throws InterruptedException {
         double ours = turns(WholeMillis::new);
-        double plain = turns(strategy -> new MultiThreadIoEventLoopGroup(1,
-            NioIoHandler.newFactory(SelectorProvider.provider(), strategy)));
+        double plain = turns(strategy ->
+                new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), strategy)));
         assertTrue(ours < 4, ours + " turns a timer, Netty's own " + plain);
         assertTrue(plain > 2 * ours, "without need: Netty's own takes " + plain + ", this one " + ours);
     }
@@ -67,8 +69,12 @@
     void itsEndClosesTheConnections() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             WholeMillis group = new WholeMillis();
-            new Bootstrap().group(group).channel(NioSocketChannel.class)
-                .handler(new ChannelInboundHandlerAdapter()).connect(server.getLocalSocketAddress()).sync();
+            new Bootstrap()
+                    .group(group)
+                    .channel(NioSocketChannel.class)
+                    .handler(new ChannelInboundHandlerAdapter())
+                    .connect(server.getLocalSocketAddress())
+                    .sync();
             try (Socket peer = server.accept()) {
                 peer.setSoTimeout(20_000);
                 group.next().execute(group::end);
--- a/src/test/java/junctionhead/membership/ListsTest.java
+++ b/src/test/java/junctionhead/membership/ListsTest.java
@@ -19,8 +19,8 @@
 class ListsTest {
     private static final String PLAIN = "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a}{\\\"\"}]}";
     private static final String INDENTED = "  {\r\n  \"rev\": 2,\r\n\t\"all\": false,\n  \"targets\": ["
-        + "\n    {\n"
-        + "      \"uid\": \"b\"\n    }\n  ]\n}";
+            + "\n    {\n"
+            + "      \"uid\": \"b\"\n    }\n  ]\n}";
 
     private final EmbeddedChannel channel = new EmbeddedChannel(new Lists(1 << 20));
 
@@ -68,8 +68,15 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{not json\n", "{\"rev\":44,\"targets\":[{\"uid\":\"s-1\n", "hello\n", "}\n",
-        "{\n\"rev\":44,\"targets\":[\n\n", "{\"rev\":44,\"targets\":[\n{\"uid\":1,}\n"})
+    @ValueSource(
+            strings = {
+                "{not json\n",
+                "{\"rev\":44,\"targets\":[{\"uid\":\"s-1\n",
+                "hello\n",
+                "}\n",
+                "{\n\"rev\":44,\"targets\":[\n\n",
+                "{\"rev\":44,\"targets\":[\n{\"uid\":1,}\n"
+            })
     void whatIsNoValueOrBreaksOffIsToldWithItsLine(String text) {
         assertThrows(DecoderException.class, () -> say(text));
     }
--- a/src/test/java/junctionhead/membership/SilenceTest.java
+++ b/src/test/java/junctionhead/membership/SilenceTest.java
@@ -39,7 +39,7 @@
     void anAgentTellsWhetherAWatchIsOpenOrNot() {
         Silence silence = new Silence(true, 99, 100);
         silence.broke(1_000, 900, false);
-        silence.broke(1_400, 900, false);           // the next one as well: blind since the first
+        silence.broke(1_400, 900, false); // the next one as well: blind since the first
         assertEquals(500, silence.toldFor(1_500));
         Silence asked = new Silence(false, 0, 1);
         asked.broke(1_000, 900, false);
--- a/src/test/java/junctionhead/node/AnswerReaderTest.java
+++ b/src/test/java/junctionhead/node/AnswerReaderTest.java
@@ -13,20 +13,21 @@
 class AnswerReaderTest extends NodeFixture {
     /** The request has run, perhaps; the client gets a failure, and the connection is of no further use. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "\u0001\u0002 noise\r\n\r\n",
-        "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
-        "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "\u0001\u0002 noise\r\n\r\n",
+                "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
+                "HTTP/1.1 101 Switching Protocols\r\n\r\n",
+            })
     void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -85,8 +86,7 @@
 
     /** The copy came in one read with the answer, and the next request was served with it. */
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20",
-        "\u0007noise"})
+    @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20", "\u0007noise"})
     void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -118,10 +118,11 @@
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            upstream.next().raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-                + "HTTP/1.1 102 Processing\r\n\r\n"
-                + "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=NaN, eps=-1, queue=Infinity\r\n"
-                + "Content-Length: 2\r\n\r\nok");
+            upstream.next()
+                    .raw("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+                            + "HTTP/1.1 102 Processing\r\n\r\n"
+                            + "HTTP/1.1 200 OK\r\nSrv-Load: TEXT inflight=NaN, eps=-1, queue=Infinity\r\n"
+                            + "Content-Length: 2\r\n\r\nok");
             assertEquals("OK closed", module.next());
             assertEquals(200, client.status());
             awaitRested("s1");
--- a/src/test/java/junctionhead/node/AnswersTest.java
+++ b/src/test/java/junctionhead/node/AnswersTest.java
@@ -40,13 +40,19 @@
             assertEquals(200, client.status());
             assertEquals("abc", new String(client.body, StandardCharsets.UTF_8));
         }
-        assertEquals(1, upstream.connections());    // kept and used again
+        assertEquals(1, upstream.connections()); // kept and used again
     }
 
     @ParameterizedTest
-    @CsvSource({"200,'',OK closed,200", "500,'',ERROR,502", "503,'',ERROR,502",
-        "503,Srv-Declined: 1,FULL,502", "504,Srv-Declined: 1,FULL,502", "500,Srv-Declined: 1,ERROR,502",
-        "429,'',ERROR,502"})
+    @CsvSource({
+        "200,'',OK closed,200",
+        "500,'',ERROR,502",
+        "503,'',ERROR,502",
+        "503,Srv-Declined: 1,FULL,502",
+        "504,Srv-Declined: 1,FULL,502",
+        "500,Srv-Declined: 1,ERROR,502",
+        "429,'',ERROR,502"
+    })
     void onlyADeclinedAnswerProvesThatNothingRan(int status, String header, String told, int passed)
             throws IOException, InterruptedException {
         start();
@@ -134,7 +140,8 @@
             assertEquals("gone", module.next());
             synchronized (log) {
                 // A machine that is slow to load classes is told of as well.
-                List<String> said = log.stream().filter(l -> !l.startsWith("stood still")).toList();
+                List<String> said =
+                        log.stream().filter(l -> !l.startsWith("stood still")).toList();
                 assertTrue(said.get(said.size() - 2).startsWith("fault 1: "), log.toString());
             }
             module.broken = false;
--- a/src/test/java/junctionhead/node/Certificates.java
+++ b/src/test/java/junctionhead/node/Certificates.java
@@ -6,13 +6,17 @@
 
 /** Certificates for tests, made anew for each run: for 127.0.0.1 and the name box.test. */
 public final class Certificates {
-    private Certificates() { }
+    private Certificates() {}
 
     public static X509Bundle selfSigned() {
         try {
-            return new CertificateBuilder().subject("CN=box.test").addSanDnsName("box.test")
-                .addSanIpAddress("127.0.0.1").setIsCertificateAuthority(true)
-                .algorithm(CertificateBuilder.Algorithm.ecp256).buildSelfSigned();
+            return new CertificateBuilder()
+                    .subject("CN=box.test")
+                    .addSanDnsName("box.test")
+                    .addSanIpAddress("127.0.0.1")
+                    .setIsCertificateAuthority(true)
+                    .algorithm(CertificateBuilder.Algorithm.ecp256)
+                    .buildSelfSigned();
         } catch (Exception e) {
             throw new AssertionError("no certificate", e);
         }
--- a/src/test/java/junctionhead/node/ChunkSizesTest.java
+++ b/src/test/java/junctionhead/node/ChunkSizesTest.java
@@ -18,27 +18,35 @@
  */
 class ChunkSizesTest extends NodeFixture {
     private static final String HEAD = "POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-        + "Req-Deadline-Ms: 900\r\nTransfer-Encoding: chunked\r\n\r\n";
+            + "Req-Deadline-Ms: 900\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "100000005",                                // 2^32 + 5: read as 5 by an integer of 32 bits
-        "100000000",                                // 2^32: read as the last chunk
-        "80000000", "80000005",                     // 2^31: negative
-        "ffffffff", "fffffffb",                     // -1 and -5
-        "1000000000000005",                         // 2^60 + 5
-        "7fffffffffffffff", "8000000000000000", "8000000000000005",     // 2^63
-        "ffffffffffffffff", "fffffffffffffffb",
-        "10000000000000005",                        // 2^64 + 5
-        "000000000000000100000005",                 // zeros ahead of it
-        "-5", "+5", "0x5", "5 5", "5g",
-    })
-    void aSizeThatDoesNotFitIsRefusedAndEndsItsConnection(String size)
-            throws IOException, InterruptedException {
+    @ValueSource(
+            strings = {
+                "100000005", // 2^32 + 5: read as 5 by an integer of 32 bits
+                "100000000", // 2^32: read as the last chunk
+                "80000000",
+                "80000005", // 2^31: negative
+                "ffffffff",
+                "fffffffb", // -1 and -5
+                "1000000000000005", // 2^60 + 5
+                "7fffffffffffffff",
+                "8000000000000000",
+                "8000000000000005", // 2^63
+                "ffffffffffffffff",
+                "fffffffffffffffb",
+                "10000000000000005", // 2^64 + 5
+                "000000000000000100000005", // zeros ahead of it
+                "-5",
+                "+5",
+                "0x5",
+                "5 5",
+                "5g",
+            })
+    void aSizeThatDoesNotFitIsRefusedAndEndsItsConnection(String size) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
-            client.send(HEAD + size + "\r\nabcde\r\n0\r\n\r\n"
-                + post("book", "Req-Deadline-Ms: 900\r\n", ""));
+            client.send(HEAD + size + "\r\nabcde\r\n0\r\n\r\n" + post("book", "Req-Deadline-Ms: 900\r\n", ""));
             int status = client.status();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
             assertNull(client.answer(), "one answer, and the end");
@@ -66,7 +74,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(HEAD + "5\r\nabcde\r\n0\r\nContent-Length: 100000005\r\nTransfer-Encoding: gzip\r\n"
-                + "Req-Id: other\r\n\r\n");
+                    + "Req-Id: other\r\n\r\n");
             // Refused or read without them; never passed on.
             FakeUpstream.Got got = upstream.next();
             assertArrayEquals("abcde".getBytes(StandardCharsets.US_ASCII), got.body());
@@ -79,14 +87,21 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"100000002", "100000000", "80000002", "fffffffe", "8000000000000002",
-        "10000000000000002", "00000000000100000002"})
+    @ValueSource(
+            strings = {
+                "100000002",
+                "100000000",
+                "80000002",
+                "fffffffe",
+                "8000000000000002",
+                "10000000000000002",
+                "00000000000100000002"
+            })
     void anUpstreamsAnswerWithSuchASizeIsNone(String size) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            upstream.next().raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + size
-                + "\r\nok\r\n0\r\n\r\n");
+            upstream.next().raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + size + "\r\nok\r\n0\r\n\r\n");
             assertEquals("RESET", module.next());
             assertEquals(502, client.status());
         }
--- a/src/test/java/junctionhead/node/ClientsTest.java
+++ b/src/test/java/junctionhead/node/ClientsTest.java
@@ -17,21 +17,22 @@
 /** What clients may do to a balancer, in error or ill will. */
 class ClientsTest extends NodeFixture {
     @ParameterizedTest
-    @ValueSource(strings = {
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\nReq-Deadline-Ms: soon\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: other\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Kind: read\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 900\r\n"
-            + "Content-Length: 0\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nIdempotency-Key: a\r\n"
-            + "Req-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
-        "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n"
-            + "Content-Length: 60000000\r\n\r\n",
-        "NONSENSE\r\n\r\n",
-        "GET /-/else HTTP/1.1\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: read\r\nReq-Deadline-Ms: soon\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: other\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Kind: read\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "GET /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: pay\r\nReq-Deadline-Ms: 900\r\n"
+                        + "Content-Length: 0\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nIdempotency-Key: a\r\n"
+                        + "Req-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
+                "POST /api/k HTTP/1.1\r\nReq-Id: r\r\nReq-Kind: book\r\nReq-Deadline-Ms: 900\r\n"
+                        + "Content-Length: 60000000\r\n\r\n",
+                "NONSENSE\r\n\r\n",
+                "GET /-/else HTTP/1.1\r\n\r\n",
+            })
     void badInputIsAPlainErrorThatReachesNobody(String request) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -44,30 +45,30 @@
 
     /** Each could be read in two ways, or hides another request; upstreams see none of them. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Content-Length: 44\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
-        "Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd",
-        "Content-Length: 4\r\nContent-Length: 4\r\n\r\nabcd",
-        "Content-Length: 4, 4\r\n\r\nabcd",
-        "Content-Length: -4\r\n\r\nabcd",
-        "Content-Length: ten\r\n\r\nabcd",
-        "Transfer-Encoding: gzip\r\n\r\nabcd",
-        "Transfer-Encoding: chunked, gzip\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n",
-        "Expect: miracles\r\nContent-Length: 0\r\n\r\n",
-        "a line with no colon\r\nContent-Length: 0\r\n\r\n",
-        "Req-Id: second\r\nContent-Length: 0\r\n\r\n",
-        "Req-Deadline-Ms: 5\r\nContent-Length: 0\r\n\r\n",
-    })
-    void whatMayBeReadInTwoWaysIsRefusedAndEndsItsConnection(String rest)
-            throws IOException, InterruptedException {
+    @ValueSource(
+            strings = {
+                "Content-Length: 44\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
+                "Content-Length: 4\r\nContent-Length: 9\r\n\r\nabcd",
+                "Content-Length: 4\r\nContent-Length: 4\r\n\r\nabcd",
+                "Content-Length: 4, 4\r\n\r\nabcd",
+                "Content-Length: -4\r\n\r\nabcd",
+                "Content-Length: ten\r\n\r\nabcd",
+                "Transfer-Encoding: gzip\r\n\r\nabcd",
+                "Transfer-Encoding: chunked, gzip\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n",
+                "Expect: miracles\r\nContent-Length: 0\r\n\r\n",
+                "a line with no colon\r\nContent-Length: 0\r\n\r\n",
+                "Req-Id: second\r\nContent-Length: 0\r\n\r\n",
+                "Req-Deadline-Ms: 5\r\nContent-Length: 0\r\n\r\n",
+            })
+    void whatMayBeReadInTwoWaysIsRefusedAndEndsItsConnection(String rest) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-                + "Req-Deadline-Ms: 900\r\n" + rest + post("book", "Req-Deadline-Ms: 900\r\n", ""));
+                    + "Req-Deadline-Ms: 900\r\n" + rest + post("book", "Req-Deadline-Ms: 900\r\n", ""));
             int status = client.status();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
             assertNull(client.answer(), "one answer, and the end");
@@ -77,13 +78,14 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Req-Id: r\r\nReq-Deadline-Ms: 999999999999\r\n",
-        "Req-Id: r\r\nReq-Deadline-Ms: 0\r\n",
-        "Req-Id: r\r\nReq-Deadline-Ms: -5\r\n",
-        "Req-Id: r s\r\nReq-Deadline-Ms: 900\r\n",
-        "Req-Id: r\r\nReq-Deadline-Ms: 900\r\nContent-Length: 3\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "Req-Id: r\r\nReq-Deadline-Ms: 999999999999\r\n",
+                "Req-Id: r\r\nReq-Deadline-Ms: 0\r\n",
+                "Req-Id: r\r\nReq-Deadline-Ms: -5\r\n",
+                "Req-Id: r s\r\nReq-Deadline-Ms: 900\r\n",
+                "Req-Id: r\r\nReq-Deadline-Ms: 900\r\nContent-Length: 3\r\n",
+            })
     void figuresBeyondReasonAreRefused(String headers) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -100,7 +102,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
-                + "Req-Deadline-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
+                    + "Req-Deadline-Ms: 900\r\nContent-Length: 60000000\r\n\r\n");
             assertEquals(413, client.status());
             byte[] some = new byte[1 << 16];
             assertThrows(IOException.class, () -> {
@@ -125,7 +127,8 @@
     @Test
     void aSecondUseOfAnOpenIdIsRefused() throws IOException, InterruptedException {
         start();
-        try (Client client = new Client(at); Client thief = new Client(at)) {
+        try (Client client = new Client(at);
+                Client thief = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got got = upstream.next();
             assertEquals(409, thief.send(SAFE).status());
@@ -133,7 +136,7 @@
             got.answer(200, "", "mine");
             assertEquals(200, client.status());
             assertEquals("mine", new String(client.body, StandardCharsets.UTF_8));
-            client.send(SAFE);                      // free again
+            client.send(SAFE); // free again
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
         }
@@ -141,8 +144,7 @@
 
     /** Nothing, half a head, half a body, and a byte now and then: all end, and soon enough. */
     @ParameterizedTest
-    @ValueSource(strings = {"", "GET /api/k HT",
-        "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
+    @ValueSource(strings = {"", "GET /api/k HT", "POST /api/k HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc"})
     void whoDoesNotFinishIsAnsweredOrDropped(String part) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -196,11 +198,13 @@
         start(Map.of(), 40);
         List<Client> silent = new ArrayList<>();
         try (Client usual = new Client(at)) {
-            assertEquals(200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             for (int i = 0; i < 200; i++) {
                 silent.add(new Client(at));
             }
-            assertEquals(200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, usual.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
             try (Client late = new Client(at)) {
                 late.send(SAFE);
                 upstream.next().answer(200, "", "ok");
--- a/src/test/java/junctionhead/node/ConnectionsTest.java
+++ b/src/test/java/junctionhead/node/ConnectionsTest.java
@@ -50,7 +50,7 @@
     void aCrowdThatKeepsItsConnectionsShutsNobodyOut() throws IOException, InterruptedException {
         start(Map.of(), 64);
         int told = 0;
-        for (int i = 0; i < 300; i++) {             // 9 times the limit, none of them closed by the clients
+        for (int i = 0; i < 300; i++) { // 9 times the limit, none of them closed by the clients
             Client once = client();
             String head = once.send(SAFE.replace("r1", "c" + i)).answerAfter(upstream);
             assertTrue(head.startsWith("HTTP/1.1 200"), i + ": " + head);
@@ -65,8 +65,9 @@
         for (int i = 0; i < 50; i++) {
             crowdOf(5);
             Client usual = client();
-            assertTrue(usual.send(SAFE.replace("r1", "u" + i)).answerAfter(upstream)
-                .startsWith("HTTP/1.1 200"));
+            assertTrue(usual.send(SAFE.replace("r1", "u" + i))
+                    .answerAfter(upstream)
+                    .startsWith("HTTP/1.1 200"));
         }
     }
 
@@ -84,15 +85,15 @@
         CountDownLatch goesOn = new CountDownLatch(1);
         List<Client> kept = fill(0);
         block(goesOn);
-        kept.removeIf(ConnectionsTest::hasEnded);   // of a rest that was over before, on a slow machine
+        kept.removeIf(ConnectionsTest::hasEnded); // of a rest that was over before, on a slow machine
         assertFalse(kept.isEmpty(), "some are kept");
         for (int i = 0; i < 32; i++) {
-            client().send(READY);                   // the machine accepts them
+            client().send(READY); // the machine accepts them
         }
         for (Client client : kept) {
             client.send(READY);
         }
-        TimeUnit.MILLISECONDS.sleep(400);           // the time itself is what has to pass
+        TimeUnit.MILLISECONDS.sleep(400); // the time itself is what has to pass
         goesOn.countDown();
         for (Client client : kept) {
             client.socket.setSoTimeout(20_000);
@@ -123,7 +124,7 @@
             client.socket.setSoTimeout(1);
             return client.in.read() < 0;
         } catch (SocketTimeoutException e) {
-            return false;                           // nothing came
+            return false; // nothing came
         } catch (IOException e) {
             return true;
         }
@@ -147,8 +148,7 @@
 
     /** A request that crosses the end is not read: its client sees the end, and upstreams never see it. */
     @Test
-    void aRequestThatCrossesTheEndIsNeitherReadNorDoesItSpoilTheAnswer()
-            throws IOException, InterruptedException {
+    void aRequestThatCrossesTheEndIsNeitherReadNorDoesItSpoilTheAnswer() throws IOException, InterruptedException {
         start(Map.of(), 64);
         crowd();
         Client crossing = null;
@@ -168,9 +168,8 @@
 
     /** No connection left for the upstreams' side: an answer at once, and no blame on the upstream. */
     @Test
-    void withNoRoomForAnUpstreamsConnectionTheRequestIsAnsweredAtOnce()
-            throws IOException, InterruptedException {
-        start(Map.of(), 8);                         // 4 in all: 1 for clients, 3 for upstreams at most
+    void withNoRoomForAnUpstreamsConnectionTheRequestIsAnsweredAtOnce() throws IOException, InterruptedException {
+        start(Map.of(), 8); // 4 in all: 1 for clients, 3 for upstreams at most
         List<Client> busy = new ArrayList<>();
         List<FakeUpstream.Got> held = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
--- a/src/test/java/junctionhead/node/CrossingsTest.java
+++ b/src/test/java/junctionhead/node/CrossingsTest.java
@@ -33,8 +33,9 @@
     private static String request(String kind, String id) {
         return switch (kind) {
             case "read" -> SAFE.replace("r1", id);
-            case "pay" -> post("pay", "Idempotency-Key: k\r\nReq-Deadline-Ms: 20000\r\n", "x")
-                .replace("r1", id);
+            case "pay" ->
+                post("pay", "Idempotency-Key: k\r\nReq-Deadline-Ms: 20000\r\n", "x")
+                        .replace("r1", id);
             default -> post("book", "Req-Deadline-Ms: 20000\r\n", "x").replace("r1", id);
         };
     }
@@ -47,8 +48,17 @@
 
     /** Its connection comes up when nobody waits any more: the next request is the first to go over it. */
     @ParameterizedTest
-    @CsvSource({"read,FIN,true", "read,FIN,false", "pay,FIN,false", "book,FIN,false", "book,FIN,true",
-        "book,RESET,false", "read,RESET,false", "book,HALF,false", "pay,HALF,true"})
+    @CsvSource({
+        "read,FIN,true",
+        "read,FIN,false",
+        "pay,FIN,false",
+        "book,FIN,false",
+        "book,FIN,true",
+        "book,RESET,false",
+        "read,RESET,false",
+        "book,HALF,false",
+        "pay,HALF,true"
+    })
     void aRequestWhoseClientHasLeftIsNotSentOn(String kind, String way, boolean cancels)
             throws IOException, InterruptedException {
         try (HeldListener held = new HeldListener()) {
@@ -107,7 +117,8 @@
     @Test
     void whatAHangingUpstreamHoldsIsAnsweredBeforeTheProcessEnds() throws Exception {
         start();
-        try (Client first = new Client(at); Client second = new Client(at)) {
+        try (Client first = new Client(at);
+                Client second = new Client(at)) {
             first.send(request("book", "before").replace("20000", "1500"));
             assertEquals("before", upstream.next().header("Req-Id"));
             CompletableFuture<Void> ended = CompletableFuture.runAsync(node::stop);
@@ -196,8 +207,7 @@
 
     /** Whoever listens at the address that its upstream has left is not that upstream. */
     @Test
-    void anAttemptWhoseUpstreamHasMovedMeanwhileIsNotWrittenToItsOldAddress()
-            throws IOException, InterruptedException {
+    void anAttemptWhoseUpstreamHasMovedMeanwhileIsNotWrittenToItsOldAddress() throws IOException, InterruptedException {
         try (HeldListener held = new HeldListener()) {
             startHeld(held, true);
             try (Client client = new Client(at).send(request("book", "r1"))) {
@@ -221,7 +231,7 @@
             module.within = 100_000;
             try (Client client = new Client(at).send(request("pay", "late"))) {
                 module.requests.poll(20, TimeUnit.SECONDS);
-                TimeUnit.MILLISECONDS.sleep(101);   // the time itself is what has to pass
+                TimeUnit.MILLISECONDS.sleep(101); // the time itself is what has to pass
                 held.release();
                 assertEquals("NOT_SENT", module.next());
                 assertEquals(502, client.status());
@@ -239,16 +249,18 @@
     }
 
     private static String upload(String kind, String id, int length) {
-        return request(kind, id).replace("Content-Length: 1\r\n\r\nx",
-            "Content-Length: " + length + "\r\n\r\n");
+        return request(kind, id).replace("Content-Length: 1\r\n\r\nx", "Content-Length: " + length + "\r\n\r\n");
     }
 
     /** A long body lies in the socket while its attempt waits, and the end of its client behind it. */
     @ParameterizedTest
-    @CsvSource({"book,300000,300000,true", "book,300000,300000,false", "pay,900000,200000,false",
-        "book,70000,70000,false"})
-    void anUploadWhoseClientHasLeftIsNotSentOn(String kind, int length, int came, boolean cancels)
-            throws Exception {
+    @CsvSource({
+        "book,300000,300000,true",
+        "book,300000,300000,false",
+        "pay,900000,200000,false",
+        "book,70000,70000,false"
+    })
+    void anUploadWhoseClientHasLeftIsNotSentOn(String kind, int length, int came, boolean cancels) throws Exception {
         Future<List<String>> heads;
         try (HeldListener held = new HeldListener()) {
             startHeld(held, cancels);
@@ -276,7 +288,7 @@
     void whatIsHeldOfLongBodiesIsGivenBackAndTheyComeUnchanged() throws IOException, InterruptedException {
         start();
         module.server = null;
-        for (int i = 0; i < 6; i++) {               // together more than may be held
+        for (int i = 0; i < 6; i++) { // together more than may be held
             try (Client client = new Client(at)) {
                 // Its own time must not be what tells the module.
                 client.send(upload("book", "r" + i, 900_000).replace("20000", "120000"));
@@ -361,7 +373,7 @@
             CountDownLatch goesOn = new CountDownLatch(1);
             block(goesOn);
             client.send(request("book", "second"));
-            TimeUnit.MILLISECONDS.sleep(300);       // the time itself is what has to pass
+            TimeUnit.MILLISECONDS.sleep(300); // the time itself is what has to pass
             goesOn.countDown();
             FakeUpstream.Got second = upstream.next();
             second.answer(200, "", "ok");
@@ -373,19 +385,19 @@
     /** By the platform's page a request begins with its last byte: no answer before that can be its own. */
     @ParameterizedTest
     @ValueSource(ints = {2, 100_000})
-    void anAnswerThatComesBeforeTheRequestIsWholeIsNotPassedOn(int length)
-            throws IOException, InterruptedException {
+    void anAnswerThatComesBeforeTheRequestIsWholeIsNotPassedOn(int length) throws IOException, InterruptedException {
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             endpoint = "127.0.0.1:" + server.getLocalPort();
             start();
             try (Client client = new Client(at)) {
                 client.send("POST /api/k1 HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
-                    + "Req-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
+                        + "Req-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
                 Socket box = server.accept();
                 box.setSoTimeout(20_000);
                 FakeUpstream.head(box.getInputStream());
-                box.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n"
-                    + "y".repeat(length)).getBytes());
+                box.getOutputStream()
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + "y".repeat(length))
+                                .getBytes());
                 assertEquals("RESET", module.next(), "it keeps to no rule: not proof that nothing ran");
                 assertEquals(502, client.status());
             }
--- a/src/test/java/junctionhead/node/DiscoveryTest.java
+++ b/src/test/java/junctionhead/node/DiscoveryTest.java
@@ -22,13 +22,14 @@
         watch.raw(chunk(first.substring(0, 30)));
         watch.raw(chunk(first.substring(30)));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        watch.raw(chunk("\n"));                     // nothing has changed
+        watch.raw(chunk("\n")); // nothing has changed
         watch.raw(chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         watch.raw(chunk("{not json\n"));
         assertEquals("FAILED []", module.next());
         onLoop(() -> module.actions.watch(true));
-        assertEquals("GET /api/targets?watch=1&from=44 HTTP/1.1", discovery.next().line());
+        assertEquals(
+                "GET /api/targets?watch=1&from=44 HTTP/1.1", discovery.next().line());
         onLoop(() -> module.actions.fetchList());
         FakeUpstream.Got fetch = discovery.next();
         assertEquals("GET /api/targets HTTP/1.1", fetch.line());
@@ -99,8 +100,7 @@
 
     /** Asked again at once the first time only: not in a tight loop that neither side gets out of. */
     @Test
-    void aWatchThatGoesBackAgainAndAgainIsBegunAnewWithAPauseBetween()
-            throws IOException, InterruptedException {
+    void aWatchThatGoesBackAgainAndAgainIsBegunAnewWithAPauseBetween() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         String confused = chunk(list(43, true, "in_service")) + chunk(list(42, false, "in_service"));
@@ -117,8 +117,7 @@
 
     /** Cut within a line: what was whole counts, and the rest is asked for from there. */
     @Test
-    void aWatchThatIsResetWithinALineIsBegunAnewFromTheLastWholeList()
-            throws IOException, InterruptedException {
+    void aWatchThatIsResetWithinALineIsBegunAnewFromTheLastWholeList() throws IOException, InterruptedException {
         startPushed();
         FakeUpstream.Got watch = discovery.next();
         watch.raw(BEGUN + chunk(list(43, true, "in_service")));
@@ -145,7 +144,9 @@
             try {
                 watch.raw(chunk(" "));
             } catch (IOException e) {
-                assertEquals("GET /api/targets?watch=1&from=43 HTTP/1.1", discovery.next().line());
+                assertEquals(
+                        "GET /api/targets?watch=1&from=43 HTTP/1.1",
+                        discovery.next().line());
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(50);
@@ -159,8 +160,7 @@
     /** What an agent has at its return counts at once: it is asked again while it says nothing. */
     @Test
     @Timeout(60)
-    void anAgentThatSaysNothingIsAskedBesideAndWhicheverCallAnswersCounts()
-            throws IOException, InterruptedException {
+    void anAgentThatSaysNothingIsAskedBesideAndWhicheverCallAnswersCounts() throws IOException, InterruptedException {
         startPushed();
         FakeUpstream.Got first = discovery.next();
         FakeUpstream.Got second = discovery.next();
@@ -186,15 +186,14 @@
 
     /** A new configuration names another discovery: watched at once, and the old one's end is no failure. */
     @Test
-    void aNewConfigurationMovesTheWatchAndKeepsTheListAndTheRequests()
-            throws IOException, InterruptedException {
+    void aNewConfigurationMovesTheWatchAndKeepsTheListAndTheRequests() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         FakeUpstream.Got old = discovery.next();
-        old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + chunk(list(42, true, "in_service")));
+        old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(42, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        try (FakeUpstream second = new FakeUpstream(); FakeUpstream third = new FakeUpstream();
+        try (FakeUpstream second = new FakeUpstream();
+                FakeUpstream third = new FakeUpstream();
                 Client client = new Client(at)) {
             client.send(SAFE);
             FakeUpstream.Got held = upstream.next();
@@ -202,24 +201,23 @@
                 throw new Config.Bad("no good");
             });
             node.reload(() -> config(second.address()));
-            node.reload(() -> config(second.address()));        // said twice, moved once
+            node.reload(() -> config(second.address())); // said twice, moved once
             assertTrue(old.closedByPeer());
             FakeUpstream.Got watch = second.next();
             assertEquals("GET /api/targets?watch=1&from=0 HTTP/1.1", watch.line());
             held.answer(200, "", "ok");
-            assertEquals("OK closed", module.next());           // and no FAILED before it
+            assertEquals("OK closed", module.next()); // and no FAILED before it
             assertEquals(200, client.status());
-            client.send(SAFE);                                  // by the old list, meanwhile
+            client.send(SAFE); // by the old list, meanwhile
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
-            watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk(list(7, true, "terminating")));
+            watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(7, true, "terminating")));
             assertEquals("COMPLETE [s1=DRAINING]", module.next());
             node.reload(() -> config(third.address()));
             assertTrue(watch.closedByPeer());
             third.next().socket().close();
-            assertEquals("FAILED []", module.next());           // the new one's end is one
+            assertEquals("FAILED []", module.next()); // the new one's end is one
             assertTrue(second.isEmpty());
         }
         synchronized (log) {
--- a/src/test/java/junctionhead/node/DoorTest.java
+++ b/src/test/java/junctionhead/node/DoorTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.net.InetAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -25,10 +25,23 @@
     private InetSocketAddress door;
 
     private Config with(String management) throws IOException {
-        return Config.of(Map.of("ROUTER_MANAGEMENT", management), Map.of("name", "n1", "listen",
-            "127.0.0.1:0", "discovery", discovery.address(), "seed", "1", "limits", Map.of("sockets", 256),
-            "settings", settings(), "known",
-            com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(list(41, true, "in_service"))));
+        return Config.of(
+                Map.of("ROUTER_MANAGEMENT", management),
+                Map.of(
+                        "name",
+                        "n1",
+                        "listen",
+                        "127.0.0.1:0",
+                        "discovery",
+                        discovery.address(),
+                        "seed",
+                        "1",
+                        "limits",
+                        Map.of("sockets", 256),
+                        "settings",
+                        settings(),
+                        "known",
+                        com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(list(41, true, "in_service"))));
     }
 
     @Override
@@ -47,7 +60,8 @@
 
     private int call(String method, String path) throws IOException {
         try (Client caller = new Client(door)) {
-            int status = caller.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
+            int status = caller.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n")
+                    .status();
             assertNull(caller.answer(), "one call to a connection");
             return status;
         }
@@ -71,9 +85,16 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"GET, /api/ready, 200", "GET, /api/ready?x, 200", "POST, /api/ready, 405",
+    @CsvSource({
+        "GET, /api/ready, 200",
+        "GET, /api/ready?x, 200",
+        "POST, /api/ready, 405",
         "GET, /api/evacuate, 405",
-        "POST, /api/rejoin, 200", "GET, /, 404", "GET, /-/ready, 404", "BREW, /api/nothing, 404"})
+        "POST, /api/rejoin, 200",
+        "GET, /, 404",
+        "GET, /-/ready, 404",
+        "BREW, /api/nothing, 404"
+    })
     void callsAreAnswered(String method, String path, int status) throws Exception {
         start();
         until(200, () -> call("GET", "/api/ready"));
@@ -82,19 +103,24 @@
 
     /** Status, headers and text to the byte: operators' tools read them. */
     @ParameterizedTest
-    @CsvSource({"GET, /api/ready, 200 OK, , ready", "POST, /api/evacuate, 200 OK, , evacuating",
-        "POST, /api/rejoin, 200 OK, , not sent away", "GET, /nothing, 404 Not Found, , no such call",
-        "GET, /api/evacuate, 405 Method Not Allowed, POST, by POST only"})
+    @CsvSource({
+        "GET, /api/ready, 200 OK, , ready",
+        "POST, /api/evacuate, 200 OK, , evacuating",
+        "POST, /api/rejoin, 200 OK, , not sent away",
+        "GET, /nothing, 404 Not Found, , no such call",
+        "GET, /api/evacuate, 405 Method Not Allowed, POST, by POST only"
+    })
     void theResponseIsTheRecordedOne(String method, String path, String status, String allow, String text)
             throws Exception {
         start();
         until(200, () -> call("GET", "/api/ready"));
         try (Client caller = new Client(door)) {
             caller.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            assertEquals("HTTP/1.1 " + status + "\r\ncontent-type: text/plain\r\ncontent-length: "
-                + (text.length() + 1) + "\r\nconnection: close\r\n"
-                + (allow == null ? "" : "allow: " + allow + "\r\n") + "\r\n" + text + "\n",
-                new String(caller.in.readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII));
+            assertEquals(
+                    "HTTP/1.1 " + status + "\r\ncontent-type: text/plain\r\ncontent-length: "
+                            + (text.length() + 1) + "\r\nconnection: close\r\n"
+                            + (allow == null ? "" : "allow: " + allow + "\r\n") + "\r\n" + text + "\n",
+                    new String(caller.in.readAllBytes(), java.nio.charset.StandardCharsets.US_ASCII));
         }
     }
 
@@ -105,7 +131,10 @@
             assertEquals(400, caller.send("what is this\r\n\r\n").status());
         }
         try (Client caller = new Client(door)) {
-            assertEquals(431, caller.send("GET /" + "a".repeat(9_000) + " HTTP/1.1\r\n\r\n").status());
+            assertEquals(
+                    431,
+                    caller.send("GET /" + "a".repeat(9_000) + " HTTP/1.1\r\n\r\n")
+                            .status());
         }
         try (Client caller = new Client(door)) {
             String head = caller.send("GET /api/evacuate HTTP/1.1\r\n\r\n").answer();
@@ -154,20 +183,23 @@
         assertEquals(200, call("POST", "/api/rejoin"));
         assertEquals(200, call("GET", "/api/ready"));
         try (Client again = new Client(at)) {
-            assertEquals(200, again.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            assertEquals(200, again.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, again.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    200, again.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
     }
 
     @Test
     void anAddressThatCannotBeHadEndsTheStartWithALine() throws Exception {
-        assertTrue(assertThrows(Config.Bad.class, () -> with("localhost:1")).getMessage()
-            .startsWith("management: not an address"));
+        assertTrue(assertThrows(Config.Bad.class, () -> with("localhost:1"))
+                .getMessage()
+                .startsWith("management: not an address"));
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Node second = new Node(with("127.0.0.1:" + taken.getLocalPort()), (s, seed) -> module, false,
-                line -> { });
-            assertTrue(assertThrows(IOException.class, second::start).getMessage()
-                .startsWith("management: can't listen on 127.0.0.1:" + taken.getLocalPort()));
+            Node second = new Node(with("127.0.0.1:" + taken.getLocalPort()), (s, seed) -> module, false, line -> {});
+            assertTrue(assertThrows(IOException.class, second::start)
+                    .getMessage()
+                    .startsWith("management: can't listen on 127.0.0.1:" + taken.getLocalPort()));
         }
     }
 }
--- a/src/test/java/junctionhead/node/FakeUpstream.java
+++ b/src/test/java/junctionhead/node/FakeUpstream.java
@@ -47,8 +47,8 @@
 
         void answer(int status, String headers, byte[] body) throws IOException {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length
-                + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            out.write(("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n")
+                    .getBytes(StandardCharsets.ISO_8859_1));
             out.write(body);
             raw(out.toByteArray());
         }
@@ -102,7 +102,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                Thread.currentThread().interrupt();     // the socket has ended, and so does its reader
+                Thread.currentThread().interrupt(); // the socket has ended, and so does its reader
             }
         });
         thread.setDaemon(true);
@@ -120,11 +120,12 @@
             }
             Got got = new Got(head, new byte[0], socket, number);
             String length = got.header("Content-Length");
-            byte[] body = "chunked".equals(got.header("Transfer-Encoding")) ? unchunked(in)
-                : in.readNBytes(length == null ? 0 : Integer.parseInt(length));
+            byte[] body = "chunked".equals(got.header("Transfer-Encoding"))
+                    ? unchunked(in)
+                    : in.readNBytes(length == null ? 0 : Integer.parseInt(length));
             requests.add(new Got(head, body, socket, number));
             if (head.contains("watch=1")) {
-                return;                                 // the test reads the rest, if anything
+                return; // the test reads the rest, if anything
             }
         }
     }
@@ -143,7 +144,7 @@
             int size = Integer.parseInt(line.toString().strip().split(";")[0], 16);
             if (size == 0) {
                 line.setLength(0);
-                int ends = 0;                           // up to the empty line, behind trailers if any
+                int ends = 0; // up to the empty line, behind trailers if any
                 while (ends < 2) {
                     int c = in.read();
                     ends = c == '\n' ? ends + 1 : c == '\r' ? ends : 0;
--- a/src/test/java/junctionhead/node/H3Box.java
+++ b/src/test/java/junctionhead/node/H3Box.java
@@ -66,8 +66,7 @@
             stream.pipeline().addFirst(end);
             end.last();
             stream.write(new DefaultHttp3HeadersFrame(out));
-            stream.writeAndFlush(new DefaultHttp3DataFrame(Unpooled.copiedBuffer(text,
-                StandardCharsets.US_ASCII)));
+            stream.writeAndFlush(new DefaultHttp3DataFrame(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII)));
         }
 
         void answer(String text) {
@@ -101,27 +100,38 @@
 
     /** {@code window}: bytes of a stream that it takes and no more. */
     H3Box(X509Bundle identity, int port, int streams, int window) throws Exception {
-        QuicSslContext context = QuicSslContextBuilder.forServer(identity.getKeyPair().getPrivate(), null,
-            identity.getCertificatePath()).applicationProtocols(Http3.supportedApplicationProtocols())
-            .build();
-        udp = new Bootstrap().group(GROUP).channel(NioDatagramChannel.class)
-            .handler(Http3.newQuicServerCodecBuilder().sslContext(context)
-                .maxIdleTimeout(20, TimeUnit.SECONDS).initialMaxData(1 << 20)
-                .initialMaxStreamDataBidirectionalRemote(window).initialMaxStreamsBidirectional(streams)
-                .tokenHandler(InsecureQuicTokenHandler.INSTANCE)
-                .handler(new ChannelInitializer<QuicChannel>() {
-                    @Override
-                    protected void initChannel(QuicChannel channel) {
-                        connections.add(channel);
-                        channel.pipeline().addLast(new Http3ServerConnectionHandler(
-                            new ChannelInitializer<QuicStreamChannel>() {
-                                @Override
-                                protected void initChannel(QuicStreamChannel stream) {
-                                    stream.pipeline().addLast(new Reader());
-                                }
-                            }));
-                    }
-                }).build()).bind(new InetSocketAddress("127.0.0.1", port)).sync().channel();
+        QuicSslContext context = QuicSslContextBuilder.forServer(
+                        identity.getKeyPair().getPrivate(), null, identity.getCertificatePath())
+                .applicationProtocols(Http3.supportedApplicationProtocols())
+                .build();
+        udp = new Bootstrap()
+                .group(GROUP)
+                .channel(NioDatagramChannel.class)
+                .handler(Http3.newQuicServerCodecBuilder()
+                        .sslContext(context)
+                        .maxIdleTimeout(20, TimeUnit.SECONDS)
+                        .initialMaxData(1 << 20)
+                        .initialMaxStreamDataBidirectionalRemote(window)
+                        .initialMaxStreamsBidirectional(streams)
+                        .tokenHandler(InsecureQuicTokenHandler.INSTANCE)
+                        .handler(new ChannelInitializer<QuicChannel>() {
+                            @Override
+                            protected void initChannel(QuicChannel channel) {
+                                connections.add(channel);
+                                channel.pipeline()
+                                        .addLast(new Http3ServerConnectionHandler(
+                                                new ChannelInitializer<QuicStreamChannel>() {
+                                                    @Override
+                                                    protected void initChannel(QuicStreamChannel stream) {
+                                                        stream.pipeline().addLast(new Reader());
+                                                    }
+                                                }));
+                            }
+                        })
+                        .build())
+                .bind(new InetSocketAddress("127.0.0.1", port))
+                .sync()
+                .channel();
     }
 
     int port() {
--- a/src/test/java/junctionhead/node/H3Client.java
+++ b/src/test/java/junctionhead/node/H3Client.java
@@ -52,8 +52,10 @@
         QuicStreamChannel stream;
 
         void failed(Throwable cause) {
-            ended.complete(cause instanceof QuicStreamResetException reset
-                ? "reset 0x" + Long.toHexString(reset.applicationProtocolCode()) : cause.toString());
+            ended.complete(
+                    cause instanceof QuicStreamResetException reset
+                            ? "reset 0x" + Long.toHexString(reset.applicationProtocolCode())
+                            : cause.toString());
         }
 
         /** What tells of an end without an answer. */
@@ -92,36 +94,51 @@
     }
 
     /** Begins so many handshakes from one socket, which is returned, and waits for none. */
-    static Channel dialOnly(InetSocketAddress to, X509Certificate trust, int connections)
-            throws InterruptedException {
+    static Channel dialOnly(InetSocketAddress to, X509Certificate trust, int connections) throws InterruptedException {
         Channel socket = socket(to, trust);
         for (int i = 0; i < connections; i++) {
-            QuicChannel.newBootstrap(socket).handler(new Http3ClientConnectionHandler()).remoteAddress(to)
-                .connect();
+            QuicChannel.newBootstrap(socket)
+                    .handler(new Http3ClientConnectionHandler())
+                    .remoteAddress(to)
+                    .connect();
         }
         return socket;
     }
 
     private static Channel socket(InetSocketAddress to, X509Certificate trust) throws InterruptedException {
-        var context = QuicSslContextBuilder.forClient().trustManager(trust)
-            .applicationProtocols(Http3.supportedApplicationProtocols()).build();
-        return new Bootstrap().group(GROUP).channel(NioDatagramChannel.class)
-            .handler(Http3.newQuicClientCodecBuilder()
-                .sslEngineProvider(q -> context.newEngine(q.alloc(), "box.test", to.getPort()))
-                .maxIdleTimeout(20, TimeUnit.SECONDS).initialMaxData(1 << 20)
-                .initialMaxStreamDataBidirectionalLocal(1 << 17).activeMigration(true)
-                .activeConnectionIdLimit(4).build())
-            .bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        var context = QuicSslContextBuilder.forClient()
+                .trustManager(trust)
+                .applicationProtocols(Http3.supportedApplicationProtocols())
+                .build();
+        return new Bootstrap()
+                .group(GROUP)
+                .channel(NioDatagramChannel.class)
+                .handler(Http3.newQuicClientCodecBuilder()
+                        .sslEngineProvider(q -> context.newEngine(q.alloc(), "box.test", to.getPort()))
+                        .maxIdleTimeout(20, TimeUnit.SECONDS)
+                        .initialMaxData(1 << 20)
+                        .initialMaxStreamDataBidirectionalLocal(1 << 17)
+                        .activeMigration(true)
+                        .activeConnectionIdLimit(4)
+                        .build())
+                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel();
     }
 
     private Future<QuicChannel> dial(InetSocketAddress to) {
-        return QuicChannel.newBootstrap(udp).handler(new ChannelInboundHandlerAdapter() {
-            @Override
-            public void handlerAdded(ChannelHandlerContext context) {
-                context.pipeline().addLast(new Http3ClientConnectionHandler(new Control(), null, null, null,
-                    true), new Ends());
-            }
-        }).remoteAddress(to).connect();
+        return QuicChannel.newBootstrap(udp)
+                .handler(new ChannelInboundHandlerAdapter() {
+                    @Override
+                    public void handlerAdded(ChannelHandlerContext context) {
+                        context.pipeline()
+                                .addLast(
+                                        new Http3ClientConnectionHandler(new Control(), null, null, null, true),
+                                        new Ends());
+                    }
+                })
+                .remoteAddress(to)
+                .connect();
     }
 
     private final class Control extends ChannelInboundHandlerAdapter {
@@ -193,16 +210,19 @@
             number(fields, 0, 7, field.getValue().length());
             fields.writeCharSequence(field.getValue(), StandardCharsets.ISO_8859_1);
         });
-        ByteBuf frame = Unpooled.buffer().writeByte(1).writeShort(0x4000 | fields.readableBytes())
-            .writeBytes(fields);
+        ByteBuf frame = Unpooled.buffer()
+                .writeByte(1)
+                .writeShort(0x4000 | fields.readableBytes())
+                .writeBytes(fields);
         Got got = new Got();
-        QuicStreamChannel stream = quic.createStream(QuicStreamType.BIDIRECTIONAL,
-            new ChannelInitializer<QuicStreamChannel>() {
-                @Override
-                protected void initChannel(QuicStreamChannel channel) {
-                    channel.pipeline().addLast(got.ends());
-                }
-            }).get(20, TimeUnit.SECONDS);
+        QuicStreamChannel stream = quic.createStream(
+                        QuicStreamType.BIDIRECTIONAL, new ChannelInitializer<QuicStreamChannel>() {
+                            @Override
+                            protected void initChannel(QuicStreamChannel channel) {
+                                channel.pipeline().addLast(got.ends());
+                            }
+                        })
+                .get(20, TimeUnit.SECONDS);
         got.stream = stream;
         stream.writeAndFlush(frame).addListener(QuicStreamChannel.SHUTDOWN_OUTPUT);
         return got;
@@ -226,35 +246,37 @@
 
     QuicStreamChannel open(Got got) throws Exception {
         QuicStreamChannel stream = Http3.newRequestStream(quic, new Http3RequestStreamInboundHandler() {
-            @Override
-            protected void channelRead(ChannelHandlerContext context, Http3HeadersFrame frame) {
-                got.headers = frame.headers();
-                got.heads++;
-            }
+                    @Override
+                    protected void channelRead(ChannelHandlerContext context, Http3HeadersFrame frame) {
+                        got.headers = frame.headers();
+                        got.heads++;
+                    }
 
-            @Override
-            protected void channelRead(ChannelHandlerContext context, Http3DataFrame frame) {
-                got.body.append(frame.content().toString(StandardCharsets.ISO_8859_1));
-                frame.release();
-            }
+                    @Override
+                    protected void channelRead(ChannelHandlerContext context, Http3DataFrame frame) {
+                        got.body.append(frame.content().toString(StandardCharsets.ISO_8859_1));
+                        frame.release();
+                    }
 
-            @Override
-            protected void channelInputClosed(ChannelHandlerContext context) {
-                if (got.headers != null) {
-                    got.ended.complete(got.headers.status() + " " + got.body.toString().strip());
-                }
-            }
+                    @Override
+                    protected void channelInputClosed(ChannelHandlerContext context) {
+                        if (got.headers != null) {
+                            got.ended.complete(got.headers.status() + " "
+                                    + got.body.toString().strip());
+                        }
+                    }
 
-            @Override
-            public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                context.fireExceptionCaught(cause);
-            }
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                        context.fireExceptionCaught(cause);
+                    }
 
-            @Override
-            public void handlerAdded(ChannelHandlerContext context) {
-                context.pipeline().addLast(got.ends());
-            }
-        }).get(20, TimeUnit.SECONDS);
+                    @Override
+                    public void handlerAdded(ChannelHandlerContext context) {
+                        context.pipeline().addLast(got.ends());
+                    }
+                })
+                .get(20, TimeUnit.SECONDS);
         got.stream = stream;
         return stream;
     }
--- a/src/test/java/junctionhead/node/HeldListener.java
+++ b/src/test/java/junctionhead/node/HeldListener.java
@@ -41,8 +41,7 @@
     private boolean fill() throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
-                300);
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()), 300);
             fillers.add(socket);
             ports.add(socket.getLocalPort());
             return true;
@@ -68,7 +67,7 @@
                     }
                 }
             } catch (IOException e) {
-                Thread.currentThread().interrupt();     // it has been closed
+                Thread.currentThread().interrupt(); // it has been closed
             }
         });
         accepting.setDaemon(true);
@@ -102,7 +101,8 @@
 
     private static void answer(Socket socket, String response, List<String> heads) {
         try (socket) {
-            for (String head = FakeUpstream.head(socket.getInputStream()); head != null;
+            for (String head = FakeUpstream.head(socket.getInputStream());
+                    head != null;
                     head = FakeUpstream.head(socket.getInputStream())) {
                 heads.add(head);
                 socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/junctionhead/node/Http3Fixture.java
+++ b/src/test/java/junctionhead/node/Http3Fixture.java
@@ -23,11 +23,10 @@
     static final X509Bundle THEIRS = Certificates.selfSigned();
 
     final List<H3Client> open = new ArrayList<>();
-    Sessions.Limits sessions = new Sessions.Limits(50, 50, 20, 1 << 20, 0,
-        TimeUnit.SECONDS.toNanos(20));
+    Sessions.Limits sessions = new Sessions.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
     int streams = 100;
-    int connect = 500_000;                          // µs
-    String http3;                                   // the upstream's address
+    int connect = 500_000; // µs
+    String http3; // the upstream's address
 
     @Override
     String target(String state) {
@@ -36,9 +35,16 @@
     }
 
     static Http3 told(Sessions.Limits sessions, int streams, X509Bundle ours) {
-        return new Http3(new InetSocketAddress("127.0.0.1", 0), Certificates.identity(ours), sessions,
-            streams, 20_000, true, List.of(THEIRS.getCertificatePath()[0]), "box.test",
-            new BoxPlan.Limits(2, 100, 1_000_000, 4_000_000));
+        return new Http3(
+                new InetSocketAddress("127.0.0.1", 0),
+                Certificates.identity(ours),
+                sessions,
+                streams,
+                20_000,
+                true,
+                List.of(THEIRS.getCertificatePath()[0]),
+                "box.test",
+                new BoxPlan.Limits(2, 100, 1_000_000, 4_000_000));
     }
 
     Config with(Http3 told) throws IOException {
@@ -47,18 +53,27 @@
         Map<String, Object> limits = (Map<String, Object>) settings.get("Limits");
         limits.put("DialTimeout", connect);
         Config plain = config(1024, settings, 0);
-        return new Config(plain.name(), plain.listen(), plain.discovery(), plain.seed(), plain.connections(),
-            plain.known(), plain.boot(), told, null, false, java.util.Set.of());
+        return new Config(
+                plain.name(),
+                plain.listen(),
+                plain.discovery(),
+                plain.seed(),
+                plain.connections(),
+                plain.known(),
+                plain.boot(),
+                told,
+                null,
+                false,
+                java.util.Set.of());
     }
 
     @Override
     void start() throws IOException, InterruptedException {
-        node = new Node(with(told(sessions, streams, OURS)), (s, seed) -> module, false, new Http3Extension(),
-            line -> {
-                synchronized (log) {
-                    log.add(line);
-                }
-            });
+        node = new Node(with(told(sessions, streams, OURS)), (s, seed) -> module, false, new Http3Extension(), line -> {
+            synchronized (log) {
+                log.add(line);
+            }
+        });
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
--- a/src/test/java/junctionhead/node/Http3FrontTest.java
+++ b/src/test/java/junctionhead/node/Http3FrontTest.java
@@ -32,14 +32,18 @@
 
 /** Clients over HTTP/3, good ones and bad ones, with an upstream that speaks HTTP/1.1. */
 class Http3FrontTest extends Http3Fixture {
-    private static final long HELD_MILLIS = 150;    // for the client's datagrams to leave
+    private static final long HELD_MILLIS = 150; // for the client's datagrams to leave
 
     @Test
     void aRequestGoesOnAndItsAnswerComesBack() throws Exception {
         start();
         H3Client client = client();
-        Http3Headers head = H3Client.head("POST", "book", "r1").add("content-length", "4")
-            .add("cookie", "a=1").add("cookie", "b=2").add("x-mine", "y").add("te", "trailers");
+        Http3Headers head = H3Client.head("POST", "book", "r1")
+                .add("content-length", "4")
+                .add("cookie", "a=1")
+                .add("cookie", "b=2")
+                .add("x-mine", "y")
+                .add("te", "trailers");
         H3Client.Got got = client.send(head, "seat", true);
         FakeUpstream.Got asked = upstream.next();
         assertTrue(asked.head().startsWith("POST /api/k1 HTTP/1.1\r\n"), asked.head());
@@ -57,19 +61,26 @@
     @Test
     void anIndependentClientIsServed() throws Exception {
         start();
-        var client = Http3Client.newBuilder().disableCertificateCheck()
-            .connectTimeout(Duration.ofSeconds(10)).build();
+        var client = Http3Client.newBuilder()
+                .disableCertificateCheck()
+                .connectTimeout(Duration.ofSeconds(10))
+                .build();
         URI uri = URI.create("https://127.0.0.1:" + node.beside().getPort() + "/api/k1");
-        var answer = client.sendAsync(HttpRequest.newBuilder(uri).header("Req-Id", "k1")
-            .header("Req-Kind", "book").header("Req-Deadline-Ms", "20000")
-            .POST(HttpRequest.BodyPublishers.ofString("seat")).build(), HttpResponse.BodyHandlers.ofString());
+        var answer = client.sendAsync(
+                HttpRequest.newBuilder(uri)
+                        .header("Req-Id", "k1")
+                        .header("Req-Kind", "book")
+                        .header("Req-Deadline-Ms", "20000")
+                        .POST(HttpRequest.BodyPublishers.ofString("seat"))
+                        .build(),
+                HttpResponse.BodyHandlers.ofString());
         FakeUpstream.Got asked = upstream.next();
         assertEquals("seat", new String(asked.body(), java.nio.charset.StandardCharsets.US_ASCII));
         asked.answer(200, "", "done");
         HttpResponse<String> got = answer.get(20, TimeUnit.SECONDS);
         assertEquals("200 done", got.statusCode() + " " + got.body());
-        var ready = client.send(HttpRequest.newBuilder(uri.resolve("/-/ready")).GET().build(),
-            HttpResponse.BodyHandlers.ofString());
+        var ready = client.send(
+                HttpRequest.newBuilder(uri.resolve("/-/ready")).GET().build(), HttpResponse.BodyHandlers.ofString());
         assertEquals(200, ready.statusCode());
     }
 
@@ -91,32 +102,30 @@
 
     static Stream<Arguments> broken() {
         return Stream.of(
-            Arguments.of("Upper case", (UnaryOperator<Http3Headers>) h -> h.add("X-Upper", "1")),
-            Arguments.of("connection", (UnaryOperator<Http3Headers>) h -> h.add("connection", "close")),
-            Arguments.of("transfer-encoding",
-                (UnaryOperator<Http3Headers>) h -> h.add("transfer-encoding", "chunked")),
-            Arguments.of("te", (UnaryOperator<Http3Headers>) h -> h.add("te", "gzip")),
-            Arguments.of("two lengths", (UnaryOperator<Http3Headers>) h -> h.add("content-length", "4")
-                .add("content-length", "5")),
-            Arguments.of("a length too great", (UnaryOperator<Http3Headers>) h -> h.add("content-length",
-                "5")),
-            Arguments.of("a length too small", (UnaryOperator<Http3Headers>) h -> h.add("content-length",
-                "3")),
-            Arguments.of("a signed length", (UnaryOperator<Http3Headers>) h -> h.add("content-length", "+4")),
-            Arguments.of("another host", (UnaryOperator<Http3Headers>) h -> h.add("host", "elsewhere")),
-            Arguments.of("userinfo", (UnaryOperator<Http3Headers>) h -> h.authority("me@backend.local")),
-            Arguments.of("a line break", (UnaryOperator<Http3Headers>) h -> h.add("x", "a\r\nb: c")),
-            Arguments.of("no path", (UnaryOperator<Http3Headers>) h -> {
-                h.remove(":path");
-                return h;
-            }),
-            Arguments.of("a scheme of its own", (UnaryOperator<Http3Headers>) h -> h.scheme("ftp")));
+                Arguments.of("Upper case", (UnaryOperator<Http3Headers>) h -> h.add("X-Upper", "1")),
+                Arguments.of("connection", (UnaryOperator<Http3Headers>) h -> h.add("connection", "close")),
+                Arguments.of(
+                        "transfer-encoding", (UnaryOperator<Http3Headers>) h -> h.add("transfer-encoding", "chunked")),
+                Arguments.of("te", (UnaryOperator<Http3Headers>) h -> h.add("te", "gzip")),
+                Arguments.of("two lengths", (UnaryOperator<Http3Headers>)
+                        h -> h.add("content-length", "4").add("content-length", "5")),
+                Arguments.of("a length too great", (UnaryOperator<Http3Headers>) h -> h.add("content-length", "5")),
+                Arguments.of("a length too small", (UnaryOperator<Http3Headers>) h -> h.add("content-length", "3")),
+                Arguments.of("a signed length", (UnaryOperator<Http3Headers>) h -> h.add("content-length", "+4")),
+                Arguments.of("another host", (UnaryOperator<Http3Headers>) h -> h.add("host", "elsewhere")),
+                Arguments.of("userinfo", (UnaryOperator<Http3Headers>) h -> h.authority("me@backend.local")),
+                Arguments.of("a line break", (UnaryOperator<Http3Headers>) h -> h.add("x", "a\r\nb: c")),
+                Arguments.of("no path", (UnaryOperator<Http3Headers>) h -> {
+                    h.remove(":path");
+                    return h;
+                }),
+                Arguments.of("a scheme of its own", (UnaryOperator<Http3Headers>) h -> h.scheme("ftp")));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("broken")
-    void whatBreaksTheProtocolEndsItsStreamAndReachesNoUpstream(String name,
-            UnaryOperator<Http3Headers> breaks) throws Exception {
+    void whatBreaksTheProtocolEndsItsStreamAndReachesNoUpstream(String name, UnaryOperator<Http3Headers> breaks)
+            throws Exception {
         start();
         H3Client client = client();
         H3Client.Got got = client.send(breaks.apply(H3Client.head("POST", "book", "r1")), "seat", true);
@@ -137,16 +146,22 @@
     void whatIsNotTakenIsToldWhy() throws Exception {
         start();
         H3Client client = client();
-        assertEquals("400 unknown Req-Kind",
-            client.send(H3Client.head("GET", "unheard", "r1"), null, true).end());
-        assertEquals("400 method or Idempotency-Key contradicts the Req-Kind",
-            client.send(H3Client.head("POST", "read", "r1"), null, true).end());
-        assertEquals("431 too many fields", client.send(H3Client.head("GET", "read", "r1")
-            .add("x", "y".repeat(9_000)), null, true).end());
+        assertEquals(
+                "400 unknown Req-Kind",
+                client.send(H3Client.head("GET", "unheard", "r1"), null, true).end());
+        assertEquals(
+                "400 method or Idempotency-Key contradicts the Req-Kind",
+                client.send(H3Client.head("POST", "read", "r1"), null, true).end());
+        assertEquals(
+                "431 too many fields",
+                client.send(H3Client.head("GET", "read", "r1").add("x", "y".repeat(9_000)), null, true)
+                        .end());
         Http3Headers large = H3Client.head("POST", "book", "r1").add("content-length", "65537");
         assertEquals("413 too large", client.send(large, "some", false).end());
-        assertEquals("413 too large",
-            client.send(H3Client.head("POST", "book", "r1"), "y".repeat(70_000), false).end());
+        assertEquals(
+                "413 too large",
+                client.send(H3Client.head("POST", "book", "r1"), "y".repeat(70_000), false)
+                        .end());
         assertTrue(upstream.isEmpty());
     }
 
@@ -197,8 +212,7 @@
     void aRequestThatIsResetBeforeItsEndReachesNoUpstream() throws Exception {
         start();
         H3Client client = client();
-        H3Client.Got half = client.send(H3Client.head("POST", "book", "r1").add("content-length", "4"), "se",
-            false);
+        H3Client.Got half = client.send(H3Client.head("POST", "book", "r1").add("content-length", "4"), "se", false);
         half.stream.shutdown(0x10c).sync();
         nextIsServed(client);
     }
@@ -223,7 +237,7 @@
         nextIsServed(client);
         assertTrue(upstream.isEmpty());
         String told = module.next();
-        for (int i = 0; i < 3; i++) {               // one outcome each, and nothing was tried again
+        for (int i = 0; i < 3; i++) { // one outcome each, and nothing was tried again
             assertTrue(told.startsWith("OK"), told);
             told = module.next();
         }
@@ -234,8 +248,10 @@
     void aRequestThatDripsIsToldSo() throws Exception {
         start();
         H3Client client = client();
-        assertEquals("408 too slow", client.send(H3Client.head("POST", "book", "r1")
-            .add("content-length", "4"), "se", false).end());
+        assertEquals(
+                "408 too slow",
+                client.send(H3Client.head("POST", "book", "r1").add("content-length", "4"), "se", false)
+                        .end());
         nextIsServed(client);
     }
 
@@ -245,14 +261,13 @@
         sessions = new Sessions.Limits(50, 50, 10, 1 << 20, 0, TimeUnit.MINUTES.toNanos(5));
         start();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (UdpRelay relay = new UdpRelay(group.next(), node.beside(),
-                new RelayScript(1, RelayScript.Faults.NONE))) {
+        try (UdpRelay relay = new UdpRelay(group.next(), node.beside(), new RelayScript(1, RelayScript.Faults.NONE))) {
             relay.hole(UdpRelay.Hole.TO_CLIENT);
             Channel bad = H3Client.dialOnly(relay.open(), OURS.getCertificatePath()[0], 40);
             while (relay.counts()[0] < 40) {
                 Thread.onSpinWait();
             }
-            relay.counts();                         // behind the last of them on its loop
+            relay.counts(); // behind the last of them on its loop
             nextIsServed(client());
             try (Client plain = new Client(at)) {
                 assertTrue(plain.send(SAFE).answerAfter(upstream).startsWith("HTTP/1.1 200"));
@@ -271,9 +286,10 @@
         for (int i = 0; i < 5_000 && bad.quic.isOpen(); i++) {
             try {
                 bad.send(H3Client.head("POST", "book", "x" + i).add("content-length", "4"), "se", false)
-                    .stream.shutdown(0x10c);
+                        .stream
+                        .shutdown(0x10c);
             } catch (ExecutionException e) {
-                bad.quic.eventLoop().submit(() -> { }).sync();     // no stream free yet, or closed meanwhile
+                bad.quic.eventLoop().submit(() -> {}).sync(); // no stream free yet, or closed meanwhile
             }
         }
         assertEquals("close 0x107", bad.event("close"));
@@ -282,13 +298,12 @@
 
     @Test
     void manyConnectionsProveTheirAddressAndTheLastIsTurnedAway() throws Exception {
-        sessions = new Sessions.Limits(4, 10, 20, 1 << 20, TimeUnit.MINUTES.toNanos(5),
-            TimeUnit.MINUTES.toNanos(5));
+        sessions = new Sessions.Limits(4, 10, 20, 1 << 20, TimeUnit.MINUTES.toNanos(5), TimeUnit.MINUTES.toNanos(5));
         start();
         List<H3Client> in = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             in.add(client());
-            H3Client.Got got = in.get(i).get("r" + i);     // a server's side is established with it
+            H3Client.Got got = in.get(i).get("r" + i); // a server's side is established with it
             upstream.next().answer(200, "", "ok");
             assertEquals("200 ok", got.end());
         }
@@ -296,7 +311,7 @@
             H3Client none = client();
             assertTrue(none.event("close") != null);
         } catch (ExecutionException e) {
-            assertTrue(in.get(0).quic.isOpen());    // refused before its handshake was done
+            assertTrue(in.get(0).quic.isOpen()); // refused before its handshake was done
         }
         assertTrue(in.get(0).quic.isOpen());
     }
@@ -314,11 +329,12 @@
             over.countDown();
         });
         stop.start();
-        node = null;                                // is stopped here
+        node = null; // is stopped here
         assertEquals("goaway " + ((1L << 62) - 4), client.event("goaway"));
         assertEquals("goaway 4", client.event("goaway"));
         // What crosses the GOAWAY is rejected as never processed.
-        assertEquals("reset 0x10b", client.raw(H3Client.head("GET", "read", "r2")).end());
+        assertEquals(
+                "reset 0x10b", client.raw(H3Client.head("GET", "read", "r2")).end());
         asked.answer(200, "", "done");
         assertEquals("200 done", taken.end());
         assertTrue(over.await(20, TimeUnit.SECONDS));
--- a/src/test/java/junctionhead/node/Http3PathTest.java
+++ b/src/test/java/junctionhead/node/Http3PathTest.java
@@ -23,8 +23,7 @@
 /** What befalls the path between a client and us: it changes, loses, repeats and bends. */
 class Http3PathTest extends Http3Fixture {
     private static final int CHANGES = 3;
-    private final MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private UdpRelay relay;
 
     private H3Client through(RelayScript.Faults faults) throws Exception {
@@ -45,12 +44,14 @@
         start();
         relay = new UdpRelay(group.next(), node.beside(), new RelayScript(7, RelayScript.Faults.NONE));
         URI uri = URI.create("https://127.0.0.1:" + relay.open().getPort() + "/api/k1");
-        Http3Client client = (Http3Client) Http3Client.newBuilder().disableCertificateCheck()
-            .connectTimeout(Duration.ofSeconds(10)).build();
+        Http3Client client = (Http3Client) Http3Client.newBuilder()
+                .disableCertificateCheck()
+                .connectTimeout(Duration.ofSeconds(10))
+                .build();
         for (int i = 0; i < CHANGES; i++) {
             CompletableFuture<HttpResponse<String>> open = book(client, uri, "r" + i);
             FakeUpstream.Got asked = upstream.next();
-            relay.rebind();                         // the next request tells of the new path
+            relay.rebind(); // the next request tells of the new path
             CompletableFuture<HttpResponse<String>> next = book(client, uri, "n" + i);
             FakeUpstream.Got second = upstream.next();
             assertEquals("r" + i, asked.header("req-id"));
@@ -67,10 +68,14 @@
     }
 
     private static CompletableFuture<HttpResponse<String>> book(Http3Client client, URI uri, String id) {
-        return client.sendAsync(HttpRequest.newBuilder(uri).header("Req-Id", id)
-            .header("Req-Kind", "book").header("Req-Deadline-Ms", "20000")
-            .POST(HttpRequest.BodyPublishers.ofString("seat")).build(),
-            HttpResponse.BodyHandlers.ofString());
+        return client.sendAsync(
+                HttpRequest.newBuilder(uri)
+                        .header("Req-Id", id)
+                        .header("Req-Kind", "book")
+                        .header("Req-Deadline-Ms", "20000")
+                        .POST(HttpRequest.BodyPublishers.ofString("seat"))
+                        .build(),
+                HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
@@ -80,7 +85,7 @@
         FakeUpstream.Got asked = upstream.next();
         relay.hole(UdpRelay.Hole.TO_CLIENT);
         asked.answer(200, "", "done");
-        H3Client.Got other = client.book("r2");     // still arrives, and is not answered to its client
+        H3Client.Got other = client.book("r2"); // still arrives, and is not answered to its client
         upstream.next().answer(200, "", "ok");
         assertTrue(!got.ended.isDone());
         relay.hole(UdpRelay.Hole.NONE);
--- a/src/test/java/junctionhead/node/Http3UpstreamTest.java
+++ b/src/test/java/junctionhead/node/Http3UpstreamTest.java
@@ -41,8 +41,8 @@
     }
 
     private static Client plain(NodeFixture f, String id) throws Exception {
-        return new Client(f.at).send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat")
-            .replace("Req-Id: r1", "Req-Id: " + id));
+        return new Client(f.at)
+                .send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat").replace("Req-Id: r1", "Req-Id: " + id));
     }
 
     @Test
@@ -122,7 +122,7 @@
         try (Client client = plain(this, "r1")) {
             ending.accept(box.next());
             String told = module.next();
-            assertEquals(502, client.status());     // the scripted module fails what was not served
+            assertEquals(502, client.status()); // the scripted module fails what was not served
             assertTrue(box.isEmpty());
             return told;
         }
@@ -176,7 +176,7 @@
     @Test
     void aRequestThatIsNotWholeNeverRan() throws Exception {
         box = new H3Box(THEIRS, 0, 100, 1_000);
-        box.stopAtHead = 0x10c;                                 // STOP_SENDING alone
+        box.stopAtHead = 0x10c; // STOP_SENDING alone
         http3 = box.address();
         start();
         try (Client client = new Client(at)) {
@@ -196,7 +196,7 @@
             H3Box.Got got = box.next();
             assertEquals("TIMEOUT", module.next());
             assertEquals(502, client.status());
-            got.answer("too late");                 // nobody hears it
+            got.answer("too late"); // nobody hears it
             assertEquals(200, Integer.parseInt(next(client).split(" ")[1]));
         }
     }
@@ -214,7 +214,7 @@
         startWithBox(1);
         H3Client client = client();
         List<H3Box.Got> held = new ArrayList<>();
-        for (int i = 0; i < 2; i++) {               // one for each of the two connections
+        for (int i = 0; i < 2; i++) { // one for each of the two connections
             client.book("r" + i);
             held.add(box.next());
         }
@@ -230,7 +230,9 @@
         connect = HANDSHAKE_MICROS;
         box = new H3Box(THEIRS, 0, 3);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (UdpRelay relay = new UdpRelay(group.next(), new InetSocketAddress("127.0.0.1", box.port()),
+        try (UdpRelay relay = new UdpRelay(
+                group.next(),
+                new InetSocketAddress("127.0.0.1", box.port()),
                 new RelayScript(1, RelayScript.Faults.NONE))) {
             relay.hole(UdpRelay.Hole.TO_SERVER);
             http3 = Addresses.text(relay.open());
@@ -241,7 +243,7 @@
                 gots.add(client.get("r" + i));
                 module.requests.take();
             }
-            relay.hole(UdpRelay.Hole.NONE);         // the handshake goes on with its next attempt
+            relay.hole(UdpRelay.Hole.NONE); // the handshake goes on with its next attempt
             Channel waited = null;
             for (int i = 0; i < 3; i++) {
                 H3Box.Got asked = box.next();
@@ -259,13 +261,13 @@
                 H3Client.Got got = client.get("n" + i);
                 H3Box.Got asked = box.next();
                 streams.computeIfAbsent(asked.stream.parent(), c -> new ArrayList<>())
-                    .add(asked.stream.streamId());
+                        .add(asked.stream.streamId());
                 asked.answer(asked.field("req-id"));
                 assertEquals("200 n" + i, got.end());
             }
             Channel before = waited;
             streams.forEach((connection, ids) -> {
-                long first = connection == before ? 12 : 0;     // after the three that waited
+                long first = connection == before ? 12 : 0; // after the three that waited
                 for (int i = 0; i < ids.size(); i++) {
                     assertEquals(first + 4L * i, ids.get(i));
                 }
@@ -308,7 +310,7 @@
             assertEquals("502 failed", client.get("n" + i).end());
         }
         assertTrue(box.isEmpty());
-        before.answer("done");                      // what was there before goes on to its end
+        before.answer("done"); // what was there before goes on to its end
         assertEquals("200 done", held.end());
     }
 
@@ -325,7 +327,8 @@
                     // It crossed the GOAWAY: never processed, says the box, and the module is told so.
                     assertEquals("NOT_SENT", module.next());
                     assertEquals(502, second.status());
-                    second.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat").replace("r1", "r3"));
+                    second.send(
+                            post("book", "Req-Deadline-Ms: 20000\r\n", "seat").replace("r1", "r3"));
                     other = box.next();
                 }
                 other.answer("two");
@@ -382,7 +385,8 @@
                 }
                 assertTrue(request < 1_000_000);
                 if (!upstream.isEmpty()) {
-                    assertEquals(200, Integer.parseInt(next.answerAfter(upstream).split(" ")[1]));
+                    assertEquals(
+                            200, Integer.parseInt(next.answerAfter(upstream).split(" ")[1]));
                 } else {
                     box.next().answer("ok");
                     assertEquals(200, next.status());
@@ -441,7 +445,7 @@
         for (int i = 0; i < 3; i++) {
             asked.add(box.next());
         }
-        H3Client.Got fourth = client.get("r3");     // a second connection
+        H3Client.Got fourth = client.get("r3"); // a second connection
         H3Box.Got other = box.next();
         assertNotEquals(asked.get(0).stream.parent(), other.stream.parent());
         other.answer("r3");
--- a/src/test/java/junctionhead/node/LifeCycleTest.java
+++ b/src/test/java/junctionhead/node/LifeCycleTest.java
@@ -6,19 +6,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.io.PipedInputStream;
+import java.io.PipedOutputStream;
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import junctionhead.config.Config;
-import java.io.PipedInputStream;
-import java.io.PipedOutputStream;
-import java.io.PrintStream;
-import java.nio.charset.StandardCharsets;
 import junctionhead.log.LineSink;
-import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -31,20 +31,20 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> { });
+        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, node::start);
         assertTrue(Thread.interrupted());
-        node.loop().submit(() -> { }).get(20, TimeUnit.SECONDS);    // the bind has been carried out
+        node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the bind has been carried out
         InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         try (Client client = new Client(to)) {
-            assertEquals(503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    503, client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
     }
 
     @Test
-    void aRehearsalComesBeforeReadinessAndReachesNeitherModuleNorUpstream()
-            throws IOException, InterruptedException {
+    void aRehearsalComesBeforeReadinessAndReachesNeitherModuleNorUpstream() throws IOException, InterruptedException {
         rehearse = true;
         start();
         try (Client client = new Client(at)) {
@@ -53,8 +53,12 @@
                 status = client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
             }
             assertEquals(200, status);
-            assertEquals(404, client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").status());
-            assertEquals(404, client.send(SAFE.replace("/api/k1?x=%20y", "/-/rehearsal")).status());
+            assertEquals(
+                    404,
+                    client.send("GET /-/rehearsed HTTP/1.1\r\nHost: x\r\n\r\n").status());
+            assertEquals(
+                    404,
+                    client.send(SAFE.replace("/api/k1?x=%20y", "/-/rehearsal")).status());
             assertTrue(module.requests.isEmpty());
             assertEquals(0, upstream.connections());
             client.send(SAFE);
@@ -64,8 +68,7 @@
     }
 
     @Test
-    void anOrderlyStopAnswersWhatIsHeldAndGoesOnTakingConnectionsForAWhile()
-            throws IOException, InterruptedException {
+    void anOrderlyStopAnswersWhatIsHeldAndGoesOnTakingConnectionsForAWhile() throws IOException, InterruptedException {
         start();
         Client idle = new Client(at);
         assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -80,7 +83,7 @@
             }
         }
         assertEquals(503, ready);
-        assertNull(idle.answer());                  // dropped at rest
+        assertNull(idle.answer()); // dropped at rest
         got.answer(200, "", "late but whole");
         String head = held.answer();
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
@@ -91,13 +94,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
-        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
-            + "| settings: ",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{} | ROUTER_LISTEN is not set, and the configuration has no listen",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"localhost:1\"} | discovery: not an address: 'localhost'",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\"} | the configuration has no settings",
+                "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"Quantum\":1}} "
+                        + "| settings: ",
+            })
     void badConfigurationIsNamed(String json, String complaint) throws IOException {
         try {
             Config.of(Map.of("ROUTER_NAME", "n1"), com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(json));
--- a/src/test/java/junctionhead/node/LongBodiesTest.java
+++ b/src/test/java/junctionhead/node/LongBodiesTest.java
@@ -22,7 +22,7 @@
 @Timeout(120)
 class LongBodiesTest extends NodeFixture {
     private static final String LONG = "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
-        + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
+            + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
 
     private static byte[] random(int length) {
         byte[] bytes = new byte[length];
@@ -32,7 +32,7 @@
 
     private static byte[] chunks(byte[] body, Random random) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (int at = 0; at < body.length;) {
+        for (int at = 0; at < body.length; ) {
             int some = Math.min(body.length - at, 1 + random.nextInt(40_000));
             out.write((Integer.toHexString(some) + ";x=y\r\n").getBytes(StandardCharsets.US_ASCII));
             out.write(body, at, some);
@@ -51,8 +51,8 @@
         try (Client client = new Client(at).send(SAFE)) {
             FakeUpstream.Got got = upstream.next();
             byte[] wire = chunked ? chunks(body, new Random(7)) : body;
-            got.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: "
-                + body.length) + "\r\n\r\n");
+            got.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
+                    + "\r\n\r\n");
             int half = wire.length / 2;
             CompletableFuture<Void> writing = CompletableFuture.runAsync(() -> {
                 try {
@@ -61,7 +61,7 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            String head = FakeUpstream.head(client.in);     // before the upstream is at its end
+            String head = FakeUpstream.head(client.in); // before the upstream is at its end
             assertTrue(head.startsWith("HTTP/1.1 200"), head);
             assertEquals("OK closed", module.next());
             CompletableFuture<byte[]> reading = CompletableFuture.supplyAsync(() -> {
@@ -108,8 +108,8 @@
         start();
         try (Client client = new Client(at).send(SAFE)) {
             FakeUpstream.Got got = upstream.next();
-            got.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked"
-                : "Content-Length: 300000") + "\r\n\r\n");
+            got.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: 300000")
+                    + "\r\n\r\n");
             got.raw(chunked ? "30d40\r\n" : "");
             got.raw(random(200_000));
             got.raw(chunked ? "\r\n" : "");
@@ -130,8 +130,9 @@
     void aLongUploadGoesThroughUnchanged(boolean chunked) throws Exception {
         start();
         byte[] body = random(3 << 20);
-        try (Client client = new Client(at).send(LONG + (chunked ? "Transfer-Encoding: chunked"
-                : "Content-Length: " + body.length) + "\r\n\r\n")) {
+        try (Client client = new Client(at)
+                .send(LONG + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
+                        + "\r\n\r\n")) {
             OutputStream out = client.socket.getOutputStream();
             out.write(chunked ? chunks(body, new Random(3)) : body);
             FakeUpstream.Got got = upstream.next();
--- a/src/test/java/junctionhead/node/NodeFixture.java
+++ b/src/test/java/junctionhead/node/NodeFixture.java
@@ -1,5 +1,8 @@
 package junctionhead.node;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -19,8 +22,6 @@
 import junctionhead.Policy;
 import junctionhead.config.Config;
 import org.junit.jupiter.api.AfterEach;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import org.junit.jupiter.api.BeforeEach;
 
 /** A real balancer over loopback sockets, with a module that does what the test says. */
@@ -30,28 +31,37 @@
         final BlockingQueue<String> told = new LinkedBlockingQueue<>();
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
         volatile long timeout;
-        volatile long within;                       // 0: no matter when
-        volatile boolean cancels = true;            // what its client has left
-        volatile Runnable onOutcome = () -> { };
+        volatile long within; // 0: no matter when
+        volatile boolean cancels = true; // what its client has left
+        volatile Runnable onOutcome = () -> {};
         volatile boolean broken;
         volatile String server = "s1";
         volatile Policy.Actions actions;
 
         @Override
-        public void retune(long now, Settings settings, List<Integer> formerClasses,
-                List<Integer> formerTenants, Actions out) {
+        public void retune(
+                long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out) {
             told.add("retuned " + formerClasses);
         }
 
         @Override
         public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
             actions = out;
-            told.add(kind + " " + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
+            told.add(kind + " "
+                    + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
         }
 
         @Override
-        public void request(long now, String request, int requestClass, int tenant, String key, long timeLeft,
-                long work, boolean resubmission, Actions out) {
+        public void request(
+                long now,
+                String request,
+                int requestClass,
+                int tenant,
+                String key,
+                long timeLeft,
+                long work,
+                boolean resubmission,
+                Actions out) {
             requests.add(requestClass + " " + key + " " + work + " " + resubmission);
             if (broken) {
                 throw new IllegalStateException("broken");
@@ -66,8 +76,15 @@
         }
 
         @Override
-        public void outcome(long now, String request, int attempt, Outcome outcome, long latency,
-                boolean closed, Load load, Actions out) {
+        public void outcome(
+                long now,
+                String request,
+                int attempt,
+                Outcome outcome,
+                long latency,
+                boolean closed,
+                Load load,
+                Actions out) {
             told.add(outcome + (load == null ? "" : " " + load.inFlight()) + (closed ? " closed" : ""));
             onOutcome.run();
             if (!closed) {
@@ -76,7 +93,7 @@
         }
 
         @Override
-        public void streamStarted(long now, String request, int attempt, Actions out) { }
+        public void streamStarted(long now, String request, int attempt, Actions out) {}
 
         @Override
         public void clientGone(long now, String request, Actions out) {
@@ -92,7 +109,7 @@
         }
 
         @Override
-        public void wake(long now, Actions out) { }
+        public void wake(long now, Actions out) {}
 
         String next() throws InterruptedException {
             String event = told.poll(20, TimeUnit.SECONDS);
@@ -148,12 +165,12 @@
     }
 
     static final String SAFE = "GET /api/k1?x=%20y HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
-        + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
+            + "Req-Kind: read\r\nReq-Deadline-Ms: 20000\r\nReq-Cost: 700\r\nReq-Retry: 1\r\n\r\n";
 
     final Scripted module = new Scripted();
     final List<String> log = new ArrayList<>();
     boolean rehearse;
-    boolean pushed;                                 // lists come from an agent
+    boolean pushed; // lists come from an agent
     String endpoint;
     FakeUpstream upstream;
     FakeUpstream discovery;
@@ -176,19 +193,58 @@
     }
 
     static Map<String, Object> kind(String name, String effect) {
-        return Map.of("Name", name, "Idempotency", effect, "DedupScope", "cell", "GoalTime", 600_000,
-            "GiveUp", 30_000_000, "KeyTtl", 1_000_000);
+        return Map.of(
+                "Name",
+                name,
+                "Idempotency",
+                effect,
+                "DedupScope",
+                "cell",
+                "GoalTime",
+                600_000,
+                "GiveUp",
+                30_000_000,
+                "KeyTtl",
+                1_000_000);
     }
 
     static Map<String, Object> settings() {
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
         settings.put("Classes", List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
-        settings.put("Limits", new HashMap<>(Map.of("TryLimit", 3, "MayDuplicate", true, "Cancel", true,
-            "Probes", true, "DialTimeout", 500_000, "IdleClose", 30_000_000)));
+        settings.put(
+                "Limits",
+                new HashMap<>(Map.of(
+                        "TryLimit",
+                        3,
+                        "MayDuplicate",
+                        true,
+                        "Cancel",
+                        true,
+                        "Probes",
+                        true,
+                        "DialTimeout",
+                        500_000,
+                        "IdleClose",
+                        30_000_000)));
         settings.put("MembershipMode", "ask");
-        settings.put("Rules", Map.of("AnswerSlack", 8_000, "DrainGrace", 1_000_000, "AskWithin", 10_000_000,
-            "ColdFrom", 0.3, "RampTime", 8_400_000, "OverloadFactor", 3.0, "Fall", 1_000_000));
+        settings.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        8_000,
+                        "DrainGrace",
+                        1_000_000,
+                        "AskWithin",
+                        10_000_000,
+                        "ColdFrom",
+                        0.3,
+                        "RampTime",
+                        8_400_000,
+                        "OverloadFactor",
+                        3.0,
+                        "Fall",
+                        1_000_000));
         settings.put("Quantum", 2_000);
         settings.put("Areas", List.of("podrum"));
         settings.put("Kinds", List.of("puni", "slabi"));
@@ -198,9 +254,9 @@
 
     String target(String state) {
         return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpoint == null ? upstream.address() : endpoint)
-            + "\",\"az\":\"podrum\","
-            + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
-            + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
+                + "\",\"az\":\"podrum\","
+                + "\"model\":\"slabi\",\"pod_group\":3,\"state\":\"" + state
+                + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
     String list(int rev, boolean all, String state) {
@@ -212,10 +268,23 @@
     }
 
     Config config(int sockets, Map<String, Object> settings, int port, String discovery) throws IOException {
-        return Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:" + port, "discovery", discovery,
-            "seed", "8c1f30d27a5be964", "limits", Map.of("sockets", sockets),
-            "settings", settings, "known", com.fasterxml.jackson.jr.ob.JSON.std
-                .mapFrom(list(41, true, "in_service"))));
+        return Config.of(
+                Map.of(),
+                Map.of(
+                        "name",
+                        "n1",
+                        "listen",
+                        "127.0.0.1:" + port,
+                        "discovery",
+                        discovery,
+                        "seed",
+                        "8c1f30d27a5be964",
+                        "limits",
+                        Map.of("sockets", sockets),
+                        "settings",
+                        settings,
+                        "known",
+                        com.fasterxml.jackson.jr.ob.JSON.std.mapFrom(list(41, true, "in_service"))));
     }
 
     void start() throws IOException, InterruptedException {
@@ -238,8 +307,8 @@
     }
 
     static String post(String kind, String extra, String body) {
-        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n"
-            + extra + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\nReq-Kind: " + kind + "\r\n" + extra
+                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
--- a/src/test/java/junctionhead/node/SettingsRangeTest.java
+++ b/src/test/java/junctionhead/node/SettingsRangeTest.java
@@ -28,37 +28,87 @@
  */
 @Timeout(120)
 class SettingsRangeTest {
-    private static final int BOXES = 4;             // two cells, and two zones where there are any
+    private static final int BOXES = 4; // two cells, and two zones where there are any
     private static final int CLIENTS = 6;
     private static final int EACH = 40;
 
     /** One that an upstream has read whole. */
-    private record Run(int box, boolean ran, long at) { }
+    private record Run(int box, boolean ran, long at) {}
 
     private final Map<String, List<Run>> runs = new ConcurrentHashMap<>();
     private final List<FakeUpstream> boxes = new ArrayList<>();
     private final AtomicInteger number = new AtomicInteger();
     private volatile boolean over;
 
-    private static Map<String, Object> kind(String name, String effect, String scope, int aimMs,
-            int deadlineMs, int memoryMs) {
-        return Map.of("Name", name, "Idempotency", effect, "DedupScope", scope, "GoalTime", aimMs * 1000,
-            "GiveUp", deadlineMs * 1000, "KeyTtl", memoryMs * 1000, "Gain", 2, "LateShare", 0.3);
+    private static Map<String, Object> kind(
+            String name, String effect, String scope, int aimMs, int deadlineMs, int memoryMs) {
+        return Map.of(
+                "Name",
+                name,
+                "Idempotency",
+                effect,
+                "DedupScope",
+                scope,
+                "GoalTime",
+                aimMs * 1000,
+                "GiveUp",
+                deadlineMs * 1000,
+                "KeyTtl",
+                memoryMs * 1000,
+                "Gain",
+                2,
+                "LateShare",
+                0.3);
     }
 
-    private static Map<String, Object> settings(String mode, String reports, boolean cancel, boolean copies,
-            int tries, int idleMs, List<String> areas, List<Map<String, Object>> realms,
+    private static Map<String, Object> settings(
+            String mode,
+            String reports,
+            boolean cancel,
+            boolean copies,
+            int tries,
+            int idleMs,
+            List<String> areas,
+            List<Map<String, Object>> realms,
             List<Map<String, Object>> classes) {
         Map<String, Object> all = new HashMap<>();
         all.put("Balancers", 3);
         all.put("Rank", 1);
         all.put("Classes", classes);
         all.put("Realms", realms);
-        all.put("Limits", Map.of("TryLimit", tries, "MayDuplicate", copies, "Cancel", cancel, "Probes", false,
-            "DialTimeout", 100_000, "IdleClose", idleMs * 1000));
+        all.put(
+                "Limits",
+                Map.of(
+                        "TryLimit",
+                        tries,
+                        "MayDuplicate",
+                        copies,
+                        "Cancel",
+                        cancel,
+                        "Probes",
+                        false,
+                        "DialTimeout",
+                        100_000,
+                        "IdleClose",
+                        idleMs * 1000));
         all.put("MembershipMode", mode);
-        all.put("Rules", Map.of("AnswerSlack", 8_000, "DrainGrace", 1_000_000, "AskWithin", 10_000_000,
-            "ColdFrom", 0.4, "RampTime", 5_000_000, "OverloadFactor", 2.5, "Fall", 1_500_000));
+        all.put(
+                "Rules",
+                Map.of(
+                        "AnswerSlack",
+                        8_000,
+                        "DrainGrace",
+                        1_000_000,
+                        "AskWithin",
+                        10_000_000,
+                        "ColdFrom",
+                        0.4,
+                        "RampTime",
+                        5_000_000,
+                        "OverloadFactor",
+                        2.5,
+                        "Fall",
+                        1_500_000));
         all.put("Quantum", 1_000);
         all.put("Areas", areas);
         all.put("Kinds", List.of("only"));
@@ -74,7 +124,7 @@
                 int n = number.incrementAndGet() % 10;
                 boolean ran = n != 3;
                 runs.computeIfAbsent(got.header("Req-Id"), id -> new CopyOnWriteArrayList<>())
-                    .add(new Run(box, ran, System.nanoTime()));
+                        .add(new Run(box, ran, System.nanoTime()));
                 switch (n) {
                     case 3 -> got.answer(503, "Srv-Declined: 1\r\n", "");
                     case 5 -> got.answer(500, "", "");
@@ -82,7 +132,7 @@
                     default -> got.answer(200, "", got.header("Req-Id"));
                 }
             } catch (IOException e) {
-                continue;                           // the balancer had given it up
+                continue; // the balancer had given it up
             } catch (InterruptedException | AssertionError e) {
                 return;
             }
@@ -92,10 +142,17 @@
     private String list(int rev, boolean all, int from, String state, List<String> areas) {
         StringBuilder text = new StringBuilder("{\"rev\":" + rev + ",\"all\":" + all + ",\n  \"targets\":[");
         for (int i = from; i < (all ? BOXES : from + 1); i++) {
-            text.append(i > from ? "," : "").append("\n{\"uid\":\"b").append(i).append("\",\"endpoint\":\"")
-                .append(boxes.get(i).address()).append("\",\"model\":\"only\",\"pod_group\":").append(i / 2)
-                .append(areas.isEmpty() ? "" : ",\"az\":\"" + areas.get(i % areas.size()) + "\"")
-                .append(",\"state\":\"").append(state).append("\",\"capacity_hint\":1.0,\"boot_ms\":0}");
+            text.append(i > from ? "," : "")
+                    .append("\n{\"uid\":\"b")
+                    .append(i)
+                    .append("\",\"endpoint\":\"")
+                    .append(boxes.get(i).address())
+                    .append("\",\"model\":\"only\",\"pod_group\":")
+                    .append(i / 2)
+                    .append(areas.isEmpty() ? "" : ",\"az\":\"" + areas.get(i % areas.size()) + "\"")
+                    .append(",\"state\":\"")
+                    .append(state)
+                    .append("\",\"capacity_hint\":1.0,\"boot_ms\":0}");
         }
         return text + "]}\n";
     }
@@ -107,15 +164,29 @@
         }
         FakeUpstream discovery = new FakeUpstream();
         ExecutorService threads = Executors.newCachedThreadPool();
-        Config config = Config.of(Map.of(), Map.of("name", "n1", "listen", "127.0.0.1:0", "discovery",
-            discovery.address(), "seed", "8c1f30d27a5be964", "limits", Map.of("sockets", 256), "settings",
-            settings, "known", JSON.std.mapFrom(list(1, true, 0, "in_service", areas))));
-        Node node = new Node(config, Balance::new, true, line -> { });
+        Config config = Config.of(
+                Map.of(),
+                Map.of(
+                        "name",
+                        "n1",
+                        "listen",
+                        "127.0.0.1:0",
+                        "discovery",
+                        discovery.address(),
+                        "seed",
+                        "8c1f30d27a5be964",
+                        "limits",
+                        Map.of("sockets", 256),
+                        "settings",
+                        settings,
+                        "known",
+                        JSON.std.mapFrom(list(1, true, 0, "in_service", areas))));
+        Node node = new Node(config, Balance::new, true, line -> {});
         try {
             InetSocketAddress at = node.start();
             FakeUpstream.Got watch = discovery.next();
             watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + NodeFixture.chunk(list(2, true, 0, "in_service", areas)));
+                    + NodeFixture.chunk(list(2, true, 0, "in_service", areas)));
             assertTrue(node.awaitReady(60_000));
             for (int i = 0; i < BOXES; i++) {
                 int box = i;
@@ -125,12 +196,17 @@
             clients(threads, at, classes, "a", served);
             watch.raw(NodeFixture.chunk(list(3, false, 0, "terminating", areas)));
             long told = System.nanoTime();
-            TimeUnit.MILLISECONDS.sleep(1_050);     // the grace itself
+            TimeUnit.MILLISECONDS.sleep(1_050); // the grace itself
             clients(threads, at, classes, "b", served);
             assertTrue(served.get() > CLIENTS * EACH, "served " + served + " of " + 2 * CLIENTS * EACH);
             long after = told + TimeUnit.MILLISECONDS.toNanos(1_050);
-            assertEquals(List.of(), runs.entrySet().stream().filter(e -> e.getValue().stream().anyMatch(r ->
-                r.box() == 0 && r.at() > after)).map(Map.Entry::getKey).toList(), "sent to the drained one");
+            assertEquals(
+                    List.of(),
+                    runs.entrySet().stream()
+                            .filter(e -> e.getValue().stream().anyMatch(r -> r.box() == 0 && r.at() > after))
+                            .map(Map.Entry::getKey)
+                            .toList(),
+                    "sent to the drained one");
         } finally {
             over = true;
             node.stop();
@@ -142,8 +218,13 @@
         }
     }
 
-    private void clients(ExecutorService threads, InetSocketAddress at, List<Map<String, Object>> classes,
-            String mark, AtomicInteger served) throws Exception {
+    private void clients(
+            ExecutorService threads,
+            InetSocketAddress at,
+            List<Map<String, Object>> classes,
+            String mark,
+            AtomicInteger served)
+            throws Exception {
         List<Future<?>> all = new ArrayList<>();
         for (int c = 0; c < CLIENTS; c++) {
             String name = mark + c + "-";
@@ -165,10 +246,10 @@
         boolean safe = effect.equals("safe");
         try (NodeFixture.Client client = new NodeFixture.Client(at)) {
             client.send((safe ? "GET" : "POST") + " /api/k HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: "
-                + kind.get("Name") + "\r\nReq-Owner: public\r\nReq-Deadline-Ms: "
-                + (int) kind.get("GiveUp") / 1000 + "\r\n"
-                + (effect.equals("keyed") ? "Idempotency-Key: " + id + "\r\n" : "")
-                + (safe ? "\r\n" : "Content-Length: 1\r\n\r\nx"));
+                    + kind.get("Name") + "\r\nReq-Owner: public\r\nReq-Deadline-Ms: "
+                    + (int) kind.get("GiveUp") / 1000 + "\r\n"
+                    + (effect.equals("keyed") ? "Idempotency-Key: " + id + "\r\n" : "")
+                    + (safe ? "\r\n" : "Content-Length: 1\r\n\r\nx"));
             int status = client.status();
             List<Run> seen = runs.getOrDefault(id, List.of());
             List<Run> ran = seen.stream().filter(Run::ran).toList();
@@ -196,21 +277,33 @@
 
     @Test
     void pushedWithoutZonesReportsOrCancellingAndOneShortAttempt() throws Exception {
-        List<Map<String, Object>> classes = List.of(kind("price", "safe", "all", 90, 180, 0),
-            kind("basket", "keyed", "all", 300, 900, 600), kind("pay", "unsafe", "all", 700, 1_500, 0));
-        play(settings("push", "none", false, false, 1, 2_000, List.of(), List.of(), classes), List.of(),
-            classes);
+        List<Map<String, Object>> classes = List.of(
+                kind("price", "safe", "all", 90, 180, 0),
+                kind("basket", "keyed", "all", 300, 900, 600),
+                kind("pay", "unsafe", "all", 700, 1_500, 0));
+        play(settings("push", "none", false, false, 1, 2_000, List.of(), List.of(), classes), List.of(), classes);
     }
 
     @Test
     void askedWithZonesTenantsManyAttemptsAndNoCopies() throws Exception {
         List<String> zones = List.of("north", "south");
-        List<Map<String, Object>> classes = List.of(kind("look-up", "safe", "all", 250, 1_000, 0),
-            kind("triage", "keyed", "zone", 200, 600, 400), kind("admit", "unsafe", "all", 900, 3_000, 0),
-            kind("bill", "keyed", "cell", 1_200, 2_500, 2_000));
-        Map<String, Object> all = settings("ask", "probe", true, false, 6, 5_000, zones,
-            List.of(Map.of("Name", "public", "AllowancePerS", 400), Map.of("Name", "private", "AllowancePerS",
-                100)), classes);
+        List<Map<String, Object>> classes = List.of(
+                kind("look-up", "safe", "all", 250, 1_000, 0),
+                kind("triage", "keyed", "zone", 200, 600, 400),
+                kind("admit", "unsafe", "all", 900, 3_000, 0),
+                kind("bill", "keyed", "cell", 1_200, 2_500, 2_000));
+        Map<String, Object> all = settings(
+                "ask",
+                "probe",
+                true,
+                false,
+                6,
+                5_000,
+                zones,
+                List.of(
+                        Map.of("Name", "public", "AllowancePerS", 400),
+                        Map.of("Name", "private", "AllowancePerS", 100)),
+                classes);
         all.put("Locality", 0);
         play(all, zones, classes);
     }
--- a/src/test/java/junctionhead/node/StoodStillTest.java
+++ b/src/test/java/junctionhead/node/StoodStillTest.java
@@ -44,13 +44,17 @@
     private static final long GRACE = 1_000_000;
     private static final byte[] BODY = "abcdefgh".getBytes(StandardCharsets.US_ASCII);
 
-    private enum Way { DIALLED, RESTED, UPLOAD }
+    private enum Way {
+        DIALLED,
+        RESTED,
+        UPLOAD
+    }
 
     /** What is looked at before a request leaves: the first time, time has passed meanwhile. */
     private final class StandsStillOnce implements ListNews {
         private Runnable meanwhile;
         private boolean over = true;
-        private long holds = Long.MAX_VALUE;        // where it is not over
+        private long holds = Long.MAX_VALUE; // where it is not over
 
         @Override
         public boolean mayLieUnread() {
@@ -91,10 +95,10 @@
         }
 
         @Override
-        public void pull(boolean room) { }
+        public void pull(boolean room) {}
 
         @Override
-        public void drop() { }
+        public void drop() {}
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -102,19 +106,54 @@
     private final BlockingQueue<Policy.Outcome> ends = new LinkedBlockingQueue<>();
     private final List<Rest> rests = new ArrayList<>();
     private FakeUpstream upstream;
-    private InetSocketAddress at;                   // in place of its own, or null
+    private InetSocketAddress at; // in place of its own, or null
     private Upstreams upstreams;
-    private long stoodFor;                          // µs, on top of the system's clock; of the loop
-    private long standsBehindLook;                  // and what is added behind the next look at it
+    private long stoodFor; // µs, on top of the system's clock; of the loop
+    private long standsBehindLook; // and what is added behind the next look at it
 
     private static SettingsReader.Boot boot() {
-        Map<String, String> values = new HashMap<>(Map.of("Balancers", "1", "Quantum", "1000",
-            "MembershipMode", "push", "Classes.count", "1", "Classes.0.Name", "c", "Classes.0.Idempotency",
-            "unsafe", "Classes.0.GoalTime", "200000", "Classes.0.GiveUp", "20000000", "Classes.0.Gain", "4",
-            "Classes.0.LateShare", "0.25"));
-        values.putAll(Map.of("Limits.TryLimit", "3", "Limits.MayDuplicate", "true", "Limits.Cancel", "true",
-            "Limits.Probes", "false", "Rules.AnswerSlack", "8000", "Rules.DrainGrace", Long.toString(GRACE),
-            "Rules.ColdFrom", "0.3", "Rules.RampTime", "1", "Rules.OverloadFactor", "3", "Rules.Fall", "1"));
+        Map<String, String> values = new HashMap<>(Map.of(
+                "Balancers",
+                "1",
+                "Quantum",
+                "1000",
+                "MembershipMode",
+                "push",
+                "Classes.count",
+                "1",
+                "Classes.0.Name",
+                "c",
+                "Classes.0.Idempotency",
+                "unsafe",
+                "Classes.0.GoalTime",
+                "200000",
+                "Classes.0.GiveUp",
+                "20000000",
+                "Classes.0.Gain",
+                "4",
+                "Classes.0.LateShare",
+                "0.25"));
+        values.putAll(Map.of(
+                "Limits.TryLimit",
+                "3",
+                "Limits.MayDuplicate",
+                "true",
+                "Limits.Cancel",
+                "true",
+                "Limits.Probes",
+                "false",
+                "Rules.AnswerSlack",
+                "8000",
+                "Rules.DrainGrace",
+                Long.toString(GRACE),
+                "Rules.ColdFrom",
+                "0.3",
+                "Rules.RampTime",
+                "1",
+                "Rules.OverloadFactor",
+                "3",
+                "Rules.Fall",
+                "1"));
         return SettingsReader.read(values, (path, what) -> new IllegalArgumentException(path + what));
     }
 
@@ -129,8 +168,8 @@
     void open() throws IOException, InterruptedException {
         upstream = new FakeUpstream();
         onLoop(() -> {
-            upstreams = new Upstreams(group.next(), boot(), new Budget(Limits.of(1024), System.nanoTime()),
-                this::now, news);
+            upstreams = new Upstreams(
+                    group.next(), boot(), new Budget(Limits.of(1024), System.nanoTime()), this::now, news);
             listed(1, Policy.State.UP, now());
         });
     }
@@ -147,18 +186,26 @@
     }
 
     private void listed(long rev, Policy.State state, long when) {
-        upstreams.listed(new Targets(rev, true, List.of(new Targets.Target(
-            new Policy.Server("s1", state, 0, 1, 0, 0, 0),
-            at == null ? Addresses.parse(upstream.address()) : at))), when);
+        upstreams.listed(
+                new Targets(
+                        rev,
+                        true,
+                        List.of(new Targets.Target(
+                                new Policy.Server("s1", state, 0, 1, 0, 0, 0),
+                                at == null ? Addresses.parse(upstream.address()) : at))),
+                when);
     }
 
     private void send(String id, long before, boolean upload) throws InterruptedException {
         Order order = new Order(id, "POST", "/" + id, Fields.NONE, BODY, 0, 0, null, 20_000_000, -1, false);
         onLoop(() -> {
             rests.add(new Rest());
-            upstreams.send("s1", upload ? order.passing(rests.get(rests.size() - 1), 2 * BODY.length) : order,
-                10_000_000, before == 0 ? Long.MAX_VALUE : now() + before,
-                (outcome, answer, load) -> ends.add(outcome));
+            upstreams.send(
+                    "s1",
+                    upload ? order.passing(rests.get(rests.size() - 1), 2 * BODY.length) : order,
+                    10_000_000,
+                    before == 0 ? Long.MAX_VALUE : now() + before,
+                    (outcome, answer, load) -> ends.add(outcome));
         });
     }
 
@@ -240,8 +287,7 @@
 
     /** The upstream resets the connection right before the first bytes leave: the rest is still to be had. */
     @Test
-    void aLongBodyWhoseConnectionBreaksAtItsFirstBytesIsNotHandedOver()
-            throws IOException, InterruptedException {
+    void aLongBodyWhoseConnectionBreaksAtItsFirstBytesIsNotHandedOver() throws IOException, InterruptedException {
         try (ServerSocket box = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             onLoop(() -> {
                 at = new InetSocketAddress(box.getInetAddress(), box.getLocalPort());
@@ -258,7 +304,7 @@
             send("broken", 0, true);
             Policy.Outcome end = end();
             assertTrue(end.neverRan(), end::toString);
-            onLoop(() -> { });
+            onLoop(() -> {});
             assertTrue(rests.stream().noneMatch(Rest::started));
         }
     }
--- a/src/test/java/junctionhead/node/UpgradeTest.java
+++ b/src/test/java/junctionhead/node/UpgradeTest.java
@@ -56,17 +56,29 @@
                 free = socket.getLocalPort();
             }
             Path config = folder.resolve("config" + free + ".json");
-            Map<String, Object> json = new HashMap<>(Map.of("name", "n1", "listen", "127.0.0.1:" + port,
-                "management", "127.0.0.1:" + free, "discovery", discovery.address(), "seed", "1",
-                "limits", Map.of("sockets", 256), "settings", settings));
+            Map<String, Object> json = new HashMap<>(Map.of(
+                    "name",
+                    "n1",
+                    "listen",
+                    "127.0.0.1:" + port,
+                    "management",
+                    "127.0.0.1:" + free,
+                    "discovery",
+                    discovery.address(),
+                    "seed",
+                    "1",
+                    "limits",
+                    Map.of("sockets", 256),
+                    "settings",
+                    settings));
             json.put("known", JSON.std.mapFrom(list(41, true, "in_service")));
             Files.writeString(config, JSON.std.asString(json));
-            String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+            String java =
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString();
             tell("ROUTER_CONFIG=" + config + " " + java + " -XX:TieredStopAtLevel=1 -cp '"
-                + System.getProperty("java.class.path") + "' junctionhead.Main serve");
+                    + System.getProperty("java.class.path") + "' junctionhead.Main serve");
             long pid = Long.parseLong(said.readLine().replace("started ", ""));
-            return new Started(new InetSocketAddress(InetAddress.getLoopbackAddress(), free),
-                ProcessHandle.of(pid));
+            return new Started(new InetSocketAddress(InetAddress.getLoopbackAddress(), free), ProcessHandle.of(pid));
         }
 
         private void tell(String line) throws IOException {
@@ -102,7 +114,7 @@
             try (Client caller = new Client(door)) {
                 return caller.send("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
             } catch (IOException e) {
-                return false;                       // it does not listen yet, or not any more
+                return false; // it does not listen yet, or not any more
             }
         }
 
@@ -185,13 +197,13 @@
         assumeTrue(perl(), "no perl to hold the listening socket");
         try (Platform platform = new Platform()) {
             Started old = serving(platform);
-            platform.start(Map.of("Quantum", 1)).awaitEnd();            // it can't start
+            platform.start(Map.of("Quantum", 1)).awaitEnd(); // it can't start
             Started next = platform.start(settings());
             next.awaitReady();
             while (old.ready()) {
                 Thread.sleep(5);
             }
-            next.handle().ifPresent(ProcessHandle::destroyForcibly);    // with the clients in its hands
+            next.handle().ifPresent(ProcessHandle::destroyForcibly); // with the clients in its hands
             next.awaitEnd();
             old.awaitReady();
             List<Integer> answered = new ArrayList<>();
--- a/src/test/java/junctionhead/node/UpstreamsTest.java
+++ b/src/test/java/junctionhead/node/UpstreamsTest.java
@@ -31,7 +31,8 @@
     @Timeout(60)
     void ofTwoIdleConnectionsToOneUpstreamTheSpareOneGoesSoon() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 600_000_000), 1024);
-        try (Client first = new Client(at); Client second = new Client(at)) {
+        try (Client first = new Client(at);
+                Client second = new Client(at)) {
             first.send(SAFE);
             FakeUpstream.Got spare = upstream.next();
             second.send(SAFE.replace("r1", "r2"));
@@ -87,7 +88,7 @@
                 }
                 client.status();
             }
-            if (told.equals("CONNECT_FAILED")) {    // the grace ended while that one's connection came up
+            if (told.equals("CONNECT_FAILED")) { // the grace ended while that one's connection came up
                 client.send(SAFE);
                 told = module.next();
                 client.status();
@@ -99,8 +100,7 @@
 
     @Test
     @Timeout(60)
-    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace()
-            throws IOException, InterruptedException {
+    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace() throws IOException, InterruptedException {
         List<Client> clients = new ArrayList<>();
         try (HeldListener held = new HeldListener()) {
             endpoint = held.address();
@@ -111,7 +111,7 @@
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
             assertEquals("COMPLETE []", module.next());
             String told = null;
-            while (told == null) {                  // until new attempts show that the grace is over
+            while (told == null) { // until new attempts show that the grace is over
                 clients.add(new Client(at).send(SAFE.replace("r1", "r" + clients.size())));
                 told = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
--- a/src/test/java/junctionhead/rig/DemoTest.java
+++ b/src/test/java/junctionhead/rig/DemoTest.java
@@ -17,16 +17,17 @@
 /** Whole runs over loopback: of the real balancer, and of twins whose faults the ledger has to catch. */
 class DemoTest {
     // What is served, without the libraries of tests.
-    static final String CLASS_PATH = Arrays.stream(System.getProperty("java.class.path")
-        .split(java.io.File.pathSeparator)).filter(e -> !e.contains("slf4j") && !e.contains("archunit"))
-        .collect(Collectors.joining(java.io.File.pathSeparator));
+    static final String CLASS_PATH = Arrays.stream(
+                    System.getProperty("java.class.path").split(java.io.File.pathSeparator))
+            .filter(e -> !e.contains("slf4j") && !e.contains("archunit"))
+            .collect(Collectors.joining(java.io.File.pathSeparator));
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
     private Demo.End play(String scenario, Demo.Balancers balancers)
             throws IOException, InterruptedException, Problems.Bad {
         try (PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-             Demo demo = new Demo(ScenarioReader.read("test.toml", scenario), balancers, out, false)) {
+                Demo demo = new Demo(ScenarioReader.read("test.toml", scenario), balancers, out, false)) {
             return demo.play();
         }
     }
@@ -36,18 +37,29 @@
     }
 
     private static final Demo.Balancers REAL =
-        (scenario, known, discovery) -> BalancerProcess.start(CLASS_PATH, scenario, known, discovery, 60);
+            (scenario, known, discovery) -> BalancerProcess.start(CLASS_PATH, scenario, known, discovery, 60);
 
     @ParameterizedTest
-    @CsvSource({"NONE, CLEAN, booked twice: 0", "DOUBLES, BROKEN, booked twice:",
-        "FORGETS, BROKEN, unanswered:", "REFUSES_WHAT_RAN, BROKEN, refused after it ran:"})
+    @CsvSource({
+        "NONE, CLEAN, booked twice: 0",
+        "DOUBLES, BROKEN, booked twice:",
+        "FORGETS, BROKEN, unanswered:",
+        "REFUSES_WHAT_RAN, BROKEN, refused after it ran:"
+    })
     void theLedgerCatchesABalancerThatBreaksARule(Twin.Fault fault, Demo.End end, String words)
             throws IOException, InterruptedException, Problems.Bad {
-        assertEquals(end, play(ScenarioReaderTest.SMALL.replace("\"2s\"\n[[boxes]]", "\"1s\"\n[[boxes]]"),
-            (scenario, known, discovery) -> new Twin(known, fault)), this::told);
+        assertEquals(
+                end,
+                play(
+                        ScenarioReaderTest.SMALL.replace("\"2s\"\n[[boxes]]", "\"1s\"\n[[boxes]]"),
+                        (scenario, known, discovery) -> new Twin(known, fault)),
+                this::told);
         assertTrue(told().contains(words), this::told);
         if (end == Demo.End.BROKEN) {
-            String order = told().lines().filter(l -> l.startsWith("order o")).findFirst().orElseThrow();
+            String order = told().lines()
+                    .filter(l -> l.startsWith("order o"))
+                    .findFirst()
+                    .orElseThrow();
             assertTrue(order.contains(words.replace(":", "")), order);
             assertTrue(told().contains("asked, UNSAFE"), this::told);
         }
@@ -56,16 +68,21 @@
     /** Nothing is booked twice or unanswered where nothing is taken at all: that is no clean run. */
     @Test
     void aBalancerThatTakesNothingIsNotClean() throws IOException, InterruptedException, Problems.Bad {
-        assertEquals(Demo.End.BROKEN, play(ScenarioReaderTest.SMALL.replace("\"2s\"", "\"1s\""),
-            (scenario, known, discovery) -> new Twin(known, Twin.Fault.KNOWS_NOTHING)), this::told);
+        assertEquals(
+                Demo.End.BROKEN,
+                play(
+                        ScenarioReaderTest.SMALL.replace("\"2s\"", "\"1s\""),
+                        (scenario, known, discovery) -> new Twin(known, Twin.Fault.KNOWS_NOTHING)),
+                this::told);
     }
 
     /** Both protocols on both sides, over a path that loses, while boxes die and drain. */
     @Test
-    void theRealBalancerKeepsTheRulesOverBothProtocols()
-            throws IOException, InterruptedException, Problems.Bad {
-        String scenario = ScenarioReaderTest.SMALL.replace("\"2s\"\n[[boxes]]", "\"4s\"\n[[boxes]]")
-            .replace("count = 4", "count = 8\ncores = 4") + """
+    void theRealBalancerKeepsTheRulesOverBothProtocols() throws IOException, InterruptedException, Problems.Bad {
+        String scenario = ScenarioReaderTest.SMALL
+                        .replace("\"2s\"\n[[boxes]]", "\"4s\"\n[[boxes]]")
+                        .replace("count = 4", "count = 8\ncores = 4")
+                + """
             [[fault]]
             at = "1s"
             what = "kill"
@@ -79,8 +96,12 @@
             """;
         Http3Run run = new Http3Run(0.02, 4, 1);
         try (PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-             Demo demo = new Demo(ScenarioReader.read("test.toml", scenario), (s, known, discovery) ->
-                 BalancerProcess.http3(CLASS_PATH, s, discovery, run.pem(), 60), run, out, false)) {
+                Demo demo = new Demo(
+                        ScenarioReader.read("test.toml", scenario),
+                        (s, known, discovery) -> BalancerProcess.http3(CLASS_PATH, s, discovery, run.pem(), 60),
+                        run,
+                        out,
+                        false)) {
             assertEquals(Demo.End.CLEAN, demo.play(), this::told);
         }
         assertTrue(told().contains("booked twice: 0, refused after it ran: 0, unanswered: 0"), this::told);
@@ -88,10 +109,11 @@
 
     /** Half of the boxes die with what they hold, and come back cold; others drain and are lied about. */
     @Test
-    void theRealBalancerKeepsTheRulesThroughItsFaults()
-            throws IOException, InterruptedException, Problems.Bad {
-        String scenario = ScenarioReaderTest.SMALL.replace("\"2s\"\n[[boxes]]", "\"6s\"\n[[boxes]]")
-            .replace("count = 4", "count = 8\ncores = 4\ncell = 2") + """
+    void theRealBalancerKeepsTheRulesThroughItsFaults() throws IOException, InterruptedException, Problems.Bad {
+        String scenario = ScenarioReaderTest.SMALL
+                        .replace("\"2s\"\n[[boxes]]", "\"6s\"\n[[boxes]]")
+                        .replace("count = 4", "count = 8\ncores = 4\ncell = 2")
+                + """
             [[class]]
             name = "stamp"
             effect = "keyed"
@@ -149,8 +171,7 @@
      * time.
      */
     @Test
-    void aDrainIsKeptThatACutWatchDoesNotTell()
-            throws IOException, InterruptedException, Problems.Bad {
+    void aDrainIsKeptThatACutWatchDoesNotTell() throws IOException, InterruptedException, Problems.Bad {
         String scenario = ScenarioReaderTest.SMALL.replace("\"2s\"\n[[boxes]]", "\"11s\"\n[[boxes]]") + """
             [[fault]]
             at = "1900ms"
--- a/src/test/java/junctionhead/rig/DepartedClientsTest.java
+++ b/src/test/java/junctionhead/rig/DepartedClientsTest.java
@@ -16,10 +16,19 @@
 class DepartedClientsTest {
     @ParameterizedTest
     @Timeout(300)
-    @CsvSource({"SINGLE, FIN, 16", "SINGLE, RESET, 8", "BURST, FIN, 8", "BURST, RESET, 4", "KEPT, FIN, 4",
-        "BEFORE_HOLD, FIN, 8", "PIPELINED, FIN, 4", "LONG_BODY, FIN, 4", "LONG_BODY, RESET, 2"})
-    void nothingIsSentOnAfterItsClientHasLeft(DepartedClients.Arrival arrival, DepartedClients.Close close,
-            int rounds) throws IOException, InterruptedException {
+    @CsvSource({
+        "SINGLE, FIN, 16",
+        "SINGLE, RESET, 8",
+        "BURST, FIN, 8",
+        "BURST, RESET, 4",
+        "KEPT, FIN, 4",
+        "BEFORE_HOLD, FIN, 8",
+        "PIPELINED, FIN, 4",
+        "LONG_BODY, FIN, 4",
+        "LONG_BODY, RESET, 2"
+    })
+    void nothingIsSentOnAfterItsClientHasLeft(DepartedClients.Arrival arrival, DepartedClients.Close close, int rounds)
+            throws IOException, InterruptedException {
         try (DepartedClients run = new DepartedClients(DemoTest.CLASS_PATH, 3, rounds)) {
             DepartedClients.Outcome outcome = run.play(arrival, close);
             assertTrue(outcome.left() > 0);
--- a/src/test/java/junctionhead/rig/FailedAcceptTest.java
+++ b/src/test/java/junctionhead/rig/FailedAcceptTest.java
@@ -20,15 +20,19 @@
     private static final int CLIENTS = 100;
     private static final int WAITING = 20;
     private static final long SETTLE_MILLIS = 300;
-    private static final long MOST_MILLIS = 4_000;  // those at rest are closed after 5 s, which would help
+    private static final long MOST_MILLIS = 4_000; // those at rest are closed after 5 s, which would help
 
     private static Testbed testbed() throws InterruptedException {
-        Scenario scenario = new Scenario("accept", 7, 0, 0, 0,
-            new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-            List.of(new Scenario.Boxes("server", 1, 512, 1, 10_000, "a", "m", 1)),
-            List.of(new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, 1_000, 1_000_000, 2_000_000, 1, 1,
-                0)),
-            List.of());
+        Scenario scenario = new Scenario(
+                "accept",
+                7,
+                0,
+                0,
+                0,
+                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.Boxes("server", 1, 512, 1, 10_000, "a", "m", 1)),
+                List.of(new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, 1_000, 1_000_000, 2_000_000, 1, 1, 0)),
+                List.of());
         return new Testbed(DemoTest.CLASS_PATH, scenario, List.of());
     }
 
@@ -38,8 +42,9 @@
         try (Testbed testbed = testbed();
                 Member member = Member.start(DemoTest.CLASS_PATH, testbed.configuration(0, 1))) {
             member.awaitReady();
-            assertTrue(member.log().stream().noneMatch(line -> line.contains("accept failed")),
-                () -> "accept failed before the limit: " + member.log());
+            assertTrue(
+                    member.log().stream().noneMatch(line -> line.contains("accept failed")),
+                    () -> "accept failed before the limit: " + member.log());
             member.limitDescriptors(member.openDescriptors() + DESCRIPTORS_FOR_CLIENTS);
             List<Wire> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
--- a/src/test/java/junctionhead/rig/FleetRunTest.java
+++ b/src/test/java/junctionhead/rig/FleetRunTest.java
@@ -38,7 +38,9 @@
     private static FleetRun.Result play(String plan) throws IOException, InterruptedException, Problems.Bad {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         List<Long> before = children();
-        try (FleetRun run = new FleetRun(ScenarioReader.fleet("few.toml", plan), DemoTest.CLASS_PATH,
+        try (FleetRun run = new FleetRun(
+                ScenarioReader.fleet("few.toml", plan),
+                DemoTest.CLASS_PATH,
                 new PrintStream(out, true, StandardCharsets.UTF_8))) {
             FleetRun.Result result = run.play();
             assertTrue(result.isClean(), () -> result.json() + " " + result.breaches() + out);
@@ -49,8 +51,11 @@
     }
 
     private static List<Long> children() {
-        return ProcessHandle.current().children().map(ProcessHandle::pid).sorted()
-            .collect(Collectors.toList());
+        return ProcessHandle.current()
+                .children()
+                .map(ProcessHandle::pid)
+                .sorted()
+                .collect(Collectors.toList());
     }
 
     /** One of four each: the rules are kept over all of them, and every order has an end. */
@@ -74,8 +79,10 @@
             share = 0.25
             lasting = "500ms"
             """);
-        assertEquals(result.asked(), result.served() + result.refused() + result.failed() + result.lost(),
-            "each has its end");
+        assertEquals(
+                result.asked(),
+                result.served() + result.refused() + result.failed() + result.lost(),
+                "each has its end");
         assertTrue(result.lost() > 0, "the one that was killed held some");
         assertTrue(result.served() > 0.7 * result.asked(), result::json);
         assertTrue(result.connections() > 0 && result.cpu() > 0, result::json);
@@ -84,9 +91,12 @@
 
     @Test
     void everyProblemOfAPlanIsToldWithItsLine() {
-        Problems.Bad bad = assertThrows(Problems.Bad.class, () -> ScenarioReader.fleet("few.toml", PLAN
-            .replace("processes = 4", "processes = 0").replace("uneven = 0.5", "uneven = 9\nwaves = 2")
-            + "[[trouble]]\nat = \"1s\"\nwhat = \"trip\"\n"));
+        Problems.Bad bad = assertThrows(
+                Problems.Bad.class,
+                () -> ScenarioReader.fleet(
+                        "few.toml",
+                        PLAN.replace("processes = 4", "processes = 0").replace("uneven = 0.5", "uneven = 9\nwaves = 2")
+                                + "[[trouble]]\nat = \"1s\"\nwhat = \"trip\"\n"));
         String told = bad.getMessage();
         assertTrue(told.contains("6: fleet.processes: not between 1 and 300: 0"), told);
         assertTrue(told.contains("7: fleet.uneven: not between 0 and 3"), told);
--- a/src/test/java/junctionhead/rig/HeldProcessesTest.java
+++ b/src/test/java/junctionhead/rig/HeldProcessesTest.java
@@ -12,10 +12,17 @@
     /** In service with two hundred requests in the sockets of each. */
     @ParameterizedTest
     @Timeout(300)
-    @CsvSource({"START, 0, 25", "SERVICE, 144, 92", "SIGHUP, 60, 25", "DRAIN, 60, 25", "RESTS, 60, 25",
-        "EVACUATION, 60, 25", "SIGTERM, 60, 25", "STOPPING, 60, 25"})
-    void nothingIsLost(HeldProcesses.When when, int kept, int fresh)
-            throws IOException, InterruptedException {
+    @CsvSource({
+        "START, 0, 25",
+        "SERVICE, 144, 92",
+        "SIGHUP, 60, 25",
+        "DRAIN, 60, 25",
+        "RESTS, 60, 25",
+        "EVACUATION, 60, 25",
+        "SIGTERM, 60, 25",
+        "STOPPING, 60, 25"
+    })
+    void nothingIsLost(HeldProcesses.When when, int kept, int fresh) throws IOException, InterruptedException {
         HeldProcesses.Size size = new HeldProcesses.Size(3, kept, fresh);
         try (HeldProcesses run = new HeldProcesses(DemoTest.CLASS_PATH, size)) {
             HeldProcesses.Outcome outcome = run.play(when);
--- a/src/test/java/junctionhead/rig/LedgerTest.java
+++ b/src/test/java/junctionhead/rig/LedgerTest.java
@@ -37,8 +37,9 @@
         ledger.ran("o1", "a", true, 2);
         ledger.ran("o1", "b", true, 3);
         assertEquals(List.of(Breach.BOOKED_TWICE), found());
-        assertEquals(List.of("1 asked, UNSAFE", "2 booked on a", "3 booked on b"),
-            ledger.findings().get(0).history());
+        assertEquals(
+                List.of("1 asked, UNSAFE", "2 booked on a", "3 booked on b"),
+                ledger.findings().get(0).history());
     }
 
     @Test
@@ -71,8 +72,9 @@
         ledger.answered("o3", Final.FAILED, 3);
         ledger.asked("o4", Effect.SAFE, 1);
         ledger.sentAfterDrain("o4", "a", 5_000, 2);
-        assertEquals(List.of(Breach.UNANSWERED, Breach.SERVED_UNBOOKED, Breach.ANSWERED_TWICE,
-            Breach.SENT_AFTER_DRAIN), found());
+        assertEquals(
+                List.of(Breach.UNANSWERED, Breach.SERVED_UNBOOKED, Breach.ANSWERED_TWICE, Breach.SENT_AFTER_DRAIN),
+                found());
         assertTrue(ledger.history("o4").get(1).contains("5 ms after the grace"));
     }
 
--- a/src/test/java/junctionhead/rig/ScenarioReaderTest.java
+++ b/src/test/java/junctionhead/rig/ScenarioReaderTest.java
@@ -55,20 +55,22 @@
             what = "stal"
             boxes = "b-1"
             """;
-        List<String> problems = assertThrows(Problems.Bad.class,
-            () -> ScenarioReader.read("f.toml", text)).problems();
-        assertEquals(List.of(
-            "f.toml:1: rate: not a number: many",
-            "f.toml:2: lastin: unknown; the nearest known is 'lasting'",
-            "f.toml:3: connections: not between 1 and 10000: 0",
-            "f.toml:5: cold.ramp: not a time like 250ms or 1.5s: '8'",
-            "f.toml:8: boxes[0].cores: not between 1 and 1000: 2.5E9",
-            "f.toml:9: boxes[1].name: a second group of this name: 'a'",
-            "f.toml:11: class[0].aim: longer than its deadline",
-            "f.toml:13: class[0].effect: not one of safe, keyed, unsafe: 'harmless'",
-            "f.toml:17: fault[0].boxes: no such box: 'b-1'; there are a-1, a-1",
-            "f.toml:19: fault[0].what: not one of stall, drain, kill, slow, errors, fast-errors, refuse, "
-                + "reset, discovery-silent, discovery-down, watches-cut, discovery-lies: 'stal'"), problems);
+        List<String> problems = assertThrows(Problems.Bad.class, () -> ScenarioReader.read("f.toml", text))
+                .problems();
+        assertEquals(
+                List.of(
+                        "f.toml:1: rate: not a number: many",
+                        "f.toml:2: lastin: unknown; the nearest known is 'lasting'",
+                        "f.toml:3: connections: not between 1 and 10000: 0",
+                        "f.toml:5: cold.ramp: not a time like 250ms or 1.5s: '8'",
+                        "f.toml:8: boxes[0].cores: not between 1 and 1000: 2.5E9",
+                        "f.toml:9: boxes[1].name: a second group of this name: 'a'",
+                        "f.toml:11: class[0].aim: longer than its deadline",
+                        "f.toml:13: class[0].effect: not one of safe, keyed, unsafe: 'harmless'",
+                        "f.toml:17: fault[0].boxes: no such box: 'b-1'; there are a-1, a-1",
+                        "f.toml:19: fault[0].what: not one of stall, drain, kill, slow, errors, fast-errors, refuse, "
+                                + "reset, discovery-silent, discovery-down, watches-cut, discovery-lies: 'stal'"),
+                problems);
     }
 
     /** Scenario files of 2 December 2026 go on meaning the same. */
@@ -81,26 +83,36 @@
         Scenario scenario = ScenarioReader.read("f.toml", text);
         assertEquals(2_180, scenario.seed());
         assertEquals(2_180, scenario.rate());
-        assertEquals(List.of("fast", "slow"), scenario.boxes().stream().map(Scenario.Boxes::name).toList());
-        assertEquals(List.of(150_000L, 250_000L, 600_000L),
-            scenario.kinds().stream().map(Scenario.Kind::aim).toList());
+        assertEquals(
+                List.of("fast", "slow"),
+                scenario.boxes().stream().map(Scenario.Boxes::name).toList());
+        assertEquals(
+                List.of(150_000L, 250_000L, 600_000L),
+                scenario.kinds().stream().map(Scenario.Kind::aim).toList());
         assertEquals(11, scenario.faults().size());
     }
 
     @Test
     void whatIsMissingIsNamed() {
-        assertEquals(List.of("f.toml:1: rate: missing", "f.toml:1: class: missing: at least one [[class]]",
-            "f.toml:1: boxes[0].name: missing"), assertThrows(Problems.Bad.class,
-                () -> ScenarioReader.read("f.toml", "[[boxes]]\n")).problems().stream().sorted(
-                    java.util.Comparator.comparing((String p) -> !p.contains("rate")).thenComparing(
-                        p -> p.contains("boxes"))).toList());
+        assertEquals(
+                List.of(
+                        "f.toml:1: rate: missing",
+                        "f.toml:1: class: missing: at least one [[class]]",
+                        "f.toml:1: boxes[0].name: missing"),
+                assertThrows(Problems.Bad.class, () -> ScenarioReader.read("f.toml", "[[boxes]]\n")).problems().stream()
+                        .sorted(java.util.Comparator.comparing((String p) -> !p.contains("rate"))
+                                .thenComparing(p -> p.contains("boxes")))
+                        .toList());
     }
 
     @Test
     void whatIsNotTomlIsToldWithItsLine() {
-        assertEquals("f.toml:2: not TOML", assertThrows(Problems.Bad.class,
-            () -> ScenarioReader.read("f.toml", "rate = 1\nlasting = = 2\n")).problems().get(0).substring(0,
-            18));
+        assertEquals(
+                "f.toml:2: not TOML",
+                assertThrows(Problems.Bad.class, () -> ScenarioReader.read("f.toml", "rate = 1\nlasting = = 2\n"))
+                        .problems()
+                        .get(0)
+                        .substring(0, 18));
     }
 
     @Test
--- a/src/test/java/junctionhead/rig/ServerModelTest.java
+++ b/src/test/java/junctionhead/rig/ServerModelTest.java
@@ -11,8 +11,7 @@
 class ServerModelTest implements ServerModel.Told {
     private static final Scenario.Cold COLD = new Scenario.Cold(0.5, 1_000_000, 3, 100_000, 1);
     private final List<String> told = new ArrayList<>();
-    private final ServerModel box =
-        new ServerModel(new Scenario.Boxes("b", 1, 2, 2.0, 1, "a", "m", 1), COLD, 0);
+    private final ServerModel box = new ServerModel(new Scenario.Boxes("b", 1, 2, 2.0, 1, "a", "m", 1), COLD, 0);
 
     @Override
     public void begun(ServerModel.Job job, long at) {
@@ -36,8 +35,8 @@
         assertFalse(box.arrive(job("d", 1_000), 0, this));
         assertEquals(1_000, box.next());
         box.advance(10_000, this);
-        assertEquals(List.of("0 a begun", "0 b begun", "1000 a done", "1000 c begun", "1500 c done",
-            "2000 b done"), told);
+        assertEquals(
+                List.of("0 a begun", "0 b begun", "1000 a done", "1000 c begun", "1500 c done", "2000 b done"), told);
         assertEquals(Long.MAX_VALUE, box.next());
     }
 
--- a/src/test/java/junctionhead/rig/Twin.java
+++ b/src/test/java/junctionhead/rig/Twin.java
@@ -20,7 +20,13 @@
 
 /** A balancer in its simplest form, and with the faults that a ledger must catch: see {@link Fault}. */
 final class Twin implements Balancer {
-    enum Fault { NONE, DOUBLES, FORGETS, REFUSES_WHAT_RAN, KNOWS_NOTHING }
+    enum Fault {
+        NONE,
+        DOUBLES,
+        FORGETS,
+        REFUSES_WHAT_RAN,
+        KNOWS_NOTHING
+    }
 
     private final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<InetSocketAddress> boxes = new ArrayList<>();
@@ -51,7 +57,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                Thread.currentThread().interrupt();     // its socket has ended
+                Thread.currentThread().interrupt(); // its socket has ended
             }
         });
         thread.setDaemon(true);
@@ -66,8 +72,7 @@
                 return;
             }
             int number = requests.incrementAndGet();
-            boolean odd = number % 20 == 0 && new String(request,
-                StandardCharsets.ISO_8859_1).startsWith("POST");
+            boolean odd = number % 20 == 0 && new String(request, StandardCharsets.ISO_8859_1).startsWith("POST");
             if (odd && fault == Fault.FORGETS) {
                 continue;
             }
@@ -102,7 +107,8 @@
             }
             head.write(c);
         }
-        String[] parts = head.toString(StandardCharsets.ISO_8859_1).toLowerCase().split("content-length: ");
+        String[] parts =
+                head.toString(StandardCharsets.ISO_8859_1).toLowerCase().split("content-length: ");
         head.write(in.readNBytes(parts.length < 2 ? 0 : Integer.parseInt(parts[1].split("\r\n")[0])));
         return head.toByteArray();
     }
--- a/src/test/java/junctionhead/rig/UdpRelayTest.java
+++ b/src/test/java/junctionhead/rig/UdpRelayTest.java
@@ -17,9 +17,10 @@
     @Timeout(60)
     void itMayBeClosedAgainOnceItsLoopHasEnded() throws InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        UdpRelay relay = new UdpRelay(group.next(),
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), 9),
-            new RelayScript(1, RelayScript.Faults.NONE));
+        UdpRelay relay = new UdpRelay(
+                group.next(),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 9),
+                new RelayScript(1, RelayScript.Faults.NONE));
         relay.open();
         relay.close();
         assertTrue(group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(30, TimeUnit.SECONDS));
--- a/src/test/java/junctionhead/rig/fleet/SpreadTest.java
+++ b/src/test/java/junctionhead/rig/fleet/SpreadTest.java
@@ -79,6 +79,7 @@
         assertEquals(70, struck.stream().distinct().count());
         assertEquals(struck, kill.struck(100, 5));
         assertTrue(!struck.equals(kill.struck(100, 6)), "drawn by the seed");
-        assertEquals(1, new Trouble(0, Trouble.What.STALL, 0.001, 1).struck(3, 1).size(), "one at least");
+        assertEquals(
+                1, new Trouble(0, Trouble.What.STALL, 0.001, 1).struck(3, 1).size(), "one at least");
     }
 }
--- a/src/test/java/junctionhead/service/LastCallTest.java
+++ b/src/test/java/junctionhead/service/LastCallTest.java
@@ -39,11 +39,11 @@
     void itEndsOnceNothingIsOwedAndNothingRestsOrIsHalfThere() {
         LastCall last = new LastCall();
         Sight begin = sight(8, 8, 1, 1, 1, 1);
-        for (Step step = Step.GO_ON; step != Step.CLOSE_LISTENER;) {
+        for (Step step = Step.GO_ON; step != Step.CLOSE_LISTENER; ) {
             step = last.look(begin);
         }
-        for (Sight open : List.of(sight(8, 8, 1, 0, 0, 0), sight(8, 8, 0, 1, 0, 0), sight(8, 8, 0, 0, 1, 0),
-                sight(8, 8, 0, 0, 0, 1))) {
+        for (Sight open : List.of(
+                sight(8, 8, 1, 0, 0, 0), sight(8, 8, 0, 1, 0, 0), sight(8, 8, 0, 0, 1, 0), sight(8, 8, 0, 0, 0, 1))) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(Step.GO_ON, last.look(open), open.toString());
             }
@@ -66,10 +66,10 @@
 
     /** A balancer's machine, its loop and its clients, with a stall of the process at any point. */
     private static final class Machine {
-        private static final int ACCEPTS = 4;       // a pass
+        private static final int ACCEPTS = 4; // a pass
         private final SplittableRandom random;
-        private int backlog;                        // accepted by the machine, each with a request in it
-        private int unread;                         // connections that the loop holds with a request in them
+        private int backlog; // accepted by the machine, each with a request in it
+        private int unread; // connections that the loop holds with a request in them
         private int halves;
         private int resting = 3;
         private int owed;
@@ -101,14 +101,14 @@
 
         void pass() {
             int accepted = Math.min(ACCEPTS, backlog);
-            owed += unread;                         // of connections that it held before
+            owed += unread; // of connections that it held before
             reads += unread;
             unread = accepted;
             backlog -= accepted;
             comers += accepted;
             if (halves == 0 && accepted > 0 && random.nextInt(4) == 0) {
                 unread--;
-                halves++;                           // half of it has come
+                halves++; // half of it has come
                 reads++;
             }
             int answered = owed == 0 ? 0 : random.nextInt(owed + 1);
@@ -135,7 +135,7 @@
                 assertTrue(looks++ < 600, "no end");
                 machine.clients(looks < 20 ? 1 : 0);
                 if (looks == stallAt) {
-                    machine.clients(200);           // it stands still, then its timers are due
+                    machine.clients(200); // it stands still, then its timers are due
                 }
                 machine.pass();
                 step = last.look(machine.sight());
@@ -143,7 +143,7 @@
                 if (step == Step.CLOSE_LISTENER) {
                     machine.open = false;
                     machine.lost += machine.backlog;
-                    machine.resting = 0;            // closed, with nothing in them
+                    machine.resting = 0; // closed, with nothing in them
                 }
             }
             machine.lost += machine.unread + machine.owed + machine.unsent;
