--- a/src/main/java/junctionhead/Adapter.java
+++ b/src/main/java/loadbalancer/Adapter.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/junctionhead/Balance.java
+++ b/src/main/java/loadbalancer/Balance.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,11 +15,11 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import junctionhead.Books.Attempt;
-import junctionhead.Books.Learned;
-import junctionhead.Books.Node;
-import junctionhead.Books.Request;
-import junctionhead.Books.Turn;
+import loadbalancer.Books.Attempt;
+import loadbalancer.Books.Learned;
+import loadbalancer.Books.Node;
+import loadbalancer.Books.Request;
+import loadbalancer.Books.Turn;
 
 /**
  * Every decision of one balancer. The module's interface, its events, actions and types, is Policy.java;
--- a/src/main/java/junctionhead/Books.java
+++ b/src/main/java/loadbalancer/Books.java
@@ -1,11 +1,11 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.Policy.Limits;
-import junctionhead.Policy.RequestClass;
-import junctionhead.Policy.Server;
+import loadbalancer.Policy.Limits;
+import loadbalancer.Policy.RequestClass;
+import loadbalancer.Policy.Server;
 
 /** What a balancer writes down of servers, requests and attempts: plain data, for Balance only. */
 final class Books {
--- a/src/main/java/junctionhead/Frame.java
+++ b/src/main/java/loadbalancer/Frame.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.Base64;
 
--- a/src/main/java/junctionhead/Hashing.java
+++ b/src/main/java/loadbalancer/Hashing.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 /** Hash functions that give the same values on every machine and in every run. */
 final class Hashing {
--- a/src/main/java/junctionhead/LoadReport.java
+++ b/src/main/java/loadbalancer/LoadReport.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/junctionhead/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
@@ -9,7 +9,7 @@
 import java.io.InputStreamReader;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
-import junctionhead.node.Node;
+import loadbalancer.server.Node;
 
 /** Starts a real balancer, or the adapter on standard input and output. */
 public final class Main {
@@ -20,7 +20,7 @@
             System.exit(Node.serve(System.getenv()));
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
-            System.err.println("usage: java -jar junctionhead.jar serve | wirehost");
+            System.err.println("usage: java -jar loadbalancer.jar serve | wirehost");
             System.exit(2);
         }
         try (BufferedReader in = new BufferedReader(
@@ -29,7 +29,7 @@
                 OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
             new Adapter(Balance::new, in, out).run();
         } catch (WireException | IOException e) {
-            System.err.println("junctionhead: " + e.getMessage());
+            System.err.println("loadbalancer: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/junctionhead/Policy.java
+++ b/src/main/java/loadbalancer/Policy.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.List;
 import java.util.Set;
@@ -302,7 +302,7 @@
     /** The time asked for with {@link Actions#wake} has come. */
     void wake(long now, Actions out);
 
-    /** A message from another balancer; junctionhead sends none and reads none. */
+    /** A message from another balancer; loadbalancer sends none and reads none. */
     default void peerMessage(long now, int from, byte[] data, Actions out) {}
 
     /** What the module may ask for: a sink that the caller implements. */
--- a/src/main/java/junctionhead/SettingsReader.java
+++ b/src/main/java/loadbalancer/SettingsReader.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
-import junctionhead.Policy.Settings;
+import loadbalancer.Policy.Settings;
 
 /**
  * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
--- a/src/main/java/junctionhead/WireException.java
+++ b/src/main/java/loadbalancer/WireException.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 /** What is wrong with the input, in one line that names the place. */
 final class WireException extends RuntimeException {
--- a/src/main/java/junctionhead/front/management/Calls.java
+++ b/src/main/java/loadbalancer/admin/Calls.java
@@ -1,8 +1,8 @@
-package junctionhead.front.management;
+package loadbalancer.admin;
 
 import java.util.Map;
 import java.util.function.Function;
-import junctionhead.service.LifeCycle.Verdict;
+import loadbalancer.lifecycle.LifeCycle.Verdict;
 
 /** The operators' calls: what each asks for, and what is answered. Decides without I/O. */
 final class Calls {
--- a/src/main/java/junctionhead/front/management/Door.java
+++ b/src/main/java/loadbalancer/admin/Door.java
@@ -1,4 +1,4 @@
-package junctionhead.front.management;
+package loadbalancer.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/junctionhead/front/management/Operations.java
+++ b/src/main/java/loadbalancer/admin/Operations.java
@@ -1,6 +1,6 @@
-package junctionhead.front.management;
+package loadbalancer.admin;
 
-import junctionhead.service.LifeCycle;
+import loadbalancer.lifecycle.LifeCycle;
 
 /** What operators may ask of a balancer; called on the event loop. */
 public interface Operations {
--- a/src/main/java/junctionhead/config/Config.java
+++ b/src/main/java/loadbalancer/config/Config.java
@@ -1,4 +1,4 @@
-package junctionhead.config;
+package loadbalancer.config;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
@@ -14,12 +14,12 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
-import junctionhead.SettingsReader;
-import junctionhead.connections.Limits;
-import junctionhead.core.Addresses;
-import junctionhead.core.Targets;
-import junctionhead.http3.Http3;
-import junctionhead.membership.TargetsReader;
+import loadbalancer.SettingsReader;
+import loadbalancer.connections.Limits;
+import loadbalancer.discovery.TargetsReader;
+import loadbalancer.http3.Http3;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Targets;
 
 /**
  * What a balancer is told at its start, whichever form it stands in; {@code discovery} is null where the
--- a/src/main/java/junctionhead/config/Retuning.java
+++ b/src/main/java/loadbalancer/config/Retuning.java
@@ -1,4 +1,4 @@
-package junctionhead.config;
+package loadbalancer.config;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import junctionhead.Policy;
-import junctionhead.SettingsReader.Boot;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader.Boot;
 
 /** What may change in service, and how settings in use give way to other ones. Decides without I/O. */
 public final class Retuning {
--- a/src/main/java/junctionhead/config/toml/ConfigFile.java
+++ b/src/main/java/loadbalancer/config/toml/ConfigFile.java
@@ -1,4 +1,4 @@
-package junctionhead.config.toml;
+package loadbalancer.config.toml;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,13 +12,13 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
-import junctionhead.config.Config;
-import junctionhead.connections.Limits;
-import junctionhead.core.Addresses;
-import junctionhead.core.Targets;
-import junctionhead.http3.Http3;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
+import loadbalancer.config.Config;
+import loadbalancer.connections.Limits;
+import loadbalancer.http3.Http3;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Targets;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
--- a/src/main/java/junctionhead/config/toml/Http3Table.java
+++ b/src/main/java/loadbalancer/config/toml/Http3Table.java
@@ -1,4 +1,4 @@
-package junctionhead.config.toml;
+package loadbalancer.config.toml;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,10 +8,10 @@
 import java.nio.file.Path;
 import java.security.cert.X509Certificate;
 import java.util.List;
-import junctionhead.http3.BoxPlan;
-import junctionhead.http3.Http3;
-import junctionhead.http3.Identity;
-import junctionhead.http3.Sessions;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.http3.Http3;
+import loadbalancer.http3.Identity;
+import loadbalancer.http3.Sessions;
 
 /** Reads the table {@code http3}; the files that it names are read with it, beside the configuration. */
 final class Http3Table {
--- a/src/main/java/junctionhead/config/toml/Units.java
+++ b/src/main/java/loadbalancer/config/toml/Units.java
@@ -1,4 +1,4 @@
-package junctionhead.config.toml;
+package loadbalancer.config.toml;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
--- a/src/main/java/junctionhead/connections/Budget.java
+++ b/src/main/java/loadbalancer/connections/Budget.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/junctionhead/connections/End.java
+++ b/src/main/java/loadbalancer/connections/End.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /** Why the budget ended a connection, in the order in which it prefers to. */
 public enum End {
--- a/src/main/java/junctionhead/connections/IdleRest.java
+++ b/src/main/java/loadbalancer/connections/IdleRest.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /**
  * How long idle connections to one upstream rest. One stays for longer: the next request will want it, and
--- a/src/main/java/junctionhead/connections/Ladder.java
+++ b/src/main/java/loadbalancer/connections/Ladder.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /**
  * Counts that go up and down by one, and whose is the highest, each in constant time. The counts stand on
--- a/src/main/java/junctionhead/connections/Lease.java
+++ b/src/main/java/loadbalancer/connections/Lease.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /**
  * One connection's part of the budget. It is handed out by {@link Budget#open} and belongs to that budget's
--- a/src/main/java/junctionhead/connections/Limits.java
+++ b/src/main/java/loadbalancer/connections/Limits.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /**
  * What the budget keeps to. Times are in ns; shares are of {@code most}.
--- a/src/main/java/junctionhead/connections/Line.java
+++ b/src/main/java/loadbalancer/connections/Line.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /**
  * A line of waiting items: joined at its end, left from anywhere, each in constant time and with no search.
--- a/src/main/java/junctionhead/connections/Need.java
+++ b/src/main/java/loadbalancer/connections/Need.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /** The most that was in use lately: it rises at once and fades towards what is in use now. Times in ns. */
 final class Need {
--- a/src/main/java/junctionhead/connections/Peer.java
+++ b/src/main/java/loadbalancer/connections/Peer.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /** One address on the clients' side: what it holds, and whether its connections are used again. */
 final class Peer {
--- a/src/main/java/junctionhead/connections/Pressure.java
+++ b/src/main/java/loadbalancer/connections/Pressure.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /** How much of the clients' room is in use. */
 public enum Pressure {
--- a/src/main/java/junctionhead/connections/Register.java
+++ b/src/main/java/loadbalancer/connections/Register.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/junctionhead/connections/Reuse.java
+++ b/src/main/java/loadbalancer/connections/Reuse.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /**
  * How likely a connection that rests is to be used again: a mean of what was seen lately, which fades towards
--- a/src/main/java/junctionhead/connections/Side.java
+++ b/src/main/java/loadbalancer/connections/Side.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 /** Which side of the balancer a connection is on. */
 public enum Side {
--- a/src/main/java/junctionhead/membership/Discovery.java
+++ b/src/main/java/loadbalancer/discovery/Discovery.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -28,13 +28,13 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import junctionhead.Policy;
-import junctionhead.Policy.ListKind;
-import junctionhead.SettingsReader;
-import junctionhead.core.Addresses;
-import junctionhead.core.Membership;
-import junctionhead.core.Targets;
-import junctionhead.loop.SocketsFirst;
+import loadbalancer.Policy;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.SettingsReader;
+import loadbalancer.eventloop.SocketsFirst;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Membership;
+import loadbalancer.proxy.Targets;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
--- a/src/main/java/junctionhead/membership/Lists.java
+++ b/src/main/java/loadbalancer/discovery/Lists.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/junctionhead/membership/Silence.java
+++ b/src/main/java/loadbalancer/discovery/Silence.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 /**
  * How long discovery is waited for, and since when its news may count as told. The clock is the platform's: a
--- a/src/main/java/junctionhead/membership/StaticList.java
+++ b/src/main/java/loadbalancer/discovery/StaticList.java
@@ -1,9 +1,9 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 import java.util.function.BiConsumer;
-import junctionhead.Policy.ListKind;
-import junctionhead.core.Membership;
-import junctionhead.core.Targets;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.proxy.Membership;
+import loadbalancer.proxy.Targets;
 
 /** A list that stands in the configuration, as a source of upstreams. Does no I/O; runs on the event loop. */
 public final class StaticList implements Membership {
--- a/src/main/java/junctionhead/membership/TargetsReader.java
+++ b/src/main/java/loadbalancer/discovery/TargetsReader.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,10 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
-import junctionhead.core.Addresses;
-import junctionhead.core.Targets;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Targets;
 
 /** Reads lists of upstreams in the form of the platform's discovery. */
 public final class TargetsReader {
--- a/src/main/java/junctionhead/membership/Versions.java
+++ b/src/main/java/loadbalancer/discovery/Versions.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 /**
  * Which lists of one discovery are news. Its calls overtake one another: a whole list that was asked for
--- a/src/main/java/junctionhead/front/http1/AcceptingChannel.java
+++ b/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import io.netty.channel.ServerChannelRecvByteBufAllocator;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
--- a/src/main/java/junctionhead/front/http1/Client.java
+++ b/src/main/java/loadbalancer/downstream/http1/Client.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -23,12 +23,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import junctionhead.connections.Lease;
-import junctionhead.core.Answer;
-import junctionhead.core.Invariants.Violation;
-import junctionhead.core.Order;
-import junctionhead.core.Stream;
-import junctionhead.http1.Sink;
+import loadbalancer.connections.Lease;
+import loadbalancer.http1.Sink;
+import loadbalancer.proxy.Answer;
+import loadbalancer.proxy.Invariants.Violation;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.Stream;
 
 /**
  * One connection of a client: its requests one after the other, each one's answer in turn, and how long it
--- a/src/main/java/junctionhead/front/http1/ClientServer.java
+++ b/src/main/java/loadbalancer/downstream/http1/ClientServer.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -26,24 +26,24 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import junctionhead.SettingsReader;
-import junctionhead.connections.Budget;
-import junctionhead.connections.Lease;
-import junctionhead.connections.Side;
-import junctionhead.core.Answer;
-import junctionhead.core.Dispatcher;
-import junctionhead.core.Drill;
-import junctionhead.core.Invariants.Violation;
-import junctionhead.core.Order;
-import junctionhead.core.OrderRules;
-import junctionhead.core.Reply;
-import junctionhead.core.RequestLog.Event;
-import junctionhead.core.Room;
-import junctionhead.core.Stream;
-import junctionhead.http1.Http1Fields;
-import junctionhead.loop.SocketsFirst;
-import junctionhead.service.LastCall;
-import junctionhead.service.LifeCycle;
+import loadbalancer.SettingsReader;
+import loadbalancer.connections.Budget;
+import loadbalancer.connections.Lease;
+import loadbalancer.connections.Side;
+import loadbalancer.eventloop.SocketsFirst;
+import loadbalancer.http1.Http1Fields;
+import loadbalancer.lifecycle.LastCall;
+import loadbalancer.lifecycle.LifeCycle;
+import loadbalancer.proxy.Answer;
+import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.Drill;
+import loadbalancer.proxy.Invariants.Violation;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.OrderRules;
+import loadbalancer.proxy.Reply;
+import loadbalancer.proxy.RequestLog.Event;
+import loadbalancer.proxy.Room;
+import loadbalancer.proxy.Stream;
 
 /** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
 public final class ClientServer {
--- a/src/main/java/junctionhead/front/http1/Intake.java
+++ b/src/main/java/loadbalancer/downstream/http1/Intake.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -14,10 +14,10 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.ArrayDeque;
 import java.util.Arrays;
-import junctionhead.core.Order;
-import junctionhead.core.Room;
-import junctionhead.core.Stream;
-import junctionhead.http1.Source;
+import loadbalancer.http1.Source;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.Room;
+import loadbalancer.proxy.Stream;
 
 /**
  * Puts a client's requests together, each whole and copied off the socket's buffers. What is too long, or
--- a/src/main/java/junctionhead/front/http1/RequestDecoder.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestDecoder.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpDecoderConfig;
--- a/src/main/java/junctionhead/front/http1/RequestRules.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestRules.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import junctionhead.core.Order;
+import loadbalancer.proxy.Order;
 
 /** What a request must be like for everybody to read the same end of it (RFC 9112, section 6). */
 final class RequestRules {
--- a/src/main/java/junctionhead/front/http3/Connection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Connection.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http3;
+package loadbalancer.downstream.http3;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -14,12 +14,12 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import junctionhead.connections.Budget;
-import junctionhead.http3.ErrorCodes;
-import junctionhead.http3.ResetGuard;
-import junctionhead.http3.Sessions;
-import junctionhead.http3.wire.Codes;
-import junctionhead.http3.wire.Quiet;
+import loadbalancer.connections.Budget;
+import loadbalancer.http3.ErrorCodes;
+import loadbalancer.http3.ResetGuard;
+import loadbalancer.http3.Sessions;
+import loadbalancer.http3.codec.Codes;
+import loadbalancer.http3.codec.Quiet;
 
 /** One connection of a client and its streams. On the event loop. */
 final class Connection extends ChannelInboundHandlerAdapter {
--- a/src/main/java/junctionhead/front/http3/DatagramCounter.java
+++ b/src/main/java/loadbalancer/downstream/http3/DatagramCounter.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http3;
+package loadbalancer.downstream.http3;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/junctionhead/front/http3/Http3Server.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Server.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http3;
+package loadbalancer.downstream.http3;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -21,13 +21,13 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import junctionhead.SettingsReader;
-import junctionhead.core.Dispatcher;
-import junctionhead.core.Order;
-import junctionhead.core.Room;
-import junctionhead.http3.ErrorCodes;
-import junctionhead.http3.Identity;
-import junctionhead.http3.Sessions;
+import loadbalancer.SettingsReader;
+import loadbalancer.http3.ErrorCodes;
+import loadbalancer.http3.Identity;
+import loadbalancer.http3.Sessions;
+import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.Room;
 
 /**
  * The side to clients over HTTP/3 (RFC 9114) on QUIC (RFC 9000): one UDP socket on the event loop. It takes
--- a/src/main/java/junctionhead/front/http3/RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/RequestStream.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http3;
+package loadbalancer.downstream.http3;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -17,18 +17,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Answer;
-import junctionhead.core.Order;
-import junctionhead.core.OrderRules;
-import junctionhead.core.Reply;
-import junctionhead.http3.ErrorCodes;
-import junctionhead.http3.HeadRules;
-import junctionhead.http3.Malformed;
-import junctionhead.http3.MessageState;
-import junctionhead.http3.wire.Codes;
-import junctionhead.http3.wire.Gathered;
-import junctionhead.http3.wire.Http3Fields;
-import junctionhead.http3.wire.LastFrame;
+import loadbalancer.http3.ErrorCodes;
+import loadbalancer.http3.HeadRules;
+import loadbalancer.http3.Malformed;
+import loadbalancer.http3.MessageState;
+import loadbalancer.http3.codec.Codes;
+import loadbalancer.http3.codec.Gathered;
+import loadbalancer.http3.codec.Http3Fields;
+import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.proxy.Answer;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.OrderRules;
+import loadbalancer.proxy.Reply;
 
 /** One request of a client on its stream, and its one final answer (RFC 9114, section 4.1). On the loop. */
 final class RequestStream extends Http3RequestStreamInboundHandler implements Reply {
--- a/src/main/java/junctionhead/front/http3/RetryHandler.java
+++ b/src/main/java/loadbalancer/downstream/http3/RetryHandler.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http3;
+package loadbalancer.downstream.http3;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
-import junctionhead.http3.RetryTokens;
-import junctionhead.http3.Sessions;
+import loadbalancer.http3.RetryTokens;
+import loadbalancer.http3.Sessions;
 
 /** Asks newcomers to prove their address first where {@link Sessions} says so. On the event loop. */
 final class RetryHandler implements QuicTokenHandler {
--- a/src/main/java/junctionhead/loop/SocketsFirst.java
+++ b/src/main/java/loadbalancer/eventloop/SocketsFirst.java
@@ -1,4 +1,4 @@
-package junctionhead.loop;
+package loadbalancer.eventloop;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Future;
--- a/src/main/java/junctionhead/loop/WholeMillis.java
+++ b/src/main/java/loadbalancer/eventloop/WholeMillis.java
@@ -1,4 +1,4 @@
-package junctionhead.loop;
+package loadbalancer.eventloop;
 
 import io.netty.channel.DefaultSelectStrategyFactory;
 import io.netty.channel.IoEventLoop;
--- a/src/main/java/junctionhead/http1/Http1Fields.java
+++ b/src/main/java/loadbalancer/http1/Http1Fields.java
@@ -1,4 +1,4 @@
-package junctionhead.http1;
+package loadbalancer.http1;
 
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import junctionhead.core.Fields;
-import junctionhead.core.Order;
+import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.Order;
 
 /**
  * The fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1 they
--- a/src/main/java/junctionhead/http1/Sink.java
+++ b/src/main/java/loadbalancer/http1/Sink.java
@@ -1,4 +1,4 @@
-package junctionhead.http1;
+package loadbalancer.http1;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/junctionhead/http1/Source.java
+++ b/src/main/java/loadbalancer/http1/Source.java
@@ -1,7 +1,7 @@
-package junctionhead.http1;
+package loadbalancer.http1;
 
 import io.netty.channel.Channel;
-import junctionhead.core.Stream;
+import loadbalancer.proxy.Stream;
 
 /** A long body as it is read off a connection; it has one taker, once. On the event loop. */
 public abstract class Source implements Stream {
--- a/src/main/java/junctionhead/http3/BoxPlan.java
+++ b/src/main/java/loadbalancer/http3/BoxPlan.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/junctionhead/http3/Endings.java
+++ b/src/main/java/loadbalancer/http3/Endings.java
@@ -1,6 +1,6 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
-import junctionhead.Policy.Outcome;
+import loadbalancer.Policy.Outcome;
 
 /**
  * What the end of an attempt over HTTP/3 proves: the table of docs/http3.md, in code. Decides without I/O.
--- a/src/main/java/junctionhead/http3/ErrorCodes.java
+++ b/src/main/java/loadbalancer/http3/ErrorCodes.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 /** The codes with which HTTP/3 ends streams and connections (RFC 9114, section 8.1). */
 public final class ErrorCodes {
--- a/src/main/java/junctionhead/http3/Http3.java
+++ b/src/main/java/loadbalancer/http3/Http3.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import java.net.InetSocketAddress;
 import java.security.cert.X509Certificate;
--- a/src/main/java/junctionhead/http3/Identity.java
+++ b/src/main/java/loadbalancer/http3/Identity.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import java.io.ByteArrayInputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/junctionhead/http3/Malformed.java
+++ b/src/main/java/loadbalancer/http3/Malformed.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 /** A message that breaks the protocol: its stream ends with the code (RFC 9114, section 4.1.2). */
 public final class Malformed extends Exception {
--- a/src/main/java/junctionhead/http3/MessageState.java
+++ b/src/main/java/loadbalancer/http3/MessageState.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 /**
  * How far a message on a stream has come in: head, data, trailers, end (RFC 9114, section 4.1), its data
--- a/src/main/java/junctionhead/http3/ResetGuard.java
+++ b/src/main/java/loadbalancer/http3/ResetGuard.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 /**
  * Whether a connection opens streams only to end them (known as rapid reset): each stream that its client
--- a/src/main/java/junctionhead/http3/wire/Codes.java
+++ b/src/main/java/loadbalancer/http3/codec/Codes.java
@@ -1,4 +1,4 @@
-package junctionhead.http3.wire;
+package loadbalancer.http3.codec;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.quic.QuicChannel;
 import io.netty.handler.codec.quic.QuicStreamChannel;
 import io.netty.handler.codec.quic.QuicStreamResetException;
-import junctionhead.http3.HeadRules;
+import loadbalancer.http3.HeadRules;
 
 /** What both sides ask of the codec. For the event loop's thread. */
 public final class Codes {
--- a/src/main/java/junctionhead/http3/wire/Gathered.java
+++ b/src/main/java/loadbalancer/http3/codec/Gathered.java
@@ -1,8 +1,8 @@
-package junctionhead.http3.wire;
+package loadbalancer.http3.codec;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
-import junctionhead.core.Order;
+import loadbalancer.proxy.Order;
 
 /** The data of a message as they come in, copied off the codec's buffers. For the event loop's thread. */
 public final class Gathered {
--- a/src/main/java/junctionhead/http3/wire/Http3Fields.java
+++ b/src/main/java/loadbalancer/http3/codec/Http3Fields.java
@@ -1,4 +1,4 @@
-package junctionhead.http3.wire;
+package loadbalancer.http3.codec;
 
 import io.netty.handler.codec.http3.DefaultHttp3Headers;
 import io.netty.handler.codec.http3.Http3Headers;
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import junctionhead.core.Fields;
-import junctionhead.core.Order;
+import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.Order;
 
 /**
  * The fields of an HTTP/3 message, as its codec holds them. Between two sides that both speak HTTP/3 they go
--- a/src/main/java/junctionhead/http3/wire/LastFrame.java
+++ b/src/main/java/loadbalancer/http3/codec/LastFrame.java
@@ -1,4 +1,4 @@
-package junctionhead.http3.wire;
+package loadbalancer.http3.codec;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
--- a/src/main/java/junctionhead/http3/wire/Quiet.java
+++ b/src/main/java/loadbalancer/http3/codec/Quiet.java
@@ -1,4 +1,4 @@
-package junctionhead.http3.wire;
+package loadbalancer.http3.codec;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/junctionhead/handover/Handover.java
+++ b/src/main/java/loadbalancer/lifecycle/Handover.java
@@ -1,4 +1,4 @@
-package junctionhead.handover;
+package loadbalancer.lifecycle;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -19,8 +19,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.function.Consumer;
-import junctionhead.service.Succession;
-import junctionhead.service.Succession.Step;
+import loadbalancer.lifecycle.Succession.Step;
 
 /**
  * The talk between a process and the one that succeeds it, over a Unix-domain socket in the folder that both
--- a/src/main/java/junctionhead/service/LastCall.java
+++ b/src/main/java/loadbalancer/lifecycle/LastCall.java
@@ -1,4 +1,4 @@
-package junctionhead.service;
+package loadbalancer.lifecycle;
 
 /**
  * The end of an orderly stop: when the listener is closed, and when the process may go. A time alone does not
--- a/src/main/java/junctionhead/service/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -1,4 +1,4 @@
-package junctionhead.service;
+package loadbalancer.lifecycle;
 
 /**
  * What a balancer is at, and what follows from it: whether it says that it is ready, takes connections and
--- a/src/main/java/junctionhead/service/Succession.java
+++ b/src/main/java/loadbalancer/lifecycle/Succession.java
@@ -1,4 +1,4 @@
-package junctionhead.service;
+package loadbalancer.lifecycle;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/junctionhead/log/LineSink.java
+++ b/src/main/java/loadbalancer/logging/LineSink.java
@@ -1,4 +1,4 @@
-package junctionhead.log;
+package loadbalancer.logging;
 
 import java.io.PrintStream;
 import java.util.ArrayDeque;
--- a/src/main/java/junctionhead/log/NettyLog.java
+++ b/src/main/java/loadbalancer/logging/NettyLog.java
@@ -1,4 +1,4 @@
-package junctionhead.log;
+package loadbalancer.logging;
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.InternalLogger;
--- a/src/main/java/junctionhead/core/Addresses.java
+++ b/src/main/java/loadbalancer/proxy/Addresses.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/junctionhead/core/Answer.java
+++ b/src/main/java/loadbalancer/proxy/Answer.java
@@ -1,6 +1,6 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * An upstream's answer, whatever the protocol that it came by; {@code body} is not to be changed. Where it is
--- a/src/main/java/junctionhead/core/Carrier.java
+++ b/src/main/java/loadbalancer/proxy/Carrier.java
@@ -1,6 +1,6 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * Who carries attempts to upstreams: the other side of the seam. It starts an attempt, gives it up, and
--- a/src/main/java/junctionhead/core/Clock.java
+++ b/src/main/java/loadbalancer/proxy/Clock.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /** The time, in µs since 1970: comparable with an upstream's start, and never going back. */
 @FunctionalInterface
--- a/src/main/java/junctionhead/core/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
 
 /**
  * Stands between the sockets and the module: owns the module, its clock and the table of requests and
--- a/src/main/java/junctionhead/core/DrainGrace.java
+++ b/src/main/java/loadbalancer/proxy/DrainGrace.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /**
  * Until when a carrier may still begin a request to an upstream that drains (rule 3). Decides without I/O;
--- a/src/main/java/junctionhead/core/Drill.java
+++ b/src/main/java/loadbalancer/proxy/Drill.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /** Requests of the node's own that a front takes before clients come; see the node's rehearsal. */
 public interface Drill {
--- a/src/main/java/junctionhead/core/Fields.java
+++ b/src/main/java/loadbalancer/proxy/Fields.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.util.List;
 import java.util.function.BiConsumer;
--- a/src/main/java/junctionhead/core/Invariants.java
+++ b/src/main/java/loadbalancer/proxy/Invariants.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.util.EnumMap;
 import java.util.Locale;
--- a/src/main/java/junctionhead/core/ListNews.java
+++ b/src/main/java/loadbalancer/proxy/ListNews.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /**
  * News of the list that may lie unread, because the loop's thread stood still (rule 3): what a carrier asks
--- a/src/main/java/junctionhead/core/Loop.java
+++ b/src/main/java/loadbalancer/proxy/Loop.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /** The one thread that owns requests and module, as far as the core needs it: real, or in virtual time. */
 public interface Loop {
--- a/src/main/java/junctionhead/core/Membership.java
+++ b/src/main/java/loadbalancer/proxy/Membership.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /** A source of the list of upstreams, as the module asks for it. Runs on the event loop. */
 public interface Membership {
--- a/src/main/java/junctionhead/core/Order.java
+++ b/src/main/java/loadbalancer/proxy/Order.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /**
  * A client's request, whatever the protocol that it came by: what goes on to an upstream unchanged, and what
--- a/src/main/java/junctionhead/core/OrderRules.java
+++ b/src/main/java/loadbalancer/proxy/OrderRules.java
@@ -1,8 +1,8 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.util.List;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
 
 /** What every front asks of a request before it is taken, whatever its protocol. Decides without I/O. */
 public final class OrderRules {
--- a/src/main/java/junctionhead/core/Reply.java
+++ b/src/main/java/loadbalancer/proxy/Reply.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /**
  * Where the one final answer to a request goes: a front's side of the seam. {@link Dispatcher} calls exactly
--- a/src/main/java/junctionhead/core/RequestLog.java
+++ b/src/main/java/loadbalancer/proxy/RequestLog.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/junctionhead/core/Room.java
+++ b/src/main/java/loadbalancer/proxy/Room.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /**
  * The memory that clients' bodies may take together, while they come in and until they are answered. Guards
--- a/src/main/java/junctionhead/core/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -1,6 +1,6 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
-import junctionhead.Policy.Outcome;
+import loadbalancer.Policy.Outcome;
 
 /**
  * The one look that every attempt passes right before its first byte, whatever transport carries it and
--- a/src/main/java/junctionhead/core/SendPermit.java
+++ b/src/main/java/loadbalancer/proxy/SendPermit.java
@@ -1,6 +1,6 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * Whether an attempt may begin, as {@link SendGuard} found it right before the first byte.
--- a/src/main/java/junctionhead/core/Stream.java
+++ b/src/main/java/loadbalancer/proxy/Stream.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 /**
  * The rest of a message that is passed on as it comes: whoever reads it off a connection stands behind this,
--- a/src/main/java/junctionhead/core/Tally.java
+++ b/src/main/java/loadbalancer/proxy/Tally.java
@@ -1,9 +1,9 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * What has become of the requests: the same names for every front and in every report, so that they can be
--- a/src/main/java/junctionhead/core/Targets.java
+++ b/src/main/java/loadbalancer/proxy/Targets.java
@@ -1,8 +1,8 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /** A list of upstreams, in the version {@code rev} of its source: all of them, or those that changed. */
 public record Targets(long rev, boolean all, List<Target> list) {
--- a/src/main/java/junctionhead/node/DryRun.java
+++ b/src/main/java/loadbalancer/server/DryRun.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Balance;
-import junctionhead.config.Config;
+import loadbalancer.Balance;
+import loadbalancer.config.Config;
 
 /**
  * Starts a balancer, lets it rehearse and ends it: the build does so once, for the JVM to archive the classes
@@ -33,9 +33,9 @@
 
     // What only an upgrade needs: there is no descriptor to inherit here.
     private static final List<String> UPGRADE = List.of(
-            "junctionhead.handover.Handover",
-            "junctionhead.service.Succession",
-            "junctionhead.service.Succession$Step",
+            "loadbalancer.lifecycle.Handover",
+            "loadbalancer.lifecycle.Succession",
+            "loadbalancer.lifecycle.Succession$Step",
             "io.netty.channel.socket.nio.NioDomainSocketChannel",
             "io.netty.channel.socket.nio.NioServerDomainSocketChannel",
             "io.netty.handler.codec.LineBasedFrameDecoder",
--- a/src/main/java/junctionhead/node/Extension.java
+++ b/src/main/java/loadbalancer/server/Extension.java
@@ -1,14 +1,14 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import junctionhead.SettingsReader;
-import junctionhead.config.Config;
-import junctionhead.core.Carrier;
-import junctionhead.core.Dispatcher;
-import junctionhead.core.Room;
+import loadbalancer.SettingsReader;
+import loadbalancer.config.Config;
+import loadbalancer.proxy.Carrier;
+import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.Room;
 
 /**
  * What a node may be given beside HTTP/1.1. The archive that serves on the platform holds none, and a node
--- a/src/main/java/junctionhead/node/Hangup.java
+++ b/src/main/java/loadbalancer/server/Hangup.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
--- a/src/main/java/junctionhead/node/NettyLoop.java
+++ b/src/main/java/loadbalancer/server/NettyLoop.java
@@ -1,9 +1,9 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Loop;
-import junctionhead.loop.SocketsFirst;
+import loadbalancer.eventloop.SocketsFirst;
+import loadbalancer.proxy.Loop;
 
 /** The real event loop, as the core sees it. */
 record NettyLoop(EventLoop loop) implements Loop {
--- a/src/main/java/junctionhead/node/Node.java
+++ b/src/main/java/loadbalancer/server/Node.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -14,32 +14,32 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import junctionhead.Balance;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
-import junctionhead.config.Config;
-import junctionhead.config.Retuning;
-import junctionhead.connections.Budget;
-import junctionhead.core.Addresses;
-import junctionhead.core.Clock;
-import junctionhead.core.Dispatcher;
-import junctionhead.core.RequestLog;
-import junctionhead.core.Room;
-import junctionhead.core.Targets;
-import junctionhead.front.http1.ClientServer;
-import junctionhead.front.management.Door;
-import junctionhead.front.management.Operations;
-import junctionhead.handover.Handover;
-import junctionhead.log.LineSink;
-import junctionhead.log.NettyLog;
-import junctionhead.loop.SocketsFirst;
-import junctionhead.loop.WholeMillis;
-import junctionhead.membership.Discovery;
-import junctionhead.membership.StaticList;
-import junctionhead.service.LastCall;
-import junctionhead.service.LifeCycle;
-import junctionhead.service.Succession;
-import junctionhead.upstream.Upstreams;
+import loadbalancer.Balance;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
+import loadbalancer.admin.Door;
+import loadbalancer.admin.Operations;
+import loadbalancer.config.Config;
+import loadbalancer.config.Retuning;
+import loadbalancer.connections.Budget;
+import loadbalancer.discovery.Discovery;
+import loadbalancer.discovery.StaticList;
+import loadbalancer.downstream.http1.ClientServer;
+import loadbalancer.eventloop.SocketsFirst;
+import loadbalancer.eventloop.WholeMillis;
+import loadbalancer.lifecycle.Handover;
+import loadbalancer.lifecycle.LastCall;
+import loadbalancer.lifecycle.LifeCycle;
+import loadbalancer.lifecycle.Succession;
+import loadbalancer.logging.LineSink;
+import loadbalancer.logging.NettyLog;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Clock;
+import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.RequestLog;
+import loadbalancer.proxy.Room;
+import loadbalancer.proxy.Targets;
+import loadbalancer.upstream.http1.Upstreams;
 
 /** One real balancer: its start, its readiness and its orderly stop. */
 public final class Node {
@@ -124,7 +124,7 @@
 
     /** The same with what stands beside HTTP/1.1; {@code extension} may be null. */
     public static int serve(Supplier<Config> first, Supplier<Config> again, Extension extension) {
-        LineSink log = new LineSink(System.err, "junctionhead: ");
+        LineSink log = new LineSink(System.err, "loadbalancer: ");
         NettyLog.install(log);
         // Before anything else: until then a signal ends the process as if there was nothing to be done.
         Signals signals = new Signals(log, again);
--- a/src/main/java/junctionhead/node/Rehearsal.java
+++ b/src/main/java/loadbalancer/server/Rehearsal.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -9,22 +9,22 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Balance;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
-import junctionhead.config.Config;
-import junctionhead.connections.Budget;
-import junctionhead.connections.IdleRest;
-import junctionhead.core.Clock;
-import junctionhead.core.Dispatcher;
-import junctionhead.core.Drill;
-import junctionhead.core.Fields;
-import junctionhead.core.ListNews;
-import junctionhead.core.Membership;
-import junctionhead.core.Order;
-import junctionhead.core.Targets;
-import junctionhead.http1.Http1Fields;
-import junctionhead.upstream.Upstreams;
+import loadbalancer.Balance;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
+import loadbalancer.config.Config;
+import loadbalancer.connections.Budget;
+import loadbalancer.connections.IdleRest;
+import loadbalancer.http1.Http1Fields;
+import loadbalancer.proxy.Clock;
+import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.Drill;
+import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.ListNews;
+import loadbalancer.proxy.Membership;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.Targets;
+import loadbalancer.upstream.http1.Upstreams;
 
 /**
  * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
--- a/src/main/java/junctionhead/node/Signals.java
+++ b/src/main/java/loadbalancer/server/Signals.java
@@ -1,9 +1,9 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
-import junctionhead.config.Config;
-import junctionhead.log.LineSink;
+import loadbalancer.config.Config;
+import loadbalancer.logging.LineSink;
 
 /**
  * What SIGTERM and SIGHUP do, whenever they come: taken from the first moment on, and carried out once there
--- a/src/main/java/junctionhead/node/http3/Http3Extension.java
+++ b/src/main/java/loadbalancer/server/http3/Http3Extension.java
@@ -1,15 +1,15 @@
-package junctionhead.node.http3;
+package loadbalancer.server.http3;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import junctionhead.SettingsReader;
-import junctionhead.config.Config;
-import junctionhead.core.Carrier;
-import junctionhead.front.http3.Http3Server;
-import junctionhead.http3.Http3;
-import junctionhead.http3.Identity;
-import junctionhead.node.Extension;
-import junctionhead.upstream.http3.Http3Upstreams;
+import loadbalancer.SettingsReader;
+import loadbalancer.config.Config;
+import loadbalancer.downstream.http3.Http3Server;
+import loadbalancer.http3.Http3;
+import loadbalancer.http3.Identity;
+import loadbalancer.proxy.Carrier;
+import loadbalancer.server.Extension;
+import loadbalancer.upstream.http3.Http3Upstreams;
 
 /** HTTP/3 for a node: to clients, to upstreams, or both, as its configuration says. */
 public final class Http3Extension implements Extension {
--- a/src/main/java/junctionhead/node/http3/Rehearsal3.java
+++ b/src/main/java/loadbalancer/server/http3/Rehearsal3.java
@@ -1,4 +1,4 @@
-package junctionhead.node.http3;
+package loadbalancer.server.http3;
 
 import io.netty.channel.EventLoop;
 import java.net.InetAddress;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Policy;
-import junctionhead.config.Config;
-import junctionhead.core.Clock;
-import junctionhead.core.Fields;
-import junctionhead.core.ListNews;
-import junctionhead.core.Order;
-import junctionhead.core.Targets;
-import junctionhead.http3.BoxPlan;
-import junctionhead.http3.Http3;
-import junctionhead.upstream.http3.Http3Upstreams;
+import loadbalancer.Policy;
+import loadbalancer.config.Config;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.http3.Http3;
+import loadbalancer.proxy.Clock;
+import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.ListNews;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.Targets;
+import loadbalancer.upstream.http3.Http3Upstreams;
 
 /**
  * Requests of the node's own over HTTP/3, from the carrier to the front, before clients come: without them
--- a/src/main/java/junctionhead/upstream/AnswerReader.java
+++ b/src/main/java/loadbalancer/upstream/http1/AnswerReader.java
@@ -1,4 +1,4 @@
-package junctionhead.upstream;
+package loadbalancer.upstream.http1;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -23,10 +23,10 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.Arrays;
 import java.util.List;
-import junctionhead.core.Answer;
-import junctionhead.core.Order;
-import junctionhead.http1.Http1Fields;
-import junctionhead.http1.Source;
+import loadbalancer.http1.Http1Fields;
+import loadbalancer.http1.Source;
+import loadbalancer.proxy.Answer;
+import loadbalancer.proxy.Order;
 
 /**
  * Reads the answers on one connection to an upstream, one for each request, and trusts nothing that comes:
--- a/src/main/java/junctionhead/upstream/AttemptRules.java
+++ b/src/main/java/loadbalancer/upstream/http1/AttemptRules.java
@@ -1,6 +1,6 @@
-package junctionhead.upstream;
+package loadbalancer.upstream.http1;
 
-import junctionhead.Policy.Outcome;
+import loadbalancer.Policy.Outcome;
 
 /** What the ending of an attempt proves. No I/O. */
 final class AttemptRules {
--- a/src/main/java/junctionhead/upstream/TimedChannel.java
+++ b/src/main/java/loadbalancer/upstream/http1/TimedChannel.java
@@ -1,9 +1,9 @@
-package junctionhead.upstream;
+package loadbalancer.upstream.http1;
 
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
-import junctionhead.core.Clock;
+import loadbalancer.proxy.Clock;
 
 /**
  * A connection whose next bytes leave before a time or not at all: looked at right before the system call,
--- a/src/main/java/junctionhead/upstream/Upstreams.java
+++ b/src/main/java/loadbalancer/upstream/http1/Upstreams.java
@@ -1,4 +1,4 @@
-package junctionhead.upstream;
+package loadbalancer.upstream.http1;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -31,28 +31,28 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import junctionhead.LoadReport;
-import junctionhead.Policy;
-import junctionhead.Policy.Outcome;
-import junctionhead.SettingsReader;
-import junctionhead.connections.Budget;
-import junctionhead.connections.IdleRest;
-import junctionhead.connections.Lease;
-import junctionhead.connections.Side;
-import junctionhead.core.Addresses;
-import junctionhead.core.Answer;
-import junctionhead.core.Carrier;
-import junctionhead.core.Clock;
-import junctionhead.core.DrainGrace;
-import junctionhead.core.Fields;
-import junctionhead.core.ListNews;
-import junctionhead.core.Order;
-import junctionhead.core.SendGuard;
-import junctionhead.core.SendPermit;
-import junctionhead.core.Stream;
-import junctionhead.core.Targets;
-import junctionhead.http1.Http1Fields;
-import junctionhead.http1.Sink;
+import loadbalancer.LoadReport;
+import loadbalancer.Policy;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.SettingsReader;
+import loadbalancer.connections.Budget;
+import loadbalancer.connections.IdleRest;
+import loadbalancer.connections.Lease;
+import loadbalancer.connections.Side;
+import loadbalancer.http1.Http1Fields;
+import loadbalancer.http1.Sink;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Answer;
+import loadbalancer.proxy.Carrier;
+import loadbalancer.proxy.Clock;
+import loadbalancer.proxy.DrainGrace;
+import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.ListNews;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.SendGuard;
+import loadbalancer.proxy.SendPermit;
+import loadbalancer.proxy.Stream;
+import loadbalancer.proxy.Targets;
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
 public final class Upstreams implements Carrier {
--- a/src/main/java/junctionhead/upstream/http3/Box.java
+++ b/src/main/java/loadbalancer/upstream/http3/Box.java
@@ -1,13 +1,13 @@
-package junctionhead.upstream.http3;
+package loadbalancer.upstream.http3;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy.Outcome;
-import junctionhead.core.DrainGrace;
-import junctionhead.http3.BoxPlan;
-import junctionhead.http3.BoxPlan.Link;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.http3.BoxPlan.Link;
+import loadbalancer.proxy.DrainGrace;
 
 /** An upstream that speaks HTTP/3 and the connections to it, as its {@link BoxPlan} has them. On the loop. */
 final class Box {
--- a/src/main/java/junctionhead/upstream/http3/Call.java
+++ b/src/main/java/loadbalancer/upstream/http3/Call.java
@@ -1,4 +1,4 @@
-package junctionhead.upstream.http3;
+package loadbalancer.upstream.http3;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -16,25 +16,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import junctionhead.LoadReport;
-import junctionhead.Policy;
-import junctionhead.core.Addresses;
-import junctionhead.core.Answer;
-import junctionhead.core.Carrier;
-import junctionhead.core.Order;
-import junctionhead.core.SendGuard;
-import junctionhead.core.SendPermit;
-import junctionhead.http3.BoxPlan;
-import junctionhead.http3.Endings;
-import junctionhead.http3.Endings.How;
-import junctionhead.http3.ErrorCodes;
-import junctionhead.http3.HeadRules;
-import junctionhead.http3.Malformed;
-import junctionhead.http3.MessageState;
-import junctionhead.http3.wire.Codes;
-import junctionhead.http3.wire.Gathered;
-import junctionhead.http3.wire.Http3Fields;
-import junctionhead.http3.wire.LastFrame;
+import loadbalancer.LoadReport;
+import loadbalancer.Policy;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.http3.Endings;
+import loadbalancer.http3.Endings.How;
+import loadbalancer.http3.ErrorCodes;
+import loadbalancer.http3.HeadRules;
+import loadbalancer.http3.Malformed;
+import loadbalancer.http3.MessageState;
+import loadbalancer.http3.codec.Codes;
+import loadbalancer.http3.codec.Gathered;
+import loadbalancer.http3.codec.Http3Fields;
+import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Answer;
+import loadbalancer.proxy.Carrier;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.SendGuard;
+import loadbalancer.proxy.SendPermit;
 
 /** One attempt on a stream of its own, and how it ends. On the event loop. */
 final class Call implements Carrier.Attempt {
--- a/src/main/java/junctionhead/upstream/http3/Channel3.java
+++ b/src/main/java/loadbalancer/upstream/http3/Channel3.java
@@ -1,4 +1,4 @@
-package junctionhead.upstream.http3;
+package loadbalancer.upstream.http3;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -20,12 +20,12 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.SendPermit;
-import junctionhead.http3.BoxPlan.Link;
-import junctionhead.http3.Endings.How;
-import junctionhead.http3.ErrorCodes;
-import junctionhead.http3.wire.Codes;
-import junctionhead.http3.wire.Quiet;
+import loadbalancer.http3.BoxPlan.Link;
+import loadbalancer.http3.Endings.How;
+import loadbalancer.http3.ErrorCodes;
+import loadbalancer.http3.codec.Codes;
+import loadbalancer.http3.codec.Quiet;
+import loadbalancer.proxy.SendPermit;
 
 /** One QUIC connection to an upstream: its handshake, its streams, its end. On the event loop. */
 final class Channel3 {
--- a/src/main/java/junctionhead/upstream/http3/Http3Upstreams.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Upstreams.java
@@ -1,4 +1,4 @@
-package junctionhead.upstream.http3;
+package loadbalancer.upstream.http3;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -22,17 +22,17 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.State;
-import junctionhead.SettingsReader;
-import junctionhead.core.Carrier;
-import junctionhead.core.Clock;
-import junctionhead.core.DrainGrace;
-import junctionhead.core.Fields;
-import junctionhead.core.ListNews;
-import junctionhead.core.Order;
-import junctionhead.core.Targets;
-import junctionhead.http3.BoxPlan;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.State;
+import loadbalancer.SettingsReader;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.proxy.Carrier;
+import loadbalancer.proxy.Clock;
+import loadbalancer.proxy.DrainGrace;
+import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.ListNews;
+import loadbalancer.proxy.Order;
+import loadbalancer.proxy.Targets;
 
 /**
  * Attempts over HTTP/3 to those upstreams that speak it, over another carrier to all others and where HTTP/3
@@ -54,7 +54,7 @@
     private static final int CONTROL_STREAMS = 3;
     private static final int CONTROL_WINDOW = 4 * 1024;
     private static final int DATAGRAM = 1_350;
-    static final AttributeKey<InetSocketAddress> PEER = AttributeKey.valueOf("junctionhead.http3.peer");
+    static final AttributeKey<InetSocketAddress> PEER = AttributeKey.valueOf("loadbalancer.http3.peer");
 
     final EventLoop loop;
     final Clock clock;
--- a/src/test/java/junctionhead/AdapterTest.java
+++ b/src/test/java/loadbalancer/AdapterTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/junctionhead/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/DecisionTraceTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,16 +15,16 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import junctionhead.Policy.Discovery;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.Reports;
-import junctionhead.Policy.RequestClass;
-import junctionhead.Policy.Scope;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
-import junctionhead.Policy.Tenant;
+import loadbalancer.Policy.Discovery;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.Reports;
+import loadbalancer.Policy.RequestClass;
+import loadbalancer.Policy.Scope;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
+import loadbalancer.Policy.Tenant;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/junctionhead/DispatchTest.java
+++ b/src/test/java/loadbalancer/DispatchTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.Scope;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.Scope;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
--- a/src/test/java/junctionhead/Example.java
+++ b/src/test/java/loadbalancer/Example.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/junctionhead/FleetModel.java
+++ b/src/test/java/loadbalancer/FleetModel.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
-import junctionhead.connections.IdleRest;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
+import loadbalancer.connections.IdleRest;
 
 /**
  * Many instances of the module in virtual time, before servers that serve one request at a time, in order,
--- a/src/test/java/junctionhead/FleetTest.java
+++ b/src/test/java/loadbalancer/FleetTest.java
@@ -1,16 +1,16 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.RequestClass;
-import junctionhead.Policy.Scope;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.RequestClass;
+import loadbalancer.Policy.Scope;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/junctionhead/FourRulesTest.java
+++ b/src/test/java/loadbalancer/FourRulesTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.RequestClass;
-import junctionhead.Policy.Scope;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.RequestClass;
+import loadbalancer.Policy.Scope;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/src/test/java/junctionhead/Harness.java
+++ b/src/test/java/loadbalancer/Harness.java
@@ -1,15 +1,15 @@
-package junctionhead;
+package loadbalancer;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.Scope;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.Scope;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
 
 /** Drives one module by hand and writes down what it asks for. */
 final class Harness implements Policy.Actions {
--- a/src/test/java/junctionhead/HouseTest.java
+++ b/src/test/java/loadbalancer/HouseTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -7,28 +7,28 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import junctionhead.connections.Budget;
-import junctionhead.core.Clock;
-import junctionhead.core.DrainGrace;
-import junctionhead.core.OrderRules;
-import junctionhead.core.Room;
-import junctionhead.core.SendGuard;
-import junctionhead.core.SendPermit;
-import junctionhead.core.Tally;
-import junctionhead.http3.BoxPlan;
-import junctionhead.http3.Endings;
-import junctionhead.http3.HeadRules;
-import junctionhead.http3.MessageState;
-import junctionhead.http3.ResetGuard;
-import junctionhead.http3.RetryTokens;
-import junctionhead.http3.Sessions;
+import loadbalancer.connections.Budget;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.http3.Endings;
+import loadbalancer.http3.HeadRules;
+import loadbalancer.http3.MessageState;
+import loadbalancer.http3.ResetGuard;
+import loadbalancer.http3.RetryTokens;
+import loadbalancer.http3.Sessions;
+import loadbalancer.proxy.Clock;
+import loadbalancer.proxy.DrainGrace;
+import loadbalancer.proxy.OrderRules;
+import loadbalancer.proxy.Room;
+import loadbalancer.proxy.SendGuard;
+import loadbalancer.proxy.SendPermit;
+import loadbalancer.proxy.Tally;
 import org.junit.jupiter.api.Test;
 
 /** Who may know whom, and who decides without I/O: see docs/frame.md. */
 class HouseTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
-            .importPackages("junctionhead");
+            .importPackages("loadbalancer");
 
     private static final String[] IO = {
         "java.io..", "java.nio.channels..", "java.nio.file..", "java.net..", "io.netty..", "java.util.concurrent.."
@@ -42,19 +42,19 @@
                 .or()
                 .haveFullyQualifiedName(Policy.class.getName())
                 .or()
-                .haveNameMatching("junctionhead\\.Books.*")
+                .haveNameMatching("loadbalancer\\.Books.*")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO)
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("junctionhead")
+                .resideInAPackage("loadbalancer")
                 .and()
                 .doNotHaveSimpleName("Main")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("junctionhead.*..")
+                .resideInAnyPackage("loadbalancer.*..")
                 .check(ALL);
     }
 
@@ -64,9 +64,9 @@
                 .that()
                 .resideInAPackage(Budget.class.getPackageName())
                 .or()
-                .resideInAPackage("junctionhead.service..")
+                .haveNameMatching("loadbalancer\\.lifecycle\\.(LifeCycle|LastCall|Succession)(\\$.*)?")
                 .or()
-                .haveFullyQualifiedName("junctionhead.front.management.Calls")
+                .haveFullyQualifiedName("loadbalancer.admin.Calls")
                 .or()
                 .belongToAnyOf(
                         OrderRules.class,
@@ -84,18 +84,19 @@
                         ResetGuard.class,
                         RetryTokens.class)
                 .or()
-                .haveFullyQualifiedName("junctionhead.core.Standstill")
+                .haveFullyQualifiedName("loadbalancer.proxy.Standstill")
                 .or()
-                .haveNameMatching("junctionhead\\.membership\\.(Versions|Silence)(\\$.*)?")
+                .haveNameMatching("loadbalancer\\.discovery\\.(Versions|Silence)(\\$.*)?")
                 .or()
-                .haveNameMatching(
-                        "junctionhead\\.rig\\.(Ledger|ServerModel|Cell|Script|Report|Scenario|RequestCounts)(\\$.*)?")
+                .haveNameMatching("loadbalancer\\.testbed\\.(Ledger|ServerModel|Cell|Script|Report|Scenario)(\\$.*)?")
                 .or()
-                .haveFullyQualifiedName("junctionhead.rig.FleetPlan")
+                .haveNameMatching("loadbalancer\\.testbed\\.RequestCounts(\\$.*)?")
                 .or()
-                .haveNameMatching("junctionhead\\.rig\\.fleet\\.(Shares|Spread|Trouble)(\\$.*)?")
+                .haveFullyQualifiedName("loadbalancer.testbed.FleetPlan")
                 .or()
-                .haveFullyQualifiedName("junctionhead.upstream.AttemptRules")
+                .haveNameMatching("loadbalancer\\.testbed\\.fleet\\.(Shares|Spread|Trouble)(\\$.*)?")
+                .or()
+                .haveFullyQualifiedName("loadbalancer.upstream.http1.AttemptRules")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO)
@@ -116,18 +117,18 @@
     void theCoreSpeaksNoProtocol() {
         noClasses()
                 .that()
-                .resideInAPackage("junctionhead.core..")
+                .resideInAPackage("loadbalancer.proxy..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "io.netty..",
                         "com.fasterxml..",
-                        "junctionhead.front..",
-                        "junctionhead.upstream..",
-                        "junctionhead.membership..",
-                        "junctionhead.http1..",
-                        "junctionhead.config..",
-                        "junctionhead.node..")
+                        "loadbalancer.downstream..",
+                        "loadbalancer.upstream..",
+                        "loadbalancer.discovery..",
+                        "loadbalancer.http1..",
+                        "loadbalancer.config..",
+                        "loadbalancer.server..")
                 .check(ALL);
     }
 
@@ -135,26 +136,40 @@
     void frontsCarriersAndSourcesDoNotKnowEachOther() {
         noClasses()
                 .that()
-                .resideInAPackage("junctionhead.front..")
+                .resideInAnyPackage("loadbalancer.downstream..", "loadbalancer.admin..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("loadbalancer.upstream..", "loadbalancer.discovery..", "loadbalancer.server..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("loadbalancer.upstream..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("loadbalancer.downstream..", "loadbalancer.discovery..", "loadbalancer.server..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("loadbalancer.discovery..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("junctionhead.upstream..", "junctionhead.membership..", "junctionhead.node..")
+                .resideInAnyPackage("loadbalancer.downstream..", "loadbalancer.upstream..", "loadbalancer.server..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("junctionhead.upstream..")
+                .resideInAPackage("loadbalancer.downstream..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("junctionhead.front..", "junctionhead.membership..", "junctionhead.node..")
+                .resideInAPackage("loadbalancer.admin..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("junctionhead.membership..")
+                .resideInAPackage("loadbalancer.admin..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("junctionhead.front..", "junctionhead.upstream..", "junctionhead.node..")
+                .resideInAPackage("loadbalancer.downstream..")
                 .check(ALL);
-        slices().matching("junctionhead.front.(*)..")
+        slices().matching("loadbalancer.downstream.(*)..")
                 .should()
                 .notDependOnEachOther()
                 .allowEmptyShould(true)
@@ -163,27 +178,27 @@
 
     @Test
     void noCirclesBetweenPackages() {
-        slices().matching("junctionhead.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("loadbalancer.(*)..").should().beFreeOfCycles().check(ALL);
     }
 
     @Test
     void onlyTheNodePutsThemTogether() {
         classes()
                 .that()
-                .resideInAPackage("junctionhead.node..")
+                .resideInAPackage("loadbalancer.server..")
                 .should()
                 .onlyHaveDependentClassesThat()
-                .resideInAnyPackage("junctionhead.node..", "junctionhead", "junctionhead.cli..")
+                .resideInAnyPackage("loadbalancer.server..", "loadbalancer", "loadbalancer.cli..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideOutsideOfPackages("junctionhead.rig..", "junctionhead.cli..", "junctionhead.config.toml..")
+                .resideOutsideOfPackages("loadbalancer.testbed..", "loadbalancer.cli..", "loadbalancer.config.toml..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "junctionhead.rig..",
-                        "junctionhead.cli..",
-                        "junctionhead.config.toml..",
+                        "loadbalancer.testbed..",
+                        "loadbalancer.cli..",
+                        "loadbalancer.config.toml..",
                         "picocli..",
                         "org.tomlj..",
                         "org.HdrHistogram..")
--- a/src/test/java/junctionhead/LearnedTest.java
+++ b/src/test/java/loadbalancer/LearnedTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import junctionhead.Policy.Discovery;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.Scope;
+import loadbalancer.Policy.Discovery;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.Scope;
 import org.junit.jupiter.api.Test;
 
 /** One test for each failure found: it fails without the answer to it in Rules. */
--- a/src/test/java/junctionhead/LibraryTest.java
+++ b/src/test/java/loadbalancer/LibraryTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,13 +11,13 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.ListKind;
-import junctionhead.Policy.Outcome;
-import junctionhead.Policy.RequestClass;
-import junctionhead.Policy.Scope;
-import junctionhead.Policy.Server;
-import junctionhead.Policy.State;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.ListKind;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.Policy.RequestClass;
+import loadbalancer.Policy.Scope;
+import loadbalancer.Policy.Server;
+import loadbalancer.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -29,7 +29,7 @@
     @Test
     void theExampleOfTheReadmeRuns() throws IOException {
         String readme = Files.readString(Path.of("README.md"));
-        String example = Files.readString(Path.of("src/test/java/junctionhead/Example.java"));
+        String example = Files.readString(Path.of("src/test/java/loadbalancer/Example.java"));
         int from = readme.indexOf("```java\n") + 8;
         String shown = readme.substring(from, readme.indexOf("```\n", from));
         assertTrue(example.contains(shown.strip()), "the README shows the code of Example.java");
@@ -163,7 +163,7 @@
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/junctionhead/Balance.java"));
+        String rules = Files.readString(Path.of("src/main/java/loadbalancer/Balance.java"));
         String page = Files.readString(Path.of("README.md"));
         for (String line : List.of(
                 "overload: refusing, level ",
--- a/src/test/java/junctionhead/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -35,11 +35,11 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 CLASS_PATH,
-                "junctionhead.Main"));
+                "loadbalancer.Main"));
         command.addAll(List.of(arguments));
-        Path in = Files.createTempFile("junctionhead", ".in");
-        Path out = Files.createTempFile("junctionhead", ".out");
-        Path err = Files.createTempFile("junctionhead", ".err");
+        Path in = Files.createTempFile("loadbalancer", ".in");
+        Path out = Files.createTempFile("loadbalancer", ".out");
+        Path err = Files.createTempFile("loadbalancer", ".err");
         Files.writeString(in, input);
         int exit = new ProcessBuilder(command)
                 .redirectInput(in.toFile())
@@ -59,7 +59,7 @@
     @ValueSource(strings = {"", "adapter", "wirehost extra"})
     void wrongArgumentsGetAUsageLine(String arguments) throws IOException, InterruptedException {
         Run run = run("", arguments.isEmpty() ? new String[0] : arguments.split(" "));
-        assertEquals(new Run(2, "", "usage: java -jar junctionhead.jar serve | wirehost\n"), run);
+        assertEquals(new Run(2, "", "usage: java -jar loadbalancer.jar serve | wirehost\n"), run);
     }
 
     @Test
@@ -78,7 +78,7 @@
         String input = words.strip().replace(" NOISE", "\nNOISE").replace("TICK 1", "TICK\t1") + "\n";
         Run run = run(input, "wirehost");
         assertEquals(1, run.exit());
-        assertTrue(run.err().equals("junctionhead: " + complaint.strip() + "\n"), run.err());
+        assertTrue(run.err().equals("loadbalancer: " + complaint.strip() + "\n"), run.err());
         assertEquals("", run.out());
     }
 
@@ -94,7 +94,7 @@
         Process process = serve(file);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(1, process.waitFor());
-        assertTrue(err.startsWith("junctionhead: " + complaint), err);
+        assertTrue(err.startsWith("loadbalancer: " + complaint), err);
         assertEquals(1, err.lines().count(), err);
     }
 
@@ -105,7 +105,7 @@
             Process process = serve(config.toString());
             String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(1, process.waitFor());
-            assertTrue(err.startsWith("junctionhead: can't listen on "), err);
+            assertTrue(err.startsWith("loadbalancer: can't listen on "), err);
             assertEquals(1, err.lines().count(), err);
             Files.delete(config);
         }
@@ -117,7 +117,7 @@
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
-            assertTrue(line.startsWith("junctionhead: listening on 127.0.0.1:"), line);
+            assertTrue(line.startsWith("loadbalancer: listening on 127.0.0.1:"), line);
             process.destroy(); // SIGTERM
             assertEquals(0, process.waitFor());
         }
@@ -134,11 +134,11 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             hangup(process);
             assertEquals(
-                    "junctionhead: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "loadbalancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
             Files.writeString(config, "{");
             hangup(process);
             String line = nextWith("configuration", err);
-            assertTrue(line.startsWith("junctionhead: configuration not taken over: can't read"), line);
+            assertTrue(line.startsWith("loadbalancer: configuration not taken over: can't read"), line);
             process.destroy();
             assertEquals(0, process.waitFor());
         }
@@ -162,7 +162,7 @@
     }
 
     private static Path config(String listen) throws IOException {
-        Path config = Files.createTempFile("junctionhead", ".json");
+        Path config = Files.createTempFile("loadbalancer", ".json");
         return Files.writeString(config, """
             {"listen": "%s", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964", "settings": {
               "Balancers": 1, "Quantum": 5000, "MembershipMode": "ask",
@@ -178,7 +178,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 CLASS_PATH,
-                "junctionhead.Main",
+                "loadbalancer.Main",
                 "serve");
         builder.environment().keySet().removeIf(name -> name.startsWith("ROUTER_"));
         if (!config.isEmpty()) {
--- a/src/test/java/junctionhead/QuietActions.java
+++ b/src/test/java/loadbalancer/QuietActions.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 /** Does nothing of what the module asks for; a test overrides what it looks at. */
 interface QuietActions extends Policy.Actions {
--- a/src/test/java/junctionhead/RetuneTest.java
+++ b/src/test/java/loadbalancer/RetuneTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import junctionhead.Policy.Effect;
-import junctionhead.Policy.Outcome;
+import loadbalancer.Policy.Effect;
+import loadbalancer.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while requests are open: each request keeps the record that it was taken under. */
--- a/src/test/java/junctionhead/SourceLimitsTest.java
+++ b/src/test/java/loadbalancer/SourceLimitsTest.java
@@ -1,4 +1,4 @@
-package junctionhead;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,7 +12,7 @@
 
     @Test
     void theModuleCanBeReviewedInAnHour() throws IOException {
-        long lines = Files.readAllLines(Path.of("src/main/java/junctionhead/Balance.java")).stream()
+        long lines = Files.readAllLines(Path.of("src/main/java/loadbalancer/Balance.java")).stream()
                 .filter(line -> !line.isBlank())
                 .count();
         assertTrue(lines <= MOST, "Balance.java holds " + lines + " non-blank lines, " + MOST + " at most");
--- a/src/test/java/junctionhead/cli/CliTest.java
+++ b/src/test/java/loadbalancer/cli/CliTest.java
@@ -1,4 +1,4 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 CLASS_PATH,
-                "junctionhead.cli.Cli"));
+                "loadbalancer.cli.Cli"));
         command.addAll(List.of(arguments));
         return new ProcessBuilder(command).redirectErrorStream(true).start();
     }
@@ -36,7 +36,7 @@
     @ParameterizedTest
     @CsvSource({
         "--help, 0, generate-completion",
-        "--version, 0, honeyspindle",
+        "--version, 0, loadbalancer",
         "nonsense, 2, Unmatched argument",
         "ready nowhere, 2, not address:port",
         "evacuate 127.0.0.1:1, 1, can't call 127.0.0.1:1",
--- a/src/test/java/junctionhead/cli/SignalsTest.java
+++ b/src/test/java/loadbalancer/cli/SignalsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/junctionhead/config/RetuningTest.java
+++ b/src/test/java/loadbalancer/config/RetuningTest.java
@@ -1,4 +1,4 @@
-package junctionhead.config;
+package loadbalancer.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 class RetuningTest {
--- a/src/test/java/junctionhead/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -1,4 +1,4 @@
-package junctionhead.config.toml;
+package loadbalancer.config.toml;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,9 +11,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import junctionhead.Policy;
-import junctionhead.config.Config;
-import junctionhead.node.Certificates;
+import loadbalancer.Policy;
+import loadbalancer.config.Config;
+import loadbalancer.server.Certificates;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/junctionhead/connections/TurnoverTest.java
+++ b/src/test/java/loadbalancer/connections/TurnoverTest.java
@@ -1,4 +1,4 @@
-package junctionhead.connections;
+package loadbalancer.connections;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/junctionhead/membership/SilenceTest.java
+++ b/src/test/java/loadbalancer/discovery/SilenceTest.java
@@ -1,4 +1,4 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/junctionhead/membership/VersionsTest.java
+++ b/src/test/java/loadbalancer/discovery/VersionsTest.java
@@ -1,8 +1,8 @@
-package junctionhead.membership;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import junctionhead.membership.Versions.Verdict;
+import loadbalancer.discovery.Versions.Verdict;
 import org.junit.jupiter.api.Test;
 
 /** Lists that overtake one another, repeat, skip and count anew. */
--- a/src/test/java/junctionhead/front/http1/AcceptingChannelTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/junctionhead/front/http1/IntakeTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/IntakeTest.java
@@ -1,4 +1,4 @@
-package junctionhead.front.http1;
+package loadbalancer.downstream.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,8 +12,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
-import junctionhead.core.Room;
-import junctionhead.core.Stream;
+import loadbalancer.proxy.Room;
+import loadbalancer.proxy.Stream;
 import org.junit.jupiter.api.Test;
 
 class IntakeTest {
--- a/src/test/java/junctionhead/loop/WholeMillisTest.java
+++ b/src/test/java/loadbalancer/eventloop/WholeMillisTest.java
@@ -1,4 +1,4 @@
-package junctionhead.loop;
+package loadbalancer.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/junctionhead/http1/Http1FieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1FieldsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.http1;
+package loadbalancer.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 import java.util.function.BiConsumer;
-import junctionhead.core.Fields;
+import loadbalancer.proxy.Fields;
 import org.junit.jupiter.api.Test;
 
 class Http1FieldsTest {
--- a/src/test/java/junctionhead/http3/BoxPlanTest.java
+++ b/src/test/java/loadbalancer/http3/BoxPlanTest.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import junctionhead.http3.BoxPlan.Choice;
-import junctionhead.http3.BoxPlan.Link;
-import junctionhead.http3.BoxPlan.Way;
+import loadbalancer.http3.BoxPlan.Choice;
+import loadbalancer.http3.BoxPlan.Link;
+import loadbalancer.http3.BoxPlan.Way;
 import org.junit.jupiter.api.Test;
 
 class BoxPlanTest {
--- a/src/test/java/junctionhead/http3/EndingsTest.java
+++ b/src/test/java/loadbalancer/http3/EndingsTest.java
@@ -1,10 +1,10 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import junctionhead.Policy.Outcome;
-import junctionhead.http3.Endings.How;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.http3.Endings.How;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/junctionhead/http3/HeadRulesTest.java
+++ b/src/test/java/loadbalancer/http3/HeadRulesTest.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/junctionhead/http3/IdentityTest.java
+++ b/src/test/java/loadbalancer/http3/IdentityTest.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,9 +8,9 @@
 import io.netty.pkitesting.X509Bundle;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import junctionhead.config.Config;
-import junctionhead.config.toml.ConfigFile;
-import junctionhead.config.toml.Problems;
+import loadbalancer.config.Config;
+import loadbalancer.config.toml.ConfigFile;
+import loadbalancer.config.toml.Problems;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/junctionhead/http3/SessionsTest.java
+++ b/src/test/java/loadbalancer/http3/SessionsTest.java
@@ -1,4 +1,4 @@
-package junctionhead.http3;
+package loadbalancer.http3;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import junctionhead.http3.Sessions.Session;
+import loadbalancer.http3.Sessions.Session;
 import org.junit.jupiter.api.Test;
 
 /** Who is let in, who goes, who proves an address, and who ends streams too often. */
--- a/src/test/java/junctionhead/handover/HandoverTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HandoverTest.java
@@ -1,4 +1,4 @@
-package junctionhead.handover;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import junctionhead.service.Succession.Step;
+import loadbalancer.lifecycle.Succession.Step;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/junctionhead/service/LastCallTest.java
+++ b/src/test/java/loadbalancer/lifecycle/LastCallTest.java
@@ -1,4 +1,4 @@
-package junctionhead.service;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import junctionhead.service.LastCall.Sight;
-import junctionhead.service.LastCall.Step;
+import loadbalancer.lifecycle.LastCall.Sight;
+import loadbalancer.lifecycle.LastCall.Step;
 import org.junit.jupiter.api.Test;
 
 class LastCallTest {
--- a/src/test/java/junctionhead/service/LifeCycleTest.java
+++ b/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
@@ -1,4 +1,4 @@
-package junctionhead.service;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import junctionhead.service.LifeCycle.State;
-import junctionhead.service.LifeCycle.Verdict;
+import loadbalancer.lifecycle.LifeCycle.State;
+import loadbalancer.lifecycle.LifeCycle.Verdict;
 import org.junit.jupiter.api.Test;
 
 class LifeCycleTest {
--- a/src/test/java/junctionhead/service/SuccessionTest.java
+++ b/src/test/java/loadbalancer/lifecycle/SuccessionTest.java
@@ -1,10 +1,10 @@
-package junctionhead.service;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import junctionhead.service.Succession.Step;
+import loadbalancer.lifecycle.Succession.Step;
 import org.junit.jupiter.api.Test;
 
 class SuccessionTest {
--- a/src/test/java/junctionhead/log/NettyLogTest.java
+++ b/src/test/java/loadbalancer/logging/NettyLogTest.java
@@ -1,4 +1,4 @@
-package junctionhead.log;
+package loadbalancer.logging;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/junctionhead/core/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,9 +8,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy;
-import junctionhead.Policy.Outcome;
-import junctionhead.SettingsReader;
+import loadbalancer.Policy;
+import loadbalancer.Policy.Outcome;
+import loadbalancer.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 /** The seams without sockets: a carrier that does what the test says, in virtual time. */
--- a/src/test/java/junctionhead/core/DrainGraceTest.java
+++ b/src/test/java/loadbalancer/proxy/DrainGraceTest.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/junctionhead/core/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -1,10 +1,10 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import junctionhead.Policy.Outcome;
+import loadbalancer.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
 class SendGuardTest {
--- a/src/test/java/junctionhead/core/StandstillTest.java
+++ b/src/test/java/loadbalancer/proxy/StandstillTest.java
@@ -1,4 +1,4 @@
-package junctionhead.core;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import junctionhead.Balance;
-import junctionhead.Policy;
-import junctionhead.SettingsReader;
+import loadbalancer.Balance;
+import loadbalancer.Policy;
+import loadbalancer.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/junctionhead/node/Certificates.java
+++ b/src/test/java/loadbalancer/server/Certificates.java
@@ -1,8 +1,8 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.pkitesting.CertificateBuilder;
 import io.netty.pkitesting.X509Bundle;
-import junctionhead.http3.Identity;
+import loadbalancer.http3.Identity;
 
 /** Certificates for tests, made anew for each run: for 127.0.0.1 and the name box.test. */
 public final class Certificates {
--- a/src/test/java/junctionhead/node/ChunkSizesTest.java
+++ b/src/test/java/loadbalancer/server/ChunkSizesTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/junctionhead/node/DiscoveryTest.java
+++ b/src/test/java/loadbalancer/server/DiscoveryTest.java
@@ -1,11 +1,11 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
-import junctionhead.config.Config;
+import loadbalancer.config.Config;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/junctionhead/node/DoorTest.java
+++ b/src/test/java/loadbalancer/server/DoorTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -12,8 +12,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import junctionhead.config.Config;
-import junctionhead.core.Addresses;
+import loadbalancer.config.Config;
+import loadbalancer.proxy.Addresses;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/junctionhead/node/FakeUpstream.java
+++ b/src/test/java/loadbalancer/server/FakeUpstream.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/junctionhead/node/H3Box.java
+++ b/src/test/java/loadbalancer/server/H3Box.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -34,7 +34,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import junctionhead.http3.wire.LastFrame;
+import loadbalancer.http3.codec.LastFrame;
 
 /** An upstream over HTTP/3 that does what the test says with each request. */
 final class H3Box implements Closeable {
--- a/src/test/java/junctionhead/node/H3Client.java
+++ b/src/test/java/loadbalancer/server/H3Client.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -37,7 +37,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import junctionhead.http3.wire.LastFrame;
+import loadbalancer.http3.codec.LastFrame;
 
 /** A client over HTTP/3 that does as it is told, also what no client should. */
 final class H3Client implements Closeable {
--- a/src/test/java/junctionhead/node/HeldListener.java
+++ b/src/test/java/loadbalancer/server/HeldListener.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/test/java/junctionhead/node/Http3Fixture.java
+++ b/src/test/java/loadbalancer/server/Http3Fixture.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import junctionhead.config.Config;
-import junctionhead.http3.BoxPlan;
-import junctionhead.http3.Http3;
-import junctionhead.http3.Sessions;
-import junctionhead.node.http3.Http3Extension;
+import loadbalancer.config.Config;
+import loadbalancer.http3.BoxPlan;
+import loadbalancer.http3.Http3;
+import loadbalancer.http3.Sessions;
+import loadbalancer.server.http3.Http3Extension;
 import org.junit.jupiter.api.AfterEach;
 
 /** A node that speaks HTTP/3 to clients, and to upstreams whose list names an address for it. */
--- a/src/test/java/junctionhead/node/Http3FrontTest.java
+++ b/src/test/java/loadbalancer/server/Http3FrontTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -20,9 +20,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import junctionhead.http3.Sessions;
-import junctionhead.rig.RelayScript;
-import junctionhead.rig.UdpRelay;
+import loadbalancer.http3.Sessions;
+import loadbalancer.testbed.RelayScript;
+import loadbalancer.testbed.UdpRelay;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -386,7 +386,7 @@
             try {
                 return with(told(sessions, streams, fresh));
             } catch (java.io.IOException e) {
-                throw new junctionhead.config.Config.Bad("?");
+                throw new loadbalancer.config.Config.Bad("?");
             }
         });
         CountDownLatch taken = new CountDownLatch(1);
--- a/src/test/java/junctionhead/node/Http3PathTest.java
+++ b/src/test/java/loadbalancer/server/Http3PathTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import junctionhead.rig.RelayScript;
-import junctionhead.rig.UdpRelay;
+import loadbalancer.testbed.RelayScript;
+import loadbalancer.testbed.UdpRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import tech.kwik.flupke.Http3Client;
--- a/src/test/java/junctionhead/node/Http3UpstreamTest.java
+++ b/src/test/java/loadbalancer/server/Http3UpstreamTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Addresses;
-import junctionhead.rig.RelayScript;
-import junctionhead.rig.UdpRelay;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.testbed.RelayScript;
+import loadbalancer.testbed.UdpRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/junctionhead/node/LifeCycleTest.java
+++ b/src/test/java/loadbalancer/server/LifeCycleTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,8 +15,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import junctionhead.config.Config;
-import junctionhead.log.LineSink;
+import loadbalancer.config.Config;
+import loadbalancer.logging.LineSink;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/junctionhead/node/NodeFixture.java
+++ b/src/test/java/loadbalancer/server/NodeFixture.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,8 +19,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Policy;
-import junctionhead.config.Config;
+import loadbalancer.Policy;
+import loadbalancer.config.Config;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
--- a/src/test/java/junctionhead/node/SettingsRangeTest.java
+++ b/src/test/java/loadbalancer/server/SettingsRangeTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,8 +17,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import junctionhead.Balance;
-import junctionhead.config.Config;
+import loadbalancer.Balance;
+import loadbalancer.config.Config;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/junctionhead/node/UpgradeTest.java
+++ b/src/test/java/loadbalancer/server/UpgradeTest.java
@@ -1,4 +1,4 @@
-package junctionhead.node;
+package loadbalancer.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -76,7 +76,7 @@
             String java =
                     Path.of(System.getProperty("java.home"), "bin", "java").toString();
             tell("ROUTER_CONFIG=" + config + " " + java + " -XX:TieredStopAtLevel=1 -cp '"
-                    + System.getProperty("java.class.path") + "' junctionhead.Main serve");
+                    + System.getProperty("java.class.path") + "' loadbalancer.Main serve");
             long pid = Long.parseLong(said.readLine().replace("started ", ""));
             return new Started(new InetSocketAddress(InetAddress.getLoopbackAddress(), free), ProcessHandle.of(pid));
         }
--- a/src/test/java/junctionhead/rig/DemoTest.java
+++ b/src/test/java/loadbalancer/testbed/DemoTest.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.stream.Collectors;
-import junctionhead.config.toml.Problems;
+import loadbalancer.config.toml.Problems;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/junctionhead/rig/FailedAcceptTest.java
+++ b/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Policy;
-import junctionhead.rig.fleet.Member;
-import junctionhead.rig.fleet.Wire;
+import loadbalancer.Policy;
+import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.Wire;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/junctionhead/rig/FaultSoakTest.java
+++ b/src/test/java/loadbalancer/testbed/FaultSoakTest.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/junctionhead/rig/FleetRunTest.java
+++ b/src/test/java/loadbalancer/testbed/FleetRunTest.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.stream.Collectors;
-import junctionhead.config.toml.Problems;
+import loadbalancer.config.toml.Problems;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
--- a/src/test/java/junctionhead/rig/LedgerTest.java
+++ b/src/test/java/loadbalancer/testbed/LedgerTest.java
@@ -1,12 +1,12 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import junctionhead.Policy.Effect;
-import junctionhead.rig.Ledger.Breach;
-import junctionhead.rig.Ledger.Final;
+import loadbalancer.Policy.Effect;
+import loadbalancer.testbed.Ledger.Breach;
+import loadbalancer.testbed.Ledger.Final;
 import org.junit.jupiter.api.Test;
 
 class LedgerTest {
--- a/src/test/java/junctionhead/rig/ScenarioReaderTest.java
+++ b/src/test/java/loadbalancer/testbed/ScenarioReaderTest.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,7 +7,7 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import junctionhead.config.toml.Problems;
+import loadbalancer.config.toml.Problems;
 import org.junit.jupiter.api.Test;
 
 class ScenarioReaderTest {
--- a/src/test/java/junctionhead/rig/Twin.java
+++ b/src/test/java/loadbalancer/testbed/Twin.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.BufferedInputStream;
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
-import junctionhead.core.Addresses;
+import loadbalancer.proxy.Addresses;
 
 /** A balancer in its simplest form, and with the faults that a ledger must catch: see {@link Fault}. */
 final class Twin implements Balancer {
--- a/src/test/java/junctionhead/rig/fleet/SpreadTest.java
+++ b/src/test/java/loadbalancer/testbed/fleet/SpreadTest.java
@@ -1,4 +1,4 @@
-package junctionhead.rig.fleet;
+package loadbalancer.testbed.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/junctionhead/upstream/AttemptRulesTest.java
+++ b/src/test/java/loadbalancer/upstream/http1/AttemptRulesTest.java
@@ -1,9 +1,9 @@
-package junctionhead.upstream;
+package loadbalancer.upstream.http1;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import junctionhead.Policy.Outcome;
+import loadbalancer.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
 class AttemptRulesTest {
--- a/src/rig/java/junctionhead/cli/Calls.java
+++ b/src/testbed/java/loadbalancer/cli/Calls.java
@@ -1,4 +1,4 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Callable;
-import junctionhead.core.Addresses;
+import loadbalancer.proxy.Addresses;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
--- a/src/rig/java/junctionhead/cli/Cli.java
+++ b/src/testbed/java/loadbalancer/cli/Cli.java
@@ -1,4 +1,4 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.function.Supplier;
-import junctionhead.Main;
-import junctionhead.config.Config;
-import junctionhead.config.toml.ConfigFile;
-import junctionhead.config.toml.Problems;
-import junctionhead.node.Node;
-import junctionhead.node.http3.Http3Extension;
-import junctionhead.rig.Bench;
-import junctionhead.rig.Demo;
-import junctionhead.rig.Http3Run;
+import loadbalancer.Main;
+import loadbalancer.config.Config;
+import loadbalancer.config.toml.ConfigFile;
+import loadbalancer.config.toml.Problems;
+import loadbalancer.server.Node;
+import loadbalancer.server.http3.Http3Extension;
+import loadbalancer.testbed.Bench;
+import loadbalancer.testbed.Demo;
+import loadbalancer.testbed.Http3Run;
 import picocli.AutoComplete;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -27,9 +27,9 @@
 
 /** The command line of the whole product; the served archive has {@code serve} and {@code wirehost} only. */
 @Command(
-        name = "honeyspindle",
+        name = "loadbalancer",
         mixinStandardHelpOptions = true,
-        version = "honeyspindle 0.1.0",
+        version = "loadbalancer 0.1.0",
         description = "A balancer for HTTP services that loses nothing, does nothing twice and keeps drains.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
@@ -69,7 +69,7 @@
     static int run(String... args) {
         return new CommandLine(new Cli())
                 .setExecutionExceptionHandler((e, command, parsed) -> {
-                    command.getErr().println("honeyspindle: " + e.getMessage());
+                    command.getErr().println("loadbalancer: " + e.getMessage());
                     return 1;
                 })
                 .execute(args);
@@ -83,7 +83,7 @@
                     .getCodeSource()
                     .getLocation()
                     .toURI());
-            Path beside = own.resolveSibling("junctionhead.jar");
+            Path beside = own.resolveSibling("loadbalancer.jar");
             if (Files.isRegularFile(own) && Files.isRegularFile(beside)) {
                 return beside.toString();
             }
--- a/src/rig/java/junctionhead/cli/FleetCommand.java
+++ b/src/testbed/java/loadbalancer/cli/FleetCommand.java
@@ -1,11 +1,11 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import java.io.File;
 import java.io.FileWriter;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Callable;
-import junctionhead.rig.FleetRun;
+import loadbalancer.testbed.FleetRun;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/src/rig/java/junctionhead/cli/HeldProcessesCommand.java
+++ b/src/testbed/java/loadbalancer/cli/HeldProcessesCommand.java
@@ -1,9 +1,9 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Callable;
-import junctionhead.rig.HeldProcesses;
+import loadbalancer.testbed.HeldProcesses;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/src/rig/java/junctionhead/cli/SoakCommand.java
+++ b/src/testbed/java/loadbalancer/cli/SoakCommand.java
@@ -1,8 +1,8 @@
-package junctionhead.cli;
+package loadbalancer.cli;
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import junctionhead.rig.FaultSoak;
+import loadbalancer.testbed.FaultSoak;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
--- a/src/rig/java/junctionhead/rig/Balancer.java
+++ b/src/testbed/java/loadbalancer/testbed/Balancer.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/src/rig/java/junctionhead/rig/BalancerProcess.java
+++ b/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.BufferedReader;
@@ -17,7 +17,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Addresses;
+import loadbalancer.proxy.Addresses;
 
 /** The real balancer as a process of its own, told of a scenario as the platform would tell it. */
 final class BalancerProcess implements Balancer {
@@ -55,7 +55,7 @@
     static BalancerProcess start(
             String classPath, Scenario scenario, String known, InetSocketAddress discovery, long seconds)
             throws IOException, InterruptedException {
-        Path folder = Files.createTempDirectory("honeyspindle-rig");
+        Path folder = Files.createTempDirectory("loadbalancer-testbed");
         BalancerProcess started = null;
         try {
             Path config = folder.resolve("config.json");
@@ -68,7 +68,7 @@
                 command.add(1, "-XX:SharedArchiveFile=" + archive);
                 command.add(2, "-Xshare:auto");
             }
-            command.addAll(List.of("-cp", classPath, "junctionhead.Main", "serve"));
+            command.addAll(List.of("-cp", classPath, "loadbalancer.Main", "serve"));
             ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
             builder.environment()
                     .putAll(Map.of(
@@ -102,7 +102,7 @@
     static BalancerProcess http3(
             String classPath, Scenario scenario, InetSocketAddress discovery, String[] identity, long seconds)
             throws IOException, InterruptedException {
-        Path folder = Files.createTempDirectory("honeyspindle-rig");
+        Path folder = Files.createTempDirectory("loadbalancer-testbed");
         Files.writeString(folder.resolve("cert.pem"), identity[0]);
         Files.writeString(folder.resolve("key.pem"), identity[1]);
         Path config = folder.resolve("config.json");
@@ -110,7 +110,7 @@
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(FLAGS);
-        command.addAll(List.of("-cp", classPath, "junctionhead.cli.Cli", "serve", "--config", config.toString()));
+        command.addAll(List.of("-cp", classPath, "loadbalancer.cli.Cli", "serve", "--config", config.toString()));
         return ready(
                 new BalancerProcess(
                         new ProcessBuilder(command).redirectErrorStream(true).start(), folder),
@@ -139,7 +139,7 @@
         return ready(
                 new BalancerProcess(
                         new ProcessBuilder(command).redirectErrorStream(true).start(),
-                        Files.createTempDirectory("honeyspindle-rig")),
+                        Files.createTempDirectory("loadbalancer-testbed")),
                 seconds);
     }
 
--- a/src/rig/java/junctionhead/rig/BalancerToml.java
+++ b/src/testbed/java/loadbalancer/testbed/BalancerToml.java
@@ -1,10 +1,10 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
-import junctionhead.core.Addresses;
+import loadbalancer.proxy.Addresses;
 
 /** The configuration file of a balancer that stands for a scenario. No I/O. */
 final class BalancerToml {
--- a/src/rig/java/junctionhead/rig/Bench.java
+++ b/src/testbed/java/loadbalancer/testbed/Bench.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 import io.netty.channel.EventLoopGroup;
@@ -14,8 +14,8 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Policy;
-import junctionhead.core.Clock;
+import loadbalancer.Policy;
+import loadbalancer.proxy.Clock;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/rig/java/junctionhead/rig/Demo.java
+++ b/src/testbed/java/loadbalancer/testbed/Demo.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -12,8 +12,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import junctionhead.config.toml.Problems;
-import junctionhead.core.Clock;
+import loadbalancer.config.toml.Problems;
+import loadbalancer.proxy.Clock;
 
 /**
  * Plays a scenario: boxes, discovery and load here, the balancer as a process of its own; shows how it goes
--- a/src/rig/java/junctionhead/rig/DepartedClients.java
+++ b/src/testbed/java/loadbalancer/testbed/DepartedClients.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,9 +11,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import junctionhead.Policy;
-import junctionhead.rig.fleet.Member;
-import junctionhead.rig.fleet.Wire;
+import loadbalancer.Policy;
+import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.Wire;
 
 /**
  * Processes of the program that are held up (SIGSTOP) while clients send requests and close their
--- a/src/rig/java/junctionhead/rig/FaultSoak.java
+++ b/src/testbed/java/loadbalancer/testbed/FaultSoak.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import junctionhead.rig.fleet.Member;
+import loadbalancer.testbed.fleet.Member;
 
 /**
  * Processes of the program under load and faults that overlap in time: processes are held, killed, told to
--- a/src/rig/java/junctionhead/rig/Fleet.java
+++ b/src/testbed/java/loadbalancer/testbed/Fleet.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Clock;
-import junctionhead.http3.Identity;
+import loadbalancer.http3.Identity;
+import loadbalancer.proxy.Clock;
 
 /** All stand-in boxes of a scenario with their discovery, and the script of faults that befalls them. */
 final class Fleet {
--- a/src/rig/java/junctionhead/rig/FleetPlan.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetPlan.java
@@ -1,7 +1,7 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.util.List;
-import junctionhead.rig.fleet.Trouble;
+import loadbalancer.testbed.fleet.Trouble;
 
 /**
  * A run of many balancers before the boxes of a scenario, whose rate is that of the whole fleet. No I/O.
--- a/src/rig/java/junctionhead/rig/FleetRun.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetRun.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -19,12 +19,12 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import junctionhead.config.toml.Problems;
-import junctionhead.core.Clock;
-import junctionhead.rig.fleet.Member;
-import junctionhead.rig.fleet.Shares;
-import junctionhead.rig.fleet.Spread;
-import junctionhead.rig.fleet.Trouble;
+import loadbalancer.config.toml.Problems;
+import loadbalancer.proxy.Clock;
+import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.Shares;
+import loadbalancer.testbed.fleet.Spread;
+import loadbalancer.testbed.fleet.Trouble;
 
 /**
  * Many processes of the program before stand-in boxes and a discovery, with a load that is uneven by balancer
--- a/src/rig/java/junctionhead/rig/HeldProcesses.java
+++ b/src/testbed/java/loadbalancer/testbed/HeldProcesses.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,9 +16,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import junctionhead.Policy;
-import junctionhead.rig.fleet.Member;
-import junctionhead.rig.fleet.Wire;
+import loadbalancer.Policy;
+import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.Wire;
 
 /**
  * Several processes of the program that stand still (SIGSTOP) for a while with requests in their sockets, at
--- a/src/rig/java/junctionhead/rig/Http3Clients.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Clients.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -26,10 +26,10 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import junctionhead.http3.ErrorCodes;
-import junctionhead.http3.wire.Codes;
-import junctionhead.http3.wire.LastFrame;
-import junctionhead.rig.Ledger.Final;
+import loadbalancer.http3.ErrorCodes;
+import loadbalancer.http3.codec.Codes;
+import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.testbed.Ledger.Final;
 
 /** Clients over HTTP/3: some connections, each with as many streams as it is asked for. On an event loop. */
 final class Http3Clients {
--- a/src/rig/java/junctionhead/rig/Http3Run.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Run.java
@@ -1,10 +1,10 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.pkitesting.CertificateBuilder;
 import io.netty.pkitesting.X509Bundle;
 import java.net.InetSocketAddress;
-import junctionhead.http3.Identity;
+import loadbalancer.http3.Identity;
 
 /**
  * HTTP/3 in a run: the certificate of balancer and boxes, made for it, and the path between clients and
@@ -28,7 +28,7 @@
         this.connections = connections;
         try {
             bundle = new CertificateBuilder()
-                    .subject("CN=honeyspindle rig")
+                    .subject("CN=testbed")
                     .addSanIpAddress("127.0.0.1")
                     .setIsCertificateAuthority(true)
                     .algorithm(CertificateBuilder.Algorithm.ecp256)
--- a/src/rig/java/junctionhead/rig/Http3Side.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Side.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -30,10 +30,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import junctionhead.core.Clock;
-import junctionhead.http3.Identity;
-import junctionhead.http3.wire.Codes;
-import junctionhead.http3.wire.LastFrame;
+import loadbalancer.http3.Identity;
+import loadbalancer.http3.codec.Codes;
+import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.proxy.Clock;
 
 /** The HTTP/3 side of a {@link StandInServer}: each request is a {@link Line}. On its event loop. */
 final class Http3Side {
--- a/src/rig/java/junctionhead/rig/Ledger.java
+++ b/src/testbed/java/loadbalancer/testbed/Ledger.java
@@ -1,10 +1,10 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * The one book of all orders: when each was asked, where its work began, and which final answers came. Every
--- a/src/rig/java/junctionhead/rig/Line.java
+++ b/src/testbed/java/loadbalancer/testbed/Line.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 /** One request at a box, by whatever protocol: how it is answered, or ended without an answer. */
 interface Line {
--- a/src/rig/java/junctionhead/rig/Load.java
+++ b/src/testbed/java/loadbalancer/testbed/Load.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -28,9 +28,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
-import junctionhead.Policy;
-import junctionhead.core.Clock;
-import junctionhead.rig.Ledger.Final;
+import loadbalancer.Policy;
+import loadbalancer.proxy.Clock;
+import loadbalancer.testbed.Ledger.Final;
 
 /**
  * Clients over HTTP/1.1 with open arrivals: each order is asked at its time, however the ones before it fare,
--- a/src/rig/java/junctionhead/rig/LoopLag.java
+++ b/src/testbed/java/loadbalancer/testbed/LoopLag.java
@@ -1,9 +1,9 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Clock;
+import loadbalancer.proxy.Clock;
 
 /**
  * How late an event loop of the rig's own has lately been: what a stand-in notes as it reads it may have lain
--- a/src/rig/java/junctionhead/rig/PassThrough.java
+++ b/src/testbed/java/loadbalancer/testbed/PassThrough.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -26,7 +26,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.core.Addresses;
+import loadbalancer.proxy.Addresses;
 
 /**
  * The least that can stand between clients and boxes on the same library: whole messages, the next box in
--- a/src/rig/java/junctionhead/rig/Scenario.java
+++ b/src/testbed/java/loadbalancer/testbed/Scenario.java
@@ -1,8 +1,8 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * A run to be played: boxes, classes of requests, load and a script of faults. Times are in µs; those of
--- a/src/rig/java/junctionhead/rig/ScenarioReader.java
+++ b/src/testbed/java/loadbalancer/testbed/ScenarioReader.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import junctionhead.Policy;
-import junctionhead.config.toml.Problems;
-import junctionhead.config.toml.Table;
-import junctionhead.rig.Scenario.What;
-import junctionhead.rig.fleet.Trouble;
+import loadbalancer.Policy;
+import loadbalancer.config.toml.Problems;
+import loadbalancer.config.toml.Table;
+import loadbalancer.testbed.Scenario.What;
+import loadbalancer.testbed.fleet.Trouble;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
--- a/src/rig/java/junctionhead/rig/Script.java
+++ b/src/testbed/java/loadbalancer/testbed/Script.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/rig/java/junctionhead/rig/ServerModel.java
+++ b/src/testbed/java/loadbalancer/testbed/ServerModel.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/rig/java/junctionhead/rig/SoakClient.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakClient.java
@@ -1,12 +1,12 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import junctionhead.Policy;
-import junctionhead.rig.fleet.Wire;
+import loadbalancer.Policy;
+import loadbalancer.testbed.fleet.Wire;
 
 /**
  * One client of a soak: sends requests to one place over kept and new connections, and leaves some of them at
--- a/src/rig/java/junctionhead/rig/SoakPlan.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakPlan.java
@@ -1,9 +1,9 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import junctionhead.Policy;
+import loadbalancer.Policy;
 
 /**
  * What a fault soak plays, drawn from its seed alone: the scenario with the faults of servers and discovery,
--- a/src/rig/java/junctionhead/rig/SoakTarget.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakTarget.java
@@ -1,7 +1,7 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import java.net.InetSocketAddress;
-import junctionhead.rig.fleet.Member;
+import loadbalancer.testbed.fleet.Member;
 
 /** One place among the processes of a soak: who stands there, and what befalls it. For any thread. */
 final class SoakTarget {
--- a/src/rig/java/junctionhead/rig/StandInDiscovery.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInDiscovery.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -27,8 +27,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import junctionhead.core.Addresses;
-import junctionhead.core.Clock;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Clock;
 
 /**
  * The platform's discovery on a socket: the list, a watch, and its troubles. On one event loop. It notes
--- a/src/rig/java/junctionhead/rig/StandInServer.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInServer.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -31,9 +31,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import junctionhead.Policy;
-import junctionhead.core.Clock;
-import junctionhead.http3.Identity;
+import loadbalancer.Policy;
+import loadbalancer.http3.Identity;
+import loadbalancer.proxy.Clock;
 
 /** An order box on a socket: HTTP/1.1 round a {@link ServerModel}, and what befalls it. On one event loop. */
 final class StandInServer implements ServerModel.Told {
--- a/src/rig/java/junctionhead/rig/Testbed.java
+++ b/src/testbed/java/loadbalancer/testbed/Testbed.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -12,9 +12,9 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import junctionhead.core.Clock;
-import junctionhead.rig.fleet.Member;
-import junctionhead.rig.fleet.Wire;
+import loadbalancer.proxy.Clock;
+import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.Wire;
 
 /**
  * Several processes of the program before stand-in servers and a discovery, with one ledger over all of them.
--- a/src/rig/java/junctionhead/rig/UdpRelay.java
+++ b/src/testbed/java/loadbalancer/testbed/UdpRelay.java
@@ -1,4 +1,4 @@
-package junctionhead.rig;
+package loadbalancer.testbed;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/rig/java/junctionhead/rig/fleet/Member.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/Member.java
@@ -1,4 +1,4 @@
-package junctionhead.rig.fleet;
+package loadbalancer.testbed.fleet;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -13,8 +13,8 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import junctionhead.core.Addresses;
-import junctionhead.core.Clock;
+import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.Clock;
 
 /**
  * One process of the program among several: started with a file of its own, told by signals, stalled and let
@@ -58,7 +58,7 @@
                 "-Xss256k",
                 "-cp",
                 classPath,
-                "junctionhead.cli.Cli",
+                "loadbalancer.cli.Cli",
                 "serve",
                 "--config",
                 file.toString()));
--- a/src/rig/java/junctionhead/rig/fleet/Shares.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/Shares.java
@@ -1,4 +1,4 @@
-package junctionhead.rig.fleet;
+package loadbalancer.testbed.fleet;
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
--- a/src/rig/java/junctionhead/rig/fleet/Wire.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/Wire.java
@@ -1,4 +1,4 @@
-package junctionhead.rig.fleet;
+package loadbalancer.testbed.fleet;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
