--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -9,7 +9,10 @@
 import java.io.InputStreamReader;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
-import loadbalancer.server.Node;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.server.LoadBalancerServer;
+import loadbalancer.simulator.SimulatorAdapter;
+import loadbalancer.simulator.SimulatorProtocolException;
 
 /** Starts a real balancer, or the adapter on standard input and output. */
 public final class Main {
@@ -17,7 +20,7 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Node.serve(System.getenv()));
+            System.exit(LoadBalancerServer.serve(System.getenv()));
         }
         if (args.length != 1 || !args[0].equals("wirehost")) {
             System.err.println("usage: java -jar loadbalancer.jar serve | wirehost");
@@ -27,8 +30,8 @@
                         new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
                         1 << 16);
                 OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Adapter(Balance::new, in, out).run();
-        } catch (WireException | IOException e) {
+            new SimulatorAdapter(JsqDasPolicy::new, in, out).run();
+        } catch (SimulatorProtocolException | IOException e) {
             System.err.println("loadbalancer: " + e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/loadbalancer/admin/Operations.java
+++ b/src/main/java/loadbalancer/admin/AdminOperations.java
@@ -3,7 +3,7 @@
 import loadbalancer.lifecycle.LifeCycle;
 
 /** What operators may ask of a balancer; called on the event loop. */
-public interface Operations {
+public interface AdminOperations {
     /** Whether this process takes clients. */
     boolean ready();
 
--- a/src/main/java/loadbalancer/admin/Calls.java
+++ b/src/main/java/loadbalancer/admin/AdminRoutes.java
@@ -5,11 +5,11 @@
 import loadbalancer.lifecycle.LifeCycle.Verdict;
 
 /** The operators' calls: what each asks for, and what is answered. Decides without I/O. */
-final class Calls {
+final class AdminRoutes {
     /** Its status (RFC 9110, section 15), one line of text, and what {@code Allow} says, or null. */
     record Answer(int status, String text, String allow) {}
 
-    private record Call(String method, Function<Operations, Answer> run) {}
+    private record Call(String method, Function<AdminOperations, Answer> run) {}
 
     private static final Map<String, Call> CALLS = Map.of(
             "/api/ready",
@@ -17,13 +17,13 @@
             "/api/evacuate", new Call("POST", o -> told(o.evacuate(), o, "evacuating", "sent away already")),
             "/api/rejoin", new Call("POST", o -> told(o.rejoin(), o, "taking clients", "not sent away")));
 
-    private Calls() {}
+    private AdminRoutes() {}
 
     private static Answer yes(String text) {
         return new Answer(200, text, null);
     }
 
-    private static Answer told(Verdict verdict, Operations o, String done, String already) {
+    private static Answer told(Verdict verdict, AdminOperations o, String done, String already) {
         return switch (verdict) {
             case DONE -> yes(done);
             case ALREADY -> yes(already);
@@ -32,7 +32,7 @@
     }
 
     /** Carries a call out; {@code uri} may have a query, which says nothing. */
-    static Answer answer(String method, String uri, Operations to) {
+    static Answer answer(String method, String uri, AdminOperations to) {
         Call call = CALLS.get(uri.split("\\?", 2)[0]);
         if (call == null) {
             return new Answer(404, "no such call", null);
--- a/src/main/java/loadbalancer/admin/Door.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -36,7 +36,7 @@
  * Where operators call: HTTP/1.1, one call to a connection, which ends with its answer. Callers are few and
  * trusted, but may be stuck: one that comes when all places are taken ends whoever waits longest.
  */
-public final class Door {
+public final class AdminServer {
     private static final int CALLERS = 16;
     private static final int BACKLOG = 64;
     private static final long CALL_MS = 5_000; // for a whole call
@@ -46,11 +46,11 @@
     private static final int BODY_MOST = 4_096; // nothing in it is asked for
 
     private final EventLoop loop;
-    private final Operations operations;
+    private final AdminOperations operations;
     private final Set<Channel> callers = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
 
-    public Door(EventLoop loop, Operations operations) {
+    public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
@@ -126,9 +126,9 @@
             if (!part.decoderResult().isSuccess()) {
                 Throwable cause = part.decoderResult().cause();
                 if (cause instanceof TooLongHttpLineException || cause instanceof TooLongHttpHeaderException) {
-                    answer(new Calls.Answer(431, "too long", null));
+                    answer(new AdminRoutes.Answer(431, "too long", null));
                 } else {
-                    answer(new Calls.Answer(400, "not a call in HTTP/1.1", null));
+                    answer(new AdminRoutes.Answer(400, "not a call in HTTP/1.1", null));
                 }
                 return;
             }
@@ -138,14 +138,14 @@
             if (part instanceof HttpContent content) {
                 length += content.content().readableBytes();
                 if (length > BODY_MOST) {
-                    answer(new Calls.Answer(413, "a call has no such body", null));
+                    answer(new AdminRoutes.Answer(413, "a call has no such body", null));
                 } else if (part instanceof LastHttpContent) {
-                    answer(Calls.answer(head.method().name(), head.uri(), operations));
+                    answer(AdminRoutes.answer(head.method().name(), head.uri(), operations));
                 }
             }
         }
 
-        private void answer(Calls.Answer answer) {
+        private void answer(AdminRoutes.Answer answer) {
             answered = true;
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
--- a/src/main/java/loadbalancer/config/Config.java
+++ b/src/main/java/loadbalancer/config/Config.java
@@ -14,12 +14,12 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
-import loadbalancer.SettingsReader;
-import loadbalancer.connections.Limits;
-import loadbalancer.discovery.TargetsReader;
-import loadbalancer.http3.Http3;
+import loadbalancer.connections.ConnectionLimits;
+import loadbalancer.discovery.EndpointUpdateReader;
+import loadbalancer.http3.Http3Settings;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Targets;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * What a balancer is told at its start, whichever form it stands in; {@code discovery} is null where the
@@ -33,10 +33,10 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        Limits connections,
-        Targets known,
+        ConnectionLimits connections,
+        EndpointUpdate known,
         SettingsReader.Boot boot,
-        Http3 http3,
+        Http3Settings http3,
         InetSocketAddress management,
         boolean inherited,
         Set<String> keys) {
@@ -49,8 +49,8 @@
             InetSocketAddress listen,
             InetSocketAddress discovery,
             long seed,
-            Limits connections,
-            Targets known,
+            ConnectionLimits connections,
+            EndpointUpdate known,
             SettingsReader.Boot boot) {
         this(name, listen, discovery, seed, connections, known, boot, null, null, false, Set.of());
     }
@@ -106,7 +106,7 @@
     public String problem(Config fresh) {
         List<String> missing =
                 keys.stream().filter(key -> !fresh.keys.contains(key)).toList();
-        return missing.isEmpty() ? Retuning.problem(boot, fresh.boot) : "missing: " + String.join(", ", missing);
+        return missing.isEmpty() ? SettingsReload.problem(boot, fresh.boot) : "missing: " + String.join(", ", missing);
     }
 
     /** Reads the file that {@code ROUTER_CONFIG} names; the other variables win over what it says. */
@@ -147,16 +147,16 @@
         SettingsReader.flatten("", settings, values);
         SettingsReader.Boot boot =
                 SettingsReader.read(values, (path, what) -> new Bad("settings: " + path + ": " + what));
-        Set<String> keys = new TreeSet<>(Retuning.keys(values));
+        Set<String> keys = new TreeSet<>(SettingsReload.keys(values));
         json.forEach((key, value) -> {
             if (value != null) {
                 keys.add("/" + key);
             }
         });
-        Targets known = new Targets(0, true, List.of());
+        EndpointUpdate known = new EndpointUpdate(0, true, List.of());
         if (json.get("known") != null) {
             try {
-                known = TargetsReader.of(json.get("known"), boot);
+                known = EndpointUpdateReader.of(json.get("known"), boot);
             } catch (IllegalArgumentException e) {
                 throw new Bad("known: " + e.getMessage());
             }
@@ -170,7 +170,7 @@
                 listen,
                 discovery,
                 seed(json.get("seed")),
-                Limits.of(most == Integer.MAX_VALUE ? SOCKETS : most),
+                ConnectionLimits.of(most == Integer.MAX_VALUE ? SOCKETS : most),
                 known,
                 boot,
                 null,
--- a/src/main/java/loadbalancer/config/Retuning.java
+++ b/src/main/java/loadbalancer/config/SettingsReload.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader.Boot;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader.Boot;
 
 /** What may change in service, and how settings in use give way to other ones. Decides without I/O. */
-public final class Retuning {
-    private Retuning() {}
+public final class SettingsReload {
+    private SettingsReload() {}
 
     /**
      * The keys that a file holds, whatever it says there: those of things that stand in a list count where
--- a/src/main/java/loadbalancer/config/toml/ConfigFile.java
+++ b/src/main/java/loadbalancer/config/toml/ConfigFile.java
@@ -12,13 +12,13 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
 import loadbalancer.config.Config;
-import loadbalancer.connections.Limits;
-import loadbalancer.http3.Http3;
+import loadbalancer.connections.ConnectionLimits;
+import loadbalancer.http3.Http3Settings;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Targets;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.settings.SettingsReader;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
@@ -95,7 +95,8 @@
             put(wire, "Limits.Probes", t.flag("probes", false));
             return t;
         });
-        Limits connections = top.table("limits").map(t -> limits(t, wire)).get(0);
+        ConnectionLimits connections =
+                top.table("limits").map(t -> limits(t, wire)).get(0);
         top.table("rules").map(t -> {
             put(wire, "Rules.AnswerSlack", t.time("answer-slack", "8ms"));
             put(wire, "Rules.DrainGrace", t.time("drain-grace", "1s"));
@@ -105,7 +106,7 @@
             put(wire, "Rules.Fall", t.time("cold-fall", "1s"));
             return t;
         });
-        Http3 http3 = !top.has("http3")
+        Http3Settings http3 = !top.has("http3")
                 ? null
                 : top.table("http3")
                         .map(t -> Http3Table.read(t, problems.file()))
@@ -280,13 +281,13 @@
         return name;
     }
 
-    private static Limits limits(Table t, Map<String, String> wire) {
+    private static ConnectionLimits limits(Table t, Map<String, String> wire) {
         put(wire, "Limits.DialTimeout", t.time("connect", "500ms"));
         put(wire, "Limits.IdleClose", t.time("idle-close", "30s"));
         long retryAfter = t.time("retry-after", "2s");
         put(wire, "Limits.RetryAfter", retryAfter > 0);
         put(wire, "Limits.MaxRetryAfter", retryAfter);
-        Limits usual = Limits.of((int) t.number("descriptors", Config.descriptors(), 16, 1e6));
+        ConnectionLimits usual = ConnectionLimits.of((int) t.number("descriptors", Config.descriptors(), 16, 1e6));
         int most = (int) t.number("connections", usual.most(), 2, 1e6);
         double clients = t.number("client-floor", usual.clientFloor(), 0.01, 0.99);
         double upstreams = t.number("upstream-floor", usual.upstreamFloor(), 0.01, 0.99);
@@ -297,17 +298,17 @@
             times[i] = t.time(keys[i], otherwise[i] / 1_000 + "us") * 1_000;
         }
         try {
-            return new Limits(most, clients, upstreams, times[0], times[1], times[2], times[3], times[4]);
+            return new ConnectionLimits(most, clients, upstreams, times[0], times[1], times[2], times[3], times[4]);
         } catch (IllegalArgumentException e) {
             t.complain("client-floor", "with the others of the table " + e.getMessage());
             return usual;
         }
     }
 
-    private static Targets known(Members members, SettingsReader.Boot boot) {
-        List<Targets.Target> list = new ArrayList<>();
+    private static EndpointUpdate known(Members members, SettingsReader.Boot boot) {
+        List<EndpointUpdate.Endpoint> list = new ArrayList<>();
         for (Server s : members.servers()) {
-            list.add(new Targets.Target(
+            list.add(new EndpointUpdate.Endpoint(
                     new Policy.Server(
                             s.id(),
                             Policy.State.UP,
@@ -319,7 +320,7 @@
                     s.address(),
                     s.http3()));
         }
-        return new Targets(0, true, list);
+        return new EndpointUpdate(0, true, list);
     }
 
     private static void unique(Table top, String key, List<String> names) {
--- a/src/main/java/loadbalancer/config/toml/Http3Table.java
+++ b/src/main/java/loadbalancer/config/toml/Http3Table.java
@@ -8,10 +8,10 @@
 import java.nio.file.Path;
 import java.security.cert.X509Certificate;
 import java.util.List;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.http3.Http3;
-import loadbalancer.http3.Identity;
-import loadbalancer.http3.Sessions;
+import loadbalancer.http3.Http3ConnectionLimiter;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3Settings;
+import loadbalancer.http3.TlsIdentity;
 
 /** Reads the table {@code http3}; the files that it names are read with it, beside the configuration. */
 final class Http3Table {
@@ -19,11 +19,11 @@
 
     private Http3Table() {}
 
-    static Http3 read(Table t, String file) {
+    static Http3Settings read(Table t, String file) {
         boolean clients = t.has("listen");
         InetSocketAddress listen = clients ? ConfigFile.address(t, "listen", t.text("listen", null)) : null;
-        Identity identity = identity(t, file, clients);
-        Sessions.Limits sessions = new Sessions.Limits(
+        TlsIdentity identity = identity(t, file, clients);
+        Http3ConnectionLimiter.Limits sessions = new Http3ConnectionLimiter.Limits(
                 (int) t.number("connections", 500, 1, 1e6),
                 (int) t.number("per-address", 250, 1, 1e6),
                 (int) t.number("handshakes", 100, 2, 1e6),
@@ -37,13 +37,13 @@
         if (t.has("trust")) {
             String pem = text(t, "trust", file);
             try {
-                trust = pem == null ? List.of() : Identity.certificates(pem);
+                trust = pem == null ? List.of() : TlsIdentity.certificates(pem);
             } catch (IllegalArgumentException e) {
                 t.complain("trust", e.getMessage());
             }
         }
         String name = t.has("server-name") ? t.name("server-name", null) : null;
-        BoxPlan.Limits plan = new BoxPlan.Limits(
+        Http3ConnectionPlan.Limits plan = new Http3ConnectionPlan.Limits(
                 (int) t.number("upstream-connections", 4, 1, 1_000),
                 (int) t.number("upstream-streams", 100, 1, 1e5),
                 t.time("back-off", "1s"),
@@ -51,10 +51,10 @@
         if (!clients && !t.has("trust")) {
             t.complain("listen", "missing, and no trust: the table switches nothing on");
         }
-        return new Http3(listen, identity, sessions, streams, idle, advertise, trust, name, plan);
+        return new Http3Settings(listen, identity, sessions, streams, idle, advertise, trust, name, plan);
     }
 
-    private static Identity identity(Table t, String file, boolean needed) {
+    private static TlsIdentity identity(Table t, String file, boolean needed) {
         if (!needed && !t.has("certificate") && !t.has("key")) {
             return null;
         }
@@ -64,13 +64,13 @@
             return null;
         }
         try {
-            Identity.certificates(chain);
+            TlsIdentity.certificates(chain);
         } catch (IllegalArgumentException e) {
             t.complain("certificate", e.getMessage());
             return null;
         }
         try {
-            return Identity.parse(chain, key);
+            return TlsIdentity.parse(chain, key);
         } catch (IllegalArgumentException e) {
             t.complain("key", e.getMessage());
             return null;
--- a/src/main/java/loadbalancer/connections/End.java
+++ b/src/main/java/loadbalancer/connections/CloseReason.java
@@ -1,7 +1,7 @@
 package loadbalancer.connections;
 
 /** Why the budget ended a connection, in the order in which it prefers to. */
-public enum End {
+public enum CloseReason {
     /** Its answer said that it would end: it was unlikely to be used again, or room was short. */
     ANSWERED("after their answer"),
     /** It was at rest for as long as the pressure allows. */
@@ -23,7 +23,7 @@
 
     private final String words;
 
-    End(String words) {
+    CloseReason(String words) {
         this.words = words;
     }
 
--- a/src/main/java/loadbalancer/connections/Budget.java
+++ b/src/main/java/loadbalancer/connections/ConnectionBudget.java
@@ -14,7 +14,7 @@
  * descriptor but as much memory as several that do has more units. Times are in ns of one monotonic clock
  * that all calls share. For one thread. Methods throw IllegalStateException where a connection has ended.
  */
-public final class Budget {
+public final class ConnectionBudget {
     private static final double FREE = 0.25; // of the clients' room: up to here all may stay
     private static final double DEAR = 0.75; // from here on only what is sure to be used again
     private static final double DITHER = 0.2; // spreads the line between staying and ending
@@ -35,14 +35,14 @@
     private static final double OWN_WEIGHT = 2; // rests that the peer's share counts for beside its own
     private static final double PEER_WEIGHT = 8; // rests that the common one counts for beside the peer's
 
-    private Limits limits;
+    private ConnectionLimits limits;
     private int clientFloor;
     private int upstreamFloor;
-    private final Register register = new Register();
-    private final Tally tally;
-    private Reuse reuse;
-    private Need clientNeed;
-    private Need upstreamNeed;
+    private final ConnectionTable register = new ConnectionTable();
+    private final ConnectionMetrics tally;
+    private ReuseEstimator reuse;
+    private DecayingPeak clientNeed;
+    private DecayingPeak upstreamNeed;
     private double askMean; // ns from a connection's start to its first request
     private double gapMean; // ns that a rest lasts before it is used
     private double returning; // clients ended at their answers that may come again
@@ -50,14 +50,14 @@
     private long turns;
 
     /** A budget with nothing open. */
-    public Budget(Limits limits, long now) {
+    public ConnectionBudget(ConnectionLimits limits, long now) {
         limit(limits);
-        this.tally = new Tally(now);
+        this.tally = new ConnectionMetrics(now);
         unlearn(now);
     }
 
     /** Other limits from here on; what is open beyond them goes as {@link #makeRoom} is called. */
-    public void limit(Limits to) {
+    public void limit(ConnectionLimits to) {
         limits = to;
         clientFloor = Math.max(1, (int) (to.most() * to.clientFloor()));
         upstreamFloor = Math.max(1, (int) (to.most() * to.upstreamFloor()));
@@ -65,9 +65,9 @@
 
     /** Forgets what it has learned, not what is open: after connections that were none of its clients'. */
     public void unlearn(long now) {
-        reuse = new Reuse(REUSE_MEMORY, now);
-        clientNeed = new Need(now);
-        upstreamNeed = new Need(now);
+        reuse = new ReuseEstimator(REUSE_MEMORY, now);
+        clientNeed = new DecayingPeak(now);
+        upstreamNeed = new DecayingPeak(now);
         askMean = limits.askMost() / ASKS / 2;
         gapMean = SOON_MOST / GAPS / 2;
         returning = 0;
@@ -83,82 +83,82 @@
     // ---------------------------------------------------------------- the two sides
 
     /** Whether another connection of that side may be opened with no other one ended for it. */
-    public boolean admits(Side side, long now) {
+    public boolean admits(Direction side, long now) {
         return room(side, now) > 0;
     }
 
     /** How many more connections of that side may be opened with no other one ended for them. */
-    public int room(Side side, long now) {
-        Side other = side == Side.CLIENT ? Side.UPSTREAM : Side.CLIENT;
-        int total = limits.most() - open(Side.CLIENT) - open(Side.UPSTREAM);
+    public int room(Direction side, long now) {
+        Direction other = side == Direction.CLIENT ? Direction.UPSTREAM : Direction.CLIENT;
+        int total = limits.most() - open(Direction.CLIENT) - open(Direction.UPSTREAM);
         return Math.max(0, Math.min(total, limits.most() - kept(other, now) - open(side)));
     }
 
-    private boolean sideFull(Side side, long now) {
-        Side other = side == Side.CLIENT ? Side.UPSTREAM : Side.CLIENT;
+    private boolean sideFull(Direction side, long now) {
+        Direction other = side == Direction.CLIENT ? Direction.UPSTREAM : Direction.CLIENT;
         return open(side) >= limits.most() - kept(other, now);
     }
 
     /** How many connections clients may hold together. */
     public int clientsMost(long now) {
-        return limits.most() - kept(Side.UPSTREAM, now);
+        return limits.most() - kept(Direction.UPSTREAM, now);
     }
 
     // What is kept for a side: what it lately needed, its floor at least, the other's floor left free.
-    private int kept(Side side, long now) {
+    private int kept(Direction side, long now) {
         double forClients = beyond(clientNeed, clientFloor, now);
         double forUpstreams = beyond(upstreamNeed, upstreamFloor, now);
         double free = limits.most() - clientFloor - upstreamFloor;
         double part = forClients + forUpstreams > free ? free / (forClients + forUpstreams) : 1;
-        return side == Side.CLIENT
+        return side == Direction.CLIENT
                 ? clientFloor + (int) (forClients * part)
                 : upstreamFloor + (int) (forUpstreams * part);
     }
 
-    private static double beyond(Need need, int floor, long now) {
+    private static double beyond(DecayingPeak need, int floor, long now) {
         return Math.max(0, Math.ceil(HEADROOM * need.peak(now)) - floor);
     }
 
     // ---------------------------------------------------------------- what happens to connections
 
     /** A client's connection has come, from that {@link #address}. */
-    public Lease client(Object address, int units, Lease.Holder holder, long now) {
+    public ConnectionPermit client(Object address, int units, ConnectionPermit.Holder holder, long now) {
         tally.opened();
         return register.client(address, units, holder, now);
     }
 
     /** A connection to an upstream is being opened, for a request that it is to carry. */
-    public Lease upstream(Lease.Holder holder, long now) {
-        Lease lease = register.upstream(holder, now);
-        upstreamNeed.set(register.busy(Side.UPSTREAM), now);
+    public ConnectionPermit upstream(ConnectionPermit.Holder holder, long now) {
+        ConnectionPermit lease = register.upstream(holder, now);
+        upstreamNeed.set(register.busy(Direction.UPSTREAM), now);
         return lease;
     }
 
     /** Part of a client's request has come in. */
-    public void receiving(Lease lease, long now) {
+    public void receiving(ConnectionPermit lease, long now) {
         if (lease.atRest()) {
             used(lease, now);
-            register.enter(lease, Lease.State.RECEIVING, now);
+            register.enter(lease, ConnectionPermit.State.RECEIVING, now);
         }
     }
 
     /** A client's request has come in whole, or an upstream's connection is to carry one. */
-    public void asked(Lease lease, long now) {
+    public void asked(ConnectionPermit lease, long now) {
         if (lease.ending()) {
             throw new IllegalStateException("asked after its end");
         }
         used(lease, now);
-        if (!lease.asked && lease.side == Side.CLIENT) {
+        if (!lease.asked && lease.side == Direction.CLIENT) {
             askMean += (Math.min(limits.askMost(), now - lease.openedAt) - askMean) / ASK_MEMORY;
             cameAnew(lease, now);
         }
         lease.asked = true;
         lease.inFlight++;
-        enter(lease, Lease.State.BUSY, now);
+        enter(lease, ConnectionPermit.State.BUSY, now);
     }
 
-    private void used(Lease lease, long now) {
-        if (lease.state == Lease.State.RESTING && lease.side == Side.CLIENT) {
+    private void used(ConnectionPermit lease, long now) {
+        if (lease.state == ConnectionPermit.State.RESTING && lease.side == Direction.CLIENT) {
             lease.reuses++;
             tally.again();
             gapMean += (Math.min(SOON_MOST, now - lease.since) - gapMean) / GAP_MEMORY;
@@ -168,7 +168,7 @@
 
     // A request on a new connection, while others are at rest that were kept for such: a sign against
     // keeping, at once and long before those rests end. Not so where a client's last one was ended here.
-    private void cameAnew(Lease lease, long now) {
+    private void cameAnew(ConnectionPermit lease, long now) {
         returning *= Math.exp((returningAt - now) / RETURN);
         returningAt = now;
         if (returning >= 1) {
@@ -181,7 +181,7 @@
         }
     }
 
-    private void saw(Lease lease, boolean again, long now) {
+    private void saw(ConnectionPermit lease, boolean again, long now) {
         reuse.saw(again, again ? 1 : SIGN, now);
         lease.peer.reuse.saw(again, again ? 1 : SIGN, now);
     }
@@ -194,15 +194,15 @@
      * @param more whether more of the client's has come in already, which must not be lost
      * @return whether it may stay
      */
-    public boolean answered(Lease lease, boolean wanted, boolean more, long now) {
+    public boolean answered(ConnectionPermit lease, boolean wanted, boolean more, long now) {
         tally.answered();
         lease.inFlight = Math.max(0, lease.inFlight - 1);
-        if (lease.state == Lease.State.GONE) {
+        if (lease.state == ConnectionPermit.State.GONE) {
             return false;
         }
         if (wanted && (more || lease.inFlight > 0)) {
             if (lease.inFlight == 0) {
-                enter(lease, Lease.State.RECEIVING, now);
+                enter(lease, ConnectionPermit.State.RECEIVING, now);
             }
             return true;
         }
@@ -210,16 +210,16 @@
         if (stays) {
             lease.rests++;
         } else if (wanted) {
-            tally.ended(End.ANSWERED);
+            tally.ended(CloseReason.ANSWERED);
             returning++;
         }
-        enter(lease, stays ? Lease.State.RESTING : Lease.State.LINGERING, now);
+        enter(lease, stays ? ConnectionPermit.State.RESTING : ConnectionPermit.State.LINGERING, now);
         return stays;
     }
 
     // How likely it is to be used again, against the price of room. Where one address holds much of the room
     // the price falls for those that hold less than it: the first to lose connections is whoever has many.
-    private boolean worth(Lease lease, long now) {
+    private boolean worth(ConnectionPermit lease, long now) {
         double most = register.held.most();
         double share = Math.min(1, most / clientsMost(now));
         double price = price(now) * (1 - share * (1 - lease.peer.held.value() / Math.max(1, most)));
@@ -236,7 +236,7 @@
     }
 
     private double common(long now) {
-        return reuse.share(Reuse.UNKNOWN, PEER_WEIGHT, now);
+        return reuse.share(ReuseEstimator.UNKNOWN, PEER_WEIGHT, now);
     }
 
     // 0 while room is ample, rising evenly to 1.
@@ -245,45 +245,45 @@
     }
 
     private double use(long now) {
-        return (double) open(Side.CLIENT) / Math.max(1, clientsMost(now));
+        return (double) open(Direction.CLIENT) / Math.max(1, clientsMost(now));
     }
 
     /** An upstream's connection has carried its request and is idle. */
-    public void idle(Lease lease, long now) {
+    public void idle(ConnectionPermit lease, long now) {
         lease.inFlight = 0;
         if (!lease.ending()) {
-            enter(lease, Lease.State.RESTING, now);
+            enter(lease, ConnectionPermit.State.RESTING, now);
         }
     }
 
     /** A connection has ended, for whatever reason; told twice, it counts once. */
-    public void closed(Lease lease, long now) {
+    public void closed(ConnectionPermit lease, long now) {
         if (lease.hopePlace.placed()) {
             saw(lease, false, now);
         }
         gone(lease, now);
     }
 
-    private void enter(Lease lease, Lease.State state, long now) {
+    private void enter(ConnectionPermit lease, ConnectionPermit.State state, long now) {
         register.enter(lease, state, now);
         need(lease.side).set(register.busy(lease.side), now);
     }
 
-    private void gone(Lease lease, long now) {
+    private void gone(ConnectionPermit lease, long now) {
         register.gone(lease, now);
         need(lease.side).set(register.busy(lease.side), now);
     }
 
-    private Need need(Side side) {
-        return side == Side.CLIENT ? clientNeed : upstreamNeed;
+    private DecayingPeak need(Direction side) {
+        return side == Direction.CLIENT ? clientNeed : upstreamNeed;
     }
 
     // ---------------------------------------------------------------- who goes
 
     /** Ends connections until another one of that side may be opened; false where that can't be. */
-    public boolean makeRoom(Side side, long now) {
+    public boolean makeRoom(Direction side, long now) {
         while (!admits(side, now)) {
-            Lease goes = spare(side, now);
+            ConnectionPermit goes = spare(side, now);
             if (goes == null) {
                 return false;
             }
@@ -298,17 +298,17 @@
     }
 
     // Each is named once, and counts as gone.
-    private List<Lease> overdue(long now) {
+    private List<ConnectionPermit> overdue(long now) {
         advance(now);
-        List<Lease> over = new ArrayList<>();
+        List<ConnectionPermit> over = new ArrayList<>();
         rested(register.resting, restMost(now), over, now);
         rested(register.proven, restMost(PROVEN, now), over, now);
-        for (Lease l = register.silent.first();
+        for (ConnectionPermit l = register.silent.first();
                 l != null && now - l.openedAt > limits.silentMost();
                 l = register.silent.first()) {
-            over.add(end(l, End.SILENT, now));
+            over.add(end(l, CloseReason.SILENT, now));
         }
-        for (Lease l = register.lingering.first();
+        for (ConnectionPermit l = register.lingering.first();
                 l != null && now - l.since > LINGER_MOST;
                 l = register.lingering.first()) {
             gone(l, now);
@@ -317,9 +317,9 @@
         return over;
     }
 
-    private void rested(Line<Lease> line, long most, List<Lease> over, long now) {
-        for (Lease l = line.first(); l != null && now - l.since > most; l = line.first()) {
-            over.add(end(l, End.RESTED, now));
+    private void rested(LinkedQueue<ConnectionPermit> line, long most, List<ConnectionPermit> over, long now) {
+        for (ConnectionPermit l = line.first(); l != null && now - l.since > most; l = line.first()) {
+            over.add(end(l, CloseReason.RESTED, now));
         }
     }
 
@@ -346,50 +346,51 @@
     // Who goes for another connection of that side, which is not admitted: it counts as gone, and its holder
     // is to end it. Null where no one does: a client then waits to be accepted, and a request to an upstream
     // is not sent.
-    private Lease spare(Side side, long now) {
+    private ConnectionPermit spare(Direction side, long now) {
         advance(now);
         boolean ownSide = sideFull(side, now); // ending one of the other side would not help
-        Lease idle = register.idle.first();
-        if (side == Side.UPSTREAM && ownSide) {
-            return idle == null ? null : end(idle, End.IDLE_FOR_ROOM, now);
+        ConnectionPermit idle = register.idle.first();
+        if (side == Direction.UPSTREAM && ownSide) {
+            return idle == null ? null : end(idle, CloseReason.IDLE_FOR_ROOM, now);
         }
-        Lease lingers = register.lingering.first();
+        ConnectionPermit lingers = register.lingering.first();
         if (lingers != null && now - lingers.since >= LINGER_LEAST) {
-            return end(lingers, End.LINGERING, now);
+            return end(lingers, CloseReason.LINGERING, now);
         }
         if (register.silent.size() > 0) {
-            return end(register.silentOf.highest().silent.last(), End.SILENT_FOR_ROOM, now);
+            return end(register.silentOf.highest().silent.last(), CloseReason.SILENT_FOR_ROOM, now);
         }
-        Lease rests = rests(now);
+        ConnectionPermit rests = rests(now);
         boolean lately = rests == null || now - rests.since < limits.restLeast();
-        boolean mayIdle = !ownSide && (side == Side.UPSTREAM || open(Side.UPSTREAM) > kept(Side.UPSTREAM, now));
+        boolean mayIdle =
+                !ownSide && (side == Direction.UPSTREAM || open(Direction.UPSTREAM) > kept(Direction.UPSTREAM, now));
         if (lately && mayIdle && idle != null) {
-            return end(idle, End.IDLE_FOR_ROOM, now);
+            return end(idle, CloseReason.IDLE_FOR_ROOM, now);
         }
         // One newcomer is as good as another: they soon ask, or their fair time is over. Clients that have
         // just been served don't go for them, unless these take most of the room.
-        boolean waits = side == Side.CLIENT
+        boolean waits = side == Direction.CLIENT
                 && lately
                 && register.fresh.size() > 0
                 && register.resting.size() <= clientsMost(now) / 2;
         if (rests != null && !waits) {
-            return end(rests, End.RESTING_FOR_ROOM, now);
+            return end(rests, CloseReason.RESTING_FOR_ROOM, now);
         }
-        Lease slow = register.receiving.first();
+        ConnectionPermit slow = register.receiving.first();
         if (slow != null && now - slow.since >= limits.askMost()) {
-            return end(slow, End.SLOW_FOR_ROOM, now);
+            return end(slow, CloseReason.SLOW_FOR_ROOM, now);
         }
-        Lease newest = register.fresh.last();
-        return side == Side.UPSTREAM && newest != null ? end(newest, End.NEW_FOR_ROOM, now) : null;
+        ConnectionPermit newest = register.fresh.last();
+        return side == Direction.UPSTREAM && newest != null ? end(newest, CloseReason.NEW_FOR_ROOM, now) : null;
     }
 
     // Of the address with most at rest the one that rests for longest, if that is long; else that of all. The
     // proven ones come last.
-    private Lease rests(long now) {
+    private ConnectionPermit rests(long now) {
         if (register.resting.size() == 0) {
             return register.proven.first();
         }
-        Lease ofMost = register.restingOf.highest().resting.first();
+        ConnectionPermit ofMost = register.restingOf.highest().resting.first();
         return now - ofMost.since >= limits.restLeast() ? ofMost : register.resting.first();
     }
 
@@ -397,17 +398,21 @@
     // the oldest are first.
     private void advance(long now) {
         long soon = soon();
-        for (Lease l = register.hoped.first(); l != null && now - l.since >= soon; l = register.hoped.first()) {
+        for (ConnectionPermit l = register.hoped.first();
+                l != null && now - l.since >= soon;
+                l = register.hoped.first()) {
             l.hopePlace.leave();
             saw(l, false, now);
         }
         long fair = fairTime();
-        for (Lease l = register.fresh.first(); l != null && now - l.openedAt >= fair; l = register.fresh.first()) {
-            enter(l, Lease.State.SILENT, now);
+        for (ConnectionPermit l = register.fresh.first();
+                l != null && now - l.openedAt >= fair;
+                l = register.fresh.first()) {
+            enter(l, ConnectionPermit.State.SILENT, now);
         }
     }
 
-    private Lease end(Lease lease, End why, long now) {
+    private ConnectionPermit end(ConnectionPermit lease, CloseReason why, long now) {
         tally.ended(why);
         gone(lease, now);
         return lease;
@@ -431,12 +436,12 @@
     }
 
     /** How many connections the budget ended for that reason. */
-    public long ended(End why) {
+    public long ended(CloseReason why) {
         return tally.count(why);
     }
 
     /** How many connections that side holds, in units. */
-    public int open(Side side) {
+    public int open(Direction side) {
         return register.open(side);
     }
 
--- a/src/main/java/loadbalancer/connections/Limits.java
+++ b/src/main/java/loadbalancer/connections/ConnectionLimits.java
@@ -12,7 +12,7 @@
  * @param askLeast the least fair time to ask, within which none is ended for another client's sake
  * @param askMost the most of it: the fair time follows what clients take
  */
-public record Limits(
+public record ConnectionLimits(
         int most,
         double clientFloor,
         double upstreamFloor,
@@ -24,7 +24,7 @@
     private static final int RESERVE = 64; // for what is not counted: jars, selector, discovery
     private static final long MS = 1_000_000;
 
-    public Limits {
+    public ConnectionLimits {
         check(most >= 2, "most", most);
         check(clientFloor > 0 && clientFloor < 1, "clientFloor", clientFloor);
         check(upstreamFloor > 0 && clientFloor + upstreamFloor <= 1, "upstreamFloor", upstreamFloor);
@@ -42,9 +42,9 @@
     }
 
     /** The same for half as many descriptors, where two processes share them. */
-    public Limits half() {
+    public ConnectionLimits half() {
         int reserve = Math.min(RESERVE, most);
-        return new Limits(
+        return new ConnectionLimits(
                 Math.max(2, (most + reserve) / 2 - reserve),
                 clientFloor,
                 upstreamFloor,
@@ -56,8 +56,8 @@
     }
 
     /** The usual ones for a process that may hold so many descriptors. */
-    public static Limits of(int descriptors) {
-        return new Limits(
+    public static ConnectionLimits of(int descriptors) {
+        return new ConnectionLimits(
                 Math.max(2, descriptors - Math.min(RESERVE, descriptors / 2)),
                 0.35,
                 0.2,
--- a/src/main/java/loadbalancer/connections/Tally.java
+++ b/src/main/java/loadbalancer/connections/ConnectionMetrics.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 
 /** What the budget has done, in counts, and the line that tells of a change of pressure. For one thread. */
-final class Tally {
+final class ConnectionMetrics {
     private static final double TIGHT_FROM = 0.5; // of the clients' room
     private static final double SHORT_FROM = 0.95;
     private static final double BACK = 0.1; // a level is left this much below where it begins
     private static final long NEWS_EVERY = 5_000_000_000L;
 
-    private final long[] ends = new long[End.values().length];
-    private final long[] told = new long[End.values().length];
+    private final long[] ends = new long[CloseReason.values().length];
+    private final long[] told = new long[CloseReason.values().length];
     private Pressure pressure = Pressure.AMPLE;
     private Pressure toldPressure = Pressure.AMPLE;
     private long toldAt;
@@ -19,7 +19,7 @@
     private long answers;
     private long again;
 
-    Tally(long now) {
+    ConnectionMetrics(long now) {
         toldAt = now - NEWS_EVERY;
     }
 
@@ -35,11 +35,11 @@
         again++;
     }
 
-    void ended(End why) {
+    void ended(CloseReason why) {
         ends[why.ordinal()]++;
     }
 
-    long count(End why) {
+    long count(CloseReason why) {
         return ends[why.ordinal()];
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** A line where the pressure has changed and the last one is 5 s old; null otherwise. */
-    String news(double use, int clientsMost, Register register, long now) {
+    String news(double use, int clientsMost, ConnectionTable register, long now) {
         Pressure present = pressure(use);
         if (present == toldPressure || now - toldAt < NEWS_EVERY) {
             return null;
@@ -72,22 +72,22 @@
         StringBuilder line = new StringBuilder("connections ")
                 .append(present.name().toLowerCase(Locale.ROOT))
                 .append(": clients ")
-                .append(register.open(Side.CLIENT))
+                .append(register.open(Direction.CLIENT))
                 .append(" of ")
                 .append(clientsMost)
                 .append(" (")
-                .append(register.busy(Side.CLIENT))
+                .append(register.busy(Direction.CLIENT))
                 .append(" busy, ")
                 .append(register.atRest())
                 .append(" at rest, ")
                 .append(register.fresh.size() + register.silent.size())
                 .append(" unasked), upstreams ")
-                .append(register.open(Side.UPSTREAM))
+                .append(register.open(Direction.UPSTREAM))
                 .append(" (")
-                .append(register.busy(Side.UPSTREAM))
+                .append(register.busy(Direction.UPSTREAM))
                 .append(" busy)");
         String between = "; ended since the last such line: ";
-        for (End why : End.values()) {
+        for (CloseReason why : CloseReason.values()) {
             long more = ends[why.ordinal()] - told[why.ordinal()];
             told[why.ordinal()] = ends[why.ordinal()];
             if (more > 0) {
--- a/src/main/java/loadbalancer/connections/Lease.java
+++ b/src/main/java/loadbalancer/connections/ConnectionPermit.java
@@ -1,10 +1,10 @@
 package loadbalancer.connections;
 
 /**
- * One connection's part of the budget. It is handed out by {@link Budget#open} and belongs to that budget's
+ * One connection's part of the budget. It is handed out by {@link ConnectionBudget#open} and belongs to that budget's
  * thread; only the budget changes it.
  */
-public final class Lease {
+public final class ConnectionPermit {
     /** The connection itself, to the budget. */
     @FunctionalInterface
     public interface Holder {
@@ -23,14 +23,15 @@
         GONE
     }
 
-    final Side side;
+    final Direction side;
     final Peer peer; // null on the upstreams' side
     final int units;
     final Holder holder;
     final long openedAt;
-    final Line.Place<Lease> place = new Line.Place<>(this); // in the line of its state
-    final Line.Place<Lease> peerPlace = new Line.Place<>(this); // in its peer's line
-    final Line.Place<Lease> hopePlace = new Line.Place<>(this); // in the line of those that may soon be used
+    final LinkedQueue.Place<ConnectionPermit> place = new LinkedQueue.Place<>(this); // in the line of its state
+    final LinkedQueue.Place<ConnectionPermit> peerPlace = new LinkedQueue.Place<>(this); // in its peer's line
+    final LinkedQueue.Place<ConnectionPermit> hopePlace =
+            new LinkedQueue.Place<>(this); // in the line of those that may soon be used
     State state;
     long since; // it is in this state, ns
     int inFlight; // requests taken and not answered
@@ -38,7 +39,7 @@
     int reuses;
     boolean asked;
 
-    Lease(Side side, Peer peer, int units, Holder holder, long now) {
+    ConnectionPermit(Direction side, Peer peer, int units, Holder holder, long now) {
         this.side = side;
         this.peer = peer;
         this.units = units;
--- a/src/main/java/loadbalancer/connections/Register.java
+++ b/src/main/java/loadbalancer/connections/ConnectionTable.java
@@ -9,33 +9,33 @@
  * lines hold; {@code clients} and {@code upstreams} are the units of all that is not gone. For one thread;
  * times in ns.
  */
-final class Register {
+final class ConnectionTable {
     private static final int FORMER_MOST = 1_024; // peers that are remembered while they hold nothing
 
-    final Line<Lease> fresh = new Line<>(); // have not asked, within their fair time
-    final Line<Lease> silent = new Line<>(); // have not asked, past it
-    final Line<Lease> receiving = new Line<>();
-    final Line<Lease> resting = new Line<>();
-    final Line<Lease> proven = new Line<>(); // at rest, and used again and again so far
-    final Line<Lease> hoped = new Line<>(); // at rest, and not yet for longer than most are
-    final Line<Lease> lingering = new Line<>();
-    final Line<Lease> idle = new Line<>(); // to upstreams
-    final Ladder<Peer> held = new Ladder<>();
-    final Ladder<Peer> silentOf = new Ladder<>();
-    final Ladder<Peer> restingOf = new Ladder<>();
+    final LinkedQueue<ConnectionPermit> fresh = new LinkedQueue<>(); // have not asked, within their fair time
+    final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>(); // have not asked, past it
+    final LinkedQueue<ConnectionPermit> receiving = new LinkedQueue<>();
+    final LinkedQueue<ConnectionPermit> resting = new LinkedQueue<>();
+    final LinkedQueue<ConnectionPermit> proven = new LinkedQueue<>(); // at rest, and used again and again so far
+    final LinkedQueue<ConnectionPermit> hoped = new LinkedQueue<>(); // at rest, and not yet for longer than most are
+    final LinkedQueue<ConnectionPermit> lingering = new LinkedQueue<>();
+    final LinkedQueue<ConnectionPermit> idle = new LinkedQueue<>(); // to upstreams
+    final FrequencyList<Peer> held = new FrequencyList<>();
+    final FrequencyList<Peer> silentOf = new FrequencyList<>();
+    final FrequencyList<Peer> restingOf = new FrequencyList<>();
     private final Map<Object, Peer> peers = new HashMap<>();
-    private final Line<Peer> former = new Line<>(); // hold nothing, the longest ago first
+    private final LinkedQueue<Peer> former = new LinkedQueue<>(); // hold nothing, the longest ago first
     private int clients;
     private int upstreams;
     private int clientsBusy;
     private int upstreamsBusy;
 
-    int open(Side side) {
-        return side == Side.CLIENT ? clients : upstreams;
+    int open(Direction side) {
+        return side == Direction.CLIENT ? clients : upstreams;
     }
 
-    int busy(Side side) {
-        return side == Side.CLIENT ? clientsBusy : upstreamsBusy;
+    int busy(Direction side) {
+        return side == Direction.CLIENT ? clientsBusy : upstreamsBusy;
     }
 
     /** How many of the clients' connections are at rest. */
@@ -47,30 +47,30 @@
         return peers.size();
     }
 
-    Lease client(Object address, int units, Lease.Holder holder, long now) {
+    ConnectionPermit client(Object address, int units, ConnectionPermit.Holder holder, long now) {
         Peer peer = peers.computeIfAbsent(address, a -> new Peer(a, now));
-        Lease lease = new Lease(Side.CLIENT, peer, units, holder, now);
+        ConnectionPermit lease = new ConnectionPermit(Direction.CLIENT, peer, units, holder, now);
         clients += units;
         held.up(peer.held);
         peer.former.leave();
-        enter(lease, Lease.State.NEW, now);
+        enter(lease, ConnectionPermit.State.NEW, now);
         return lease;
     }
 
-    Lease upstream(Lease.Holder holder, long now) {
-        Lease lease = new Lease(Side.UPSTREAM, null, 1, holder, now);
+    ConnectionPermit upstream(ConnectionPermit.Holder holder, long now) {
+        ConnectionPermit lease = new ConnectionPermit(Direction.UPSTREAM, null, 1, holder, now);
         upstreams++;
-        enter(lease, Lease.State.BUSY, now);
+        enter(lease, ConnectionPermit.State.BUSY, now);
         return lease;
     }
 
     /** Takes a connection out of all counts; false if it is out already. */
-    boolean gone(Lease lease, long now) {
-        if (lease.state == Lease.State.GONE) {
+    boolean gone(ConnectionPermit lease, long now) {
+        if (lease.state == ConnectionPermit.State.GONE) {
             return false;
         }
-        enter(lease, Lease.State.GONE, now);
-        if (lease.side == Side.CLIENT) {
+        enter(lease, ConnectionPermit.State.GONE, now);
+        if (lease.side == Direction.CLIENT) {
             clients -= lease.units;
             held.down(lease.peer.held);
             if (lease.peer.held.value() == 0) {
@@ -93,12 +93,12 @@
     }
 
     /** Changes what a connection is at; throws IllegalStateException for one that is gone. */
-    void enter(Lease lease, Lease.State state, long now) {
-        Lease.State from = lease.state;
+    void enter(ConnectionPermit lease, ConnectionPermit.State state, long now) {
+        ConnectionPermit.State from = lease.state;
         if (from == state) {
             return;
         }
-        if (from == Lease.State.GONE) {
+        if (from == ConnectionPermit.State.GONE) {
             throw new IllegalStateException(state + " after its end");
         }
         leave(lease);
@@ -114,10 +114,10 @@
                 silentOf.up(lease.peer.silentCount);
             }
             case RESTING -> {
-                if (lease.side == Side.CLIENT && lease.proven()) {
+                if (lease.side == Direction.CLIENT && lease.proven()) {
                     proven.join(lease.place);
                     hoped.join(lease.hopePlace);
-                } else if (lease.side == Side.CLIENT) {
+                } else if (lease.side == Direction.CLIENT) {
                     resting.join(lease.place);
                     hoped.join(lease.hopePlace);
                     lease.peer.resting.join(lease.peerPlace);
@@ -132,22 +132,22 @@
         }
     }
 
-    private void leave(Lease lease) {
+    private void leave(ConnectionPermit lease) {
         boolean counted = lease.peerPlace.placed();
         lease.place.leave();
         lease.peerPlace.leave();
         lease.hopePlace.leave();
-        if (lease.state == Lease.State.BUSY) {
+        if (lease.state == ConnectionPermit.State.BUSY) {
             busy(lease, -1);
-        } else if (lease.state == Lease.State.SILENT) {
+        } else if (lease.state == ConnectionPermit.State.SILENT) {
             silentOf.down(lease.peer.silentCount);
-        } else if (lease.state == Lease.State.RESTING && counted) {
+        } else if (lease.state == ConnectionPermit.State.RESTING && counted) {
             restingOf.down(lease.peer.restingCount);
         }
     }
 
-    private void busy(Lease lease, int change) {
-        if (lease.side == Side.CLIENT) {
+    private void busy(ConnectionPermit lease, int change) {
+        if (lease.side == Direction.CLIENT) {
             clientsBusy += change;
         } else {
             upstreamsBusy += change;
--- a/src/main/java/loadbalancer/connections/Need.java
+++ b/src/main/java/loadbalancer/connections/DecayingPeak.java
@@ -1,13 +1,13 @@
 package loadbalancer.connections;
 
 /** The most that was in use lately: it rises at once and fades towards what is in use now. Times in ns. */
-final class Need {
+final class DecayingPeak {
     private static final double FADE = 15e9; // ns in which the distance falls e times
     private double peak;
     private int present;
     private long at;
 
-    Need(long now) {
+    DecayingPeak(long now) {
         this.at = now;
     }
 
--- a/src/main/java/loadbalancer/connections/Ladder.java
+++ b/src/main/java/loadbalancer/connections/FrequencyList.java
@@ -7,10 +7,10 @@
  * that came to it first is the highest. Invariants: counts fall strictly from rung to rung, no rung is empty,
  * and an item with count 0 stands on none. For one thread.
  */
-final class Ladder<T> {
+final class FrequencyList<T> {
     /** An item's count. */
     static final class Count<T> {
-        private final Line.Place<Count<T>> place = new Line.Place<>(this);
+        private final LinkedQueue.Place<Count<T>> place = new LinkedQueue.Place<>(this);
         private final T item;
         private Rung<T> rung;
 
@@ -25,7 +25,7 @@
 
     private static final class Rung<T> {
         final int value;
-        final Line<Count<T>> line = new Line<>();
+        final LinkedQueue<Count<T>> line = new LinkedQueue<>();
         Rung<T> above;
         Rung<T> below;
 
--- a/src/main/java/loadbalancer/connections/IdleRest.java
+++ b/src/main/java/loadbalancer/connections/IdleTimeout.java
@@ -6,7 +6,7 @@
  * holds few, and those of 14 balancers that nobody uses keep out the requests of the others. Decides only:
  * no clock, no socket. Immutable. Times are in µs.
  */
-public final class IdleRest {
+public final class IdleTimeout {
     private static final double SHARE = 0.5; // of the time after which upstreams close an idle one
     private static final long MOST = 6_000_000;
     private static final long SPARE = 500_000;
@@ -16,18 +16,18 @@
     private final long settles;
 
     /** {@code closedAfter}: when upstreams close an idle connection themselves, 0 where that isn't known. */
-    public IdleRest(long closedAfter) {
+    public IdleTimeout(long closedAfter) {
         this(closedAfter, SETTLES);
     }
 
-    private IdleRest(long closedAfter, long settles) {
+    private IdleTimeout(long closedAfter, long settles) {
         most = closedAfter > 0 ? (long) Math.min(MOST, closedAfter * SHARE) : MOST;
         this.settles = Math.min(settles, most / 4);
     }
 
     /** The same where the other side is known to answer once, as a rehearsal's own is. */
-    public static IdleRest trusting(long closedAfter) {
-        return new IdleRest(closedAfter, 0);
+    public static IdleTimeout trusting(long closedAfter) {
+        return new IdleTimeout(closedAfter, 0);
     }
 
     /**
--- a/src/main/java/loadbalancer/connections/Line.java
+++ b/src/main/java/loadbalancer/connections/LinkedQueue.java
@@ -5,11 +5,11 @@
  * Invariants: {@code first} has no one before it, {@code last} no one behind it, and a place is in one line
  * at most. For one thread.
  */
-final class Line<T> {
+final class LinkedQueue<T> {
     /** An item's place in a line; an item that stands in two lines has two. */
     static final class Place<T> {
         final T item;
-        private Line<T> line;
+        private LinkedQueue<T> line;
         private Place<T> before;
         private Place<T> behind;
 
--- a/src/main/java/loadbalancer/connections/Peer.java
+++ b/src/main/java/loadbalancer/connections/Peer.java
@@ -4,16 +4,16 @@
 final class Peer {
     private static final double REMEMBERED = 32;
     final Object address;
-    final Ladder.Count<Peer> held = new Ladder.Count<>(this);
-    final Ladder.Count<Peer> silentCount = new Ladder.Count<>(this);
-    final Ladder.Count<Peer> restingCount = new Ladder.Count<>(this);
-    final Line<Lease> silent = new Line<>();
-    final Line<Lease> resting = new Line<>();
-    final Line.Place<Peer> former = new Line.Place<>(this);
-    final Reuse reuse;
+    final FrequencyList.Count<Peer> held = new FrequencyList.Count<>(this);
+    final FrequencyList.Count<Peer> silentCount = new FrequencyList.Count<>(this);
+    final FrequencyList.Count<Peer> restingCount = new FrequencyList.Count<>(this);
+    final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>();
+    final LinkedQueue<ConnectionPermit> resting = new LinkedQueue<>();
+    final LinkedQueue.Place<Peer> former = new LinkedQueue.Place<>(this);
+    final ReuseEstimator reuse;
 
     Peer(Object address, long now) {
         this.address = address;
-        this.reuse = new Reuse(REMEMBERED, now);
+        this.reuse = new ReuseEstimator(REMEMBERED, now);
     }
 }
--- a/src/main/java/loadbalancer/connections/Reuse.java
+++ b/src/main/java/loadbalancer/connections/ReuseEstimator.java
@@ -5,7 +5,7 @@
  * not knowing. Without the fading an estimate of 0 would stay: no connection is kept then, and nothing more
  * is seen. For one thread; times in ns.
  */
-final class Reuse {
+final class ReuseEstimator {
     /** What is assumed where nothing has been seen. */
     static final double UNKNOWN = 0.5;
 
@@ -15,7 +15,7 @@
     private double used;
     private long at;
 
-    Reuse(double most, long now) {
+    ReuseEstimator(double most, long now) {
         this.most = most;
         this.at = now;
     }
--- a/src/main/java/loadbalancer/discovery/Discovery.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -28,19 +28,19 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.Policy;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.SettingsReader;
-import loadbalancer.eventloop.SocketsFirst;
+import loadbalancer.eventloop.ReadBeforeTimers;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.ListKind;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Membership;
-import loadbalancer.proxy.Targets;
+import loadbalancer.proxy.EndpointSource;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
  * where lists are pushed, always.
  */
-public final class Discovery implements Membership {
+public final class DiscoveryClient implements EndpointSource {
     private static final int LINE_MOST = 4 << 20;
     private static final int CONNECT_MS = 2_000;
     private static final int UNANSWERED_MOST = 3; // watches at once, where the next is begun beside
@@ -52,7 +52,7 @@
          *
          * @param toldFor µs for which it may have counted as told
          */
-        void list(ListKind kind, Targets targets, long toldFor);
+        void list(ListKind kind, EndpointUpdate targets, long toldFor);
     }
 
     private final EventLoop loop;
@@ -62,13 +62,13 @@
     private final News news;
     private final Consumer<String> log;
     private final boolean pushed;
-    private final Versions versions;
-    private final Silence silence;
+    private final VersionTracker versions;
+    private final WatchTimeout silence;
     private Call watch; // the newest
     private boolean wanted; // a watch, whether one is open or not
 
     /** {@code rev}: the version of the list that is in use. */
-    public Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             SettingsReader.Boot boot,
@@ -78,12 +78,12 @@
         this.loop = loop;
         this.address = address;
         this.boot = boot;
-        this.versions = new Versions(rev);
+        this.versions = new VersionTracker(rev);
         this.news = news;
         this.log = log;
         this.pushed = boot.settings().discovery() == Policy.Discovery.PUSH;
         Policy.Settings settings = boot.settings();
-        this.silence = new Silence(pushed, settings.rank(), settings.balancers());
+        this.silence = new WatchTimeout(pushed, settings.rank(), settings.balancers());
     }
 
     /** Begins to watch unasked where lists are pushed. */
@@ -157,7 +157,7 @@
         private final long asked = versions.inUse();
         private final long begun = millis();
         private long heardAt = begun;
-        private SocketsFirst.Handle patience;
+        private ReadBeforeTimers.Handle patience;
         private boolean answered; // the module has had what its call was for
         private boolean over;
 
@@ -177,7 +177,12 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel ch) {
-                            ch.pipeline().addLast(new HttpClientCodec(), new Bodies(), new Lists(LINE_MOST), Call.this);
+                            ch.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new Bodies(),
+                                            new EndpointListDecoder(LINE_MOST),
+                                            Call.this);
                         }
                     })
                     .connect(address);
@@ -212,7 +217,7 @@
                 patience.cancel();
             }
             // What was said while this process stood still lies in the socket: it is read first.
-            patience = SocketsFirst.after(loop, silence.most(answered), TimeUnit.MILLISECONDS, this::silent);
+            patience = ReadBeforeTimers.after(loop, silence.most(answered), TimeUnit.MILLISECONDS, this::silent);
         }
 
         private void silent() {
@@ -220,7 +225,7 @@
                 return;
             }
             if (watching && !answered && silence.patient(millis() - begun)) {
-                patience = SocketsFirst.after(loop, silence.most(false), TimeUnit.MILLISECONDS, this::silent);
+                patience = ReadBeforeTimers.after(loop, silence.most(false), TimeUnit.MILLISECONDS, this::silent);
                 if (watch == this) {
                     watchBeside();
                 }
@@ -236,15 +241,15 @@
                 return;
             }
             heard();
-            Targets targets;
+            EndpointUpdate targets;
             if (text.isEmpty()) {
                 if (answered || !watching) {
                     return; // nothing has changed
                 }
-                targets = new Targets(versions.inUse(), false, List.of());
+                targets = new EndpointUpdate(versions.inUse(), false, List.of());
             } else {
                 try {
-                    targets = TargetsReader.parse(text, boot);
+                    targets = EndpointUpdateReader.parse(text, boot);
                 } catch (IllegalArgumentException e) {
                     // A change may be lost with it: the next watch, from the last good version, brings it.
                     log.accept("discovery sent a list that can't be read: " + e.getMessage());
@@ -252,8 +257,8 @@
                     return;
                 }
             }
-            Versions.Verdict verdict = versions.judge(targets.rev(), targets.all(), asked, !answered);
-            if (verdict == Versions.Verdict.CONFUSED) {
+            VersionTracker.Verdict verdict = versions.judge(targets.rev(), targets.all(), asked, !answered);
+            if (verdict == VersionTracker.Verdict.CONFUSED) {
                 if (watch != this) { // one is under way that will say it
                     ended(false);
                     return;
@@ -273,8 +278,8 @@
                 watches().stream().filter(c -> c != this).forEach(Call::drop);
                 toldFor = silence.toldFor(heardAt) * 1000;
             }
-            if (verdict == Versions.Verdict.OLD) { // the call has done what it was for; nothing is undone
-                targets = new Targets(versions.inUse(), false, List.of());
+            if (verdict == VersionTracker.Verdict.OLD) { // the call has done what it was for; nothing is undone
+                targets = new EndpointUpdate(versions.inUse(), false, List.of());
             }
             news.list(targets.all() ? ListKind.COMPLETE : ListKind.PARTIAL, targets, toldFor);
             if (!watching) {
@@ -302,8 +307,8 @@
             if (watching && answered) {
                 silence.broke(millis(), heardAt, silent);
             }
-            long pause = watching ? silence.next(millis(), answered, silent) : Silence.TELL;
-            if (pause != Silence.TELL) {
+            long pause = watching ? silence.next(millis(), answered, silent) : WatchTimeout.TELL;
+            if (pause != WatchTimeout.TELL) {
                 restart(pause);
             } else if (!pushed) {
                 news.list(ListKind.FAILED, null, 0);
--- a/src/main/java/loadbalancer/discovery/Lists.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
@@ -19,13 +19,13 @@
  * a value shows nothing. What is no value, or breaks off, ends in an exception as soon as a line of it shows
  * that: the changes behind it would be taken for parts of it.
  */
-final class Lists extends JsonObjectDecoder {
+final class EndpointListDecoder extends JsonObjectDecoder {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private JsonParser check; // of a value that is spread over lines
     private int checked; // bytes of it
 
-    Lists(int most) {
+    EndpointListDecoder(int most) {
         super(most);
     }
 
--- a/src/main/java/loadbalancer/discovery/TargetsReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
@@ -8,18 +8,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Targets;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.settings.SettingsReader;
 
 /** Reads lists of upstreams in the form of the platform's discovery. */
-public final class TargetsReader {
+public final class EndpointUpdateReader {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private TargetsReader() {}
+    private EndpointUpdateReader() {}
 
-    public static Targets parse(String json, SettingsReader.Boot boot) {
+    public static EndpointUpdate parse(String json, SettingsReader.Boot boot) {
         try (JsonParser parser = FACTORY.createParser(json)) {
             Object value = JSON.std.anyFrom(parser);
             if (parser.nextToken() != null) {
@@ -32,11 +32,11 @@
     }
 
     /** Throws IllegalArgumentException where it isn't such a list. */
-    public static Targets of(Object json, SettingsReader.Boot boot) {
+    public static EndpointUpdate of(Object json, SettingsReader.Boot boot) {
         if (!(json instanceof Map<?, ?> map) || !(map.get("targets") instanceof List<?> entries)) {
             throw new IllegalArgumentException("no list of targets");
         }
-        List<Targets.Target> list = new ArrayList<>();
+        List<EndpointUpdate.Endpoint> list = new ArrayList<>();
         for (Object entry : entries) {
             if (!(entry instanceof Map<?, ?> e) || !(e.get("uid") instanceof String uid) || uid.isEmpty()) {
                 throw new IllegalArgumentException("a target without uid");
@@ -52,7 +52,7 @@
                     : Addresses.parse(String.valueOf(e.get("endpoint")));
             double weight = number(e.get("capacity_hint"), 1);
             long startedAt = (long) (number(e.get("boot_ms"), 0) * 1000);
-            list.add(new Targets.Target(
+            list.add(new EndpointUpdate.Endpoint(
                     new Policy.Server(
                             uid,
                             state,
@@ -64,7 +64,8 @@
                     endpoint,
                     e.get("http3") instanceof String at ? Addresses.parse(at) : null));
         }
-        return new Targets((long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
+        return new EndpointUpdate(
+                (long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
     }
 
     private static double number(Object value, double otherwise) {
--- a/src/main/java/loadbalancer/discovery/StaticList.java
+++ b/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
@@ -1,16 +1,16 @@
 package loadbalancer.discovery;
 
 import java.util.function.BiConsumer;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.proxy.Membership;
-import loadbalancer.proxy.Targets;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.proxy.EndpointSource;
+import loadbalancer.proxy.EndpointUpdate;
 
 /** A list that stands in the configuration, as a source of upstreams. Does no I/O; runs on the event loop. */
-public final class StaticList implements Membership {
-    private final BiConsumer<ListKind, Targets> news;
-    private Targets list;
+public final class StaticEndpointSource implements EndpointSource {
+    private final BiConsumer<ListKind, EndpointUpdate> news;
+    private EndpointUpdate list;
 
-    public StaticList(Targets list, BiConsumer<ListKind, Targets> news) {
+    public StaticEndpointSource(EndpointUpdate list, BiConsumer<ListKind, EndpointUpdate> news) {
         this.list = list;
         this.news = news;
     }
@@ -21,9 +21,9 @@
     }
 
     /** Another list in its place: what it no longer names is drained, by the rules for any list. */
-    public void replace(Targets other) {
+    public void replace(EndpointUpdate other) {
         if (!other.list().equals(list.list())) {
-            list = new Targets(list.rev() + 1, true, other.list());
+            list = new EndpointUpdate(list.rev() + 1, true, other.list());
             news.accept(ListKind.COMPLETE, list);
         }
     }
--- a/src/main/java/loadbalancer/discovery/Versions.java
+++ b/src/main/java/loadbalancer/discovery/VersionTracker.java
@@ -6,7 +6,7 @@
  * A discovery that has lost its memory counts from the beginning again, and has to be believed. Decides
  * without I/O; for one thread.
  */
-final class Versions {
+final class VersionTracker {
     /** What is to be done with a list. */
     enum Verdict {
         /** It is news, or as good as what is in use. */
@@ -19,7 +19,7 @@
 
     private long rev;
 
-    Versions(long rev) {
+    VersionTracker(long rev) {
         this.rev = rev;
     }
 
--- a/src/main/java/loadbalancer/discovery/Silence.java
+++ b/src/main/java/loadbalancer/discovery/WatchTimeout.java
@@ -6,7 +6,7 @@
  * arrived or not; where lists are pushed an agent on this machine answers at once, and what it has counts as
  * told whether a watch is open or not. Decides without I/O; times in ms of one clock.
  */
-final class Silence {
+final class WatchTimeout {
     // Two lines are missing. The new watch has the rest of the 6 s to bring what the old one missed.
     private static final long MISSING = 4_500;
     private static final long UNANSWERED = 5_000; // a call that waits its turn at a discovery that is asked
@@ -31,7 +31,7 @@
      * @param rank its balancer's number among {@code balancers}, from 0: where one discovery is asked by all
      *     and falls silent for all, they take turns
      */
-    Silence(boolean pushed, int rank, int balancers) {
+    WatchTimeout(boolean pushed, int rank, int balancers) {
         this.pushed = pushed;
         this.turn = pushed ? 0 : SPREAD * rank / balancers;
     }
--- a/src/main/java/loadbalancer/downstream/http1/Client.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -23,18 +23,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.connections.Lease;
-import loadbalancer.http1.Sink;
-import loadbalancer.proxy.Answer;
+import loadbalancer.connections.ConnectionPermit;
+import loadbalancer.http1.BodyWriter;
+import loadbalancer.proxy.BodyStream;
 import loadbalancer.proxy.Invariants.Violation;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Stream;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.UpstreamResponse;
 
 /**
  * One connection of a client: its requests one after the other, each one's answer in turn, and how long it
  * may take over anything.
  */
-final class Client extends ChannelInboundHandlerAdapter implements Intake.Taker {
+final class Http1ClientConnection extends ChannelInboundHandlerAdapter implements RequestAggregator.Taker {
     // A client is owed an error or a close within 3 s: the look at all clients comes on top of this. How long
     // one may be silent or at rest, and linger after its last answer, is the budget's.
     private static final long HEAD = TimeUnit.MILLISECONDS.toNanos(2_400); // a head
@@ -47,22 +47,22 @@
     private static final int AHEAD_MOST = 16; // requests that may be sent ahead
     private static final int KEPT_MOST = 64 * 1024; // bytes that are kept behind them
 
-    private record Taken(HttpRequest head, byte[] body, Stream rest, long length) {}
+    private record Taken(HttpRequest head, byte[] body, BodyStream rest, long length) {}
 
-    private final ClientServer server;
+    private final Http1Listener server;
     private final Channel channel;
-    private final Intake intake;
+    private final RequestAggregator intake;
     private final RequestDecoder decoder = new RequestDecoder();
-    private final Gate gate =
-            new Gate(KEPT_MOST, () -> bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead"));
+    private final PipeliningLimiter gate =
+            new PipeliningLimiter(KEPT_MOST, () -> bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead"));
     private final ArrayDeque<Taken> ahead = new ArrayDeque<>();
-    private RequestRules.Problem problem; // the last answer to give, when its turn comes
+    private RequestFraming.Problem problem; // the last answer to give, when its turn comes
     private Runnable gone; // set while the module owes an answer here
     private int charged; // bytes of the request that is being answered
     private boolean serving; // a request is being answered
     private boolean receiving; // part of a request has come in
     private boolean headed; // its head has
-    private Stream upload; // of the request that is served, if it is long
+    private BodyStream upload; // of the request that is served, if it is long
     private Outflow outflow; // of a long answer, until its last byte
     private long moved; // of long bodies: bytes when last looked at
     private long movedAt;
@@ -70,21 +70,21 @@
     private boolean ending; // the last answer has been written
     private int unwritten; // answers that have not left whole
     private long since = System.nanoTime(); // the beginning of the receipt
-    private final Lease lease; // what it has of the budget
+    private final ConnectionPermit lease; // what it has of the budget
     private long unreadSince; // 0: answers leave
     private String closeReason = "peer";
     private long reads; // so far
     private boolean reading; // within one
 
-    Client(ClientServer server, Channel channel) {
+    Http1ClientConnection(Http1Listener server, Channel channel) {
         this.server = server;
         this.channel = channel;
-        this.intake = new Intake(this, server.room(), server.early());
+        this.intake = new RequestAggregator(this, server.room(), server.early());
         this.lease = server.leaseFor(this, channel);
         channel.pipeline().addLast(new Mark(), gate, decoder, new HttpResponseEncoder(), intake, this);
     }
 
-    Lease lease() {
+    ConnectionPermit lease() {
         return lease;
     }
 
@@ -192,7 +192,7 @@
         letGo(unserved.rest());
     }
 
-    private static void letGo(Stream unwanted) {
+    private static void letGo(BodyStream unwanted) {
         if (unwanted != null && !unwanted.started()) {
             unwanted.drop();
         }
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public void flowing(HttpRequest head, byte[] first, Stream rest, long length) {
+    public void flowing(HttpRequest head, byte[] first, BodyStream rest, long length) {
         movedAt = System.nanoTime();
         come(new Taken(head, first, rest, length));
     }
@@ -313,7 +313,7 @@
     private void readNoMore(HttpResponseStatus status, String why) {
         intake.drop();
         gate.drop();
-        problem = new RequestRules.Problem(status, why);
+        problem = new RequestFraming.Problem(status, why);
         channel.pipeline().replace(decoder, null, new Drain());
     }
 
@@ -354,7 +354,7 @@
     /** Writes the answer to the request that is being served; one that can't be kept open ends it. */
     void write(HttpResponseStatus status, ByteBuf body, String type, String header, String value, boolean keep) {
         gone = null;
-        linger = intake.flows() ? Order.LENGTH_MOST : LINGER_BYTES; // it may write all before it reads
+        linger = intake.flows() ? ProxyRequest.LENGTH_MOST : LINGER_BYTES; // it may write all before it reads
         letGo();
         boolean more = receiving || problem != null || decoder.holdsMore();
         boolean stay =
@@ -375,7 +375,7 @@
         }
         if (!stay && problem == null) {
             // In this state already while it is written: what had been read behind it is not looked at.
-            problem = new RequestRules.Problem(status, "over");
+            problem = new RequestFraming.Problem(status, "over");
             intake.drop();
             gate.drop();
             channel.pipeline().replace(decoder, null, new Drain());
@@ -402,7 +402,7 @@
     }
 
     /** Begins a long answer: its head and what is there of it; the rest follows as the client takes it. */
-    void pass(Answer answer, boolean keep, boolean old) {
+    void pass(UpstreamResponse answer, boolean keep, boolean old) {
         gone = null;
         letGo();
         boolean framed = answer.length() >= 0 || !old; // HTTP/1.0 knows no chunks: RFC 9112, 6.1
@@ -426,12 +426,12 @@
     }
 
     /** A long answer on its way to the client. */
-    private final class Outflow implements Stream.Taker {
-        private final Stream rest;
+    private final class Outflow implements BodyStream.Taker {
+        private final BodyStream rest;
         private final boolean wanted;
-        private final Sink sink = new Sink(channel);
+        private final BodyWriter sink = new BodyWriter(channel);
 
-        Outflow(Stream rest, boolean wanted) {
+        Outflow(BodyStream rest, boolean wanted) {
             this.rest = rest;
             this.wanted = wanted;
         }
@@ -453,7 +453,7 @@
             boolean more = receiving || problem != null || decoder.holdsMore();
             boolean stay = server.budget().answered(lease, wanted, more, System.nanoTime());
             if (!stay && problem == null) {
-                problem = new RequestRules.Problem(HttpResponseStatus.OK, "over");
+                problem = new RequestFraming.Problem(HttpResponseStatus.OK, "over");
                 intake.drop();
                 gate.drop();
                 channel.pipeline().replace(decoder, null, new Drain());
--- a/src/main/java/loadbalancer/downstream/http1/ClientServer.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -26,27 +26,27 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.SettingsReader;
-import loadbalancer.connections.Budget;
-import loadbalancer.connections.Lease;
-import loadbalancer.connections.Side;
-import loadbalancer.eventloop.SocketsFirst;
-import loadbalancer.http1.Http1Fields;
-import loadbalancer.lifecycle.LastCall;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.connections.ConnectionPermit;
+import loadbalancer.connections.Direction;
+import loadbalancer.eventloop.ReadBeforeTimers;
+import loadbalancer.http1.Http1HeaderFields;
 import loadbalancer.lifecycle.LifeCycle;
-import loadbalancer.proxy.Answer;
+import loadbalancer.lifecycle.ShutdownDrain;
+import loadbalancer.proxy.BodyMemoryBudget;
+import loadbalancer.proxy.BodyStream;
 import loadbalancer.proxy.Dispatcher;
-import loadbalancer.proxy.Drill;
 import loadbalancer.proxy.Invariants.Violation;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.OrderRules;
-import loadbalancer.proxy.Reply;
+import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.proxy.RequestLog.Event;
-import loadbalancer.proxy.Room;
-import loadbalancer.proxy.Stream;
+import loadbalancer.proxy.RequestValidator;
+import loadbalancer.proxy.ResponseWriter;
+import loadbalancer.proxy.UpstreamResponse;
+import loadbalancer.proxy.WarmUpRequests;
+import loadbalancer.settings.SettingsReader;
 
 /** The side to the clients: takes connections, hands requests over, and words each one's final answer. */
-public final class ClientServer {
+public final class Http1Listener {
     private static final int BACKLOG = 1024;
     private static final int ACCEPTS = 16; // in one pass over the sockets, as Netty does
     private static final long LOOK_MS = 200; // between looks at what takes too long
@@ -61,11 +61,11 @@
     private final EventLoop loop;
     private SettingsReader.Boot boot;
     private final Dispatcher dispatcher;
-    private final Budget budget;
+    private final ConnectionBudget budget;
     private final Consumer<String> log;
-    private final Room room;
-    private final Room early = new Room(EARLY);
-    private final Set<Client> clients = new LinkedHashSet<>(); // the oldest first
+    private final BodyMemoryBudget room;
+    private final BodyMemoryBudget early = new BodyMemoryBudget(EARLY);
+    private final Set<Http1ClientConnection> clients = new LinkedHashSet<>(); // the oldest first
     private final LifeCycle life;
     private Channel listener;
     private boolean shared; // the listener is not this process's own
@@ -78,15 +78,15 @@
     private boolean again; // room will be looked for again soon
     private long comers; // connections so far
     private long reads; // times that bytes of theirs were read, so far
-    private Drill rehearsal; // while it is on
+    private WarmUpRequests rehearsal; // while it is on
     private String elsewhere; // another protocol at which clients may ask, if any
 
-    public ClientServer(
+    public Http1Listener(
             EventLoop loop,
             SettingsReader.Boot boot,
             Dispatcher dispatcher,
-            Budget budget,
-            Room room,
+            ConnectionBudget budget,
+            BodyMemoryBudget room,
             LifeCycle life,
             Consumer<String> log) {
         this.room = room;
@@ -133,7 +133,7 @@
                     });
             Channel bound =
                     (shared ? bootstrap.register() : bootstrap.bind(at)).sync().channel();
-            SocketsFirst.every(loop, LOOK_MS, TimeUnit.MILLISECONDS, this::look);
+            ReadBeforeTimers.every(loop, LOOK_MS, TimeUnit.MILLISECONDS, this::look);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -157,7 +157,7 @@
     }
 
     /** Serves a rehearsal's requests as well; null when it is over. */
-    public void rehearse(Drill with) {
+    public void rehearse(WarmUpRequests with) {
         rehearsal = with;
     }
 
@@ -179,14 +179,14 @@
         if (most == Long.MAX_VALUE || winding) {
             return;
         }
-        List<Client> over = clients.stream()
+        List<Http1ClientConnection> over = clients.stream()
                 .filter(c -> c.lease().atRest() && c.lease().since(now) >= most)
                 .limit(CLOSES)
                 .toList();
-        over.forEach(Client::close);
+        over.forEach(Http1ClientConnection::close);
         if (over.size() == CLOSES) {
             winding = true;
-            SocketsFirst.after(loop, 1, TimeUnit.MILLISECONDS, () -> {
+            ReadBeforeTimers.after(loop, 1, TimeUnit.MILLISECONDS, () -> {
                 winding = false;
                 wind();
             });
@@ -206,15 +206,15 @@
         return life.keeps();
     }
 
-    Budget budget() {
+    ConnectionBudget budget() {
         return budget;
     }
 
-    Room room() {
+    BodyMemoryBudget room() {
         return room;
     }
 
-    Room early() {
+    BodyMemoryBudget early() {
         return early;
     }
 
@@ -229,7 +229,7 @@
 
     /** Whether a long answer is on its way. */
     public boolean passes() {
-        return clients.stream().anyMatch(Client::passes);
+        return clients.stream().anyMatch(Http1ClientConnection::passes);
     }
 
     void violated(Violation what, String subject) {
@@ -241,16 +241,16 @@
     }
 
     /** How the connections stand, for a balancer that is to end and owes so many answers. */
-    public LastCall.Sight sight(int owed) {
+    public ShutdownDrain.Observation sight(int owed) {
         int halves = 0;
         int resting = 0;
         int unsent = 0;
-        for (Client client : clients) {
+        for (Http1ClientConnection client : clients) {
             halves += client.isHalf() ? 1 : 0;
             resting += client.lease().atRest() ? 1 : 0;
             unsent += client.isUnsent() ? 1 : 0;
         }
-        return new LastCall.Sight(comers, reads, owed, halves, resting, unsent);
+        return new ShutdownDrain.Observation(comers, reads, owed, halves, resting, unsent);
     }
 
     /** How many connections clients hold here. */
@@ -261,7 +261,7 @@
     // ---------------------------------------------------------------- connections
 
     private void opened(Channel channel) {
-        Client client = new Client(this, channel);
+        Http1ClientConnection client = new Http1ClientConnection(this, channel);
         clients.add(client);
         comers++;
         strangers++;
@@ -277,9 +277,9 @@
         makeRoom();
     }
 
-    Lease leaseFor(Client client, Channel channel) {
+    ConnectionPermit leaseFor(Http1ClientConnection client, Channel channel) {
         Object address = channel.remoteAddress() instanceof InetSocketAddress from
-                ? Budget.address(from.getAddress().getAddress())
+                ? ConnectionBudget.address(from.getAddress().getAddress())
                 : "gone";
         return budget.client(address, 1, client::close, System.nanoTime());
     }
@@ -300,7 +300,7 @@
         if (makingRoom || waking) {
             return; // what it closes tells of its end here
         }
-        if (dispatcher.mayLieUnread() && !budget.admits(Side.CLIENT, System.nanoTime())) {
+        if (dispatcher.mayLieUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
             // Of those that seem to rest some hold a request that has not been read.
             waking = true;
             accept(false, "unread news");
@@ -311,7 +311,7 @@
             return;
         }
         makingRoom = true;
-        boolean room = budget.makeRoom(Side.CLIENT, System.nanoTime());
+        boolean room = budget.makeRoom(Direction.CLIENT, System.nanoTime());
         makingRoom = false;
         budget.waiting(!room);
         if (listener.isOpen()) {
@@ -338,7 +338,7 @@
         public boolean mayAccept(int accepted) {
             return accepted == 0
                     || accepted < ACCEPTS
-                            && accepted < budget.room(Side.CLIENT, System.nanoTime())
+                            && accepted < budget.room(Direction.CLIENT, System.nanoTime())
                             && (rehearsal == null || strangers + accepted < STRANGERS);
         }
 
@@ -369,12 +369,12 @@
 
     // ---------------------------------------------------------------- requests
 
-    void serve(Client client, HttpRequest request, byte[] body, Stream rest, long length) {
+    void serve(Http1ClientConnection client, HttpRequest request, byte[] body, BodyStream rest, long length) {
         boolean keep = HttpUtil.isKeepAlive(request);
         String path = request.uri();
-        Http1Fields fields = new Http1Fields(request.headers());
+        Http1HeaderFields fields = new Http1HeaderFields(request.headers());
         boolean rehearsing = rehearsal != null && rehearsal.knows(fields);
-        if (rehearsing && path.equals(Drill.HOP)) {
+        if (rehearsing && path.equals(WarmUpRequests.HOP)) {
             boolean declined = rehearsal.declines();
             client.write(
                     declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
@@ -383,23 +383,23 @@
                     declined ? "Srv-Declined" : "Srv-Load",
                     declined ? "1" : "TEXT eps=0.1, latency_ms=14.5, inflight=2",
                     keep);
-        } else if (path.startsWith("/-/") && !(rehearsing && path.equals(Drill.PATH))) {
+        } else if (path.startsWith("/-/") && !(rehearsing && path.equals(WarmUpRequests.PATH))) {
             boolean asked = path.equals("/-/ready") && request.method().equals(HttpMethod.GET);
             HttpResponseStatus status = !asked
                     ? HttpResponseStatus.NOT_FOUND
                     : life.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
             client.plain(status, !asked ? "not found" : life.ready() ? "ready" : "not ready", keep);
         } else {
-            Order order;
+            ProxyRequest order;
             try {
-                order = OrderRules.order(request.method().name(), path, fields, body, boot)
+                order = RequestValidator.order(request.method().name(), path, fields, body, boot)
                         .passing(rest, length);
                 fields.endToEnd();
             } catch (IllegalArgumentException e) {
                 client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
                 return;
             }
-            Dispatcher to = path.equals(Drill.PATH) ? rehearsal.dispatcher() : dispatcher;
+            Dispatcher to = path.equals(WarmUpRequests.PATH) ? rehearsal.dispatcher() : dispatcher;
             if (to.holds(order.id())) {
                 // An upstream could not tell the two apart, and might answer one with the other's.
                 client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
@@ -407,7 +407,7 @@
             }
             OneAnswer answer =
                     new OneAnswer(client, keep, request.protocolVersion().equals(HttpVersion.HTTP_1_0));
-            Runnable leave = to.take(path.equals(Drill.PATH) ? order.to(Drill.HOP) : order, answer);
+            Runnable leave = to.take(path.equals(WarmUpRequests.PATH) ? order.to(WarmUpRequests.HOP) : order, answer);
             if (!answer.given) {
                 client.owed(leave);
             }
@@ -415,13 +415,13 @@
     }
 
     /** The final answer to one request; the dispatcher gives it once. */
-    private static final class OneAnswer implements Reply {
-        private final Client client;
+    private static final class OneAnswer implements ResponseWriter {
+        private final Http1ClientConnection client;
         private final boolean keep;
         private final boolean old; // HTTP/1.0
         private boolean given;
 
-        OneAnswer(Client client, boolean keep, boolean old) {
+        OneAnswer(Http1ClientConnection client, boolean keep, boolean old) {
             this.old = old;
             this.client = client;
             this.keep = keep;
@@ -440,7 +440,7 @@
         }
 
         @Override
-        public void serve(Answer answer) {
+        public void serve(UpstreamResponse answer) {
             given();
             if (answer.rest() != null) {
                 client.pass(answer, keep, old);
--- a/src/main/java/loadbalancer/downstream/http1/Gate.java
+++ b/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
@@ -11,7 +11,7 @@
  * with reading off its end was not seen either, and requests whose client had left were sent on. On the event
  * loop.
  */
-final class Gate extends ChannelInboundHandlerAdapter {
+final class PipeliningLimiter extends ChannelInboundHandlerAdapter {
     private final int most;
     private final Runnable full;
     private final ArrayDeque<Object> kept = new ArrayDeque<>();
@@ -20,7 +20,7 @@
     private boolean shut;
 
     /** {@code full} runs where more than {@code most} bytes would have to be kept. */
-    Gate(int most, Runnable full) {
+    PipeliningLimiter(int most, Runnable full) {
         this.most = most;
         this.full = full;
     }
--- a/src/main/java/loadbalancer/downstream/http1/Intake.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -14,16 +14,16 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.ArrayDeque;
 import java.util.Arrays;
-import loadbalancer.http1.Source;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Room;
-import loadbalancer.proxy.Stream;
+import loadbalancer.http1.BodyReader;
+import loadbalancer.proxy.BodyMemoryBudget;
+import loadbalancer.proxy.BodyStream;
+import loadbalancer.proxy.ProxyRequest;
 
 /**
  * Puts a client's requests together, each whole and copied off the socket's buffers. What is too long, or
  * framed in a way that others may read otherwise, is refused as soon as that shows, and none of it is kept.
  */
-final class Intake extends SimpleChannelInboundHandler<HttpObject> {
+final class RequestAggregator extends SimpleChannelInboundHandler<HttpObject> {
     /** Whom it tells. After {@link #bad} or {@link #cut} nothing more comes. */
     interface Taker {
         /** A head has come that can be read; its body is to follow. */
@@ -32,7 +32,7 @@
         void whole(HttpRequest head, byte[] body);
 
         /** A long one: {@code rest} follows behind {@code first}; {@code length}: of both, -1 if unknown. */
-        void flowing(HttpRequest head, byte[] first, Stream rest, long length);
+        void flowing(HttpRequest head, byte[] first, BodyStream rest, long length);
 
         void bad(HttpResponseStatus status, String why);
 
@@ -41,8 +41,8 @@
     }
 
     private final Taker taker;
-    private final Room room;
-    private final Room early;
+    private final BodyMemoryBudget room;
+    private final BodyMemoryBudget early;
     private HttpRequest head;
     private byte[] body;
     private int length;
@@ -50,7 +50,7 @@
     private Inflow inflow; // of a long body, until its last byte
 
     /** {@code early}: what long bodies may take that come in before anybody takes them. */
-    Intake(Taker taker, Room room, Room early) {
+    RequestAggregator(Taker taker, BodyMemoryBudget room, BodyMemoryBudget early) {
         this.taker = taker;
         this.room = room;
         this.early = early;
@@ -64,7 +64,7 @@
         if (!part.decoderResult().isSuccess()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (part instanceof HttpRequest request) {
-            RequestRules.Problem problem = RequestRules.framing(request);
+            RequestFraming.Problem problem = RequestFraming.framing(request);
             if (problem != null) {
                 refuse(problem.status(), problem.text());
                 return;
@@ -74,7 +74,7 @@
             length = 0;
             taker.begun(request);
             long told = HttpUtil.getContentLength(request, -1L);
-            if (!over && told > Order.BODY_MOST) {
+            if (!over && told > ProxyRequest.BODY_MOST) {
                 flow(context.channel(), told);
             }
         }
@@ -99,7 +99,7 @@
         if (bytes == 0) {
             return;
         }
-        if (length + bytes > Order.BODY_MOST) {
+        if (length + bytes > ProxyRequest.BODY_MOST) {
             flow(channel, -1);
             if (inflow != null) { // not refused at once
                 inflow.more(more, false);
@@ -114,7 +114,7 @@
             body = ByteBufUtil.getBytes(more);
         } else {
             if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(Order.BODY_MOST, 2 * (length + bytes)));
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
             }
             more.readBytes(body, length, bytes);
         }
@@ -146,7 +146,7 @@
      * the end of its connection was not seen either, and what waited for its attempt was sent on behind its
      * client.
      */
-    private final class Inflow extends Source {
+    private final class Inflow extends BodyReader {
         private final ArrayDeque<byte[]> held = new ArrayDeque<>();
         private int charged; // of what is held
         private boolean dropped;
@@ -181,7 +181,7 @@
 
         private void more(ByteBuf more, boolean last) {
             bytes += more.readableBytes();
-            if (bytes > Order.LENGTH_MOST) {
+            if (bytes > ProxyRequest.LENGTH_MOST) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
--- a/src/main/java/loadbalancer/downstream/http1/RequestRules.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
@@ -7,14 +7,14 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import loadbalancer.proxy.Order;
+import loadbalancer.proxy.ProxyRequest;
 
 /** What a request must be like for everybody to read the same end of it (RFC 9112, section 6). */
-final class RequestRules {
+final class RequestFraming {
     /** Why a request is not taken. */
     record Problem(HttpResponseStatus status, String text) {}
 
-    private RequestRules() {}
+    private RequestFraming() {}
 
     /** What is wrong with how a request says where it ends; null if nothing is. */
     static Problem framing(HttpRequest request) {
@@ -38,7 +38,7 @@
         if (length < 0) {
             return bad("bad Content-Length");
         }
-        if (length > Order.LENGTH_MOST) {
+        if (length > ProxyRequest.LENGTH_MOST) {
             return new Problem(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
--- a/src/main/java/loadbalancer/downstream/http3/RetryHandler.java
+++ b/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
@@ -6,15 +6,15 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
+import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.http3.RetryTokens;
-import loadbalancer.http3.Sessions;
 
-/** Asks newcomers to prove their address first where {@link Sessions} says so. On the event loop. */
-final class RetryHandler implements QuicTokenHandler {
-    private final Sessions sessions;
+/** Asks newcomers to prove their address first where {@link Http3ConnectionLimiter} says so. On the event loop. */
+final class AddressValidationHandler implements QuicTokenHandler {
+    private final Http3ConnectionLimiter sessions;
     private final RetryTokens tokens;
 
-    RetryHandler(Sessions sessions) {
+    AddressValidationHandler(Http3ConnectionLimiter sessions) {
         this.sessions = sessions;
         byte[] key = new byte[32];
         new SecureRandom().nextBytes(key);
--- a/src/main/java/loadbalancer/downstream/http3/Connection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
@@ -14,35 +14,35 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.connections.Budget;
-import loadbalancer.http3.ErrorCodes;
-import loadbalancer.http3.ResetGuard;
-import loadbalancer.http3.Sessions;
-import loadbalancer.http3.codec.Codes;
-import loadbalancer.http3.codec.Quiet;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.http3.Http3ConnectionLimiter;
+import loadbalancer.http3.Http3ErrorCodes;
+import loadbalancer.http3.RapidResetGuard;
+import loadbalancer.http3.codec.CodecErrors;
+import loadbalancer.http3.codec.UnhandledExceptionHandler;
 
 /** One connection of a client and its streams. On the event loop. */
-final class Connection extends ChannelInboundHandlerAdapter {
+final class Http3ClientConnection extends ChannelInboundHandlerAdapter {
     private static final long LAST = (1L << 62) - 4; // the greatest id of a client's stream
     private static final double BURST = 100; // streams ended by their client that are borne
     private static final double PER_SECOND = 20;
 
-    private final Http3Server server;
+    private final Http3Listener server;
     private final QuicChannel channel;
-    private final Sessions.Session session;
-    private final ResetGuard resets;
-    private final Set<RequestStream> streams = new LinkedHashSet<>();
+    private final Http3ConnectionLimiter.TrackedConnection session;
+    private final RapidResetGuard resets;
+    private final Set<Http3RequestStream> streams = new LinkedHashSet<>();
     private long next; // the least id that has not been seen
     private long refused = Long.MAX_VALUE; // streams from here on are rejected
     private boolean late;
     private boolean clientClosed;
 
-    Connection(Http3Server server, QuicChannel channel) {
+    Http3ClientConnection(Http3Listener server, QuicChannel channel) {
         this.server = server;
         this.channel = channel;
         long now = System.nanoTime();
-        resets = new ResetGuard(BURST, PER_SECOND, now);
-        session = server.sessions.open(address(channel), () -> end(ErrorCodes.EXCESSIVE_LOAD), now);
+        resets = new RapidResetGuard(BURST, PER_SECOND, now);
+        session = server.sessions.open(address(channel), () -> end(Http3ErrorCodes.EXCESSIVE_LOAD), now);
         if (session != null) {
             channel.pipeline()
                     .addLast(
@@ -56,23 +56,23 @@
                                     },
                                     null,
                                     null,
-                                    Codes.settings(),
+                                    CodecErrors.settings(),
                                     true),
-                            new Quiet());
+                            new UnhandledExceptionHandler());
         }
     }
 
     private static Object address(QuicChannel channel) {
         return channel.remoteSocketAddress() instanceof InetSocketAddress from
-                ? Budget.address(from.getAddress().getAddress())
+                ? ConnectionBudget.address(from.getAddress().getAddress())
                 : "unknown";
     }
 
-    Sessions.Session session() {
+    Http3ConnectionLimiter.TrackedConnection session() {
         return session;
     }
 
-    Http3Server server() {
+    Http3Listener server() {
         return server;
     }
 
@@ -91,7 +91,7 @@
         if (event instanceof QuicConnectionCloseEvent) {
             // Its streams close some round trips later, when the connection has drained (RFC 9000, 10.2.2).
             clientClosed = true;
-            List.copyOf(streams).forEach(RequestStream::clientClosed);
+            List.copyOf(streams).forEach(Http3RequestStream::clientClosed);
         }
         if (late && event instanceof SslHandshakeCompletionEvent) {
             goAway(server.isClosing() ? 0 : LAST);
@@ -100,7 +100,7 @@
 
     private void opened(QuicStreamChannel stream) {
         next = Math.max(next, stream.streamId() + 4);
-        RequestStream request = new RequestStream(this, stream, stream.streamId() >= refused);
+        Http3RequestStream request = new Http3RequestStream(this, stream, stream.streamId() >= refused);
         streams.add(request);
         server.sessions.streamOpened(session);
         stream.closeFuture().addListener(closed -> {
@@ -119,7 +119,7 @@
     /** Its client has ended a stream before our answer. */
     void cancelled() {
         if (!resets.ended(System.nanoTime())) {
-            end(ErrorCodes.EXCESSIVE_LOAD);
+            end(Http3ErrorCodes.EXCESSIVE_LOAD);
         }
     }
 
@@ -128,7 +128,7 @@
     }
 
     void look(long now) {
-        for (RequestStream stream : List.copyOf(streams)) {
+        for (Http3RequestStream stream : List.copyOf(streams)) {
             stream.look(now);
         }
     }
@@ -152,6 +152,6 @@
     }
 
     void end(long code) {
-        Codes.end(channel, code);
+        CodecErrors.end(channel, code);
     }
 }
--- a/src/main/java/loadbalancer/downstream/http3/Http3Server.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
@@ -21,26 +21,26 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.SettingsReader;
-import loadbalancer.http3.ErrorCodes;
-import loadbalancer.http3.Identity;
-import loadbalancer.http3.Sessions;
+import loadbalancer.http3.Http3ConnectionLimiter;
+import loadbalancer.http3.Http3ErrorCodes;
+import loadbalancer.http3.TlsIdentity;
+import loadbalancer.proxy.BodyMemoryBudget;
 import loadbalancer.proxy.Dispatcher;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Room;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * The side to clients over HTTP/3 (RFC 9114) on QUIC (RFC 9000): one UDP socket on the event loop. It takes
  * connections and their streams and words each request's one final answer; it picks, repeats and sheds
  * nothing. All of it runs on the event loop but {@link #listen}.
  */
-public final class Http3Server {
+public final class Http3Listener {
     /** What bounds it; {@code idle} in ms, {@code streams} at once on a connection. */
-    public record Limits(Sessions.Limits sessions, int streams, long idle) {}
+    public record Limits(Http3ConnectionLimiter.Limits sessions, int streams, long idle) {}
 
     private static final long LOOK_MS = 200; // between looks at what takes too long
     // A connection's window: two whole bodies at once. What more of its streams send waits with the client.
-    private static final long WINDOW = 2L * Order.BODY_MOST;
+    private static final long WINDOW = 2L * ProxyRequest.BODY_MOST;
     private static final int CONTROL_STREAMS = 3; // and two of QPACK (RFC 9114, section 6.2)
     private static final int CONTROL_WINDOW = 4 * 1024;
     private static final int CONNECTION_IDS = 4; // spare ones, for clients whose path changes
@@ -51,11 +51,11 @@
     final EventLoop loop;
     SettingsReader.Boot boot;
     final Dispatcher dispatcher;
-    final Room room;
-    final Sessions sessions;
+    final BodyMemoryBudget room;
+    final Http3ConnectionLimiter sessions;
     private final Limits limits;
     private final Consumer<String> log;
-    private final Set<Connection> connections = new LinkedHashSet<>();
+    private final Set<Http3ClientConnection> connections = new LinkedHashSet<>();
     private QuicSslContext context; // of new connections
     private final DatagramCounter datagrams = new DatagramCounter();
     private Channel socket;
@@ -65,12 +65,12 @@
     private boolean closing;
 
     /** {@code log} must not block. */
-    public Http3Server(
+    public Http3Listener(
             EventLoop loop,
             SettingsReader.Boot boot,
             Dispatcher dispatcher,
-            Room room,
-            Identity identity,
+            BodyMemoryBudget room,
+            TlsIdentity identity,
             Limits limits,
             Consumer<String> log) {
         this.loop = loop;
@@ -79,12 +79,12 @@
         this.room = room;
         this.limits = limits;
         this.log = log;
-        sessions = new Sessions(limits.sessions());
+        sessions = new Http3ConnectionLimiter(limits.sessions());
         context = context(identity);
     }
 
     // Without early data: a replayed request must not reach an upstream (RFC 9114, section 10.9).
-    private static QuicSslContext context(Identity identity) {
+    private static QuicSslContext context(TlsIdentity identity) {
         return QuicSslContextBuilder.forServer(
                         identity.key(), null, identity.chain().toArray(X509Certificate[]::new))
                 .applicationProtocols(Http3.supportedApplicationProtocols())
@@ -100,13 +100,13 @@
                 .maxSendUdpPayloadSize(DATAGRAM)
                 .maxRecvUdpPayloadSize(DATAGRAM)
                 .initialMaxData(WINDOW)
-                .initialMaxStreamDataBidirectionalRemote(Order.BODY_MOST)
+                .initialMaxStreamDataBidirectionalRemote(ProxyRequest.BODY_MOST)
                 .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
                 .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
                 .initialMaxStreamsBidirectional(limits.streams())
                 .activeMigration(true)
                 .activeConnectionIdLimit(CONNECTION_IDS)
-                .tokenHandler(new RetryHandler(sessions))
+                .tokenHandler(new AddressValidationHandler(sessions))
                 .handler(new ChannelInitializer<QuicChannel>() {
                     @Override
                     protected void initChannel(QuicChannel channel) {
@@ -163,12 +163,12 @@
     }
 
     /** New connections show this certificate; those that stand go on with theirs. */
-    public void renew(Identity identity) {
+    public void renew(TlsIdentity identity) {
         context = context(identity);
     }
 
     private void opened(QuicChannel channel) {
-        Connection connection = new Connection(this, channel);
+        Http3ClientConnection connection = new Http3ClientConnection(this, channel);
         if (connection.session() == null) {
             // Later: its first packet is still being read.
             loop.execute(() -> channel.close(false, CONNECTION_REFUSED, Unpooled.EMPTY_BUFFER));
@@ -187,7 +187,7 @@
     private void look() {
         long now = System.nanoTime();
         sessions.endOverdue(now);
-        for (Connection connection : List.copyOf(connections)) {
+        for (Http3ClientConnection connection : List.copyOf(connections)) {
             connection.look(now);
         }
     }
@@ -200,13 +200,13 @@
     public void stopping() {
         ready = false;
         stopping = true;
-        connections.forEach(Connection::announce);
+        connections.forEach(Http3ClientConnection::announce);
     }
 
     /** Takes nothing more: streams from here on are rejected, as never processed; what is taken goes on. */
     public void close() {
         closing = true;
-        connections.forEach(Connection::goAway);
+        connections.forEach(Http3ClientConnection::goAway);
     }
 
     /** Ends all connections, once all that was taken has been answered. */
@@ -215,6 +215,6 @@
             return; // told before: more may be taken while it stops
         }
         log.accept(sessions.summary());
-        List.copyOf(connections).forEach(c -> c.end(ErrorCodes.NO_ERROR));
+        List.copyOf(connections).forEach(c -> c.end(Http3ErrorCodes.NO_ERROR));
     }
 }
--- a/src/main/java/loadbalancer/downstream/http3/RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -17,33 +17,33 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.ErrorCodes;
-import loadbalancer.http3.HeadRules;
-import loadbalancer.http3.Malformed;
+import loadbalancer.http3.HeaderValidator;
+import loadbalancer.http3.Http3ErrorCodes;
+import loadbalancer.http3.MalformedMessageException;
 import loadbalancer.http3.MessageState;
-import loadbalancer.http3.codec.Codes;
-import loadbalancer.http3.codec.Gathered;
-import loadbalancer.http3.codec.Http3Fields;
-import loadbalancer.http3.codec.LastFrame;
-import loadbalancer.proxy.Answer;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.OrderRules;
-import loadbalancer.proxy.Reply;
+import loadbalancer.http3.codec.AggregatedBody;
+import loadbalancer.http3.codec.CodecErrors;
+import loadbalancer.http3.codec.FinalFrame;
+import loadbalancer.http3.codec.Http3HeaderFields;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.RequestValidator;
+import loadbalancer.proxy.ResponseWriter;
+import loadbalancer.proxy.UpstreamResponse;
 
 /** One request of a client on its stream, and its one final answer (RFC 9114, section 4.1). On the loop. */
-final class RequestStream extends Http3RequestStreamInboundHandler implements Reply {
+final class Http3RequestStream extends Http3RequestStreamInboundHandler implements ResponseWriter {
     private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_000); // a whole request
     private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(5_000); // an answer that nobody reads
 
-    private final Connection connection;
-    private final Http3Server server;
+    private final Http3ClientConnection connection;
+    private final Http3Listener server;
     private final QuicStreamChannel stream;
-    private final LastFrame last = new LastFrame();
-    private final MessageState state = new MessageState(Order.BODY_MOST);
+    private final FinalFrame last = new FinalFrame();
+    private final MessageState state = new MessageState(ProxyRequest.BODY_MOST);
     private final long since = System.nanoTime();
-    private HeadRules.Head head;
+    private HeaderValidator.Head head;
     private Http3Headers headers;
-    private final Gathered body = new Gathered(); // its bytes are taken from the room
+    private final AggregatedBody body = new AggregatedBody(); // its bytes are taken from the room
     private Runnable gone; // set while the core owes an answer here
     private boolean answered;
     private final boolean late; // behind our GOAWAY
@@ -52,7 +52,7 @@
     private long answeredAt;
     private long unread; // bytes of the answer that have not left
 
-    RequestStream(Connection connection, QuicStreamChannel stream, boolean reject) {
+    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean reject) {
         this.connection = connection;
         this.server = connection.server();
         this.stream = stream;
@@ -66,7 +66,7 @@
             refuse(408, "too slow");
         } else if (answered && now - answeredAt > UNREAD) {
             // Not taken yet, or its client neither ends its request nor resets it.
-            Codes.reset(stream, ErrorCodes.REQUEST_CANCELLED);
+            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
@@ -104,28 +104,28 @@
         if (late) {
             // None of it has been looked at: the client may ask elsewhere, whatever it is.
             rejected = true;
-            Codes.reset(stream, ErrorCodes.REQUEST_REJECTED);
+            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_REJECTED);
             return;
         }
         try {
             if (!state.headless()) {
-                HeadRules.trailers(frame.headers());
+                HeaderValidator.trailers(frame.headers());
                 state.trailers();
                 return;
             }
             headers = frame.headers();
-            if (HeadRules.tooLong(headers)) {
+            if (HeaderValidator.tooLong(headers)) {
                 refuse(431, "too many fields");
                 return;
             }
-            head = HeadRules.request(headers);
+            head = HeaderValidator.request(headers);
             state.head(head.length());
             if (state.announcesTooMuch()) {
                 refuse(413, "too large");
             } else if (head.method().equals("GET") && head.length() > 0) {
                 refuse(400, "a GET with a body");
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             malformed(e);
         }
     }
@@ -142,7 +142,7 @@
                 return;
             }
             body.add(frame.content());
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             malformed(e);
         } finally {
             ReferenceCountUtil.release(frame);
@@ -156,7 +156,7 @@
         }
         try {
             state.end();
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             malformed(e);
             return;
         }
@@ -175,8 +175,8 @@
             ended();
         } else {
             long code =
-                    cause instanceof Http3Exception known ? known.errorCode().code() : ErrorCodes.MESSAGE_ERROR;
-            malformed(new Malformed(code, "malformed"));
+                    cause instanceof Http3Exception known ? known.errorCode().code() : Http3ErrorCodes.MESSAGE_ERROR;
+            malformed(new MalformedMessageException(code, "malformed"));
         }
     }
 
@@ -186,15 +186,15 @@
             cancelled = true;
             rejected = true;
             connection.cancelled();
-            Codes.reset(stream, ErrorCodes.REQUEST_CANCELLED);
+            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
-    private void malformed(Malformed why) {
+    private void malformed(MalformedMessageException why) {
         rejected = true;
         drop();
         connection.cancelled(); // costs its client what a reset stream does
-        Codes.reset(stream, why.code());
+        CodecErrors.reset(stream, why.code());
     }
 
     // ---------------------------------------------------------------- what it asks for
@@ -212,8 +212,8 @@
                     !asked ? "not found" : server.isReady() ? "ready" : "not ready");
             return;
         }
-        Order order;
-        Http3Fields fields = new Http3Fields(headers);
+        ProxyRequest order;
+        Http3HeaderFields fields = new Http3HeaderFields(headers);
         try {
             if (path == null) {
                 throw new IllegalArgumentException("not a path");
@@ -221,7 +221,7 @@
             if (head.method().equals("GET") && body.length() > 0) {
                 throw new IllegalArgumentException("a GET with a body");
             }
-            order = OrderRules.order(head.method(), path, fields, body.all(), server.boot);
+            order = RequestValidator.order(head.method(), path, fields, body.all(), server.boot);
             fields.endToEnd();
         } catch (IllegalArgumentException e) {
             refuse(400, e.getMessage());
@@ -246,7 +246,7 @@
     // ---------------------------------------------------------------- what goes out
 
     @Override
-    public void serve(Answer answer) {
+    public void serve(UpstreamResponse answer) {
         write(200, answer.body(), answer.type(), 0);
     }
 
@@ -279,7 +279,7 @@
         if (retryAfter > 0) {
             out.set("retry-after", String.format(Locale.ROOT, "%.3f", retryAfter / 1e6));
         }
-        unread = content.length + HeadRules.SECTION_MOST;
+        unread = content.length + HeaderValidator.SECTION_MOST;
         server.sessions.unread(connection.session(), unread);
         long charged = unread;
         last.last();
@@ -291,7 +291,7 @@
         stream.flush();
         if (unfinished) {
             // The rest of the request is not wanted; the answer stands (RFC 9114, section 4.1).
-            stream.shutdownInput((int) ErrorCodes.NO_ERROR);
+            stream.shutdownInput((int) Http3ErrorCodes.NO_ERROR);
         }
         connection.answered();
     }
--- a/src/main/java/loadbalancer/eventloop/WholeMillis.java
+++ b/src/main/java/loadbalancer/eventloop/MillisecondTimer.java
@@ -17,17 +17,17 @@
  * until the timer is due: hundreds of turns that do nothing, on the core that other balancers share. Here the
  * wait is rounded up, and timers run up to a millisecond late.
  */
-public final class WholeMillis extends MultiThreadIoEventLoopGroup {
+public final class MillisecondTimer extends MultiThreadIoEventLoopGroup {
     private static final long MS = 1_000_000;
     private static final long QUIET_MS = 100;
     private static final long END_MOST_MS = 1_000;
 
-    public WholeMillis() {
+    public MillisecondTimer() {
         this(DefaultSelectStrategyFactory.INSTANCE);
     }
 
     /** With a strategy of its own, as tests that count turns have. */
-    WholeMillis(SelectStrategyFactory strategy) {
+    MillisecondTimer(SelectStrategyFactory strategy) {
         super(1, NioIoHandler.newFactory(SelectorProvider.provider(), strategy));
     }
 
--- a/src/main/java/loadbalancer/eventloop/SocketsFirst.java
+++ b/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
@@ -11,13 +11,13 @@
  * whose answer had come, a connection at rest was closed on the request in it, and a request was taken for
  * new that had lain there for as long. For the loop's own thread, but for {@link #after}.
  */
-public final class SocketsFirst {
+public final class ReadBeforeTimers {
     /** From so much on a timer is late, in ns: no turn of a loop that keeps up takes that long. */
     static final long LATE = 5_000_000;
     // Passes that a timer waits for at most: a loop that is always late still comes to its timers.
     private static final int PASSES = 3;
 
-    private SocketsFirst() {}
+    private ReadBeforeTimers() {}
 
     /** A task that has been asked for. */
     public static final class Handle {
--- a/src/main/java/loadbalancer/http1/Source.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -1,14 +1,14 @@
 package loadbalancer.http1;
 
 import io.netty.channel.Channel;
-import loadbalancer.proxy.Stream;
+import loadbalancer.proxy.BodyStream;
 
 /** A long body as it is read off a connection; it has one taker, once. On the event loop. */
-public abstract class Source implements Stream {
+public abstract class BodyReader implements BodyStream {
     private final Channel channel;
     private Taker taker;
 
-    protected Source(Channel channel) {
+    protected BodyReader(Channel channel) {
         this.channel = channel;
     }
 
--- a/src/main/java/loadbalancer/http1/Sink.java
+++ b/src/main/java/loadbalancer/http1/BodyWriter.java
@@ -9,14 +9,14 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /** Writes a long message to a connection, within a bounded window. On the event loop. */
-public final class Sink {
+public final class BodyWriter {
     private static final WriteBufferWaterMark WINDOW = new WriteBufferWaterMark(32 << 10, 64 << 10);
 
     private final Channel channel;
     private boolean flushing;
     private long written;
 
-    public Sink(Channel channel) {
+    public BodyWriter(Channel channel) {
         this.channel = channel;
         channel.config().setWriteBufferWaterMark(WINDOW);
     }
--- a/src/main/java/loadbalancer/http1/Http1Fields.java
+++ b/src/main/java/loadbalancer/http1/Http1HeaderFields.java
@@ -8,14 +8,14 @@
 import java.util.Locale;
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.Order;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.ProxyRequest;
 
 /**
  * The fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1 they
  * go on as they are: {@link #of} hands them out, and translates only what came by another protocol.
  */
-public final class Http1Fields implements Fields {
+public final class Http1HeaderFields implements HeaderFields {
     // Not strings: these keep the hash that each look-up takes.
     private static final AsciiString[] HOP_BY_HOP = Stream.of(
                     "connection",
@@ -29,14 +29,14 @@
                     "upgrade",
                     "expect",
                     "content-length",
-                    Order.DEADLINE)
+                    ProxyRequest.DEADLINE)
             .map(AsciiString::cached)
             .toArray(AsciiString[]::new);
 
     private final HttpHeaders headers;
     private boolean hostless; // no Host came: each carrier names its own
 
-    public Http1Fields(HttpHeaders headers) {
+    public Http1HeaderFields(HttpHeaders headers) {
         this.headers = headers;
     }
 
@@ -46,8 +46,8 @@
      *
      * @param host the upstream, for a request that names no host
      */
-    public static HttpHeaders of(Fields fields, String host) {
-        if (fields instanceof Http1Fields own) {
+    public static HttpHeaders of(HeaderFields fields, String host) {
+        if (fields instanceof Http1HeaderFields own) {
             own.hostless = own.hostless || !own.headers.contains(HttpHeaderNames.HOST);
             if (own.hostless) {
                 own.headers.set(HttpHeaderNames.HOST, host);
@@ -63,7 +63,7 @@
     }
 
     /** Takes those away that belong to one connection only (RFC 9110, section 7.6.1), and the deadline. */
-    public Http1Fields endToEnd() {
+    public Http1HeaderFields endToEnd() {
         List<String> connection = headers.getAll(HttpHeaderNames.CONNECTION);
         if (!connection.isEmpty()) {
             connection.stream()
--- a/src/main/java/loadbalancer/http3/Endings.java
+++ b/src/main/java/loadbalancer/http3/AttemptOutcomes.java
@@ -1,13 +1,13 @@
 package loadbalancer.http3;
 
-import loadbalancer.Policy.Outcome;
+import loadbalancer.policy.Policy.Outcome;
 
 /**
  * What the end of an attempt over HTTP/3 proves: the table of docs/http3.md, in code. Decides without I/O.
  * Only what a specification guarantees counts as never having run; that a packet was lost, or that nothing
  * has been acknowledged, guarantees nothing.
  */
-public final class Endings {
+public final class AttemptOutcomes {
     /** How an attempt that has brought no whole answer ended. */
     public enum How {
         /** No connection came about: no handshake, or not in time. Requests are never sent as early data. */
@@ -26,7 +26,7 @@
         TOO_LONG
     }
 
-    private Endings() {}
+    private AttemptOutcomes() {}
 
     /**
      * @param given whether the last byte of the request has been handed to the QUIC stack: from then on it
@@ -40,7 +40,9 @@
             // Section 4.1.1: the server has not processed any of it. What a server says so has been turned
             // away by it, as with Srv-Declined.
             case STREAM_RESET ->
-                code == ErrorCodes.REQUEST_REJECTED ? Outcome.FULL : given ? Outcome.RESET : Outcome.CONNECT_FAILED;
+                code == Http3ErrorCodes.REQUEST_REJECTED
+                        ? Outcome.FULL
+                        : given ? Outcome.RESET : Outcome.CONNECT_FAILED;
             case CONNECTION_LOST -> given ? Outcome.RESET : Outcome.CONNECT_FAILED;
             case BAD_ANSWER, TOO_LONG -> given ? Outcome.RESET : Outcome.CONNECT_FAILED;
         };
--- a/src/main/java/loadbalancer/http3/HeadRules.java
+++ b/src/main/java/loadbalancer/http3/HeaderValidator.java
@@ -7,7 +7,7 @@
  * What the head of an HTTP/3 message must be like (RFC 9114, sections 4.2 and 4.3). Decides without I/O, for
  * requests of clients and answers of upstreams alike; what a request asks for is the core's to check.
  */
-public final class HeadRules {
+public final class HeaderValidator {
     /** Bytes of a field section, counted as the settings count them: 32 more for each field (4.2.2). */
     public static final long SECTION_MOST = 8 * 1024;
 
@@ -35,7 +35,7 @@
             this.pseudo = pseudo;
         }
 
-        void read(CharSequence rawName, CharSequence rawValue) throws Malformed {
+        void read(CharSequence rawName, CharSequence rawValue) throws MalformedMessageException {
             String name = rawName.toString();
             String value = rawValue.toString();
             size += name.length() + value.length() + PER_FIELD;
@@ -58,7 +58,7 @@
             }
         }
 
-        private void pseudo(String name, String value) throws Malformed {
+        private void pseudo(String name, String value) throws MalformedMessageException {
             if (plain) {
                 throw bad("a pseudo-header behind fields");
             }
@@ -73,7 +73,7 @@
         }
 
         // One length only: two equal ones are read as one by some, and as an error by others.
-        private void length(String value) throws Malformed {
+        private void length(String value) throws MalformedMessageException {
             boolean digits =
                     !value.isEmpty() && value.length() <= 16 && value.chars().allMatch(c -> c >= '0' && c <= '9');
             if (length >= 0 || !digits || Long.parseLong(value) > LENGTH_MOST) {
@@ -87,7 +87,7 @@
         }
     }
 
-    private HeadRules() {}
+    private HeaderValidator() {}
 
     private static int slot(String name) {
         return switch (name) {
@@ -104,7 +104,7 @@
 
     /** Reads a request's head, in the order in which its fields came. */
     public static Head request(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
-            throws Malformed {
+            throws MalformedMessageException {
         Reader r = new Reader(OF_REQUESTS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             r.read(field.getKey(), field.getValue());
@@ -139,7 +139,7 @@
 
     /** Reads an answer's head. */
     public static Status answer(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
-            throws Malformed {
+            throws MalformedMessageException {
         Reader r = new Reader(OF_ANSWERS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             r.read(field.getKey(), field.getValue());
@@ -153,7 +153,7 @@
 
     /** Reads trailers, which name no pseudo-headers (section 4.3). */
     public static void trailers(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
-            throws Malformed {
+            throws MalformedMessageException {
         Reader r = new Reader(Set.of());
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
             r.read(field.getKey(), field.getValue());
@@ -173,7 +173,7 @@
         return size > SECTION_MOST;
     }
 
-    private static void text(String name, String value) throws Malformed {
+    private static void text(String name, String value) throws MalformedMessageException {
         String rest = name.startsWith(":") ? name.substring(1) : name;
         if (rest.isEmpty() || !token(rest) || rest.chars().anyMatch(c -> c >= 'A' && c <= 'Z')) {
             throw bad("a bad field name"); // section 4.2
@@ -192,7 +192,7 @@
         return text.chars().allMatch(c -> c > ' ' && c < 127 && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
     }
 
-    private static Malformed bad(String why) {
-        return new Malformed(ErrorCodes.MESSAGE_ERROR, why);
+    private static MalformedMessageException bad(String why) {
+        return new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, why);
     }
 }
--- a/src/main/java/loadbalancer/http3/Sessions.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionLimiter.java
@@ -8,7 +8,7 @@
  * The QUIC connections of clients, as far as their number and the memory that they hold go: whether another
  * one is let in, whether it must prove its address first, who goes for room. Decides without I/O; time in ns.
  */
-public final class Sessions {
+public final class Http3ConnectionLimiter {
     /**
      * What is borne. {@code rest}: ns that one may be at rest while others want in; {@code handshake}: ns
      * that one may take until it is established.
@@ -16,7 +16,7 @@
     public record Limits(int connections, int perAddress, int handshakes, long unread, long rest, long handshake) {}
 
     /** One connection. */
-    public static final class Session {
+    public static final class TrackedConnection {
         private final Object address;
         private final Runnable closer;
         private boolean established;
@@ -24,7 +24,7 @@
         private long unread;
         private long since; // at rest or begun
 
-        private Session(Object address, Runnable closer, long now) {
+        private TrackedConnection(Object address, Runnable closer, long now) {
             this.address = address;
             this.closer = closer;
             this.since = now;
@@ -40,15 +40,15 @@
     }
 
     private final Limits limits;
-    private final LinkedHashSet<Session> all = new LinkedHashSet<>();
-    private final LinkedHashSet<Session> young = new LinkedHashSet<>(); // handshakes, the oldest first
-    private final LinkedHashSet<Session> resting = new LinkedHashSet<>(); // the longest at rest first
+    private final LinkedHashSet<TrackedConnection> all = new LinkedHashSet<>();
+    private final LinkedHashSet<TrackedConnection> young = new LinkedHashSet<>(); // handshakes, the oldest first
+    private final LinkedHashSet<TrackedConnection> resting = new LinkedHashSet<>(); // the longest at rest first
     private final Map<Object, Integer> byAddress = new HashMap<>();
     private long unread;
     private long turnedAway;
     private long gone; // ended for room or for memory
 
-    public Sessions(Limits limits) {
+    public Http3ConnectionLimiter(Limits limits) {
         this.limits = limits;
     }
 
@@ -64,13 +64,13 @@
      * Lets another one in, and ends the one longest at rest for it where there is no room; null where it is
      * turned away. {@code closer} is called at most once, not from within {@link #closed}.
      */
-    public Session open(Object address, Runnable closer, long now) {
+    public TrackedConnection open(Object address, Runnable closer, long now) {
         boolean crowd = byAddress.getOrDefault(address, 0) >= limits.perAddress();
         if (crowd || young.size() >= limits.handshakes() || all.size() >= limits.connections() && !room(now)) {
             turnedAway++;
             return null;
         }
-        Session s = new Session(address, closer, now);
+        TrackedConnection s = new TrackedConnection(address, closer, now);
         all.add(s);
         byAddress.merge(address, 1, Integer::sum);
         young.add(s);
@@ -80,7 +80,7 @@
     /** Ends handshakes that take too long: with forged addresses they would keep others out until idle. */
     public void endOverdue(long now) {
         while (!young.isEmpty()) {
-            Session oldest = young.iterator().next();
+            TrackedConnection oldest = young.iterator().next();
             if (now - oldest.since < limits.handshake()) {
                 return;
             }
@@ -89,7 +89,7 @@
     }
 
     private boolean room(long now) {
-        for (Session s : resting) {
+        for (TrackedConnection s : resting) {
             if (now - s.since >= limits.rest()) {
                 end(s);
                 return true;
@@ -99,14 +99,14 @@
         return false;
     }
 
-    private void end(Session s) {
+    private void end(TrackedConnection s) {
         gone++;
         closed(s);
         s.closer.run();
     }
 
     /** Its handshake is done. */
-    public void established(Session s, long now) {
+    public void established(TrackedConnection s, long now) {
         if (all.contains(s) && !s.established) {
             s.established = true;
             young.remove(s);
@@ -114,7 +114,7 @@
         }
     }
 
-    private void rest(Session s, long now) {
+    private void rest(TrackedConnection s, long now) {
         s.since = now;
         if (s.streams == 0 && s.established) {
             resting.remove(s);
@@ -122,12 +122,12 @@
         }
     }
 
-    public void streamOpened(Session s) {
+    public void streamOpened(TrackedConnection s) {
         s.streams++;
         resting.remove(s);
     }
 
-    public void streamClosed(Session s, long now) {
+    public void streamClosed(TrackedConnection s, long now) {
         s.streams--;
         if (s.streams == 0 && all.contains(s)) {
             rest(s, now);
@@ -135,15 +135,15 @@
     }
 
     /** It has that many bytes more of answers that its client hasn't taken; 0 or less: they have left. */
-    public void unread(Session s, long bytes) {
+    public void unread(TrackedConnection s, long bytes) {
         if (!all.contains(s)) {
             return;
         }
         s.unread += bytes;
         unread += bytes;
         while (unread > limits.unread()) {
-            Session most = s;
-            for (Session other : all) {
+            TrackedConnection most = s;
+            for (TrackedConnection other : all) {
                 most = other.unread > most.unread ? other : most;
             }
             if (most.unread <= 0) {
@@ -154,7 +154,7 @@
     }
 
     /** It is closed; harmless when told twice. */
-    public void closed(Session s) {
+    public void closed(TrackedConnection s) {
         if (all.remove(s)) {
             resting.remove(s);
             young.remove(s);
--- a/src/main/java/loadbalancer/http3/BoxPlan.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
@@ -8,7 +8,7 @@
  * HTTP/1.1 takes over for a while. It never chooses an upstream, and holds nothing back: a request waits only
  * for a handshake that is under way. Decides without I/O; time in µs.
  */
-public final class BoxPlan {
+public final class Http3ConnectionPlan {
     /** {@code connections}: at once for one upstream; {@code streams}: at once on one, whatever it allows. */
     public record Limits(int connections, int streams, long backOffFirst, long backOffMost) {}
 
@@ -25,10 +25,10 @@
     }
 
     /** {@code dial}: {@link #link} is new, and its handshake is to be begun. */
-    public record Choice(Way way, Link link, boolean dial) {}
+    public record Choice(Way way, PlannedConnection link, boolean dial) {}
 
     /** One connection to the upstream. */
-    public static final class Link {
+    public static final class PlannedConnection {
         private enum State {
             DIALLING,
             UP,
@@ -42,7 +42,7 @@
         private long goAway = Long.MAX_VALUE;
         private long restsSince;
 
-        private Link(long now) {
+        private PlannedConnection(long now) {
             restsSince = now;
         }
 
@@ -66,23 +66,23 @@
     }
 
     private final Limits limits;
-    private final List<Link> links = new ArrayList<>(2);
+    private final List<PlannedConnection> links = new ArrayList<>(2);
     private int failures;
     private long backAt = Long.MIN_VALUE; // before it HTTP/3 isn't tried
     private boolean trial; // one handshake tries whether it works again
 
-    public BoxPlan(Limits limits) {
+    public Http3ConnectionPlan(Limits limits) {
         this.limits = limits;
     }
 
     /** For one request; a stream or a place at a handshake counts as taken from here on. */
     public Choice choose(long now) {
-        Link best = null;
-        Link coming = null;
-        for (Link link : links) {
+        PlannedConnection best = null;
+        PlannedConnection coming = null;
+        for (PlannedConnection link : links) {
             if (hasRoom(link) && (best == null || link.open < best.open)) {
                 best = link;
-            } else if (link.state == Link.State.DIALLING) {
+            } else if (link.state == PlannedConnection.State.DIALLING) {
                 coming = link;
             }
         }
@@ -102,7 +102,7 @@
             return new Choice(Way.WAIT, coming, false);
         }
         if (live() < limits.connections()) {
-            Link link = dial(now);
+            PlannedConnection link = dial(now);
             link.open++;
             return new Choice(Way.WAIT, link, true);
         }
@@ -114,25 +114,27 @@
         return links.stream().anyMatch(this::hasRoom);
     }
 
-    private boolean hasRoom(Link link) {
-        return link.state == Link.State.UP && link.open < limits.streams() && link.allowed > 0;
+    private boolean hasRoom(PlannedConnection link) {
+        return link.state == PlannedConnection.State.UP && link.open < limits.streams() && link.allowed > 0;
     }
 
     // Those on their way out still hold what they hold, but must not keep the upstream without a new one.
     private int live() {
-        return (int) links.stream().filter(l -> l.state != Link.State.GOING).count();
+        return (int) links.stream()
+                .filter(l -> l.state != PlannedConnection.State.GOING)
+                .count();
     }
 
-    private Link dial(long now) {
-        Link link = new Link(now);
+    private PlannedConnection dial(long now) {
+        PlannedConnection link = new PlannedConnection(now);
         links.add(link);
         return link;
     }
 
     /** Its handshake is done; {@code allowed}: streams that the peer lets us open, waiting ones included. */
-    public void up(Link link, long allowed, long now) {
-        if (link.state == Link.State.DIALLING) {
-            link.state = Link.State.UP;
+    public void up(PlannedConnection link, long allowed, long now) {
+        if (link.state == PlannedConnection.State.DIALLING) {
+            link.state = PlannedConnection.State.UP;
             link.allowed = allowed - link.open;
             link.restsSince = now;
             failures = 0;
@@ -141,12 +143,12 @@
     }
 
     /** The peer allows so many streams more from here on. */
-    public void allowed(Link link, long more) {
+    public void allowed(PlannedConnection link, long more) {
         link.allowed = more;
     }
 
     /** A stream has ended, or a request no longer waits for the handshake. */
-    public void released(Link link, long now) {
+    public void released(PlannedConnection link, long now) {
         link.open--;
         link.restsSince = now;
     }
@@ -155,36 +157,36 @@
      * The peer is going (GOAWAY): nothing new goes there, and streams from {@code id} on have not run. An id
      * may only come down; returns false where it rises, an error of the connection (RFC 9114, section 5.2).
      */
-    public boolean goAway(Link link, long id) {
+    public boolean goAway(PlannedConnection link, long id) {
         if (id > link.goAway) {
             return false;
         }
         link.goAway = id;
-        if (link.state != Link.State.CLOSED) {
-            link.state = Link.State.GOING;
+        if (link.state != PlannedConnection.State.CLOSED) {
+            link.state = PlannedConnection.State.GOING;
         }
         return true;
     }
 
     /** Nothing new goes there, and it is to be closed once it is empty. */
-    public void retire(Link link) {
-        if (link.state == Link.State.UP) {
-            link.state = Link.State.GOING;
+    public void retire(PlannedConnection link) {
+        if (link.state == PlannedConnection.State.UP) {
+            link.state = PlannedConnection.State.GOING;
         }
     }
 
     /** It is closed, whoever did it. Without a handshake HTTP/3 is left alone, longer each time. */
-    public void closed(Link link, long now) {
+    public void closed(PlannedConnection link, long now) {
         if (!links.remove(link)) {
             return;
         }
-        if (link.state == Link.State.DIALLING) {
+        if (link.state == PlannedConnection.State.DIALLING) {
             long wait = limits.backOffFirst() << Math.min(20, failures);
             failures++;
             trial = false;
             backAt = now + Math.min(limits.backOffMost(), wait);
         }
-        link.state = Link.State.CLOSED;
+        link.state = PlannedConnection.State.CLOSED;
     }
 
     /** Whether HTTP/1.1 stands in for the time being. */
@@ -192,7 +194,7 @@
         return failures > 0;
     }
 
-    public List<Link> links() {
+    public List<PlannedConnection> links() {
         return List.copyOf(links);
     }
 }
--- a/src/main/java/loadbalancer/http3/Http3.java
+++ b/src/main/java/loadbalancer/http3/Http3Settings.java
@@ -9,19 +9,20 @@
  * clients. {@code trust}: who signs the upstreams' certificates, empty where none of them speaks it;
  * {@code serverName}: whom these name, null where they name the address. Times in ms.
  */
-public record Http3(
+public record Http3Settings(
         InetSocketAddress listen,
-        Identity identity,
-        Sessions.Limits sessions,
+        TlsIdentity identity,
+        Http3ConnectionLimiter.Limits sessions,
         int streams,
         long idle,
         boolean advertise,
         List<X509Certificate> trust,
         String serverName,
-        BoxPlan.Limits upstream) {
+        Http3ConnectionPlan.Limits upstream) {
     /** Whether another one differs at most in what can change in service. */
-    public boolean sameButIdentity(Http3 other) {
-        return new Http3(listen, other.identity, sessions, streams, idle, advertise, trust, serverName, upstream)
+    public boolean sameButIdentity(Http3Settings other) {
+        return new Http3Settings(
+                                listen, other.identity, sessions, streams, idle, advertise, trust, serverName, upstream)
                         .equals(other)
                 && (identity == null) == (other.identity == null);
     }
--- a/src/main/java/loadbalancer/http3/MessageState.java
+++ b/src/main/java/loadbalancer/http3/MessageState.java
@@ -28,9 +28,9 @@
     }
 
     /** A head; {@code length} is -1 where it announces none. */
-    public void head(long length) throws Malformed {
+    public void head(long length) throws MalformedMessageException {
         if (at != At.BEFORE) {
-            throw new Malformed(ErrorCodes.FRAME_UNEXPECTED, "a second head");
+            throw new MalformedMessageException(Http3ErrorCodes.FRAME_UNEXPECTED, "a second head");
         }
         at = At.DATA;
         announced = length;
@@ -42,31 +42,31 @@
     }
 
     /** Data; returns whether it is still within what is taken. */
-    public boolean data(long bytes) throws Malformed {
+    public boolean data(long bytes) throws MalformedMessageException {
         if (at != At.DATA) {
-            throw new Malformed(ErrorCodes.FRAME_UNEXPECTED, "data where none may stand");
+            throw new MalformedMessageException(Http3ErrorCodes.FRAME_UNEXPECTED, "data where none may stand");
         }
         come += bytes;
         if (announced >= 0 && come > announced) {
-            throw new Malformed(ErrorCodes.MESSAGE_ERROR, "more data than announced");
+            throw new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, "more data than announced");
         }
         return come <= most;
     }
 
-    public void trailers() throws Malformed {
+    public void trailers() throws MalformedMessageException {
         if (at != At.DATA) {
-            throw new Malformed(ErrorCodes.FRAME_UNEXPECTED, "trailers where none may stand");
+            throw new MalformedMessageException(Http3ErrorCodes.FRAME_UNEXPECTED, "trailers where none may stand");
         }
         at = At.TRAILERS;
     }
 
     /** The end of the stream. */
-    public void end() throws Malformed {
+    public void end() throws MalformedMessageException {
         if (at == At.BEFORE) {
-            throw new Malformed(ErrorCodes.REQUEST_INCOMPLETE, "an end before the head");
+            throw new MalformedMessageException(Http3ErrorCodes.REQUEST_INCOMPLETE, "an end before the head");
         }
         if (announced >= 0 && come != announced) {
-            throw new Malformed(ErrorCodes.MESSAGE_ERROR, "less data than announced");
+            throw new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, "less data than announced");
         }
         at = At.END;
     }
--- a/src/main/java/loadbalancer/http3/ResetGuard.java
+++ b/src/main/java/loadbalancer/http3/RapidResetGuard.java
@@ -5,7 +5,7 @@
  * ends before our answer costs one, each answer that it takes gives a half back, and time gives some. A
  * client that gives up on slow answers is far from it. Decides without I/O; time in ns.
  */
-public final class ResetGuard {
+public final class RapidResetGuard {
     private static final double PER_ANSWER = 0.5;
 
     private final double burst;
@@ -14,7 +14,7 @@
     private long since;
 
     /** {@code burst}: streams ended at once that are borne; {@code perSecond}: in the long run. */
-    public ResetGuard(double burst, double perSecond, long now) {
+    public RapidResetGuard(double burst, double perSecond, long now) {
         this.burst = burst;
         this.perSecond = perSecond;
         this.left = burst;
--- a/src/main/java/loadbalancer/http3/codec/Codes.java
+++ b/src/main/java/loadbalancer/http3/codec/CodecErrors.java
@@ -8,11 +8,11 @@
 import io.netty.handler.codec.quic.QuicChannel;
 import io.netty.handler.codec.quic.QuicStreamChannel;
 import io.netty.handler.codec.quic.QuicStreamResetException;
-import loadbalancer.http3.HeadRules;
+import loadbalancer.http3.HeaderValidator;
 
 /** What both sides ask of the codec. For the event loop's thread. */
-public final class Codes {
-    private Codes() {}
+public final class CodecErrors {
+    private CodecErrors() {}
 
     /**
      * Our settings: no dynamic table of fields, so that no stream waits for another and no table grows
@@ -23,7 +23,7 @@
         return new DefaultHttp3SettingsFrame(new Http3Settings()
                 .qpackMaxTableCapacity(0)
                 .qpackBlockedStreams(0)
-                .maxFieldSectionSize(2 * HeadRules.SECTION_MOST));
+                .maxFieldSectionSize(2 * HeaderValidator.SECTION_MOST));
     }
 
     /** Ends a connection with a code of HTTP/3 (CONNECTION_CLOSE of type 0x1d). */
--- a/src/main/java/loadbalancer/http3/codec/LastFrame.java
+++ b/src/main/java/loadbalancer/http3/codec/FinalFrame.java
@@ -12,7 +12,7 @@
  * again: 5 of 60 answers had no end on a path that loses 5 %. It could also overtake bytes that wait for the
  * congestion window. Stands between the codec and the stream; on the event loop.
  */
-public final class LastFrame extends ChannelOutboundHandlerAdapter {
+public final class FinalFrame extends ChannelOutboundHandlerAdapter {
     private boolean last;
     private CompositeByteBuf held;
     private ChannelPromise promise;
--- a/src/main/java/loadbalancer/http3/codec/Http3Fields.java
+++ b/src/main/java/loadbalancer/http3/codec/Http3HeaderFields.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.Order;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.ProxyRequest;
 
 /**
  * The fields of an HTTP/3 message, as its codec holds them. Between two sides that both speak HTTP/3 they go
  * on as they are, and only what came by another protocol is translated. For the event loop's thread.
  */
-public final class Http3Fields implements Fields {
-    private static final String DEADLINE = Order.DEADLINE.toLowerCase(Locale.ROOT);
+public final class Http3HeaderFields implements HeaderFields {
+    private static final String DEADLINE = ProxyRequest.DEADLINE.toLowerCase(Locale.ROOT);
     // Of one connection or one hop; the carrier sets its own length and deadline.
     private static final Set<String> OF_ONE_HOP = Set.of(
             "te",
@@ -34,12 +34,12 @@
 
     private final Http3Headers headers;
 
-    public Http3Fields(Http3Headers headers) {
+    public Http3HeaderFields(Http3Headers headers) {
         this.headers = headers;
     }
 
     /** Takes away what belongs to one hop only (RFC 9110, section 7.6.1), and the deadline. */
-    public Http3Fields endToEnd() {
+    public Http3HeaderFields endToEnd() {
         OF_ONE_HOP.forEach(headers::remove);
         return this;
     }
@@ -51,9 +51,9 @@
      * @param authority for a request that names none
      * @param wait in ms; 0: not told
      */
-    public static Http3Headers request(Order order, String authority, long wait) {
+    public static Http3Headers request(ProxyRequest order, String authority, long wait) {
         Http3Headers headers;
-        if (order.fields() instanceof Http3Fields own) {
+        if (order.fields() instanceof Http3HeaderFields own) {
             headers = own.headers;
             if (headers.authority() == null) {
                 CharSequence host = headers.get("host");
--- a/src/main/java/loadbalancer/http3/codec/Quiet.java
+++ b/src/main/java/loadbalancer/http3/codec/UnhandledExceptionHandler.java
@@ -7,7 +7,7 @@
  * Stands last in a connection's pipeline: an error that nobody has taken is the end of that connection, which
  * the QUIC stack sees to. The codec's own default would write each one to standard error on the event loop.
  */
-public final class Quiet extends ChannelInboundHandlerAdapter {
+public final class UnhandledExceptionHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
 }
--- a/src/main/java/loadbalancer/lifecycle/Succession.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestart.java
@@ -8,7 +8,7 @@
  * holds the connections to them tells it what they say and when they end. Lines that it does not know say
  * nothing: the other process may be of another version. For one thread.
  */
-public final class Succession {
+public final class HotRestart {
     /** A line: a process has started and may succeed; what follows is the version of this talk. */
     public static final String HELLO = "hello";
     /** A line: it accepts clients from here on. */
--- a/src/main/java/loadbalancer/lifecycle/Handover.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -19,14 +19,14 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.function.Consumer;
-import loadbalancer.lifecycle.Succession.Step;
+import loadbalancer.lifecycle.HotRestart.Step;
 
 /**
  * The talk between a process and the one that succeeds it, over a Unix-domain socket in the folder that both
  * share. Each end of a connection is the end of a process, told by the kernel. All but the constructor runs
  * on the event loop; where the socket can't be had, nobody is told anything, and both go on alone.
  */
-public final class Handover {
+public final class HotRestartChannel {
     private static final String VERSION = "1";
     private static final int LINE_MOST = 1_024;
     private static final int PATH_MOST = 100; // bytes: what the address of such a socket holds
@@ -35,12 +35,12 @@
     private final Path path;
     private final Consumer<Step> steps;
     private final Consumer<String> log;
-    private final Succession succession = new Succession();
+    private final HotRestart succession = new HotRestart();
     private Channel predecessor;
     private boolean ready;
 
     /** {@code steps} is told what to do, on the loop; {@code log} must not block. */
-    public Handover(EventLoop loop, Path path, Consumer<Step> steps, Consumer<String> log) {
+    public HotRestartChannel(EventLoop loop, Path path, Consumer<Step> steps, Consumer<String> log) {
         this.loop = loop;
         this.path = path;
         this.steps = steps;
@@ -70,7 +70,7 @@
                     predecessor = null;
                     steps.accept(Step.ALONE);
                 });
-                predecessor.writeAndFlush(Succession.HELLO + " " + VERSION + "\n");
+                predecessor.writeAndFlush(HotRestart.HELLO + " " + VERSION + "\n");
             }
             then.accept(done.isSuccess()); // refused: left behind by a process that is gone
         });
@@ -89,7 +89,7 @@
         ready = true;
         listen();
         if (predecessor != null) {
-            predecessor.writeAndFlush(Succession.READY + "\n");
+            predecessor.writeAndFlush(HotRestart.READY + "\n");
         }
     }
 
--- a/src/main/java/loadbalancer/lifecycle/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -116,7 +116,7 @@
         }
     }
 
-    /** It is about to end, and what came before has been read: see {@link LastCall}. */
+    /** It is about to end, and what came before has been read: see {@link ShutdownDrain}. */
     public void lastCalled() {
         called = state == State.STOPPING;
     }
--- a/src/main/java/loadbalancer/lifecycle/LastCall.java
+++ b/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
@@ -7,7 +7,7 @@
  * sockets, and goes on only where passes have found nothing new. What it is patient with is counted in looks,
  * not in time: a stall uses up none. Decides without I/O or clock; for one thread.
  */
-public final class LastCall {
+public final class ShutdownDrain {
     /** What is to be done at a look. */
     public enum Step {
         GO_ON,
@@ -25,20 +25,20 @@
      * @param resting connections now that may yet send one
      * @param unsent connections now whose answers have not left whole
      */
-    public record Sight(long comers, long reads, int owed, int halves, int resting, int unsent) {}
+    public record Observation(long comers, long reads, int owed, int halves, int resting, int unsent) {}
 
     private static final int QUIET = 2; // looks in a row that found nothing new
     private static final int COMERS_MOST = 80; // looks before the listener is closed all the same
     private static final int HALVES_MOST = 80; // looks for the rest of a request to come
     private static final int UNSENT_MOST = 400; // looks for answers to leave
 
-    private Sight last;
+    private Observation last;
     private boolean closed; // the listener
     private int looks; // in this part of the end
     private int quiet;
 
     /** Another look, behind a pass over the sockets; after {@link Step#END} none follows. */
-    public Step look(Sight now) {
+    public Step look(Observation now) {
         boolean same = last != null && last.comers() == now.comers() && last.reads() == now.reads();
         quiet = same ? quiet + 1 : 0;
         looks++;
--- a/src/main/java/loadbalancer/logging/LineSink.java
+++ b/src/main/java/loadbalancer/logging/AsyncLogWriter.java
@@ -11,7 +11,7 @@
  * What
  * comes while the queue is full is counted, and the count is written when there is room again.
  */
-public final class LineSink implements Consumer<String> {
+public final class AsyncLogWriter implements Consumer<String> {
     /** Lines that wait, at most. */
     static final int MOST = 512;
 
@@ -24,7 +24,7 @@
     private long dropped;
 
     /** Each line begins with {@code prefix}; the thread begins with the first line. */
-    public LineSink(PrintStream out, String prefix) {
+    public AsyncLogWriter(PrintStream out, String prefix) {
         this.out = out;
         this.prefix = prefix;
     }
--- a/src/main/java/loadbalancer/logging/NettyLog.java
+++ b/src/main/java/loadbalancer/logging/NettyLogBridge.java
@@ -13,19 +13,19 @@
  * stack trace, and at most one in five seconds from each of Netty's classes. Its default loggers write to
  * standard error on the event loop, and stand still where nobody reads that. May be used from any thread.
  */
-public final class NettyLog extends InternalLoggerFactory {
+public final class NettyLogBridge extends InternalLoggerFactory {
     /** Between two lines of one logger, in ns. */
     static final long EVERY = TimeUnit.SECONDS.toNanos(5);
 
     private final Consumer<String> sink;
 
-    private NettyLog(Consumer<String> sink) {
+    private NettyLogBridge(Consumer<String> sink) {
         this.sink = sink;
     }
 
     /** From here on new loggers of Netty's write there; {@code sink} must not block. */
     public static void install(Consumer<String> sink) {
-        InternalLoggerFactory.setDefaultFactory(new NettyLog(sink));
+        InternalLoggerFactory.setDefaultFactory(new NettyLogBridge(sink));
     }
 
     @Override
--- a/src/main/java/loadbalancer/Hashing.java
+++ b/src/main/java/loadbalancer/policy/Hashing.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 /** Hash functions that give the same values on every machine and in every run. */
 final class Hashing {
--- a/src/main/java/loadbalancer/Balance.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,21 +15,22 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import loadbalancer.Books.Attempt;
-import loadbalancer.Books.Learned;
-import loadbalancer.Books.Node;
-import loadbalancer.Books.Request;
-import loadbalancer.Books.Turn;
+import loadbalancer.policy.PolicyState.Attempt;
+import loadbalancer.policy.PolicyState.Learned;
+import loadbalancer.policy.PolicyState.Node;
+import loadbalancer.policy.PolicyState.Request;
+import loadbalancer.policy.PolicyState.Turn;
+import loadbalancer.policy.Policy;
 
 /**
  * Every decision of one balancer. The module's interface, its events, actions and types, is Policy.java;
- * what it writes down, plain data, is in Books.java.
+ * what it writes down, plain data, is in PolicyState.java.
  *
  * <p>The ordinary path is JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"): see
  * {@link #draw}. All else says which servers are candidates for it (the exceptions), when a request is sent,
  * held, sent again or given up, and keeps the books. docs/design.md has a paragraph on each exception.
  */
-public final class Balance implements Policy {
+public final class JsqDasPolicy implements Policy {
     // Mechanism. D, A: the paper's defaults. Counts fade so that a slowed server loses its rank in seconds.
     private static final int D = 4;
     private static final int A = 2;
@@ -143,7 +144,7 @@
     private int askFailures;
     private long remarkAt;
 
-    public Balance(Settings settings, long seed) {
+    public JsqDasPolicy(Settings settings, long seed) {
         this.random = new SplittableRandom(seed);
         this.home = (long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63);
         tune(0, settings, Collections.nCopies(settings.classes().size(), -1),
--- a/src/main/java/loadbalancer/Policy.java
+++ b/src/main/java/loadbalancer/policy/Policy.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/loadbalancer/Books.java
+++ b/src/main/java/loadbalancer/policy/PolicyState.java
@@ -1,15 +1,15 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.Policy.Limits;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Server;
+import loadbalancer.policy.Policy.Limits;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Server;
 
-/** What a balancer writes down of servers, requests and attempts: plain data, for Balance only. */
-final class Books {
-    private Books() {}
+/** What a balancer writes down of servers, requests and attempts: plain data, for JsqDasPolicy only. */
+final class PolicyState {
+    private PolicyState() {}
 
     /** A server, as this balancer sees it. */
     static final class Node {
--- a/src/main/java/loadbalancer/proxy/Carrier.java
+++ b/src/main/java/loadbalancer/proxy/AttemptTransport.java
@@ -1,15 +1,15 @@
 package loadbalancer.proxy;
 
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * Who carries attempts to upstreams: the other side of the seam. It starts an attempt, gives it up, and
  * tells how it ended; it never picks, repeats, queues or sheds. That an attempt never ran is its word: said
  * only where its protocol proves it. All of it runs on the event loop.
  */
-public interface Carrier {
+public interface AttemptTransport {
     /** What is certain of an attempt that is given up. */
-    enum Fate {
+    enum AttemptEffect {
         NEVER_RAN,
         MAY_HAVE_RUN
     }
@@ -17,7 +17,7 @@
     /** Whom it tells, once for each attempt, unless the attempt is given up before. */
     interface Listener {
         /** {@code answer} and {@code load} are null where none came. */
-        void ended(Policy.Outcome outcome, Answer answer, Policy.Load load);
+        void ended(Policy.Outcome outcome, UpstreamResponse answer, Policy.Load load);
 
         /**
          * Looks whether somebody still waits for the attempt, right before its first byte and, where that is
@@ -36,7 +36,7 @@
     /** An attempt that has been started. */
     interface Attempt {
         /** Stops waiting and tells nobody from here on. */
-        Fate giveUp();
+        AttemptEffect giveUp();
 
         /**
          * Takes it back where its last byte has not been written yet, and tells nobody from here on; false
@@ -46,7 +46,7 @@
     }
 
     /** The list of upstreams has changed; {@code now} in µs by the node's clock. */
-    void listed(Targets targets, long now);
+    void listed(EndpointUpdate targets, long now);
 
     /**
      * Starts an attempt.
@@ -54,7 +54,7 @@
      * @param wait how long its answer is waited for, in µs
      * @param before by the node's clock, in µs: from then on it is not begun, and ends as NOT_SENT
      */
-    Attempt send(String server, Order order, long wait, long before, Listener listener);
+    Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener);
 
     /** Whether an attempt that starts now finds a connection that stands; true where that is not known. */
     default boolean connected(String server) {
--- a/src/main/java/loadbalancer/proxy/Room.java
+++ b/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
@@ -4,14 +4,14 @@
  * The memory that clients' bodies may take together, while they come in and until they are answered. Guards
  * against a heap that many connections fill at once: each of them keeps to its own limit.
  */
-public final class Room {
+public final class BodyMemoryBudget {
     /** Bytes of bodies of clients that a node holds together, whatever front they came by. */
     public static final long CLIENTS = 6 << 20;
 
     private final long most;
     private long held;
 
-    public Room(long most) {
+    public BodyMemoryBudget(long most) {
         this.most = most;
     }
 
--- a/src/main/java/loadbalancer/proxy/Stream.java
+++ b/src/main/java/loadbalancer/proxy/BodyStream.java
@@ -4,7 +4,7 @@
  * The rest of a message that is passed on as it comes: whoever reads it off a connection stands behind this,
  * and hands it to the one taker, piece by piece, in order. All of it runs on the event loop.
  */
-public interface Stream {
+public interface BodyStream {
     /** Where the bytes go; after {@link #ended} or {@link #broken}, of which one is called once, none. */
     interface Taker {
         /** {@code bytes} belong to the taker. */
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Stands between the sockets and the module: owns the module, its clock and the table of requests and
  * attempts; tells it what happens and carries out what it asks for. It decides nothing. All of it runs on the
  * event loop's thread.
  */
-public final class Dispatcher implements Policy.Actions, ListNews {
+public final class Dispatcher implements Policy.Actions, PendingUpdates {
     /** µs before a client's time is over at which it gets a failure if nothing else has answered it. */
     static final long GUARD = 6_000;
     /** µs before that at which the last attempt ends, so that the module can word the answer itself. */
@@ -29,21 +29,21 @@
     /** A request that has been taken, and its attempts. */
     private static final class Exchange {
         final String id;
-        final Order order;
-        final Reply reply;
+        final ProxyRequest order;
+        final ResponseWriter reply;
         long deadline;
         boolean arriving; // its last byte has not come yet
         final List<Attempt> attempts = new ArrayList<>(2);
         final int most; // attempts, by the limits that it was taken under
         final boolean unsafe; // it must not run twice, by its class at that time
-        Tally.Entry entry;
+        RequestMetrics.Entry entry;
         int out;
         boolean told; // to the module
         boolean closed;
-        Loop.Timer guard;
-        Loop.Timer stall; // while its upstream takes no more
+        Scheduler.Timer guard;
+        Scheduler.Timer stall; // while its upstream takes no more
 
-        Exchange(String id, Order order, Reply reply, long deadline, int most, boolean unsafe) {
+        Exchange(String id, ProxyRequest order, ResponseWriter reply, long deadline, int most, boolean unsafe) {
             this.most = most;
             this.unsafe = unsafe;
             this.id = id;
@@ -58,8 +58,8 @@
         final int number;
         long at;
         long wait;
-        Carrier.Attempt carried;
-        Loop.Timer timer;
+        AttemptTransport.Attempt carried;
+        Scheduler.Timer timer;
         boolean ended;
         boolean neverRan; // its end proves that
 
@@ -70,19 +70,19 @@
         }
     }
 
-    private final Loop loop;
+    private final Scheduler loop;
     private SettingsReader.Boot boot;
     private final Policy policy;
     private final Consumer<String> log;
     private final Clock clock;
-    private final Tally tally;
+    private final RequestMetrics tally;
     private final Map<String, Exchange> table = new HashMap<>();
     private final Set<String> ids = new HashSet<>(); // clients' own names of what is in the table
     private final ArrayDeque<LongConsumer> waiting = new ArrayDeque<>();
     private final ArrayDeque<LongConsumer> news = new ArrayDeque<>(); // of the list: before all that waits
-    private Carrier carrier;
-    private Membership membership = Membership.NONE;
-    private final Standstill standstill = new Standstill();
+    private AttemptTransport carrier;
+    private EndpointSource membership = EndpointSource.NONE;
+    private final EventLoopStallDetector standstill = new EventLoopStallDetector();
     private boolean handing;
     private boolean postponed; // until news of the list has been read
     private boolean retired;
@@ -96,10 +96,10 @@
     private final Invariants invariants;
 
     /** {@code clock} is read on the loop's thread; {@code log} must not block. */
-    public Dispatcher(Loop loop, Clock clock, SettingsReader.Boot boot, Policy policy, Consumer<String> log) {
+    public Dispatcher(Scheduler loop, Clock clock, SettingsReader.Boot boot, Policy policy, Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.tally = new Tally(boot.settings());
+        this.tally = new RequestMetrics(boot.settings());
         this.boot = boot;
         this.policy = policy;
         this.log = log;
@@ -107,7 +107,7 @@
     }
 
     /** To be called before anything else. */
-    public void attach(Carrier to, Membership by) {
+    public void attach(AttemptTransport to, EndpointSource by) {
         carrier = to;
         membership = by;
     }
@@ -133,7 +133,7 @@
     }
 
     /** What has become of the requests so far. */
-    public Tally tally() {
+    public RequestMetrics tally() {
         return tally;
     }
 
@@ -210,10 +210,10 @@
     }
 
     /** Takes a request, for one final answer; returns what to run if the client leaves before it. */
-    public Runnable take(Order asked, Reply reply) {
+    public Runnable take(ProxyRequest asked, ResponseWriter reply) {
         String id = Long.toString(++taken, Character.MAX_RADIX);
         Upload upload = asked.rest() == null ? null : new Upload(asked.rest());
-        Order order = upload == null ? asked : asked.passing(upload, asked.length());
+        ProxyRequest order = upload == null ? asked : asked.passing(upload, asked.length());
         Policy.Settings settings = boot.settings();
         boolean unsafe = settings.classes().get(order.requestClass()).effect() == Policy.Effect.UNSAFE;
         Exchange x = new Exchange(
@@ -247,7 +247,7 @@
         return () -> gone(x);
     }
 
-    private long deadline(Order order) {
+    private long deadline(ProxyRequest order) {
         return Math.min(now() + order.timeLeft() - standstill.unread(now()), lastAnswerAt);
     }
 
@@ -271,7 +271,7 @@
     }
 
     private void beat(long from) {
-        long at = from + Standstill.BEAT;
+        long at = from + EventLoopStallDetector.BEAT;
         standstill.expect(at);
         loop.after(Math.max(0, at - now()), () -> {
             standstill.passed(from);
@@ -346,12 +346,12 @@
     }
 
     /** A client's long body on its way to the upstream; tells when its last byte has come. */
-    private static final class Upload implements Stream {
-        private final Stream from;
+    private static final class Upload implements BodyStream {
+        private final BodyStream from;
         private Runnable then;
         private Consumer<Boolean> stalled;
 
-        Upload(Stream from) {
+        Upload(BodyStream from) {
             this.from = from;
         }
 
@@ -465,7 +465,7 @@
         }
     }
 
-    private void ended(Attempt a, Policy.Outcome outcome, Answer answer, Policy.Load load) {
+    private void ended(Attempt a, Policy.Outcome outcome, UpstreamResponse answer, Policy.Load load) {
         if (a.ended) {
             return;
         }
@@ -495,7 +495,7 @@
     }
 
     /** What the carrier tells of an attempt, and asks of it before it begins. */
-    private final class AttemptListener implements Carrier.Listener {
+    private final class AttemptListener implements AttemptTransport.Listener {
         private final Attempt attempt;
 
         AttemptListener(Attempt attempt) {
@@ -503,7 +503,7 @@
         }
 
         @Override
-        public void ended(Policy.Outcome outcome, Answer answer, Policy.Load load) {
+        public void ended(Policy.Outcome outcome, UpstreamResponse answer, Policy.Load load) {
             Dispatcher.this.ended(attempt, outcome, answer, load);
         }
 
@@ -543,7 +543,7 @@
     private void giveUp(Attempt a, Policy.Outcome ifWritten) {
         if (!a.ended) {
             requestLog.attempt(RequestLog.Event.ATTEMPT_GIVEN_UP, a.exchange.order.id(), a.number, ifWritten);
-            boolean mayHaveRun = a.carried != null && a.carried.giveUp() == Carrier.Fate.MAY_HAVE_RUN;
+            boolean mayHaveRun = a.carried != null && a.carried.giveUp() == AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
             ended(a, mayHaveRun ? ifWritten : Policy.Outcome.NOT_SENT, null, null);
         }
     }
@@ -566,12 +566,12 @@
     }
 
     /** News of the list of upstreams; null: the call or the watch has failed. */
-    public void listed(Policy.ListKind kind, Targets targets) {
+    public void listed(Policy.ListKind kind, EndpointUpdate targets) {
         listed(kind, targets, 0);
     }
 
     /** The same, which may have counted as told for {@code toldFor} µs before it came. */
-    public void listed(Policy.ListKind kind, Targets targets, long toldFor) {
+    public void listed(Policy.ListKind kind, EndpointUpdate targets, long toldFor) {
         if (targets != null) {
             requestLog.process(RequestLog.Event.LIST_RECEIVED, targets.rev());
             carrier.listed(targets, now() - standstill.unread(now()) - toldFor);
--- a/src/main/java/loadbalancer/proxy/Membership.java
+++ b/src/main/java/loadbalancer/proxy/EndpointSource.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 /** A source of the list of upstreams, as the module asks for it. Runs on the event loop. */
-public interface Membership {
+public interface EndpointSource {
     /** Subscribes to changes, in place of an earlier subscription, or ends it. */
     void watch(boolean on);
 
@@ -9,7 +9,7 @@
     void fetch();
 
     /** No source: what is known stays. */
-    Membership NONE = new Membership() {
+    EndpointSource NONE = new EndpointSource() {
         @Override
         public void watch(boolean on) {}
 
--- a/src/main/java/loadbalancer/proxy/Standstill.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
@@ -9,7 +9,7 @@
  * sends by a list whose change lies unread. Decides without I/O or clock; times in µs of one clock. For one
  * thread.
  */
-final class Standstill {
+final class EventLoopStallDetector {
     /** Between signs of life of the loop: what has lain unread is known to that. */
     static final long BEAT = 20_000;
 
--- a/src/main/java/loadbalancer/proxy/Fields.java
+++ b/src/main/java/loadbalancer/proxy/HeaderFields.java
@@ -8,9 +8,9 @@
  * regard to case. A front hands over its own protocol's form behind this; a carrier of the same protocol
  * passes that form on as it is, and only one of another translates it. Held on the event loop's thread.
  */
-public interface Fields {
+public interface HeaderFields {
     /** No fields. */
-    Fields NONE = new Fields() {
+    HeaderFields NONE = new HeaderFields() {
         @Override
         public String get(String name) {
             return null;
--- a/src/main/java/loadbalancer/proxy/ListNews.java
+++ b/src/main/java/loadbalancer/proxy/PendingUpdates.java
@@ -4,9 +4,9 @@
  * News of the list that may lie unread, because the loop's thread stood still (rule 3): what a carrier asks
  * before it begins with a request. On the loop.
  */
-public interface ListNews {
+public interface PendingUpdates {
     /** Of a loop that has no list to hear of. */
-    ListNews NONE = new ListNews() {
+    PendingUpdates NONE = new PendingUpdates() {
         @Override
         public boolean mayLieUnread() {
             return false;
--- a/src/main/java/loadbalancer/proxy/Order.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -7,11 +7,11 @@
  * {@code rest} follows behind it where it is longer than is held, {@code length} is that of both, -1 if
  * unknown; {@code passes}: its front passes long answers on.
  */
-public record Order(
+public record ProxyRequest(
         String id,
         String method,
         String uri,
-        Fields fields,
+        HeaderFields fields,
         byte[] body,
         int requestClass,
         int tenant,
@@ -19,15 +19,15 @@
         long timeLeft,
         long work,
         boolean resubmission,
-        Stream rest,
+        BodyStream rest,
         long length,
         boolean passes) {
     /** One whose body is whole, and its answer too. */
-    public Order(
+    public ProxyRequest(
             String id,
             String method,
             String uri,
-            Fields fields,
+            HeaderFields fields,
             byte[] body,
             int requestClass,
             int tenant,
@@ -60,8 +60,8 @@
     public static final String DEADLINE = "Req-Deadline-Ms";
 
     /** The same for another path. */
-    public Order to(String other) {
-        return new Order(
+    public ProxyRequest to(String other) {
+        return new ProxyRequest(
                 id,
                 method,
                 other,
@@ -79,8 +79,8 @@
     }
 
     /** The same from a front that passes long answers on, and with what follows behind its body, or null. */
-    public Order passing(Stream following, long all) {
-        return new Order(
+    public ProxyRequest passing(BodyStream following, long all) {
+        return new ProxyRequest(
                 id,
                 method,
                 uri,
--- a/src/main/java/loadbalancer/proxy/Tally.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -3,14 +3,14 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * What has become of the requests: the same names for every front and in every report, so that they can be
  * set side by side. Worth is that of the classes, times the work where the settings count it so; a late
  * answer earns its class's share. Reads no clock; used on the event loop's thread only.
  */
-public final class Tally {
+public final class RequestMetrics {
     /** The counts of one class or one tenant. */
     public static final class Line {
         private long taken;
@@ -53,7 +53,7 @@
     private long failed;
     private long gone;
 
-    public Tally(Policy.Settings settings) {
+    public RequestMetrics(Policy.Settings settings) {
         this.settings = settings;
         classes = lines(settings.classes().size());
         tenants = lines(Math.max(1, settings.tenants().size()));
@@ -82,7 +82,7 @@
     }
 
     /** A request has been taken. */
-    public Entry taken(Order order) {
+    public Entry taken(ProxyRequest order) {
         Policy.RequestClass kind = settings.classes().get(order.requestClass());
         long aim = kind.aim() + (order.work() > 0 ? (long) (kind.aimStretch() * order.work()) : 0);
         Entry entry =
@@ -136,7 +136,7 @@
         outcomes[outcome.ordinal()]++;
     }
 
-    private double worth(Order order) {
+    private double worth(ProxyRequest order) {
         double worth = settings.classes().get(order.requestClass()).worth();
         return settings.worthByWork() && order.work() > 0 ? worth * order.work() : worth;
     }
--- a/src/main/java/loadbalancer/proxy/OrderRules.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -1,18 +1,18 @@
 package loadbalancer.proxy;
 
 import java.util.List;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 
 /** What every front asks of a request before it is taken, whatever its protocol. Decides without I/O. */
-public final class OrderRules {
+public final class RequestValidator {
     private static final int NAME_MOST = 256; // characters of an id or a key
     private static final long DEADLINE_MOST = 600_000; // ms: it is held for so long at most
     private static final long COST_MOST = 600_000_000; // µs: a guess beyond it says nothing
-    private static final List<String> SINGLE =
-            List.of("Req-Id", "Req-Kind", "Req-Owner", Order.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
+    private static final List<String> SINGLE = List.of(
+            "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
 
-    private OrderRules() {}
+    private RequestValidator() {}
 
     /**
      * What a request asks for.
@@ -21,7 +21,8 @@
      * @param fields those that go on, and with them those that tell of the request itself
      * @throws IllegalArgumentException with the reason, where it can't be taken
      */
-    public static Order order(String method, String uri, Fields fields, byte[] body, SettingsReader.Boot boot) {
+    public static ProxyRequest order(
+            String method, String uri, HeaderFields fields, byte[] body, SettingsReader.Boot boot) {
         for (String name : SINGLE) {
             if (fields.several(name)) {
                 throw new IllegalArgumentException("more than one " + name);
@@ -32,9 +33,9 @@
             throw new IllegalArgumentException("no or bad Req-Id");
         }
         int number = number(method, fields, boot);
-        long left = number(fields.get(Order.DEADLINE), -1);
+        long left = number(fields.get(ProxyRequest.DEADLINE), -1);
         if (left <= 0 || left > DEADLINE_MOST) {
-            throw new IllegalArgumentException("no or bad " + Order.DEADLINE);
+            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE);
         }
         if (!uri.startsWith("/")) {
             throw new IllegalArgumentException("not a path");
@@ -43,7 +44,7 @@
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = Math.max(0, boot.tenants().indexOf(text(fields, "Req-Owner")));
         long cost = number(fields.get("Req-Cost"), -1);
-        return new Order(
+        return new ProxyRequest(
                 id,
                 method,
                 uri,
@@ -58,7 +59,7 @@
     }
 
     // A name stands twice where its class has changed lately: clients hear of that later than this balancer.
-    private static int number(String method, Fields fields, SettingsReader.Boot boot) {
+    private static int number(String method, HeaderFields fields, SettingsReader.Boot boot) {
         String name = text(fields, "Req-Kind");
         int number = boot.classes().indexOf(name);
         if (number < 0) {
@@ -76,7 +77,7 @@
         throw new IllegalArgumentException("method or Idempotency-Key contradicts the Req-Kind");
     }
 
-    private static String text(Fields fields, String name) {
+    private static String text(HeaderFields fields, String name) {
         String value = fields.get(name);
         return value == null ? "" : value;
     }
--- a/src/main/java/loadbalancer/proxy/Reply.java
+++ b/src/main/java/loadbalancer/proxy/ResponseWriter.java
@@ -4,9 +4,9 @@
  * Where the one final answer to a request goes: a front's side of the seam. {@link Dispatcher} calls exactly
  * one of these once for each request taken, on the event loop, unless its client has left before.
  */
-public interface Reply {
+public interface ResponseWriter {
     /** Served: passes the upstream's body on. */
-    void serve(Answer answer);
+    void serve(UpstreamResponse answer);
 
     /** Refused, trying again is harmless; {@code retryAfter} in µs, 0 where none is advised. */
     void refuse(long retryAfter);
--- a/src/main/java/loadbalancer/proxy/Loop.java
+++ b/src/main/java/loadbalancer/proxy/Scheduler.java
@@ -1,7 +1,7 @@
 package loadbalancer.proxy;
 
 /** The one thread that owns requests and module, as far as the core needs it: real, or in virtual time. */
-public interface Loop {
+public interface Scheduler {
     /** What has been asked to run later. */
     interface Timer {
         /** Does nothing where it has run already. */
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy;
 
-import loadbalancer.Policy.Outcome;
+import loadbalancer.policy.Policy.Outcome;
 
 /**
  * The one look that every attempt passes right before its first byte, whatever transport carries it and
@@ -26,11 +26,11 @@
     /**
      * Decides whether an attempt may begin.
      *
-     * @param awaitedUntil as {@link Carrier.Listener#awaitedUntil} says
+     * @param awaitedUntil as {@link AttemptTransport.Listener#awaitedUntil} says
      * @param before from then on it may not run any more, or its answer would come too late
      * @param stopAt when the grace of its upstream's drain is over; {@link DrainGrace#NEVER} while it serves
      * @param moved its upstream has another address now: whoever listens at this one is not that upstream
-     * @param graceHolds as {@link ListNews#graceHolds} says
+     * @param graceHolds as {@link PendingUpdates#graceHolds} says
      */
     public static SendPermit decide(
             long now, long awaitedUntil, long before, long stopAt, boolean moved, long graceHolds) {
--- a/src/main/java/loadbalancer/proxy/SendPermit.java
+++ b/src/main/java/loadbalancer/proxy/SendPermit.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy;
 
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * Whether an attempt may begin, as {@link SendGuard} found it right before the first byte.
--- a/src/main/java/loadbalancer/proxy/Answer.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamResponse.java
@@ -1,14 +1,14 @@
 package loadbalancer.proxy;
 
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * An upstream's answer, whatever the protocol that it came by; {@code body} is not to be changed. Where it is
  * long {@code rest} follows behind that, and {@code length} is that of both, -1 if unknown.
  */
-public record Answer(int status, Fields fields, byte[] body, Stream rest, long length) {
+public record UpstreamResponse(int status, HeaderFields fields, byte[] body, BodyStream rest, long length) {
     /** A whole one. */
-    public Answer(int status, Fields fields, byte[] body) {
+    public UpstreamResponse(int status, HeaderFields fields, byte[] body) {
         this(status, fields, body, null, body.length);
     }
 
--- a/src/main/java/loadbalancer/server/DryRun.java
+++ b/src/main/java/loadbalancer/server/ClassArchiveTraining.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Balance;
 import loadbalancer.config.Config;
+import loadbalancer.policy.JsqDasPolicy;
 
 /**
  * Starts a balancer, lets it rehearse and ends it: the build does so once, for the JVM to archive the classes
  * that a start loads. Guards against slow restarts: half of the time until it listened went into those.
  */
-public final class DryRun {
+public final class ClassArchiveTraining {
     private static final String CONFIG = """
         {"name": "dry", "listen": "127.0.0.1:0", "management": "127.0.0.1:0",
          "discovery": "127.0.0.1:9", "seed": "1", "settings": {
@@ -33,9 +33,9 @@
 
     // What only an upgrade needs: there is no descriptor to inherit here.
     private static final List<String> UPGRADE = List.of(
-            "loadbalancer.lifecycle.Handover",
-            "loadbalancer.lifecycle.Succession",
-            "loadbalancer.lifecycle.Succession$Step",
+            "loadbalancer.lifecycle.HotRestartChannel",
+            "loadbalancer.lifecycle.HotRestart",
+            "loadbalancer.lifecycle.HotRestart$Step",
             "io.netty.channel.socket.nio.NioDomainSocketChannel",
             "io.netty.channel.socket.nio.NioServerDomainSocketChannel",
             "io.netty.handler.codec.LineBasedFrameDecoder",
@@ -46,7 +46,7 @@
             "sun.nio.ch.UnixDomainSockets",
             "sun.nio.ch.InheritedChannel$InheritedServerSocketChannelImpl");
 
-    private DryRun() {}
+    private ClassArchiveTraining() {}
 
     private static void call(InetSocketAddress door) throws IOException {
         try (Socket caller = new Socket(door.getAddress(), door.getPort())) {
@@ -57,8 +57,9 @@
     }
 
     public static void main(String[] args) throws Exception {
-        Hangup.onEach(() -> {});
-        Node node = new Node(Config.of(Map.of(), JSON.std.mapFrom(CONFIG)), Balance::new, true, line -> {});
+        ReloadSignal.onEach(() -> {});
+        LoadBalancerServer node = new LoadBalancerServer(
+                Config.of(Map.of(), JSON.std.mapFrom(CONFIG)), JsqDasPolicy::new, true, line -> {});
         node.start();
         boolean ready = node.awaitReady(TimeUnit.SECONDS.toMillis(30));
         call(node.door());
