--- a/src/main/java/loadbalancer/server/Node.java
+++ b/src/main/java/loadbalancer/server/LoadBalancerServer.java
@@ -14,35 +14,35 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import loadbalancer.Balance;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
-import loadbalancer.admin.Door;
-import loadbalancer.admin.Operations;
+import loadbalancer.admin.AdminOperations;
+import loadbalancer.admin.AdminServer;
 import loadbalancer.config.Config;
-import loadbalancer.config.Retuning;
-import loadbalancer.connections.Budget;
-import loadbalancer.discovery.Discovery;
-import loadbalancer.discovery.StaticList;
-import loadbalancer.downstream.http1.ClientServer;
-import loadbalancer.eventloop.SocketsFirst;
-import loadbalancer.eventloop.WholeMillis;
-import loadbalancer.lifecycle.Handover;
-import loadbalancer.lifecycle.LastCall;
+import loadbalancer.config.SettingsReload;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.StaticEndpointSource;
+import loadbalancer.downstream.http1.Http1Listener;
+import loadbalancer.eventloop.MillisecondTimer;
+import loadbalancer.eventloop.ReadBeforeTimers;
+import loadbalancer.lifecycle.HotRestart;
+import loadbalancer.lifecycle.HotRestartChannel;
 import loadbalancer.lifecycle.LifeCycle;
-import loadbalancer.lifecycle.Succession;
-import loadbalancer.logging.LineSink;
-import loadbalancer.logging.NettyLog;
+import loadbalancer.lifecycle.ShutdownDrain;
+import loadbalancer.logging.AsyncLogWriter;
+import loadbalancer.logging.NettyLogBridge;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Addresses;
+import loadbalancer.proxy.BodyMemoryBudget;
 import loadbalancer.proxy.Clock;
 import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.EndpointUpdate;
 import loadbalancer.proxy.RequestLog;
-import loadbalancer.proxy.Room;
-import loadbalancer.proxy.Targets;
-import loadbalancer.upstream.http1.Upstreams;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.http1.Http1ConnectionPool;
 
 /** One real balancer: its start, its readiness and its orderly stop. */
-public final class Node {
+public final class LoadBalancerServer {
     private static final long LINGER_MS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.LINGER);
     private static final long FOLLOW_MS = 50; // between looks at what the life cycle says
     private static final long FORMER_MS = 10_000; // for which classes that were dropped are served
@@ -53,22 +53,22 @@
     static final long LAST_LINES_MS = 500; // for the last lines, if somebody reads them
 
     private final Consumer<String> log;
-    private final WholeMillis group = new WholeMillis();
+    private final MillisecondTimer group = new MillisecondTimer();
     private final EventLoop loop = group.next();
     private final Dispatcher dispatcher;
-    private final Upstreams upstreams;
-    private final Discovery discovery; // null where the list stands in the configuration
-    private final StaticList fixed; // null where it doesn't
-    private final Budget budget;
-    private final ClientServer clients;
-    private final Handover handover; // null where the listener is its own
+    private final Http1ConnectionPool upstreams;
+    private final DiscoveryClient discovery; // null where the list stands in the configuration
+    private final StaticEndpointSource fixed; // null where it doesn't
+    private final ConnectionBudget budget;
+    private final Http1Listener clients;
+    private final HotRestartChannel handover; // null where the listener is its own
     private final LifeCycle life = new LifeCycle(System.nanoTime());
-    private final Door door; // null where operators have none
+    private final AdminServer door; // null where operators have none
     private final Config config; // as it was started
     private Config used; // with what has been taken over since; under this lock
     private SettingsReader.Boot boot; // in use, on the loop
     private int retunings;
-    private final Extension.Part extra; // null where there is none
+    private final ServerExtension.Part extra; // null where there is none
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CountDownLatch readied = new CountDownLatch(1);
     private volatile InetSocketAddress calls; // where operators call
@@ -77,38 +77,40 @@
     private boolean rehearsed;
 
     /** A node that is ready without a rehearsal, where {@code rehearse} is false. */
-    Node(Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse, Consumer<String> log) {
+    LoadBalancerServer(
+            Config config, BiFunction<Policy.Settings, Long, Policy> module, boolean rehearse, Consumer<String> log) {
         this(config, module, rehearse, null, log);
     }
 
     /** The same with what stands beside HTTP/1.1; {@code extension} may be null. */
-    Node(
+    LoadBalancerServer(
             Config config,
             BiFunction<Policy.Settings, Long, Policy> module,
             boolean rehearse,
-            Extension extension,
+            ServerExtension extension,
             Consumer<String> log) {
         this.rehearsed = !rehearse;
         this.config = config;
         this.used = config;
         this.boot = config.boot();
         this.log = log;
-        budget = new Budget(config.connections(), System.nanoTime());
+        budget = new ConnectionBudget(config.connections(), System.nanoTime());
         Policy policy = module.apply(config.boot().settings(), config.seed());
-        dispatcher = new Dispatcher(new NettyLoop(loop), Clock.system(), config.boot(), policy, log);
+        dispatcher = new Dispatcher(new NettyScheduler(loop), Clock.system(), config.boot(), policy, log);
         dispatcher.logTo(RequestLog.of(System.getenv(), log));
-        upstreams = new Upstreams(loop, config.boot(), budget, dispatcher::now, dispatcher);
+        upstreams = new Http1ConnectionPool(loop, config.boot(), budget, dispatcher::now, dispatcher);
         boolean asked = config.discovery() != null;
         discovery = asked
-                ? new Discovery(
+                ? new DiscoveryClient(
                         loop, config.discovery(), config.boot(), config.known().rev(), this::listed, log)
                 : null;
-        fixed = asked ? null : new StaticList(config.known(), this::listed);
-        Room room = new Room(Room.CLIENTS);
-        clients = new ClientServer(loop, config.boot(), dispatcher, budget, room, life, log);
-        handover = !config.inherited() ? null : new Handover(loop, shared("honeyspindle.sock"), this::step, log);
-        door = config.management() == null ? null : new Door(loop, new Orders());
-        extra = extension == null ? null : extension.of(new Extension.Lent(loop, config, dispatcher, room, log));
+        fixed = asked ? null : new StaticEndpointSource(config.known(), this::listed);
+        BodyMemoryBudget room = new BodyMemoryBudget(BodyMemoryBudget.CLIENTS);
+        clients = new Http1Listener(loop, config.boot(), dispatcher, budget, room, life, log);
+        handover =
+                !config.inherited() ? null : new HotRestartChannel(loop, shared("honeyspindle.sock"), this::step, log);
+        door = config.management() == null ? null : new AdminServer(loop, new Orders());
+        extra = extension == null ? null : extension.of(new ServerExtension.Lent(loop, config, dispatcher, room, log));
         dispatcher.attach(extra == null ? upstreams : extra.carrier(upstreams), asked ? discovery : fixed);
     }
 
@@ -123,18 +125,18 @@
     }
 
     /** The same with what stands beside HTTP/1.1; {@code extension} may be null. */
-    public static int serve(Supplier<Config> first, Supplier<Config> again, Extension extension) {
-        LineSink log = new LineSink(System.err, "loadbalancer: ");
-        NettyLog.install(log);
+    public static int serve(Supplier<Config> first, Supplier<Config> again, ServerExtension extension) {
+        AsyncLogWriter log = new AsyncLogWriter(System.err, "loadbalancer: ");
+        NettyLogBridge.install(log);
         // Before anything else: until then a signal ends the process as if there was nothing to be done.
-        Signals signals = new Signals(log, again);
+        SignalHandlers signals = new SignalHandlers(log, again);
         if (!signals.listen()) {
             log.accept("no SIGHUP here: a new configuration needs a restart");
         }
-        Node node;
+        LoadBalancerServer node;
         InetSocketAddress at;
         try {
-            node = new Node(first.get(), Balance::new, true, extension, log);
+            node = new LoadBalancerServer(first.get(), JsqDasPolicy::new, true, extension, log);
             at = signals.starting(node);
         } catch (Exception e) { // sync() rethrows what bind failed with, whatever its type
             signals.failed();
@@ -171,7 +173,7 @@
             log.accept("http3 on " + Addresses.text(beside));
             besides = beside;
         }
-        SocketsFirst.every(loop, FOLLOW_MS, TimeUnit.MILLISECONDS, this::follow);
+        ReadBeforeTimers.every(loop, FOLLOW_MS, TimeUnit.MILLISECONDS, this::follow);
         loop.execute(() -> {
             dispatcher.beat();
             if (beside != null) {
@@ -218,7 +220,7 @@
             readyIfSo();
             return;
         }
-        Rehearsal rehearsal = new Rehearsal(loop, config, own == null ? null : own.localAddress(), () -> {
+        WarmUp rehearsal = new WarmUp(loop, config, own == null ? null : own.localAddress(), () -> {
             clients.rehearse(null);
             budget.unlearn(System.nanoTime());
             if (own != null) {
@@ -258,7 +260,7 @@
         clients.follow();
     }
 
-    private void step(Succession.Step step) {
+    private void step(HotRestart.Step step) {
         long now = System.nanoTime();
         switch (step) {
             case SHARE -> log.accept("a successor has started");
@@ -347,7 +349,7 @@
     private void retune(SettingsReader.Boot fresh) {
         retunings++;
         int mine = retunings;
-        boot = Retuning.withFormer(boot, fresh);
+        boot = SettingsReload.withFormer(boot, fresh);
         tune();
         if (!boot.equals(fresh)) {
             loop.schedule(
@@ -378,11 +380,11 @@
     }
 
     // Ready once an upstream may be sent to: what was known from before will do until discovery answers.
-    private void listed(Policy.ListKind kind, Targets targets) {
+    private void listed(Policy.ListKind kind, EndpointUpdate targets) {
         listed(kind, targets, 0);
     }
 
-    private void listed(Policy.ListKind kind, Targets targets, long toldFor) {
+    private void listed(Policy.ListKind kind, EndpointUpdate targets, long toldFor) {
         dispatcher.listed(kind, targets, toldFor);
         boolean usable = kind == Policy.ListKind.COMPLETE
                 || targets != null
@@ -419,7 +421,7 @@
     }
 
     /** What operators ask for at the door. */
-    private final class Orders implements Operations {
+    private final class Orders implements AdminOperations {
         @Override
         public boolean ready() {
             return life.ready();
@@ -468,8 +470,8 @@
                 extra.stopping();
             }
         });
-        LastCall last = new LastCall();
-        SocketsFirst.after(loop, LINGER_MS, TimeUnit.MILLISECONDS, () -> look(last));
+        ShutdownDrain last = new ShutdownDrain();
+        ReadBeforeTimers.after(loop, LINGER_MS, TimeUnit.MILLISECONDS, () -> look(last));
         await();
         log.accept("stopped: " + dispatcher.summary() + "; " + budget.summary());
         if (!config.inherited()) { // its end would take standard error along, and the last lines
@@ -478,14 +480,14 @@
     }
 
     // Each time behind a pass over the sockets.
-    private void look(LastCall last) {
+    private void look(ShutdownDrain last) {
         int passing = clients.passes() ? 1 : 0; // a long answer: it takes as long as it takes
-        LastCall.Step step = last.look(clients.sight(dispatcher.owed() + passing));
-        if (step == LastCall.Step.END) {
+        ShutdownDrain.Step step = last.look(clients.sight(dispatcher.owed() + passing));
+        if (step == ShutdownDrain.Step.END) {
             end();
             return;
         }
-        if (step == LastCall.Step.CLOSE_LISTENER) {
+        if (step == ShutdownDrain.Step.CLOSE_LISTENER) {
             life.lastCalled();
             clients.close();
             clients.follow();
@@ -493,7 +495,7 @@
                 extra.close();
             }
         }
-        SocketsFirst.after(loop, CALL_MS, TimeUnit.MILLISECONDS, () -> look(last));
+        ReadBeforeTimers.after(loop, CALL_MS, TimeUnit.MILLISECONDS, () -> look(last));
     }
 
     private void end() {
--- a/src/main/java/loadbalancer/server/NettyLoop.java
+++ b/src/main/java/loadbalancer/server/NettyScheduler.java
@@ -2,11 +2,11 @@
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.eventloop.SocketsFirst;
-import loadbalancer.proxy.Loop;
+import loadbalancer.eventloop.ReadBeforeTimers;
+import loadbalancer.proxy.Scheduler;
 
 /** The real event loop, as the core sees it. */
-record NettyLoop(EventLoop loop) implements Loop {
+record NettyScheduler(EventLoop loop) implements Scheduler {
     @Override
     public void soon(Runnable task) {
         loop.execute(task);
@@ -14,6 +14,6 @@
 
     @Override
     public Timer after(long delay, Runnable task) {
-        return SocketsFirst.after(loop, delay, TimeUnit.MICROSECONDS, task)::cancel;
+        return ReadBeforeTimers.after(loop, delay, TimeUnit.MICROSECONDS, task)::cancel;
     }
 }
--- a/src/main/java/loadbalancer/server/Hangup.java
+++ b/src/main/java/loadbalancer/server/ReloadSignal.java
@@ -8,8 +8,8 @@
  * handling, which ends the process. The platform has no public interface for signals; the one that every JDK
  * carries is reached by its name, as the compiler warns of each direct use.
  */
-final class Hangup {
-    private Hangup() {}
+final class ReloadSignal {
+    private ReloadSignal() {}
 
     /** Runs {@code action} at each SIGHUP, on a thread of its own; false where the platform has none. */
     static boolean onEach(Runnable action) {
--- a/src/main/java/loadbalancer/server/Extension.java
+++ b/src/main/java/loadbalancer/server/ServerExtension.java
@@ -4,24 +4,24 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import loadbalancer.SettingsReader;
 import loadbalancer.config.Config;
-import loadbalancer.proxy.Carrier;
+import loadbalancer.proxy.AttemptTransport;
+import loadbalancer.proxy.BodyMemoryBudget;
 import loadbalancer.proxy.Dispatcher;
-import loadbalancer.proxy.Room;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * What a node may be given beside HTTP/1.1. The archive that serves on the platform holds none, and a node
  * without one loads nothing of it.
  */
-public interface Extension {
+public interface ServerExtension {
     /** What a node lends it, all of it for the event loop's thread; {@code log} must not block. */
-    record Lent(EventLoop loop, Config config, Dispatcher dispatcher, Room room, Consumer<String> log) {}
+    record Lent(EventLoop loop, Config config, Dispatcher dispatcher, BodyMemoryBudget room, Consumer<String> log) {}
 
     /** What it has become in one node; all but {@link #listen} is called on the event loop. */
     interface Part {
         /** The carrier to use, which may be {@code usual} itself or something in front of it. */
-        Carrier carrier(Carrier usual);
+        AttemptTransport carrier(AttemptTransport usual);
 
         /**
          * Listens; not for the loop's thread.
--- a/src/main/java/loadbalancer/server/Signals.java
+++ b/src/main/java/loadbalancer/server/SignalHandlers.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 import loadbalancer.config.Config;
-import loadbalancer.logging.LineSink;
+import loadbalancer.logging.AsyncLogWriter;
 
 /**
  * What SIGTERM and SIGHUP do, whenever they come: taken from the first moment on, and carried out once there
@@ -11,14 +11,14 @@
  * reached it within its start, and against one that ends between its first connection and its last word.
  * Signals come on threads of their own.
  */
-final class Signals {
-    private final LineSink log;
+final class SignalHandlers {
+    private final AsyncLogWriter log;
     private final Supplier<Config> again;
-    private Node node; // once it listens; under this lock, like the rest
+    private LoadBalancerServer node; // once it listens; under this lock, like the rest
     private boolean failed;
     private boolean hangup; // came before
 
-    Signals(LineSink log, Supplier<Config> again) {
+    SignalHandlers(AsyncLogWriter log, Supplier<Config> again) {
         this.log = log;
         this.again = again;
     }
@@ -26,11 +26,11 @@
     /** Takes them from here on; false where the platform has no SIGHUP. */
     boolean listen() {
         Runtime.getRuntime().addShutdownHook(new Thread(this::end));
-        return Hangup.onEach(this::reload);
+        return ReloadSignal.onEach(this::reload);
     }
 
     /** Starts {@code fresh}, whole or not at all before a signal is carried out; returns its address. */
-    InetSocketAddress starting(Node fresh) throws Exception {
+    InetSocketAddress starting(LoadBalancerServer fresh) throws Exception {
         InetSocketAddress at;
         boolean asked;
         synchronized (this) {
@@ -51,7 +51,7 @@
 
     // Not under the lock: a file that can't be read for now must not keep the end waiting.
     private void reload() {
-        Node running;
+        LoadBalancerServer running;
         synchronized (this) {
             hangup = true;
             running = node;
@@ -62,7 +62,7 @@
     }
 
     private void end() {
-        Node ending;
+        LoadBalancerServer ending;
         synchronized (this) {
             if (failed) {
                 return; // with an exit code of its own
@@ -74,7 +74,7 @@
         } else {
             ending.stop();
         }
-        log.close(Node.LAST_LINES_MS);
+        log.close(LoadBalancerServer.LAST_LINES_MS);
         // Without this the exit code would tell of the signal, not of the orderly end.
         Runtime.getRuntime().halt(0);
     }
--- a/src/main/java/loadbalancer/server/Rehearsal.java
+++ b/src/main/java/loadbalancer/server/WarmUp.java
@@ -9,22 +9,22 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Balance;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
 import loadbalancer.config.Config;
-import loadbalancer.connections.Budget;
-import loadbalancer.connections.IdleRest;
-import loadbalancer.http1.Http1Fields;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.connections.IdleTimeout;
+import loadbalancer.http1.Http1HeaderFields;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Clock;
 import loadbalancer.proxy.Dispatcher;
-import loadbalancer.proxy.Drill;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.ListNews;
-import loadbalancer.proxy.Membership;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Targets;
-import loadbalancer.upstream.http1.Upstreams;
+import loadbalancer.proxy.EndpointSource;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.PendingUpdates;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.WarmUpRequests;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.http1.Http1ConnectionPool;
 
 /**
  * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
@@ -32,7 +32,7 @@
  * requests, fell behind at once under a full load, and answered some after their deadlines. It has a module,
  * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
  */
-final class Rehearsal implements Drill {
+final class WarmUp implements WarmUpRequests {
     private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
 
     private static final int REQUESTS = 300;
@@ -47,8 +47,8 @@
     private final Runnable then;
     private final String token;
     private final Dispatcher dispatcher;
-    private final Upstreams back;
-    private final Upstreams front;
+    private final Http1ConnectionPool back;
+    private final Http1ConnectionPool front;
     private int begun;
     private int ended;
     private int hops;
@@ -58,18 +58,18 @@
      * {@code then} runs on the loop when it is over; {@code through}: a socket to dial in place of TCP, or
      * null.
      */
-    Rehearsal(EventLoop loop, Config config, SocketAddress through, Runnable then) {
+    WarmUp(EventLoop loop, Config config, SocketAddress through, Runnable then) {
         this.loop = loop;
         this.boot = config.boot();
         this.then = then;
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
-        Policy policy = new Balance(boot.settings(), config.seed());
-        dispatcher = new Dispatcher(new NettyLoop(loop), Clock.system(), boot, policy, line -> {});
-        Budget budget = new Budget(config.connections(), System.nanoTime());
-        IdleRest rest = IdleRest.trusting(boot.idleClose());
-        back = new Upstreams(loop, boot, budget, dispatcher::now, ListNews.NONE, through, rest);
-        front = new Upstreams(loop, boot, budget, dispatcher::now, ListNews.NONE, through, rest);
-        dispatcher.attach(back, Membership.NONE);
+        Policy policy = new JsqDasPolicy(boot.settings(), config.seed());
+        dispatcher = new Dispatcher(new NettyScheduler(loop), Clock.system(), boot, policy, line -> {});
+        ConnectionBudget budget = new ConnectionBudget(config.connections(), System.nanoTime());
+        IdleTimeout rest = IdleTimeout.trusting(boot.idleClose());
+        back = new Http1ConnectionPool(loop, boot, budget, dispatcher::now, PendingUpdates.NONE, through, rest);
+        front = new Http1ConnectionPool(loop, boot, budget, dispatcher::now, PendingUpdates.NONE, through, rest);
+        dispatcher.attach(back, EndpointSource.NONE);
     }
 
     @Override
@@ -78,12 +78,12 @@
     }
 
     @Override
-    public boolean knows(Fields fields) {
+    public boolean knows(HeaderFields fields) {
         return token.equals(fields.get(TOKEN));
     }
 
     void start(InetSocketAddress self) {
-        List<Targets.Target> targets = new ArrayList<>();
+        List<EndpointUpdate.Endpoint> targets = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             Policy.Server server = new Policy.Server(
                     "rehearsal-" + i,
@@ -93,9 +93,9 @@
                     0,
                     i % 2,
                     boot.settings().zone());
-            targets.add(new Targets.Target(server, self));
+            targets.add(new EndpointUpdate.Endpoint(server, self));
         }
-        Targets all = new Targets(0, true, targets);
+        EndpointUpdate all = new EndpointUpdate(0, true, targets);
         front.listed(all, dispatcher.now());
         dispatcher.listed(Policy.ListKind.PERSISTED, all);
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
@@ -126,8 +126,18 @@
         }
         String method = effect == Policy.Effect.SAFE ? "GET" : "POST";
         byte[] body = new byte[effect == Policy.Effect.SAFE ? 0 : 200];
-        Order order = new Order(
-                "rehearsal-" + begun, method, PATH, new Http1Fields(headers), body, number, 0, null, WAIT, -1, false);
+        ProxyRequest order = new ProxyRequest(
+                "rehearsal-" + begun,
+                method,
+                PATH,
+                new Http1HeaderFields(headers),
+                body,
+                number,
+                0,
+                null,
+                WAIT,
+                -1,
+                false);
         front.send("rehearsal-0", order, WAIT, Long.MAX_VALUE, (outcome, answer, load) -> {
             ended++;
             if (ended >= REQUESTS) {
--- a/src/main/java/loadbalancer/server/http3/Http3Extension.java
+++ b/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import loadbalancer.SettingsReader;
 import loadbalancer.config.Config;
-import loadbalancer.downstream.http3.Http3Server;
-import loadbalancer.http3.Http3;
-import loadbalancer.http3.Identity;
-import loadbalancer.proxy.Carrier;
-import loadbalancer.server.Extension;
-import loadbalancer.upstream.http3.Http3Upstreams;
+import loadbalancer.downstream.http3.Http3Listener;
+import loadbalancer.http3.Http3Settings;
+import loadbalancer.http3.TlsIdentity;
+import loadbalancer.proxy.AttemptTransport;
+import loadbalancer.server.ServerExtension;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.http3.Http3AttemptTransport;
 
 /** HTTP/3 for a node: to clients, to upstreams, or both, as its configuration says. */
-public final class Http3Extension implements Extension {
+public final class Http3ServerExtension implements ServerExtension {
     @Override
     public Part of(Lent lent) {
         return lent.config().http3() == null ? null : new InNode(lent);
@@ -22,10 +22,10 @@
         private static final int ADVERTISED = 3600; // s that clients keep it in mind
 
         private final Lent lent;
-        private final Http3 told;
-        private final Http3Server server; // null where no client speaks it
-        private Identity identity; // shown to clients
-        private Http3Upstreams upstreams; // null where no upstream does
+        private final Http3Settings told;
+        private final Http3Listener server; // null where no client speaks it
+        private TlsIdentity identity; // shown to clients
+        private Http3AttemptTransport upstreams; // null where no upstream does
 
         InNode(Lent lent) {
             this.lent = lent;
@@ -33,28 +33,29 @@
             identity = told.identity();
             server = told.listen() == null
                     ? null
-                    : new Http3Server(
+                    : new Http3Listener(
                             lent.loop(),
                             lent.config().boot(),
                             lent.dispatcher(),
                             lent.room(),
                             told.identity(),
-                            new Http3Server.Limits(told.sessions(), told.streams(), told.idle()),
+                            new Http3Listener.Limits(told.sessions(), told.streams(), told.idle()),
                             lent.log());
         }
 
         @Override
-        public Carrier carrier(Carrier usual) {
+        public AttemptTransport carrier(AttemptTransport usual) {
             if (told.trust().isEmpty()) {
                 return usual;
             }
-            upstreams = new Http3Upstreams(
+            upstreams = new Http3AttemptTransport(
                     lent.loop(),
                     lent.config().boot(),
                     lent.dispatcher()::now,
                     lent.dispatcher(),
                     usual,
-                    new Http3Upstreams.Limits(told.upstream(), told.trust(), told.serverName(), told.idle(), true),
+                    new Http3AttemptTransport.Limits(
+                            told.upstream(), told.trust(), told.serverName(), told.idle(), true),
                     lent.log());
             return upstreams;
         }
@@ -74,7 +75,7 @@
             if (server == null) {
                 done.run();
             } else {
-                new Rehearsal3(lent.loop(), lent.config(), told, at, lent.dispatcher()::now, done).start();
+                new Http3WarmUp(lent.loop(), lent.config(), told, at, lent.dispatcher()::now, done).start();
             }
         }
 
@@ -87,7 +88,7 @@
 
         @Override
         public void reload(Config fresh) {
-            Identity other = fresh.http3() == null ? null : fresh.http3().identity();
+            TlsIdentity other = fresh.http3() == null ? null : fresh.http3().identity();
             if (server != null && other != null && !other.equals(identity)) {
                 identity = other;
                 server.renew(other);
--- a/src/main/java/loadbalancer/server/http3/Rehearsal3.java
+++ b/src/main/java/loadbalancer/server/http3/Http3WarmUp.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Policy;
 import loadbalancer.config.Config;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.http3.Http3;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3Settings;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Clock;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.ListNews;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Targets;
-import loadbalancer.upstream.http3.Http3Upstreams;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.PendingUpdates;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.upstream.http3.Http3AttemptTransport;
 
 /**
  * Requests of the node's own over HTTP/3, from the carrier to the front, before clients come: without them
  * the first ones wait until the code is loaded and compiled. Bounded in number and in time; what fails in it
  * only ends it. On the event loop.
  */
-final class Rehearsal3 {
+final class Http3WarmUp {
     private static final int REQUESTS = 300;
     private static final int AT_ONCE = 10;
     private static final long MOST_MS = 3_000; // then clients are served as they come
@@ -30,24 +30,24 @@
     private static final String SELF = "self";
 
     private final EventLoop loop;
-    private final Http3Upstreams carrier;
+    private final Http3AttemptTransport carrier;
     private final Runnable done;
     private final Future<?> limit;
     private int begun;
     private int out;
     private boolean over;
 
-    Rehearsal3(EventLoop loop, Config config, Http3 told, InetSocketAddress at, Clock clock, Runnable done) {
+    Http3WarmUp(EventLoop loop, Config config, Http3Settings told, InetSocketAddress at, Clock clock, Runnable done) {
         this.loop = loop;
         this.done = done;
-        carrier = new Http3Upstreams(
+        carrier = new Http3AttemptTransport(
                 loop,
                 config.boot(),
                 clock,
-                ListNews.NONE,
+                PendingUpdates.NONE,
                 null,
-                new Http3Upstreams.Limits(
-                        new BoxPlan.Limits(2, AT_ONCE, WAIT, WAIT),
+                new Http3AttemptTransport.Limits(
+                        new Http3ConnectionPlan.Limits(2, AT_ONCE, WAIT, WAIT),
                         told.identity().chain(),
                         null,
                         told.idle(),
@@ -58,10 +58,10 @@
                 ? new InetSocketAddress(InetAddress.getLoopbackAddress(), at.getPort())
                 : at;
         carrier.listed(
-                new Targets(
+                new EndpointUpdate(
                         0,
                         true,
-                        List.of(new Targets.Target(
+                        List.of(new EndpointUpdate.Endpoint(
                                 new Policy.Server(SELF, Policy.State.UP, 0, 1, -1, -1, -1), own, own))),
                 clock.now());
     }
@@ -81,7 +81,8 @@
         }
         begun++;
         out++;
-        Order order = new Order("rehearsal", "GET", "/-/ready", Fields.NONE, new byte[0], -1, 0, null, WAIT, -1, false);
+        ProxyRequest order = new ProxyRequest(
+                "rehearsal", "GET", "/-/ready", HeaderFields.NONE, new byte[0], -1, 0, null, WAIT, -1, false);
         carrier.send(SELF, order, WAIT, Long.MAX_VALUE, (outcome, answer, load) -> {
             out--;
             if (answer == null) {
--- a/src/main/java/loadbalancer/LoadReport.java
+++ b/src/main/java/loadbalancer/settings/LoadReport.java
@@ -1,7 +1,9 @@
-package loadbalancer;
+package loadbalancer.settings;
 
 import java.util.Arrays;
 import java.util.List;
+import java.util.Map;
+import loadbalancer.policy.Policy;
 
 /** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
 public final class LoadReport {
@@ -13,19 +15,31 @@
 
     private LoadReport() {}
 
-    static double[] unknown() {
+    private static double[] unknown() {
         double[] values = new double[WIRE.size()];
         Arrays.fill(values, Double.NaN);
         return values;
     }
 
-    /** The place of a value, or -1 for a name that means nothing here. */
-    static int slot(String name) {
+    /** Whether a value of that name, in either form, is one that this program uses. */
+    public static boolean knows(String name) {
+        return slot(name) >= 0;
+    }
+
+    // The index of a value, or -1 for an unknown name.
+    private static int slot(String name) {
         int slot = WIRE.indexOf(name);
         return slot >= 0 ? slot : SOCKET.indexOf(name);
     }
 
-    static Policy.Load of(double[] values) {
+    /** A report of these values, by name; the others are unknown (NaN). Names must be {@link #knows known}. */
+    public static Policy.Load of(Map<String, Double> named) {
+        double[] values = unknown();
+        named.forEach((name, value) -> values[slot(name)] = value);
+        return of(values);
+    }
+
+    private static Policy.Load of(double[] values) {
         return new Policy.Load(values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
     }
 
--- a/src/main/java/loadbalancer/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.settings;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,7 +8,8 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import java.util.stream.Collectors;
-import loadbalancer.Policy.Settings;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Settings;
 
 /**
  * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
--- a/src/main/java/loadbalancer/Adapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -9,14 +9,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.LoadReport;
+import loadbalancer.settings.SettingsReader;
 
 /** Hosts many instances of the module and translates between them and the wire. It decides nothing. */
-final class Adapter {
+public final class SimulatorAdapter {
     private static final int BUFFERS = 16;
     private static final String WAKE = "wake";
 
     /** Makes the module of a new instance. */
-    interface Factory {
+    public interface Factory {
         Policy make(Policy.Settings settings, long seed);
     }
 
@@ -29,7 +32,8 @@
     private final List<List<Policy.Server>> buffers = new ArrayList<>();
     private long line;
 
-    Adapter(Factory factory, BufferedReader in, OutputStream out) {
+    /** An adapter that makes its instances by {@code factory} and reads and writes the simulator's lines. */
+    public SimulatorAdapter(Factory factory, BufferedReader in, OutputStream out) {
         this.factory = factory;
         this.in = in;
         this.out = out;
@@ -39,16 +43,16 @@
     }
 
     /** Answers batch after batch until the input ends. */
-    void run() throws IOException {
+    public void run() throws IOException {
         boolean running = true;
-        for (Frame frame = next(); frame != null && running; frame = running ? next() : null) {
+        for (SimulatorMessage frame = next(); frame != null && running; frame = running ? next() : null) {
             if (!frame.name().equals("TICK")) {
                 throw frame.bad("TICK", "a batch begins with it");
             }
             Reply reply = new Reply();
             try {
                 batch(frame.expect("Clock").number(1, "Clock"), reply);
-            } catch (WireException e) {
+            } catch (SimulatorProtocolException e) {
                 throw e;
             } catch (RuntimeException e) {
                 StackTraceElement[] trace = e.getStackTrace();
@@ -61,18 +65,18 @@
         }
     }
 
-    private Frame next() throws IOException {
+    private SimulatorMessage next() throws IOException {
         String text = in.readLine();
         line++;
-        return text == null ? null : new Frame(line, text);
+        return text == null ? null : new SimulatorMessage(line, text);
     }
 
     private void batch(long now, Reply reply) throws IOException {
         String at = null;
         while (true) {
-            Frame frame = next();
+            SimulatorMessage frame = next();
             if (frame == null) {
-                throw new WireException("line " + line + ": GO: field GO: the input ends within a batch");
+                throw new SimulatorProtocolException("line " + line + ": GO: field GO: the input ends within a batch");
             }
             switch (frame.name()) {
                 case "GO" -> {
@@ -84,7 +88,7 @@
                 case "ENLIST" -> {
                     frame.text(1, "InitSeed");
                     long seed = frame.number(1, "InitSeed");
-                    SettingsReader.Boot boot = WireSettings.read(frame, 2);
+                    SettingsReader.Boot boot = SimulatorSettings.read(frame, 2);
                     String name = named(frame, at);
                     reply.instance(name);
                     instances.put(name, new Instance(name, factory.make(boot.settings(), seed), boot));
@@ -105,14 +109,14 @@
         }
     }
 
-    private static String named(Frame frame, String at) {
+    private static String named(SimulatorMessage frame, String at) {
         if (at == null) {
             throw frame.bad("Balancer", "no AT line names the instance");
         }
         return at;
     }
 
-    private void event(Frame f, Instance instance, long now, Reply reply) {
+    private void event(SimulatorMessage f, Instance instance, long now, Reply reply) {
         Policy policy = instance.policy;
         switch (f.name()) {
             case "SYNC" -> {
@@ -191,14 +195,14 @@
         }
     }
 
-    private void readList(Frame head) throws IOException {
+    private void readList(SimulatorMessage head) throws IOException {
         int number = head.expect("Buffer", "Entries").index(1, "Buffer", BUFFERS);
         int size = head.index(2, "Entries", Integer.MAX_VALUE);
         List<Policy.Server> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            Frame f = next();
+            SimulatorMessage f = next();
             if (f == null || !f.name().equals("ITEM")) {
-                throw new WireException(
+                throw new SimulatorProtocolException(
                         "line " + line + ": LIST: field Entries: " + size + " ITEM lines announced, " + i + " found");
             }
             f.expect("StartTime", "Upstream", "StageState", "Heft", "Group", "GenerationHw", "Locality");
@@ -220,7 +224,7 @@
         buffers.set(number, List.copyOf(list));
     }
 
-    private static Policy.Outcome outcome(Frame f, int at) {
+    private static Policy.Outcome outcome(SimulatorMessage f, int at) {
         return switch (f.text(at, "Rc")) {
             case "200" -> Policy.Outcome.OK;
             case "502" -> Policy.Outcome.ERROR;
@@ -234,7 +238,7 @@
         };
     }
 
-    private static Policy.Load load(Frame f, int at, Instance instance) {
+    private static Policy.Load load(SimulatorMessage f, int at, Instance instance) {
         if (f.absent(at, "Usage")) {
             return null;
         }
@@ -243,11 +247,10 @@
         if (values.length < names.size()) {
             throw f.bad("Usage", names.size() + " values expected, " + values.length + " found");
         }
-        double[] known = LoadReport.unknown();
+        Map<String, Double> known = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
-            int slot = LoadReport.slot(names.get(i));
-            if (slot >= 0 && !values[i].equals("-")) {
-                known[slot] = f.decimal(values[i], "Usage");
+            if (LoadReport.knows(names.get(i)) && !values[i].equals("-")) {
+                known.put(names.get(i), f.decimal(values[i], "Usage"));
             }
         }
         return LoadReport.of(known);
--- a/src/main/java/loadbalancer/Frame.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorMessage.java
@@ -1,13 +1,13 @@
-package loadbalancer;
+package loadbalancer.simulator;
 
 import java.util.Base64;
 
 /** One line of the wire: its name and its values, read with plain complaints about what is malformed. */
-final class Frame {
+final class SimulatorMessage {
     private final long line;
     private final String[] parts;
 
-    Frame(long line, String text) {
+    SimulatorMessage(long line, String text) {
         this.line = line;
         this.parts = text.split("\t", -1);
     }
@@ -20,12 +20,12 @@
         return parts.length - 1;
     }
 
-    WireException bad(String field, String what) {
-        return new WireException("line " + line + ": " + parts[0] + ": field " + field + ": " + what);
+    SimulatorProtocolException bad(String field, String what) {
+        return new SimulatorProtocolException("line " + line + ": " + parts[0] + ": field " + field + ": " + what);
     }
 
     /** Checks the number of values, so that a cut or joined line is noticed. */
-    Frame expect(String... fields) {
+    SimulatorMessage expect(String... fields) {
         if (size() < fields.length) {
             throw bad(fields[size()], "is missing");
         }
--- a/src/main/java/loadbalancer/WireException.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
-package loadbalancer;
+package loadbalancer.simulator;
 
 /** What is wrong with the input, in one line that names the place. */
-final class WireException extends RuntimeException {
+public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/src/main/java/loadbalancer/WireSettings.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSettings.java
@@ -1,13 +1,14 @@
-package loadbalancer;
+package loadbalancer.simulator;
 
 import java.util.HashMap;
 import java.util.Map;
+import loadbalancer.settings.SettingsReader;
 
 /** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
-final class WireSettings {
-    private WireSettings() {}
+final class SimulatorSettings {
+    private SimulatorSettings() {}
 
-    static SettingsReader.Boot read(Frame frame, int firstPair) {
+    static SettingsReader.Boot read(SimulatorMessage frame, int firstPair) {
         Map<String, String> values = new HashMap<>();
         for (int i = firstPair; i <= frame.size(); i++) {
             String pair = frame.raw(i, "BootInfo");
--- a/src/main/java/loadbalancer/upstream/http1/AttemptRules.java
+++ b/src/main/java/loadbalancer/upstream/http1/AttemptOutcomeRules.java
@@ -1,10 +1,10 @@
 package loadbalancer.upstream.http1;
 
-import loadbalancer.Policy.Outcome;
+import loadbalancer.policy.Policy.Outcome;
 
 /** What the ending of an attempt proves. No I/O. */
-final class AttemptRules {
-    private AttemptRules() {}
+final class AttemptOutcomeRules {
+    private AttemptOutcomeRules() {}
 
     /**
      * An upstream begins with a request when its last byte has come. One that says before that it has served
--- a/src/main/java/loadbalancer/upstream/http1/Upstreams.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
@@ -31,32 +31,33 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadReport;
-import loadbalancer.Policy;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.SettingsReader;
-import loadbalancer.connections.Budget;
-import loadbalancer.connections.IdleRest;
-import loadbalancer.connections.Lease;
-import loadbalancer.connections.Side;
-import loadbalancer.http1.Http1Fields;
-import loadbalancer.http1.Sink;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.connections.ConnectionPermit;
+import loadbalancer.connections.Direction;
+import loadbalancer.connections.IdleTimeout;
+import loadbalancer.http1.BodyWriter;
+import loadbalancer.http1.Http1HeaderFields;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Answer;
-import loadbalancer.proxy.Carrier;
+import loadbalancer.proxy.AttemptTransport;
+import loadbalancer.proxy.AttemptTransport.AttemptEffect;
+import loadbalancer.proxy.BodyStream;
 import loadbalancer.proxy.Clock;
 import loadbalancer.proxy.DrainGrace;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.ListNews;
-import loadbalancer.proxy.Order;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.PendingUpdates;
+import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.proxy.SendGuard;
 import loadbalancer.proxy.SendPermit;
-import loadbalancer.proxy.Stream;
-import loadbalancer.proxy.Targets;
+import loadbalancer.proxy.UpstreamResponse;
+import loadbalancer.settings.LoadReport;
+import loadbalancer.settings.SettingsReader;
 
 /** The connections to the upstreams, one request at a time on each, and what becomes of each request. */
-public final class Upstreams implements Carrier {
-    private static final AsciiString DEADLINE = AsciiString.cached(Order.DEADLINE);
+public final class Http1ConnectionPool implements AttemptTransport {
+    private static final AsciiString DEADLINE = AsciiString.cached(ProxyRequest.DEADLINE);
     private static final int READS = 4; // in one turn: none keeps the others waiting
     private static final int READ_MOST = 32 << 10;
     private static final int CONNECT_MS = 1_000; // where the settings give no limit
@@ -74,32 +75,33 @@
 
     private final EventLoop loop;
     private SettingsReader.Boot boot;
-    private final Budget budget;
+    private final ConnectionBudget budget;
     private final Clock clock;
-    private final ListNews news;
+    private final PendingUpdates news;
     private final Bootstrap bootstrap;
     private final SocketAddress all; // where every upstream stands, or null
-    private IdleRest rest;
+    private IdleTimeout rest;
     private final Map<String, Upstream> upstreams = new HashMap<>();
     private final Future<?> sweep;
 
     /** {@code news}: of the list, which comes before what is begun. */
-    public Upstreams(EventLoop loop, SettingsReader.Boot boot, Budget budget, Clock clock, ListNews news) {
-        this(loop, boot, budget, clock, news, null, new IdleRest(boot.idleClose()));
+    public Http1ConnectionPool(
+            EventLoop loop, SettingsReader.Boot boot, ConnectionBudget budget, Clock clock, PendingUpdates news) {
+        this(loop, boot, budget, clock, news, null, new IdleTimeout(boot.idleClose()));
     }
 
     /**
      * The same where all upstreams stand at one socket of the file system; null: each at its own address.
      * {@code rest}: how their idle connections rest, until other settings hold.
      */
-    public Upstreams(
+    public Http1ConnectionPool(
             EventLoop loop,
             SettingsReader.Boot boot,
-            Budget budget,
+            ConnectionBudget budget,
             Clock clock,
-            ListNews news,
+            PendingUpdates news,
             SocketAddress all,
-            IdleRest rest) {
+            IdleTimeout rest) {
         this.news = news;
         this.all = all;
         this.loop = loop;
@@ -133,16 +135,16 @@
     /** Other settings hold from here on. */
     public void retune(SettingsReader.Boot to) {
         boot = to;
-        rest = new IdleRest(to.idleClose());
+        rest = new IdleTimeout(to.idleClose());
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis());
     }
 
     // ---------------------------------------------------------------- the list
 
     @Override
-    public void listed(Targets targets, long now) {
+    public void listed(EndpointUpdate targets, long now) {
         Set<String> named = new HashSet<>();
-        for (Targets.Target t : targets.list()) {
+        for (EndpointUpdate.Endpoint t : targets.list()) {
             named.add(t.server().id());
             Upstream u = upstreams.computeIfAbsent(t.server().id(), Upstream::new);
             if (t.endpoint() != null && !t.endpoint().equals(u.endpoint)) {
@@ -168,7 +170,7 @@
     // ---------------------------------------------------------------- attempts and probes
 
     @Override
-    public Attempt send(String server, Order order, long wait, long before, Listener listener) {
+    public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
         return start(server, new Call(order, Math.max(1, wait / 1000), before, listener));
     }
 
@@ -192,12 +194,22 @@
     /** Gives up after the time that a connection may take. */
     @Override
     public void probe(String server, boolean report, Listener listener) {
-        Order order = new Order(
-                "", "GET", report ? "/-/load" : "/-/healthy", Fields.NONE, new byte[0], -1, 0, null, 0, -1, false);
+        ProxyRequest order = new ProxyRequest(
+                "",
+                "GET",
+                report ? "/-/load" : "/-/healthy",
+                HeaderFields.NONE,
+                new byte[0],
+                -1,
+                0,
+                null,
+                0,
+                -1,
+                false);
         Call call = new Call(order, 0, Long.MAX_VALUE, listener);
         call.timer = loop.schedule(
                 () -> {
-                    boolean asked = call.giveUp() == Fate.MAY_HAVE_RUN;
+                    boolean asked = call.giveUp() == AttemptEffect.MAY_HAVE_RUN;
                     listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
                 },
                 connectMillis(),
@@ -224,7 +236,7 @@
     }
 
     private void dial(Upstream u, Call call) {
-        if (!budget.makeRoom(Side.UPSTREAM, System.nanoTime())) {
+        if (!budget.makeRoom(Direction.UPSTREAM, System.nanoTime())) {
             // Our own want of room: no failure of that upstream's, and nothing has run.
             call.end(Outcome.NOT_SENT, null, null);
             return;
@@ -296,7 +308,7 @@
 
     /** A request on its way to an upstream. */
     private static final class Call implements Attempt {
-        private final Order order;
+        private final ProxyRequest order;
         private final long waitMillis; // 0: not told to the upstream
         private final long before; // µs: from then on it is not begun
         private final Listener listener;
@@ -304,7 +316,7 @@
         private Future<?> timer;
         private boolean ended;
 
-        private Call(Order order, long waitMillis, long before, Listener listener) {
+        private Call(ProxyRequest order, long waitMillis, long before, Listener listener) {
             this.before = before;
             this.order = order;
             this.waitMillis = waitMillis;
@@ -316,10 +328,10 @@
          * run if its last byte has been written.
          */
         @Override
-        public Fate giveUp() {
+        public AttemptEffect giveUp() {
             Connection c = connection;
             if (ended || c == null) {
-                return Fate.NEVER_RAN;
+                return AttemptEffect.NEVER_RAN;
             }
             ended = true;
             boolean mayHaveRun = c.written;
@@ -328,7 +340,7 @@
             if (c.begun) {
                 c.close();
             }
-            return mayHaveRun ? Fate.MAY_HAVE_RUN : Fate.NEVER_RAN;
+            return mayHaveRun ? AttemptEffect.MAY_HAVE_RUN : AttemptEffect.NEVER_RAN;
         }
 
         @Override
@@ -340,7 +352,7 @@
             return true;
         }
 
-        private void end(Outcome outcome, Answer answer, Policy.Load load) {
+        private void end(Outcome outcome, UpstreamResponse answer, Policy.Load load) {
             if (timer != null) {
                 timer.cancel(false);
             }
@@ -352,7 +364,7 @@
         }
 
         private HttpRequest message(InetSocketAddress to) {
-            HttpHeaders headers = Http1Fields.of(order.fields(), Addresses.text(to));
+            HttpHeaders headers = Http1HeaderFields.of(order.fields(), Addresses.text(to));
             if (waitMillis > 0) {
                 headers.set(DEADLINE, Long.toString(waitMillis));
             }
@@ -379,11 +391,11 @@
     }
 
     /** One connection; it carries one request at a time, and is idle where {@code call} is null. */
-    private final class Connection implements AnswerReader.Taker {
+    private final class Connection implements ResponseDecoder.Taker {
         private final Upstream upstream;
         private final InetSocketAddress endpoint;
-        private final AnswerReader reader = new AnswerReader(this);
-        private final Lease lease;
+        private final ResponseDecoder reader = new ResponseDecoder(this);
+        private final ConnectionPermit lease;
         private Channel channel;
         private Call call;
         private boolean begun; // some of the request may have been written
@@ -497,7 +509,7 @@
 
         // Its last byte is that of the last piece; one whose client breaks off never runs.
         private void upload(Call next, SendPermit permit) {
-            Sink sink = new Sink(channel);
+            BodyWriter sink = new BodyWriter(channel);
             sink.begin(next.message(endpoint), next.order.body());
             if (leaves(permit) && call == next) { // else it has broken at its first bytes
                 next.order.rest().to(new Upload(next, sink));
@@ -505,14 +517,14 @@
         }
 
         /** The rest of a long body. Its last piece is held back until its client is known to be there. */
-        private final class Upload implements Stream.Taker {
+        private final class Upload implements BodyStream.Taker {
             private final Call next;
-            private final Sink sink;
+            private final BodyWriter sink;
             private long left; // bytes until the last; many where that is not known
             private byte[] last;
             private ChannelFuture flushed; // of the piece before it, if any
 
-            Upload(Call next, Sink sink) {
+            Upload(Call next, BodyWriter sink) {
                 this.next = next;
                 this.sink = sink;
                 long length = next.order.length();
@@ -578,8 +590,8 @@
         }
 
         @Override
-        public void began(Answer answer) {
-            if (AttemptRules.isForged(answer.outcome(), written)) {
+        public void began(UpstreamResponse answer) {
+            if (AttemptOutcomeRules.isForged(answer.outcome(), written)) {
                 finish(Outcome.RESET, null, null);
                 close();
                 return;
@@ -613,7 +625,7 @@
             }
         }
 
-        void finish(Outcome outcome, Answer answer, Policy.Load load) {
+        void finish(Outcome outcome, UpstreamResponse answer, Policy.Load load) {
             Call ending = call;
             call = null;
             if (ending != null) {
@@ -627,8 +639,8 @@
         }
 
         @Override
-        public void answered(Answer answer, boolean usable) {
-            if (call != null && AttemptRules.isForged(answer.outcome(), written)) {
+        public void answered(UpstreamResponse answer, boolean usable) {
+            if (call != null && AttemptOutcomeRules.isForged(answer.outcome(), written)) {
                 finish(Outcome.RESET, null, null);
                 close();
                 return;
@@ -660,12 +672,12 @@
             budget.closed(lease, System.nanoTime());
             upstream.idle.remove(this);
             reader.ended();
-            if (call != null && AttemptRules.goesOver(rested, begun)) {
+            if (call != null && AttemptOutcomeRules.goesOver(rested, begun)) {
                 Call unbegun = call;
                 call = null;
                 start(upstream.id, unbegun);
             } else {
-                finish(AttemptRules.broken(written), null, null);
+                finish(AttemptOutcomeRules.broken(written), null, null);
             }
         }
     }
--- a/src/main/java/loadbalancer/upstream/http1/AnswerReader.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -23,16 +23,16 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.Arrays;
 import java.util.List;
-import loadbalancer.http1.Http1Fields;
-import loadbalancer.http1.Source;
-import loadbalancer.proxy.Answer;
-import loadbalancer.proxy.Order;
+import loadbalancer.http1.BodyReader;
+import loadbalancer.http1.Http1HeaderFields;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.UpstreamResponse;
 
 /**
  * Reads the answers on one connection to an upstream, one for each request, and trusts nothing that comes:
  * an answer that can't be read for certain is none, and what nobody asked for spoils the connection.
  */
-final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
+final class ResponseDecoder extends SimpleChannelInboundHandler<HttpObject> {
     private static final int HEAD_MOST = 8 * 1024;
     private static final int PIECE = 32 * 1024; // bytes that are handed on at once
     private static final int HINTS_MOST = 8; // 1xx answers ahead of one
@@ -40,13 +40,13 @@
     /** Whom it tells, once for each request. */
     interface Taker {
         /** {@code usable}: the connection may carry another request. */
-        void answered(Answer answer, boolean usable);
+        void answered(UpstreamResponse answer, boolean usable);
 
         /** Whether a long answer may be passed on as it comes. */
         boolean passes();
 
         /** A long answer has begun. */
-        void began(Answer answer);
+        void began(UpstreamResponse answer);
 
         /** It has ended, whole; {@code usable}: the connection may carry another request. */
         void passed(boolean usable);
@@ -69,11 +69,11 @@
     private boolean toEnd; // the present answer ends with the connection
     private int hints;
     private boolean hint; // within a 1xx answer
-    private Answer whole; // told at the end of the read
+    private UpstreamResponse whole; // told at the end of the read
     private Rest rest; // of a long answer that is passed on
     private Channel channel;
 
-    AnswerReader(Taker taker) {
+    ResponseDecoder(Taker taker) {
         this.taker = taker;
     }
 
@@ -108,9 +108,9 @@
             } else if (add(content.content()) && last && rest != null) {
                 rest.more(Unpooled.EMPTY_BUFFER, true);
             } else if (!spoilt && rest == null && last) {
-                whole = new Answer(
+                whole = new UpstreamResponse(
                         head.status().code(),
-                        new Http1Fields(head.headers()),
+                        new Http1HeaderFields(head.headers()),
                         body.length == length ? body : Arrays.copyOf(body, length));
             }
         }
@@ -134,9 +134,9 @@
         boolean ends = codings.isEmpty() || chunked;
         toEnd = codings.isEmpty() && !HttpUtil.isContentLengthSet(answer);
         long told = HttpUtil.getContentLength(answer, -1L);
-        if (!ends || told > (passes() ? Order.LENGTH_MOST : Order.BODY_MOST)) {
+        if (!ends || told > (passes() ? ProxyRequest.LENGTH_MOST : ProxyRequest.BODY_MOST)) {
             spoil();
-        } else if (told > Order.BODY_MOST) {
+        } else if (told > ProxyRequest.BODY_MOST) {
             pass(told);
         }
     }
@@ -144,7 +144,7 @@
     // Guards against answers that say or bring more than is ever held: no memory grows by them.
     private boolean add(ByteBuf more) {
         int bytes = more.readableBytes();
-        if (length + bytes > Order.BODY_MOST) {
+        if (length + bytes > ProxyRequest.BODY_MOST) {
             if (!passes()) {
                 spoil();
                 return false;
@@ -157,7 +157,7 @@
             body = ByteBufUtil.getBytes(more);
         } else if (bytes > 0) {
             if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(Order.BODY_MOST, 2 * (length + bytes)));
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
             }
             more.readBytes(body, length, bytes);
         }
@@ -173,7 +173,8 @@
         rest = new Rest();
         byte[] held = Arrays.copyOf(body, length);
         body = null;
-        taker.began(new Answer(head.status().code(), new Http1Fields(head.headers()), held, rest, told));
+        taker.began(
+                new UpstreamResponse(head.status().code(), new Http1HeaderFields(head.headers()), held, rest, told));
     }
 
     /** The connection has ended; what is under way breaks off. */
@@ -185,7 +186,7 @@
     }
 
     /** What follows of a long answer. */
-    private final class Rest extends Source {
+    private final class Rest extends BodyReader {
         private boolean ended;
 
         Rest() {
@@ -251,7 +252,7 @@
             channel.config().setAutoRead(true);
             taker.passed(!spoilt && !toEnd && !decoder.leftOver() && HttpUtil.isKeepAlive(head));
         } else if (whole != null) {
-            Answer told = whole;
+            UpstreamResponse told = whole;
             whole = null;
             expecting = false;
             taker.answered(told, !spoilt && !toEnd && !decoder.leftOver() && HttpUtil.isKeepAlive(head));
--- a/src/main/java/loadbalancer/upstream/http3/Call.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
@@ -16,45 +16,52 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.LoadReport;
-import loadbalancer.Policy;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.http3.Endings;
-import loadbalancer.http3.Endings.How;
-import loadbalancer.http3.ErrorCodes;
-import loadbalancer.http3.HeadRules;
-import loadbalancer.http3.Malformed;
+import loadbalancer.http3.AttemptOutcomes;
+import loadbalancer.http3.AttemptOutcomes.How;
+import loadbalancer.http3.HeaderValidator;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3ErrorCodes;
+import loadbalancer.http3.MalformedMessageException;
 import loadbalancer.http3.MessageState;
-import loadbalancer.http3.codec.Codes;
-import loadbalancer.http3.codec.Gathered;
-import loadbalancer.http3.codec.Http3Fields;
-import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.http3.codec.AggregatedBody;
+import loadbalancer.http3.codec.CodecErrors;
+import loadbalancer.http3.codec.FinalFrame;
+import loadbalancer.http3.codec.Http3HeaderFields;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Answer;
-import loadbalancer.proxy.Carrier;
-import loadbalancer.proxy.Order;
+import loadbalancer.proxy.AttemptTransport;
+import loadbalancer.proxy.AttemptTransport.AttemptEffect;
+import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.proxy.SendGuard;
 import loadbalancer.proxy.SendPermit;
+import loadbalancer.proxy.UpstreamResponse;
+import loadbalancer.settings.LoadReport;
 
 /** One attempt on a stream of its own, and how it ends. On the event loop. */
-final class Call implements Carrier.Attempt {
-    private final Http3Upstreams owner;
-    private final Box box;
-    private final Order order;
+final class Http3Attempt implements AttemptTransport.Attempt {
+    private final Http3AttemptTransport owner;
+    private final Http3Upstream box;
+    private final ProxyRequest order;
     private final long waitMillis; // 0: not told to the upstream
     private final long before; // µs: from then on it is not begun
-    private final Carrier.Listener listener;
-    private final MessageState state = new MessageState(Order.BODY_MOST);
-    private Channel3 connection;
+    private final AttemptTransport.Listener listener;
+    private final MessageState state = new MessageState(ProxyRequest.BODY_MOST);
+    private Http3UpstreamConnection connection;
     private QuicStreamChannel stream;
     private Future<?> timer;
     private boolean given; // the request's last byte is with the QUIC stack
     private boolean ended;
     private Http3Headers headers;
     private int status;
-    private final Gathered body = new Gathered();
+    private final AggregatedBody body = new AggregatedBody();
 
-    Call(Http3Upstreams owner, Box box, Order order, long waitMillis, long before, Carrier.Listener listener) {
+    Http3Attempt(
+            Http3AttemptTransport owner,
+            Http3Upstream box,
+            ProxyRequest order,
+            long waitMillis,
+            long before,
+            AttemptTransport.Listener listener) {
         this.before = before;
         this.owner = owner;
         this.box = box;
@@ -63,7 +70,7 @@
         this.listener = listener;
     }
 
-    void on(Channel3 channel) {
+    void on(Http3UpstreamConnection channel) {
         connection = channel;
     }
 
@@ -71,7 +78,7 @@
         timer = owner.loop.schedule(
                 () -> {
                     if (!ended) {
-                        boolean asked = giveUp() == Carrier.Fate.MAY_HAVE_RUN;
+                        boolean asked = giveUp() == AttemptEffect.MAY_HAVE_RUN;
                         listener.ended(asked ? Policy.Outcome.TIMEOUT : Policy.Outcome.CONNECT_FAILED, null, null);
                     }
                 },
@@ -83,7 +90,7 @@
         return stream != null;
     }
 
-    boolean beyond(BoxPlan.Link link) {
+    boolean beyond(Http3ConnectionPlan.PlannedConnection link) {
         return stream != null && link.beyond(stream.streamId());
     }
 
@@ -99,18 +106,18 @@
 
     void opened(QuicStreamChannel on, SendPermit permit) {
         if (ended) { // given up meanwhile
-            Codes.reset(on, ErrorCodes.REQUEST_CANCELLED);
+            CodecErrors.reset(on, Http3ErrorCodes.REQUEST_CANCELLED);
             return;
         }
         if (owner.clock.now() >= permit.until()) {
-            Codes.reset(on, ErrorCodes.REQUEST_CANCELLED);
+            CodecErrors.reset(on, Http3ErrorCodes.REQUEST_CANCELLED);
             end(Policy.Outcome.NOT_SENT, null, null);
             return;
         }
         stream = on;
         on.closeFuture().addListener(closed -> ended(How.CONNECTION_LOST, -1));
-        Http3Headers out = Http3Fields.request(order, Addresses.text(box.endpoint()), waitMillis);
-        LastFrame end = new LastFrame();
+        Http3Headers out = Http3HeaderFields.request(order, Addresses.text(box.endpoint()), waitMillis);
+        FinalFrame end = new FinalFrame();
         on.pipeline().addFirst(end);
         end.last();
         ChannelFuture last = on.write(new DefaultHttp3HeadersFrame(out));
@@ -129,14 +136,14 @@
 
     /** Stops waiting and tells nobody; the upstream is asked to stop as well (RFC 9114, section 4.1.1). */
     @Override
-    public Carrier.Fate giveUp() {
+    public AttemptEffect giveUp() {
         if (ended) {
-            return Carrier.Fate.NEVER_RAN;
+            return AttemptEffect.NEVER_RAN;
         }
-        Carrier.Fate fate = given ? Carrier.Fate.MAY_HAVE_RUN : Carrier.Fate.NEVER_RAN;
+        AttemptEffect fate = given ? AttemptEffect.MAY_HAVE_RUN : AttemptEffect.NEVER_RAN;
         over();
         if (stream != null) {
-            Codes.reset(stream, ErrorCodes.REQUEST_CANCELLED);
+            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
         return fate;
     }
@@ -163,15 +170,15 @@
     /** It has ended without an answer. */
     void ended(How how, long code) {
         if (!ended) {
-            Policy.Outcome outcome = Endings.outcome(how, given, code);
+            Policy.Outcome outcome = AttemptOutcomes.outcome(how, given, code);
             end(outcome, null, null);
             if (stream != null) {
-                Codes.reset(stream, ErrorCodes.REQUEST_CANCELLED);
+                CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
             }
         }
     }
 
-    void end(Policy.Outcome outcome, Answer answer, Policy.Load load) {
+    void end(Policy.Outcome outcome, UpstreamResponse answer, Policy.Load load) {
         if (!ended) {
             over();
             listener.ended(outcome, answer, load);
@@ -184,14 +191,14 @@
 
     private void answered() {
         byte[] all = body.all();
-        Answer answer = new Answer(status, new Http3Fields(headers), all);
+        UpstreamResponse answer = new UpstreamResponse(status, new Http3HeaderFields(headers), all);
         String report = answer.fields().get("Srv-Load");
         if (report == null && waitMillis == 0) {
             report = new String(all, StandardCharsets.UTF_8); // of a probe
         }
         end(answer.outcome(), answer, LoadReport.parse(report));
         if (!given) { // an early answer: the rest is not sent any more
-            Codes.reset(stream, ErrorCodes.REQUEST_CANCELLED);
+            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
@@ -204,11 +211,11 @@
             }
             try {
                 if (!state.headless()) {
-                    HeadRules.trailers(frame.headers());
+                    HeaderValidator.trailers(frame.headers());
                     state.trailers();
                     return;
                 }
-                HeadRules.Status head = HeadRules.answer(frame.headers());
+                HeaderValidator.Status head = HeaderValidator.answer(frame.headers());
                 if (head.status() >= 200) {
                     headers = frame.headers();
                     status = head.status();
@@ -217,7 +224,7 @@
                         ended(How.TOO_LONG, -1);
                     }
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 ended(How.BAD_ANSWER, -1);
             }
         }
@@ -233,7 +240,7 @@
                     return;
                 }
                 body.add(frame.content());
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 ended(How.BAD_ANSWER, -1);
             } finally {
                 ReferenceCountUtil.release(frame);
@@ -248,19 +255,19 @@
             try {
                 state.end();
                 answered();
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 ended(How.BAD_ANSWER, -1);
             }
         }
 
         @Override
         protected void handleQuicException(ChannelHandlerContext context, QuicException cause) {
-            ended(How.STREAM_RESET, Codes.code(cause));
+            ended(How.STREAM_RESET, CodecErrors.code(cause));
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            long code = Codes.code(cause);
+            long code = CodecErrors.code(cause);
             ended(code >= 0 ? How.STREAM_RESET : How.BAD_ANSWER, code);
         }
     }
--- a/src/main/java/loadbalancer/upstream/http3/Http3Upstreams.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
@@ -22,35 +22,39 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.State;
-import loadbalancer.SettingsReader;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.proxy.Carrier;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.State;
+import loadbalancer.proxy.AttemptTransport;
 import loadbalancer.proxy.Clock;
 import loadbalancer.proxy.DrainGrace;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.ListNews;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Targets;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.PendingUpdates;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.settings.SettingsReader;
 
 /**
  * Attempts over HTTP/3 to those upstreams that speak it, over another carrier to all others and where HTTP/3
  * fails for a while: a request that may have run on one is never carried by the other as the same attempt.
  * One UDP socket for all upstreams. On the event loop.
  */
-public final class Http3Upstreams implements Carrier {
+public final class Http3AttemptTransport implements AttemptTransport {
     /**
      * {@code trust}: who signs their certificates; {@code serverName}: null where these name addresses;
      * {@code named}: whether they are held to it; {@code idle} in ms.
      */
     public record Limits(
-            BoxPlan.Limits plan, List<X509Certificate> trust, String serverName, long idle, boolean named) {}
+            Http3ConnectionPlan.Limits plan,
+            List<X509Certificate> trust,
+            String serverName,
+            long idle,
+            boolean named) {}
 
     private static final long LOOK_MS = 250; // between looks for connections at rest
     private static final long FAREWELL_MS = 100; // for the last packets to leave
     private static final long CONNECT = 1_000_000; // µs, where the settings give no limit
-    private static final long WINDOW = 16L * Order.BODY_MOST;
+    private static final long WINDOW = 16L * ProxyRequest.BODY_MOST;
     private static final int CONTROL_STREAMS = 3;
     private static final int CONTROL_WINDOW = 4 * 1024;
     private static final int DATAGRAM = 1_350;
@@ -58,12 +62,12 @@
 
     final EventLoop loop;
     final Clock clock;
-    final ListNews news;
+    final PendingUpdates news;
     final Limits limits;
-    private final Carrier other;
+    private final AttemptTransport other;
     private final SettingsReader.Boot boot;
     private final Consumer<String> log;
-    private final Map<String, Box> boxes = new HashMap<>();
+    private final Map<String, Http3Upstream> boxes = new HashMap<>();
     private final QuicSslContext context;
     private final Future<?> sweep;
     private ChannelFuture socket4;
@@ -73,12 +77,12 @@
      * {@code news}: of the list, which comes before what is begun; {@code other} carries what HTTP/3 doesn't,
      * null: nothing does; {@code log} must not block.
      */
-    public Http3Upstreams(
+    public Http3AttemptTransport(
             EventLoop loop,
             SettingsReader.Boot boot,
             Clock clock,
-            ListNews news,
-            Carrier other,
+            PendingUpdates news,
+            AttemptTransport other,
             Limits limits,
             Consumer<String> log) {
         this.loop = loop;
@@ -119,7 +123,7 @@
                 .maxSendUdpPayloadSize(DATAGRAM)
                 .maxRecvUdpPayloadSize(DATAGRAM)
                 .initialMaxData(WINDOW)
-                .initialMaxStreamDataBidirectionalLocal(Order.BODY_MOST)
+                .initialMaxStreamDataBidirectionalLocal(ProxyRequest.BODY_MOST)
                 .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
                 .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
                 .initialMaxStreamsBidirectional(0)
@@ -146,22 +150,22 @@
     // ---------------------------------------------------------------- the list
 
     @Override
-    public void listed(Targets targets, long now) {
+    public void listed(EndpointUpdate targets, long now) {
         if (other != null) {
             other.listed(targets, now);
         }
         Set<String> named = new HashSet<>();
-        for (Targets.Target t : targets.list()) {
+        for (EndpointUpdate.Endpoint t : targets.list()) {
             String id = t.server().id();
             named.add(id);
-            Box box = boxes.get(id);
+            Http3Upstream box = boxes.get(id);
             if (box != null && !box.endpoint().equals(t.http3())) {
                 box.retire();
                 boxes.remove(id);
                 box = null;
             }
             if (box == null && t.http3() != null) {
-                box = new Box(this, id, t.http3(), new BoxPlan(limits.plan()));
+                box = new Http3Upstream(this, id, t.http3(), new Http3ConnectionPlan(limits.plan()));
                 boxes.put(id, box);
             }
             if (box != null && t.server().state() == State.UP) {
@@ -175,24 +179,24 @@
         }
     }
 
-    private void stop(Box box, long now) {
+    private void stop(Http3Upstream box, long now) {
         box.stopAt(DrainGrace.stopAt(box.stopAt(), now, boot.settings().bounds().drainGrace()));
     }
 
     // ---------------------------------------------------------------- attempts and probes
 
     @Override
-    public Attempt send(String server, Order order, long wait, long before, Listener listener) {
-        Box box = boxes.get(server);
+    public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
+        Http3Upstream box = boxes.get(server);
         if (box == null || order.rest() != null && other != null) { // uploads go over HTTP/1.1
             return other.send(server, order, wait, before, listener);
         }
-        BoxPlan.Choice choice = clock.now() >= box.stopAt() ? null : box.choose();
-        if (choice != null && choice.way() == BoxPlan.Way.HTTP1 && other != null) {
+        Http3ConnectionPlan.Choice choice = clock.now() >= box.stopAt() ? null : box.choose();
+        if (choice != null && choice.way() == Http3ConnectionPlan.Way.HTTP1 && other != null) {
             return other.send(server, order, wait, before, listener);
         }
-        Call call = new Call(this, box, order, Math.max(1, wait / 1000), before, listener);
-        if (choice == null || choice.way() == BoxPlan.Way.HTTP1 || order.rest() != null) {
+        Http3Attempt call = new Http3Attempt(this, box, order, Math.max(1, wait / 1000), before, listener);
+        if (choice == null || choice.way() == Http3ConnectionPlan.Way.HTTP1 || order.rest() != null) {
             call.end(Outcome.NOT_SENT, null, null);
         } else {
             box.carry(choice, call);
@@ -202,7 +206,7 @@
 
     @Override
     public boolean connected(String server) {
-        Box box = boxes.get(server);
+        Http3Upstream box = boxes.get(server);
         if (box != null && !box.plan().failing()) {
             return box.plan().connected();
         }
@@ -212,15 +216,25 @@
     /** Gives up after the time that a connection may take. */
     @Override
     public void probe(String server, boolean report, Listener listener) {
-        Box box = boxes.get(server);
-        BoxPlan.Choice choice = box == null || clock.now() >= box.stopAt() ? null : box.choose();
-        if (choice == null || choice.way() == BoxPlan.Way.HTTP1) {
+        Http3Upstream box = boxes.get(server);
+        Http3ConnectionPlan.Choice choice = box == null || clock.now() >= box.stopAt() ? null : box.choose();
+        if (choice == null || choice.way() == Http3ConnectionPlan.Way.HTTP1) {
             other.probe(server, report, listener);
             return;
         }
-        Order order = new Order(
-                "", "GET", report ? "/-/load" : "/-/healthy", Fields.NONE, new byte[0], -1, 0, null, 0, -1, false);
-        Call call = new Call(this, box, order, 0, Long.MAX_VALUE, listener);
+        ProxyRequest order = new ProxyRequest(
+                "",
+                "GET",
+                report ? "/-/load" : "/-/healthy",
+                HeaderFields.NONE,
+                new byte[0],
+                -1,
+                0,
+                null,
+                0,
+                -1,
+                false);
+        Http3Attempt call = new Http3Attempt(this, box, order, 0, Long.MAX_VALUE, listener);
         call.giveUpAfter(connectMicros());
         box.carry(choice, call);
     }
@@ -228,7 +242,7 @@
     @Override
     public void closeIdle(String server) {
         other.closeIdle(server);
-        Box box = boxes.get(server);
+        Http3Upstream box = boxes.get(server);
         if (box != null) {
             box.closeIdle(clock.now());
         }
@@ -244,7 +258,7 @@
     /** Ends all connections, whatever they hold, and then their sockets. */
     public void end() {
         sweep.cancel(false);
-        boxes.values().forEach(Box::end);
+        boxes.values().forEach(Http3Upstream::end);
         loop.schedule(
                 () -> {
                     for (ChannelFuture socket : new ChannelFuture[] {socket4, socket6}) {
--- a/src/main/java/loadbalancer/upstream/http3/Box.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
@@ -4,21 +4,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.http3.BoxPlan.Link;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.policy.Policy.Outcome;
 import loadbalancer.proxy.DrainGrace;
 
-/** An upstream that speaks HTTP/3 and the connections to it, as its {@link BoxPlan} has them. On the loop. */
-final class Box {
-    private final Http3Upstreams owner;
+/** An upstream that speaks HTTP/3 and the connections to it, as its {@link Http3ConnectionPlan} has them. On the loop. */
+final class Http3Upstream {
+    private final Http3AttemptTransport owner;
     private final String id;
     private final InetSocketAddress endpoint;
-    private final BoxPlan plan;
-    private final Map<Link, Channel3> channels = new HashMap<>();
+    private final Http3ConnectionPlan plan;
+    private final Map<Http3ConnectionPlan.PlannedConnection, Http3UpstreamConnection> channels = new HashMap<>();
     private long stopAt = DrainGrace.NEVER; // when the grace of its drain is over
 
-    Box(Http3Upstreams owner, String id, InetSocketAddress endpoint, BoxPlan plan) {
+    Http3Upstream(Http3AttemptTransport owner, String id, InetSocketAddress endpoint, Http3ConnectionPlan plan) {
         this.owner = owner;
         this.id = id;
         this.endpoint = endpoint;
@@ -33,11 +32,11 @@
         return endpoint;
     }
 
-    Http3Upstreams owner() {
+    Http3AttemptTransport owner() {
         return owner;
     }
 
-    BoxPlan plan() {
+    Http3ConnectionPlan plan() {
         return plan;
     }
 
@@ -53,23 +52,23 @@
         return channels.isEmpty();
     }
 
-    BoxPlan.Choice choose() {
-        channels.values().forEach(Channel3::tellAllowed);
-        BoxPlan.Choice choice = plan.choose(owner.clock.now());
+    Http3ConnectionPlan.Choice choose() {
+        channels.values().forEach(Http3UpstreamConnection::tellAllowed);
+        Http3ConnectionPlan.Choice choice = plan.choose(owner.clock.now());
         if (choice.dial()) {
-            Channel3 channel = new Channel3(this, choice.link());
+            Http3UpstreamConnection channel = new Http3UpstreamConnection(this, choice.link());
             channels.put(choice.link(), channel);
             channel.dial();
         }
         return choice;
     }
 
-    void carry(BoxPlan.Choice choice, Call call) {
-        if (choice.way() == BoxPlan.Way.NONE) {
+    void carry(Http3ConnectionPlan.Choice choice, Http3Attempt call) {
+        if (choice.way() == Http3ConnectionPlan.Way.NONE) {
             call.end(Outcome.NOT_SENT, null, null);
             return;
         }
-        Channel3 channel = channels.get(choice.link());
+        Http3UpstreamConnection channel = channels.get(choice.link());
         if (channel == null) { // its dial has failed within the call
             call.end(Outcome.CONNECT_FAILED, null, null);
         } else {
@@ -77,7 +76,7 @@
         }
     }
 
-    void closed(Link link) {
+    void closed(Http3ConnectionPlan.PlannedConnection link) {
         boolean before = plan.failing();
         plan.closed(link, owner.clock.now());
         channels.remove(link);
@@ -87,7 +86,8 @@
     }
 
     void closeIdle(long since) {
-        for (Map.Entry<Link, Channel3> e : List.copyOf(channels.entrySet())) {
+        for (Map.Entry<Http3ConnectionPlan.PlannedConnection, Http3UpstreamConnection> e :
+                List.copyOf(channels.entrySet())) {
             if (e.getKey().idleSince(since)) {
                 plan.retire(e.getKey());
                 e.getValue().end();
@@ -103,6 +103,6 @@
     }
 
     void end() {
-        List.copyOf(channels.values()).forEach(Channel3::end);
+        List.copyOf(channels.values()).forEach(Http3UpstreamConnection::end);
     }
 }
--- a/src/main/java/loadbalancer/upstream/http3/Channel3.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
@@ -20,35 +20,35 @@
 import java.util.Set;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.BoxPlan.Link;
-import loadbalancer.http3.Endings.How;
-import loadbalancer.http3.ErrorCodes;
-import loadbalancer.http3.codec.Codes;
-import loadbalancer.http3.codec.Quiet;
+import loadbalancer.http3.AttemptOutcomes.How;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3ErrorCodes;
+import loadbalancer.http3.codec.CodecErrors;
+import loadbalancer.http3.codec.UnhandledExceptionHandler;
 import loadbalancer.proxy.SendPermit;
 
 /** One QUIC connection to an upstream: its handshake, its streams, its end. On the event loop. */
-final class Channel3 {
-    private final Box box;
-    private final Link link;
-    private final Set<Call> calls = new LinkedHashSet<>();
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>(); // for the handshake
+final class Http3UpstreamConnection {
+    private final Http3Upstream box;
+    private final Http3ConnectionPlan.PlannedConnection link;
+    private final Set<Http3Attempt> calls = new LinkedHashSet<>();
+    private final ArrayDeque<Http3Attempt> waiting = new ArrayDeque<>(); // for the handshake
     private QuicChannel channel;
     private Future<?> patience;
     private boolean connected;
     private boolean over;
 
-    Channel3(Box box, Link link) {
+    Http3UpstreamConnection(Http3Upstream box, Http3ConnectionPlan.PlannedConnection link) {
         this.box = box;
         this.link = link;
     }
 
     /** Begins the handshake; what waits for it when its time is over has not been sent. */
     void dial() {
-        Http3Upstreams owner = box.owner();
+        Http3AttemptTransport owner = box.owner();
         patience = owner.loop.schedule(
                 () -> {
-                    Codes.end(channel, ErrorCodes.NO_ERROR);
+                    CodecErrors.end(channel, Http3ErrorCodes.NO_ERROR);
                     lost();
                 },
                 owner.connectMicros(),
@@ -64,7 +64,7 @@
 
     private void connect(Channel socket) {
         QuicChannel.newBootstrap(socket)
-                .attr(Http3Upstreams.PEER, box.endpoint())
+                .attr(Http3AttemptTransport.PEER, box.endpoint())
                 .handler(new ChannelInitializer<QuicChannel>() {
                     @Override
                     protected void initChannel(QuicChannel quic) {
@@ -74,8 +74,8 @@
                                 .addLast(
                                         new Streams(),
                                         new Http3ClientConnectionHandler(
-                                                new Control(), null, null, Codes.settings(), true),
-                                        new Quiet());
+                                                new Control(), null, null, CodecErrors.settings(), true),
+                                        new UnhandledExceptionHandler());
                     }
                 })
                 .remoteAddress(box.endpoint())
@@ -84,7 +84,7 @@
                     if (!done.isSuccess()) {
                         lost();
                     } else if (over) {
-                        Codes.end(channel, ErrorCodes.NO_ERROR);
+                        CodecErrors.end(channel, Http3ErrorCodes.NO_ERROR);
                     } else {
                         connected = true;
                         upIfSo();
@@ -100,7 +100,7 @@
         }
         patience.cancel(false);
         box.plan().up(link, left(), box.owner().clock.now());
-        for (Call call = waiting.poll(); call != null; call = waiting.poll()) {
+        for (Http3Attempt call = waiting.poll(); call != null; call = waiting.poll()) {
             open(call);
         }
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    void carry(Call call) {
+    void carry(Http3Attempt call) {
         calls.add(call);
         call.on(this);
         if (link.up()) {
@@ -126,12 +126,12 @@
     }
 
     // Never from within a read of a client's connection, and behind news of the list that may lie unread.
-    private void open(Call call) {
-        Http3Upstreams owner = box.owner();
+    private void open(Http3Attempt call) {
+        Http3AttemptTransport owner = box.owner();
         owner.loop.execute(() -> owner.news.afterNews(() -> begin(call)));
     }
 
-    private void begin(Call call) {
+    private void begin(Http3Attempt call) {
         SendPermit permit = call.permit(box.stopAt());
         if (call.isOver()) {
             return;
@@ -156,7 +156,7 @@
     }
 
     /** The call is over, one way or another. */
-    void released(Call call) {
+    void released(Http3Attempt call) {
         if (calls.remove(call)) {
             waiting.remove(call);
             box.plan().released(link, box.owner().clock.now());
@@ -168,10 +168,10 @@
 
     private void goAway(long id) {
         if (!box.plan().goAway(link, id)) {
-            Codes.end(channel, ErrorCodes.ID_ERROR);
+            CodecErrors.end(channel, Http3ErrorCodes.ID_ERROR);
             return;
         }
-        for (Call call : new ArrayList<>(calls)) {
+        for (Http3Attempt call : new ArrayList<>(calls)) {
             if (call.beyond(link)) {
                 call.ended(How.BEYOND_GOAWAY, -1);
             }
@@ -189,7 +189,7 @@
         over = true;
         patience.cancel(false);
         box.closed(link);
-        for (Call call : List.copyOf(calls)) {
+        for (Http3Attempt call : List.copyOf(calls)) {
             call.ended(call.isOpen() ? How.CONNECTION_LOST : How.NOT_CONNECTED, -1);
         }
     }
@@ -198,7 +198,7 @@
         if (channel == null) {
             lost();
         } else {
-            Codes.end(channel, ErrorCodes.NO_ERROR);
+            CodecErrors.end(channel, Http3ErrorCodes.NO_ERROR);
         }
     }
 
--- a/src/test/java/loadbalancer/HouseTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -1,5 +1,7 @@
 package loadbalancer;
 
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideOutsideOfPackages;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
@@ -7,25 +9,27 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import loadbalancer.connections.Budget;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.http3.Endings;
-import loadbalancer.http3.HeadRules;
+import java.util.Arrays;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.http3.AttemptOutcomes;
+import loadbalancer.http3.HeaderValidator;
+import loadbalancer.http3.Http3ConnectionLimiter;
+import loadbalancer.http3.Http3ConnectionPlan;
 import loadbalancer.http3.MessageState;
-import loadbalancer.http3.ResetGuard;
+import loadbalancer.http3.RapidResetGuard;
 import loadbalancer.http3.RetryTokens;
-import loadbalancer.http3.Sessions;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.proxy.BodyMemoryBudget;
 import loadbalancer.proxy.Clock;
 import loadbalancer.proxy.DrainGrace;
-import loadbalancer.proxy.OrderRules;
-import loadbalancer.proxy.Room;
+import loadbalancer.proxy.RequestMetrics;
+import loadbalancer.proxy.RequestValidator;
 import loadbalancer.proxy.SendGuard;
 import loadbalancer.proxy.SendPermit;
-import loadbalancer.proxy.Tally;
 import org.junit.jupiter.api.Test;
 
-/** Who may know whom, and who decides without I/O: see docs/frame.md. */
-class HouseTest {
+/** Who may know whom, and who decides without I/O: see docs/architecture.md. */
+class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("loadbalancer");
@@ -34,27 +38,29 @@
         "java.io..", "java.nio.channels..", "java.nio.file..", "java.net..", "io.netty..", "java.util.concurrent.."
     };
 
-    @Test
-    void theModuleKnowsNothingBelowIt() {
+    /** The classes of a package use no others of the program than those of the packages named. */
+    private static void usesOnly(String name, String... allowed) {
+        String[] own = Arrays.copyOf(allowed, allowed.length + 1);
+        own[allowed.length] = "loadbalancer." + name + "..";
         noClasses()
                 .that()
-                .haveFullyQualifiedName(Balance.class.getName())
-                .or()
-                .haveFullyQualifiedName(Policy.class.getName())
-                .or()
-                .haveNameMatching("loadbalancer\\.Books.*")
+                .resideInAPackage("loadbalancer." + name + "..")
                 .should()
-                .dependOnClassesThat()
-                .resideInAnyPackage(IO)
+                .dependOnClassesThat(resideInAPackage("loadbalancer..").and(resideOutsideOfPackages(own)))
                 .check(ALL);
+    }
+
+    @Test
+    void policySettingsAndSimulatorUseNothingBelowThem() {
+        usesOnly("policy");
+        usesOnly("settings", "loadbalancer.policy..");
+        usesOnly("simulator", "loadbalancer.policy..", "loadbalancer.settings..");
         noClasses()
                 .that()
-                .resideInAPackage("loadbalancer")
-                .and()
-                .doNotHaveSimpleName("Main")
+                .resideInAPackage("loadbalancer.policy..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("loadbalancer.*..")
+                .resideInAnyPackage(IO)
                 .check(ALL);
     }
 
@@ -62,41 +68,42 @@
     void whatDecidesDoesNoInputOrOutputAndReadsNoClock() {
         noClasses()
                 .that()
-                .resideInAPackage(Budget.class.getPackageName())
+                .resideInAnyPackage(ConnectionBudget.class.getPackageName(), "loadbalancer.policy..")
                 .or()
-                .haveNameMatching("loadbalancer\\.lifecycle\\.(LifeCycle|LastCall|Succession)(\\$.*)?")
+                .haveNameMatching("loadbalancer\\.lifecycle\\.(LifeCycle|ShutdownDrain|HotRestart)(\\$.*)?")
                 .or()
-                .haveFullyQualifiedName("loadbalancer.admin.Calls")
+                .haveFullyQualifiedName("loadbalancer.admin.AdminRoutes")
                 .or()
                 .belongToAnyOf(
-                        OrderRules.class,
-                        Tally.class,
-                        Balance.class,
-                        Room.class,
+                        RequestValidator.class,
+                        RequestMetrics.class,
+                        JsqDasPolicy.class,
+                        BodyMemoryBudget.class,
                         DrainGrace.class,
                         SendGuard.class,
                         SendPermit.class,
-                        HeadRules.class,
+                        HeaderValidator.class,
                         MessageState.class,
-                        Endings.class,
-                        BoxPlan.class,
-                        Sessions.class,
-                        ResetGuard.class,
+                        AttemptOutcomes.class,
+                        Http3ConnectionPlan.class,
+                        Http3ConnectionLimiter.class,
+                        RapidResetGuard.class,
                         RetryTokens.class)
                 .or()
-                .haveFullyQualifiedName("loadbalancer.proxy.Standstill")
+                .haveFullyQualifiedName("loadbalancer.proxy.EventLoopStallDetector")
                 .or()
-                .haveNameMatching("loadbalancer\\.discovery\\.(Versions|Silence)(\\$.*)?")
+                .haveNameMatching("loadbalancer\\.discovery\\.(VersionTracker|WatchTimeout)(\\$.*)?")
                 .or()
-                .haveNameMatching("loadbalancer\\.testbed\\.(Ledger|ServerModel|Cell|Script|Report|Scenario)(\\$.*)?")
+                .haveNameMatching(
+                        "loadbalancer\\.testbed\\.(Ledger|ServerModel|IdempotencyKeys|ArrivalSchedule|RunReport|Scenario)(\\$.*)?")
                 .or()
                 .haveNameMatching("loadbalancer\\.testbed\\.RequestCounts(\\$.*)?")
                 .or()
-                .haveFullyQualifiedName("loadbalancer.testbed.FleetPlan")
+                .haveFullyQualifiedName("loadbalancer.testbed.FleetRunPlan")
                 .or()
-                .haveNameMatching("loadbalancer\\.testbed\\.fleet\\.(Shares|Spread|Trouble)(\\$.*)?")
+                .haveNameMatching("loadbalancer\\.testbed\\.fleet\\.(LoadShares|LoadSpread|Fault)(\\$.*)?")
                 .or()
-                .haveFullyQualifiedName("loadbalancer.upstream.http1.AttemptRules")
+                .haveFullyQualifiedName("loadbalancer.upstream.http1.AttemptOutcomeRules")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(IO)
--- a/src/test/java/loadbalancer/SourceLimitsTest.java
+++ b/src/test/java/loadbalancer/SourceLimitsTest.java
@@ -12,9 +12,9 @@
 
     @Test
     void theModuleCanBeReviewedInAnHour() throws IOException {
-        long lines = Files.readAllLines(Path.of("src/main/java/loadbalancer/Balance.java")).stream()
+        long lines = Files.readAllLines(Path.of("src/main/java/loadbalancer/policy/JsqDasPolicy.java")).stream()
                 .filter(line -> !line.isBlank())
                 .count();
-        assertTrue(lines <= MOST, "Balance.java holds " + lines + " non-blank lines, " + MOST + " at most");
+        assertTrue(lines <= MOST, "JsqDasPolicy.java holds " + lines + " non-blank lines, " + MOST + " at most");
     }
 }
--- a/src/test/java/loadbalancer/config/RetuningTest.java
+++ b/src/test/java/loadbalancer/config/SettingsReloadTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
-class RetuningTest {
+class SettingsReloadTest {
     private static SettingsReader.Boot boot(int balancers, String... namesAndEffects) {
         Map<String, String> values = new HashMap<>(Map.of(
                 "Balancers",
@@ -57,7 +57,7 @@
     void keysOfAListCountWhereAllHaveThem() {
         assertEquals(
                 Set.of("Quantum", "Classes.count", "Classes.*.Name", "Limits.Cancel"),
-                Retuning.keys(Map.of(
+                SettingsReload.keys(Map.of(
                         "Quantum",
                         "1",
                         "Classes.count",
@@ -74,15 +74,16 @@
 
     @Test
     void whatServersAreNumberedByNeedsARestartAndNamesStandOnce() {
-        assertNull(Retuning.problem(boot(2, "a", "safe"), boot(2, "b", "unsafe", "a", "keyed")));
-        assertTrue(Retuning.problem(boot(2, "a", "safe"), boot(3, "a", "safe")).contains("restart"));
-        assertTrue(Retuning.problem(boot(2, "a", "safe"), boot(2, "a", "safe", "a", "safe"))
+        assertNull(SettingsReload.problem(boot(2, "a", "safe"), boot(2, "b", "unsafe", "a", "keyed")));
+        assertTrue(SettingsReload.problem(boot(2, "a", "safe"), boot(3, "a", "safe"))
+                .contains("restart"));
+        assertTrue(SettingsReload.problem(boot(2, "a", "safe"), boot(2, "a", "safe", "a", "safe"))
                 .contains("twice"));
     }
 
     @Test
     void whatWasDroppedOrHasAnotherEffectFollowsBehind() {
-        SettingsReader.Boot merged = Retuning.withFormer(
+        SettingsReader.Boot merged = SettingsReload.withFormer(
                 boot(2, "a", "safe", "b", "safe", "c", "keyed"), boot(2, "n", "unsafe", "b", "unsafe", "c", "keyed"));
         assertEquals(List.of("n", "b", "c", "a", "b"), merged.classes());
         assertEquals(
@@ -95,6 +96,6 @@
                 merged.settings().classes().stream()
                         .map(Policy.RequestClass::effect)
                         .toList());
-        assertEquals(merged, Retuning.withFormer(merged, merged));
+        assertEquals(merged, SettingsReload.withFormer(merged, merged));
     }
 }
--- a/src/test/java/loadbalancer/connections/BudgetTest.java
+++ b/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
@@ -12,39 +12,39 @@
 import org.junit.jupiter.api.Test;
 
 /** The budget's decisions, with time as an argument. */
-class BudgetTest {
+class ConnectionBudgetTest {
     private static final long MS = 1_000_000;
     private static final long S = 1_000 * MS;
 
     private long now = 5 * S;
     private final List<String> ended = new ArrayList<>();
-    private Budget budget = new Budget(Limits.of(256), now); // 192 in all
+    private ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(256), now); // 192 in all
 
-    private Lease client(String address, String name) {
+    private ConnectionPermit client(String address, String name) {
         return budget.client(address, 1, () -> ended.add(name), now);
     }
 
-    private List<Lease> clients(String address, int count) {
-        List<Lease> all = new ArrayList<>();
+    private List<ConnectionPermit> clients(String address, int count) {
+        List<ConnectionPermit> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(client(address, address + i));
         }
         return all;
     }
 
-    private Lease served(String address, String name) {
-        Lease lease = client(address, name);
+    private ConnectionPermit served(String address, String name) {
+        ConnectionPermit lease = client(address, name);
         budget.asked(lease, now);
         assertTrue(budget.answered(lease, true, false, now));
         return lease;
     }
 
-    private Lease upstream(String name) {
+    private ConnectionPermit upstream(String name) {
         return budget.upstream(() -> ended.add(name), now);
     }
 
     private void fillClients(String address) {
-        while (budget.admits(Side.CLIENT, now)) {
+        while (budget.admits(Direction.CLIENT, now)) {
             client(address, address);
         }
     }
@@ -61,7 +61,7 @@
     /** Clients that ask once and keep their connection for 2 s, far beyond what the limit can turn over. */
     @Test
     void whoAsksOnceIsEndedAtItsAnswerAndWhoAsksAgainStays() {
-        List<Lease> regular = new ArrayList<>();
+        List<ConnectionPermit> regular = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             regular.add(served("regular" + i, "regular"));
         }
@@ -75,11 +75,11 @@
         for (int i = 0; i < 2_000; i++) {
             now += 5 * MS;
             if (i % 5 == 0) {
-                Lease again = regular.get(i / 5 % regular.size());
+                ConnectionPermit again = regular.get(i / 5 % regular.size());
                 budget.asked(again, now);
                 assertTrue(budget.answered(again, true, false, now), "a regular one, at " + i);
             }
-            Lease once = client("once" + i, "once");
+            ConnectionPermit once = client("once" + i, "once");
             now += MS;
             budget.asked(once, now);
             if (budget.answered(once, true, false, now)) {
@@ -89,7 +89,7 @@
                 budget.closed(once, now);
             }
             budget.endOverdue(now);
-            assertTrue(budget.open(Side.CLIENT) < budget.clientsMost(now) * 3 / 4, "room is left at " + i);
+            assertTrue(budget.open(Direction.CLIENT) < budget.clientsMost(now) * 3 / 4, "room is left at " + i);
         }
         assertTrue(ends > 200, "ended " + ends + ", kept " + kept);
         assertFalse(ended.contains("regular"));
@@ -101,7 +101,7 @@
         now += 120 * S;
         budget.endOverdue(now);
         assertEquals(5 * S, budget.restMost(now));
-        Lease back = client("once1", "back");
+        ConnectionPermit back = client("once1", "back");
         budget.asked(back, now);
         assertTrue(budget.answered(back, true, false, now));
     }
@@ -109,7 +109,7 @@
     /** From one address, as behind a front, all that is asked again stays. */
     @Test
     void everythingFromOneAddressIsNotPunished() {
-        List<Lease> pool = new ArrayList<>();
+        List<ConnectionPermit> pool = new ArrayList<>();
         for (int i = 0; i < 60; i++) { // a front opens another one where all are busy
             pool.add(client("front", "pool"));
             budget.asked(pool.get(i), now);
@@ -117,7 +117,7 @@
         pool.forEach(l -> assertTrue(budget.answered(l, true, false, now)));
         for (int i = 0; i < 5_000; i++) {
             now += MS;
-            Lease lease = pool.get(i % pool.size());
+            ConnectionPermit lease = pool.get(i % pool.size());
             budget.asked(lease, now);
             assertTrue(budget.answered(lease, true, false, now), "at " + i);
             budget.endOverdue(now);
@@ -131,19 +131,19 @@
         clients("crowd", 20);
         now += 2 * budget.fairTime();
         fillClients("later");
-        assertTrue(budget.makeRoom(Side.CLIENT, now));
+        assertTrue(budget.makeRoom(Direction.CLIENT, now));
         assertEquals(List.of("crowd19"), ended);
-        assertEquals(1, budget.ended(End.SILENT_FOR_ROOM));
+        assertEquals(1, budget.ended(CloseReason.SILENT_FOR_ROOM));
     }
 
     @Test
     void newcomersHaveAFairTimeAndOthersWaitForThat() {
-        Lease resting = served("usual", "usual");
+        ConnectionPermit resting = served("usual", "usual");
         fillClients("crowd");
-        assertFalse(budget.makeRoom(Side.CLIENT, now), "all are new: the next one waits");
+        assertFalse(budget.makeRoom(Direction.CLIENT, now), "all are new: the next one waits");
         assertTrue(ended.isEmpty(), "and the one that was just served stays");
         now += budget.fairTime();
-        assertTrue(budget.makeRoom(Side.CLIENT, now));
+        assertTrue(budget.makeRoom(Direction.CLIENT, now));
         assertEquals(List.of("crowd"), ended);
         assertTrue(resting.atRest());
     }
@@ -151,7 +151,7 @@
     @Test
     void theFairTimeFollowsWhatClientsTake() {
         for (int i = 0; i < 200; i++) {
-            Lease quick = client("q", "q");
+            ConnectionPermit quick = client("q", "q");
             now += 2 * MS;
             budget.asked(quick, now);
             budget.answered(quick, true, false, now);
@@ -159,7 +159,7 @@
         }
         assertEquals(60 * MS, budget.fairTime(), "the least");
         for (int i = 0; i < 200; i++) {
-            Lease slow = client("s", "s");
+            ConnectionPermit slow = client("s", "s");
             now += 100 * MS;
             budget.asked(slow, now);
             budget.answered(slow, true, false, now);
@@ -175,11 +175,11 @@
             served("greedy", "greedy" + i);
         }
         now += S;
-        for (Lease lease = null; budget.admits(Side.CLIENT, now); ) {
+        for (ConnectionPermit lease = null; budget.admits(Direction.CLIENT, now); ) {
             lease = client("busy", "busy");
             budget.asked(lease, now);
         }
-        assertTrue(budget.makeRoom(Side.CLIENT, now));
+        assertTrue(budget.makeRoom(Direction.CLIENT, now));
         assertEquals(List.of("greedy0"), ended);
     }
 
@@ -187,35 +187,35 @@
     void whoseTimeIsOverIsEndedOnce() {
         served("a", "rested");
         client("b", "silent");
-        Lease busy = client("c", "busy");
+        ConnectionPermit busy = client("c", "busy");
         budget.asked(busy, now);
-        Lease last = client("d", "lingering");
+        ConnectionPermit last = client("d", "lingering");
         budget.asked(last, now);
         assertFalse(budget.answered(last, false, false, now));
         now += 6 * S;
         budget.endOverdue(now);
         budget.endOverdue(now);
         assertEquals(List.of("rested", "silent", "lingering"), ended);
-        assertEquals(1, budget.open(Side.CLIENT));
+        assertEquals(1, budget.open(Direction.CLIENT));
         budget.closed(busy, now);
         budget.closed(busy, now);
-        assertEquals(0, budget.open(Side.CLIENT), "told twice, counted once");
+        assertEquals(0, budget.open(Direction.CLIENT), "told twice, counted once");
     }
 
     /** A last answer that is still on its way must not be cut off for a newcomer's sake. */
     @Test
     void aLastAnswerHasTimeToBeReadBeforeItsConnectionGoesForRoom() {
-        Lease last = client("slow", "slow");
+        ConnectionPermit last = client("slow", "slow");
         budget.asked(last, now);
         budget.answered(last, false, false, now);
         fillClients("crowd");
         now += 400 * MS;
-        budget.makeRoom(Side.CLIENT, now);
+        budget.makeRoom(Direction.CLIENT, now);
         assertFalse(ended.contains("slow"));
         fillClients("crowd");
         now += 200 * MS;
         ended.clear();
-        assertTrue(budget.makeRoom(Side.CLIENT, now));
+        assertTrue(budget.makeRoom(Direction.CLIENT, now));
         assertEquals(List.of("slow"), ended);
     }
 
@@ -223,11 +223,11 @@
     @Test
     void whatHasComeInIsNotLostAtTheEndOfAnAnswer() {
         for (int i = 0; i < 500; i++) { // nobody asks twice, and room is dear
-            Lease once = client("once" + i, "once");
+            ConnectionPermit once = client("once" + i, "once");
             budget.asked(once, now);
             budget.answered(once, true, false, now += MS);
         }
-        Lease pipelining = client("p", "p");
+        ConnectionPermit pipelining = client("p", "p");
         budget.asked(pipelining, now);
         budget.asked(pipelining, now);
         assertTrue(budget.answered(pipelining, true, false, now), "one more has been taken");
@@ -240,11 +240,11 @@
     /** A connection with many requests at once, as of HTTP/2, is busy until its last answer. */
     @Test
     void aConnectionWithManyRequestsRestsAfterTheLast() {
-        Lease many = budget.client("proxy", 3, () -> ended.add("many"), now);
+        ConnectionPermit many = budget.client("proxy", 3, () -> ended.add("many"), now);
         for (int i = 0; i < 100; i++) {
             budget.asked(many, now);
         }
-        assertEquals(3, budget.open(Side.CLIENT), "its units");
+        assertEquals(3, budget.open(Direction.CLIENT), "its units");
         for (int i = 0; i < 100; i++) {
             assertFalse(many.atRest());
             assertTrue(budget.answered(many, true, false, now));
@@ -255,50 +255,50 @@
     @Test
     void clientsLeaveUpstreamsTheirFloorAndWhatTheyLatelyNeeded() {
         fillClients("crowd");
-        assertEquals(154, budget.open(Side.CLIENT), "192 less the floor of a fifth");
+        assertEquals(154, budget.open(Direction.CLIENT), "192 less the floor of a fifth");
         for (int i = 0; i < 38; i++) {
-            assertTrue(budget.makeRoom(Side.UPSTREAM, now));
+            assertTrue(budget.makeRoom(Direction.UPSTREAM, now));
             upstream("up");
         }
         assertTrue(ended.isEmpty(), "the floor is there for nothing");
-        assertTrue(budget.makeRoom(Side.UPSTREAM, now), "beyond it a newcomer goes that has not asked");
-        assertEquals(1, budget.ended(End.NEW_FOR_ROOM));
+        assertTrue(budget.makeRoom(Direction.UPSTREAM, now), "beyond it a newcomer goes that has not asked");
+        assertEquals(1, budget.ended(CloseReason.NEW_FOR_ROOM));
         upstream("up");
         assertTrue(budget.clientsMost(now) < 154, "clients have less while upstreams need more");
-        assertFalse(budget.makeRoom(Side.CLIENT, now));
+        assertFalse(budget.makeRoom(Direction.CLIENT, now));
     }
 
     @Test
     void upstreamsLeaveClientsTheirFloorAndNothingBusyIsEnded() {
         int opened = 0;
-        while (budget.makeRoom(Side.UPSTREAM, now)) {
+        while (budget.makeRoom(Direction.UPSTREAM, now)) {
             upstream("up");
             opened++;
         }
         assertEquals(125, opened, "192 less the floor of 0.35");
         assertTrue(ended.isEmpty());
         fillClients("c");
-        assertEquals(67, budget.open(Side.CLIENT));
-        assertFalse(budget.makeRoom(Side.UPSTREAM, now), "no room: the request is not sent");
+        assertEquals(67, budget.open(Direction.CLIENT));
+        assertFalse(budget.makeRoom(Direction.UPSTREAM, now), "no room: the request is not sent");
     }
 
     @Test
     void idleUpstreamsGoForClientsOnlyBeyondWhatIsNeeded() {
-        List<Lease> ups = new ArrayList<>();
+        List<ConnectionPermit> ups = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             ups.add(upstream("up" + i));
         }
         ups.forEach(l -> budget.idle(l, now));
         now += 120 * S; // what was needed then counts no more
         fillClients("c");
-        assertEquals(92, budget.open(Side.CLIENT));
-        while (budget.makeRoom(Side.CLIENT, now) && budget.open(Side.CLIENT) < 154) {
-            Lease lease = client("c", "c");
+        assertEquals(92, budget.open(Direction.CLIENT));
+        while (budget.makeRoom(Direction.CLIENT, now) && budget.open(Direction.CLIENT) < 154) {
+            ConnectionPermit lease = client("c", "c");
             budget.asked(lease, now);
         }
         assertEquals("up0", ended.get(0), "the one that has been idle for longest");
-        assertEquals(62, budget.ended(End.IDLE_FOR_ROOM));
-        assertEquals(38, budget.open(Side.UPSTREAM), "their floor stays");
+        assertEquals(62, budget.ended(CloseReason.IDLE_FOR_ROOM));
+        assertEquals(38, budget.open(Direction.UPSTREAM), "their floor stays");
     }
 
     @Test
@@ -322,32 +322,33 @@
         byte[] one = new byte[16];
         byte[] other = new byte[16];
         other[15] = 1;
-        assertEquals(Budget.address(one), Budget.address(other));
+        assertEquals(ConnectionBudget.address(one), ConnectionBudget.address(other));
         other[7] = 1;
-        assertFalse(Budget.address(one).equals(Budget.address(other)));
-        assertFalse(Budget.address(new byte[] {10, 0, 0, 1}).equals(Budget.address(new byte[] {10, 0, 0, 2})));
+        assertFalse(ConnectionBudget.address(one).equals(ConnectionBudget.address(other)));
+        assertFalse(ConnectionBudget.address(new byte[] {10, 0, 0, 1})
+                .equals(ConnectionBudget.address(new byte[] {10, 0, 0, 2})));
     }
 
     @Test
     void impossibleLimitsAreNamed() {
         assertEquals(
                 "impossible most: 1",
-                assertThrows(IllegalArgumentException.class, () -> new Limits(1, 0.5, 0.5, 1, 1, 1, 1, 1))
+                assertThrows(IllegalArgumentException.class, () -> new ConnectionLimits(1, 0.5, 0.5, 1, 1, 1, 1, 1))
                         .getMessage());
         assertEquals(
                 "impossible upstreamFloor: 0.6",
-                assertThrows(IllegalArgumentException.class, () -> new Limits(9, 0.5, 0.6, 1, 1, 1, 1, 1))
+                assertThrows(IllegalArgumentException.class, () -> new ConnectionLimits(9, 0.5, 0.6, 1, 1, 1, 1, 1))
                         .getMessage());
         assertEquals(
                 "impossible askMost: 3",
-                assertThrows(IllegalArgumentException.class, () -> new Limits(9, 0.5, 0.5, 1, 1, 2, 1, 3))
+                assertThrows(IllegalArgumentException.class, () -> new ConnectionLimits(9, 0.5, 0.5, 1, 1, 2, 1, 3))
                         .getMessage());
     }
 
     @Test
     void addressesThatHoldNothingAreForgottenAtLast() {
         for (int i = 0; i < 5_000; i++) {
-            Lease lease = client("address" + i, "x");
+            ConnectionPermit lease = client("address" + i, "x");
             budget.closed(lease, now);
         }
         assertEquals(1_024, budget.addresses());
--- a/src/test/java/loadbalancer/connections/LadderTest.java
+++ b/src/test/java/loadbalancer/connections/FrequencyListTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The two structures against naive twins, over random histories. */
-class LadderTest {
+class FrequencyListTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void theHighestIsWhatACountFromScratchSays(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Ladder<Integer> ladder = new Ladder<>();
-        List<Ladder.Count<Integer>> counts = new ArrayList<>();
+        FrequencyList<Integer> ladder = new FrequencyList<>();
+        List<FrequencyList.Count<Integer>> counts = new ArrayList<>();
         int[] naive = new int[30];
         for (int i = 0; i < naive.length; i++) {
-            counts.add(new Ladder.Count<>(i));
+            counts.add(new FrequencyList.Count<>(i));
         }
         for (int step = 0; step < 20_000; step++) {
             int i = random.nextInt(naive.length);
@@ -53,11 +53,11 @@
     @Test
     void aLineKeepsTheOrderInWhichItWasJoined() {
         SplittableRandom random = new SplittableRandom(7);
-        Line<Integer> line = new Line<>();
-        List<Line.Place<Integer>> places = new ArrayList<>();
+        LinkedQueue<Integer> line = new LinkedQueue<>();
+        List<LinkedQueue.Place<Integer>> places = new ArrayList<>();
         ArrayDeque<Integer> naive = new ArrayDeque<>();
         for (int i = 0; i < 20; i++) {
-            places.add(new Line.Place<>(i));
+            places.add(new LinkedQueue.Place<>(i));
         }
         for (int step = 0; step < 20_000; step++) {
             int i = random.nextInt(places.size());
--- a/src/test/java/loadbalancer/connections/IdleRestTest.java
+++ b/src/test/java/loadbalancer/connections/IdleTimeoutTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class IdleRestTest {
+class IdleTimeoutTest {
     @Test
     void theLastOneStaysAndSpareOnesGoSoon() {
-        IdleRest rest = new IdleRest(30_000_000);
+        IdleTimeout rest = new IdleTimeout(30_000_000);
         assertFalse(rest.ends(5_000_000, 0));
         assertTrue(rest.ends(6_000_000, 0));
         assertTrue(rest.ends(500_000, 1));
@@ -18,9 +18,9 @@
 
     @Test
     void noneIsUsedNearTheTimeAtWhichItsUpstreamEndsIt() {
-        assertFalse(new IdleRest(400_000).usable(200_000));
-        assertTrue(new IdleRest(400_000).ends(200_000, 0));
-        assertTrue(new IdleRest(0).usable(5_000_000));
-        assertTrue(new IdleRest(400_000).every() <= 20_000);
+        assertFalse(new IdleTimeout(400_000).usable(200_000));
+        assertTrue(new IdleTimeout(400_000).ends(200_000, 0));
+        assertTrue(new IdleTimeout(0).usable(5_000_000));
+        assertTrue(new IdleTimeout(400_000).every() <= 20_000);
     }
 }
--- a/src/test/java/loadbalancer/connections/TurnoverTest.java
+++ b/src/test/java/loadbalancer/connections/TurnoverTest.java
@@ -33,7 +33,7 @@
         final Way way;
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
         final SplittableRandom random = new SplittableRandom(11);
-        final Budget budget = new Budget(Limits.of(LIMIT), 0);
+        final ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(LIMIT), 0);
         long now;
         int offered;
         int letIn;
@@ -72,15 +72,15 @@
         }
 
         private boolean admit() {
-            return way == Way.BUDGET ? budget.makeRoom(Side.CLIENT, now) : budget.admits(Side.CLIENT, now);
+            return way == Way.BUDGET ? budget.makeRoom(Direction.CLIENT, now) : budget.admits(Direction.CLIENT, now);
         }
 
-        private boolean stays(Lease lease) {
+        private boolean stays(ConnectionPermit lease) {
             return budget.answered(lease, way != Way.CLOSE, false, now);
         }
 
         // More of its client's is said to be there, so that it stays whatever the budget makes of it.
-        private void keep(Lease lease) {
+        private void keep(ConnectionPermit lease) {
             budget.answered(lease, true, true, now);
         }
 
@@ -91,7 +91,7 @@
                 return;
             }
             letIn++;
-            Lease lease = budget.client("once" + offered, 1, () -> {}, now);
+            ConnectionPermit lease = budget.client("once" + offered, 1, () -> {}, now);
             budget.asked(lease, now);
             at(now + 10 * MS, () -> {
                 if (way == Way.KEEP) {
@@ -108,7 +108,7 @@
         /** A client that asks every 0.1 s, on the connection that it has. */
         private final class Regular {
             private final String address;
-            private Lease lease;
+            private ConnectionPermit lease;
 
             Regular(String address) {
                 this.address = address;
@@ -126,7 +126,7 @@
                 if (!kept) {
                     lease = budget.client(address, 1, () -> {}, now);
                 }
-                Lease mine = lease;
+                ConnectionPermit mine = lease;
                 budget.asked(mine, now);
                 at(now + 10 * MS, () -> {
                     if (way == Way.KEEP) {
--- a/src/test/java/loadbalancer/discovery/ListsTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Values end where their braces do, however the bytes come. */
-class ListsTest {
+class EndpointListDecoderTest {
     private static final String PLAIN = "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a}{\\\"\"}]}";
     private static final String INDENTED = "  {\r\n  \"rev\": 2,\r\n\t\"all\": false,\n  \"targets\": ["
             + "\n    {\n"
             + "      \"uid\": \"b\"\n    }\n  ]\n}";
 
-    private final EmbeddedChannel channel = new EmbeddedChannel(new Lists(1 << 20));
+    private final EmbeddedChannel channel = new EmbeddedChannel(new EndpointListDecoder(1 << 20));
 
     private void say(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
--- a/src/test/java/loadbalancer/discovery/VersionsTest.java
+++ b/src/test/java/loadbalancer/discovery/VersionTrackerTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import loadbalancer.discovery.Versions.Verdict;
+import loadbalancer.discovery.VersionTracker.Verdict;
 import org.junit.jupiter.api.Test;
 
 /** Lists that overtake one another, repeat, skip and count anew. */
-class VersionsTest {
-    private final Versions versions = new Versions(41);
+class VersionTrackerTest {
+    private final VersionTracker versions = new VersionTracker(41);
 
     @Test
     void aWholeListThatWasAskedForBeforeTheWatchBroughtAChangeUndoesNothing() {
--- a/src/test/java/loadbalancer/discovery/SilenceTest.java
+++ b/src/test/java/loadbalancer/discovery/WatchTimeoutTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The platform's clock for silence: a line every 2 s, and 6 s until what is missed counts as told. */
-class SilenceTest {
+class WatchTimeoutTest {
     @Test
     void aSilentWatchIsBegunAnewWithTimeLeftToCatchUp() {
         for (boolean pushed : new boolean[] {true, false}) {
-            Silence silence = new Silence(pushed, 0, 1);
+            WatchTimeout silence = new WatchTimeout(pushed, 0, 1);
             assertTrue(silence.most(true) > 4_000, "one line may be late, and one be lost");
             assertTrue(silence.most(true) <= 5_000, "the rest of the 6 s is for the call");
             assertTrue(silence.most(false) <= 5_000, "one that accepts and says nothing is silent as well");
@@ -27,46 +27,46 @@
     /** One discovery takes one call from each in some seconds: all at once, most would be turned away. */
     @Test
     void balancersTakeTurnsAtADiscoveryThatAllAsk() {
-        assertEquals(0, new Silence(false, 0, 100).pause(0, true));
-        assertEquals(500, new Silence(false, 50, 100).pause(0, true));
-        assertEquals(990, new Silence(false, 99, 100).pause(0, true));
-        long latest = new Silence(false, 99, 100).most(true) + 990;
+        assertEquals(0, new WatchTimeout(false, 0, 100).pause(0, true));
+        assertEquals(500, new WatchTimeout(false, 50, 100).pause(0, true));
+        assertEquals(990, new WatchTimeout(false, 99, 100).pause(0, true));
+        long latest = new WatchTimeout(false, 99, 100).most(true) + 990;
         assertTrue(latest < 6_000, "the last one still asks before the news counts as told");
-        assertEquals(0, new Silence(true, 99, 100).pause(0, true), "each has an agent of its own");
+        assertEquals(0, new WatchTimeout(true, 99, 100).pause(0, true), "each has an agent of its own");
     }
 
     @Test
     void anAgentTellsWhetherAWatchIsOpenOrNot() {
-        Silence silence = new Silence(true, 99, 100);
+        WatchTimeout silence = new WatchTimeout(true, 99, 100);
         silence.broke(1_000, 900, false);
         silence.broke(1_400, 900, false); // the next one as well: blind since the first
         assertEquals(500, silence.toldFor(1_500));
-        Silence asked = new Silence(false, 0, 1);
+        WatchTimeout asked = new WatchTimeout(false, 0, 1);
         asked.broke(1_000, 900, false);
         assertEquals(0, asked.toldFor(1_500), "what is asked for counts as told with the answer");
     }
 
     @Test
     void anAgentThatDoesNotAnswerIsAskedBesideAndNotWithoutEnd() {
-        Silence silence = new Silence(true, 99, 100);
+        WatchTimeout silence = new WatchTimeout(true, 99, 100);
         assertTrue(silence.most(false) < 1_000, "what it has at its return counts at once");
         assertTrue(silence.patient(700));
         assertFalse(silence.patient(5_000));
-        assertFalse(new Silence(false, 0, 1).patient(0), "each call costs a discovery that is asked");
+        assertFalse(new WatchTimeout(false, 0, 1).patient(0), "each call costs a discovery that is asked");
     }
 
     @Test
     void whoeverAskedIsToldOfAFailureAndASilentWatchIsNone() {
-        Silence asked = new Silence(false, 0, 1);
-        assertEquals(Silence.TELL, asked.next(0, true, false), "it broke");
-        assertEquals(Silence.TELL, asked.next(0, false, true), "it never answered");
+        WatchTimeout asked = new WatchTimeout(false, 0, 1);
+        assertEquals(WatchTimeout.TELL, asked.next(0, true, false), "it broke");
+        assertEquals(WatchTimeout.TELL, asked.next(0, false, true), "it never answered");
         assertEquals(0, asked.next(0, true, true));
-        assertTrue(new Silence(true, 0, 1).next(0, false, false) > 0, "nobody asks an agent but this");
+        assertTrue(new WatchTimeout(true, 0, 1).next(0, false, false) > 0, "nobody asks an agent but this");
     }
 
     @Test
     void watchesThatBreakAgainAndAgainAreNotBegunInATightLoop() {
-        Silence silence = new Silence(true, 99, 100);
+        WatchTimeout silence = new WatchTimeout(true, 99, 100);
         assertEquals(0, silence.pause(10_000, true));
         assertTrue(silence.pause(10_001, true) > 0);
         assertTrue(silence.pause(10_600, false) > 0, "it never answered");
--- a/src/test/java/loadbalancer/downstream/http1/IntakeTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -12,20 +12,20 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
-import loadbalancer.proxy.Room;
-import loadbalancer.proxy.Stream;
+import loadbalancer.proxy.BodyMemoryBudget;
+import loadbalancer.proxy.BodyStream;
 import org.junit.jupiter.api.Test;
 
-class IntakeTest {
+class RequestAggregatorTest {
     private static final int MOST = 100_000;
 
-    private final Room early = new Room(MOST);
-    private Stream rest;
+    private final BodyMemoryBudget early = new BodyMemoryBudget(MOST);
+    private BodyStream rest;
     private int passed;
 
     private EmbeddedChannel waiting(int bytes) {
-        EmbeddedChannel channel = new EmbeddedChannel(new Intake(
-                new Intake.Taker() {
+        EmbeddedChannel channel = new EmbeddedChannel(new RequestAggregator(
+                new RequestAggregator.Taker() {
                     @Override
                     public void begun(HttpRequest head) {}
 
@@ -33,7 +33,7 @@
                     public void whole(HttpRequest head, byte[] body) {}
 
                     @Override
-                    public void flowing(HttpRequest head, byte[] first, Stream following, long length) {
+                    public void flowing(HttpRequest head, byte[] first, BodyStream following, long length) {
                         rest = following;
                     }
 
@@ -43,7 +43,7 @@
                     @Override
                     public void cut(HttpResponseStatus status, String why) {}
                 },
-                new Room(MOST),
+                new BodyMemoryBudget(MOST),
                 early));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/k");
         head.headers().set("Content-Length", 1_000_000);
@@ -62,7 +62,7 @@
         assertTrue(first.config().isAutoRead(), "its end has to be seen");
         EmbeddedChannel second = waiting(60_000);
         assertFalse(second.config().isAutoRead(), "no room for as much");
-        first.pipeline().get(Intake.class).drop();
+        first.pipeline().get(RequestAggregator.class).drop();
         assertTrue(early.take(MOST), "all is given back");
         assertFalse(early.take(1));
     }
@@ -70,7 +70,7 @@
     @Test
     void whatWasHeldIsGivenBackOnceWhenItIsTakenOrDropped() {
         EmbeddedChannel channel = waiting(60_000);
-        rest.to(new Stream.Taker() {
+        rest.to(new BodyStream.Taker() {
             @Override
             public void piece(byte[] bytes) {
                 passed += bytes.length;
@@ -85,7 +85,7 @@
         assertEquals(60_000, passed);
         more(channel, 90_000);
         assertEquals(150_000, passed, "what follows is not held");
-        channel.pipeline().get(Intake.class).drop();
+        channel.pipeline().get(RequestAggregator.class).drop();
         waiting(60_000);
         rest.drop();
         rest.drop();
--- a/src/test/java/loadbalancer/eventloop/WholeMillisTest.java
+++ b/src/test/java/loadbalancer/eventloop/MillisecondTimerTest.java
@@ -22,7 +22,7 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-class WholeMillisTest {
+class MillisecondTimerTest {
     private static final int TIMERS = 100;
     private static final long APART = 4_300_000; // ns: a wait of whole milliseconds ends before it
 
@@ -57,7 +57,7 @@
 
     @Test
     void aLoopSleepsUntilItsTimersAreDue() throws InterruptedException {
-        double ours = turns(WholeMillis::new);
+        double ours = turns(MillisecondTimer::new);
         double plain = turns(strategy ->
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), strategy)));
         assertTrue(ours < 4, ours + " turns a timer, Netty's own " + plain);
@@ -68,7 +68,7 @@
     @Test
     void itsEndClosesTheConnections() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
-            WholeMillis group = new WholeMillis();
+            MillisecondTimer group = new MillisecondTimer();
             new Bootstrap()
                     .group(group)
                     .channel(NioSocketChannel.class)
--- a/src/test/java/loadbalancer/http1/Http1FieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -8,10 +8,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 import java.util.function.BiConsumer;
-import loadbalancer.proxy.Fields;
+import loadbalancer.proxy.HeaderFields;
 import org.junit.jupiter.api.Test;
 
-class Http1FieldsTest {
+class Http1HeaderFieldsTest {
     @Test
     void whatBelongsToOneConnectionGoesNoFurtherAndTheRestIsNotCopied() {
         HttpHeaders headers = new DefaultHttpHeaders()
@@ -23,8 +23,8 @@
                 .add("Host", "a")
                 .add("X-Kept", "1")
                 .add("X-Kept", "2");
-        Http1Fields fields = new Http1Fields(headers).endToEnd();
-        assertSame(headers, Http1Fields.of(fields, "b:1"));
+        Http1HeaderFields fields = new Http1HeaderFields(headers).endToEnd();
+        assertSame(headers, Http1HeaderFields.of(fields, "b:1"));
         assertEquals(3, headers.size());
         assertEquals(List.of("1", "2"), fields.all("x-kept"));
         assertEquals("a", fields.get("host"));
@@ -33,14 +33,14 @@
     /** The first attempt's host stayed in the fields, and would have gone to the second one's server. */
     @Test
     void aRequestWithoutAHostIsGivenThatOfEachAttempt() {
-        Http1Fields fields = new Http1Fields(new DefaultHttpHeaders());
-        assertEquals("a:1", Http1Fields.of(fields, "a:1").get("Host"));
-        assertEquals("b:2", Http1Fields.of(fields, "b:2").get("Host"));
+        Http1HeaderFields fields = new Http1HeaderFields(new DefaultHttpHeaders());
+        assertEquals("a:1", Http1HeaderFields.of(fields, "a:1").get("Host"));
+        assertEquals("b:2", Http1HeaderFields.of(fields, "b:2").get("Host"));
     }
 
     @Test
     void whatCameByAnotherProtocolIsTranslated() {
-        Fields other = new Fields() {
+        HeaderFields other = new HeaderFields() {
             @Override
             public String get(String name) {
                 return null;
@@ -56,10 +56,10 @@
                 to.accept("x-a", "1");
             }
         };
-        HttpHeaders first = Http1Fields.of(other, "a:1");
+        HttpHeaders first = Http1HeaderFields.of(other, "a:1");
         first.set("x-b", "2");
         assertEquals("1", first.get("X-A"));
         assertEquals("a:1", first.get("Host"));
-        assertNull(Http1Fields.of(other, "a:1").get("x-b"));
+        assertNull(Http1HeaderFields.of(other, "a:1").get("x-b"));
     }
 }
--- a/src/test/java/loadbalancer/http3/EndingsTest.java
+++ b/src/test/java/loadbalancer/http3/AttemptOutcomesTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import loadbalancer.Policy.Outcome;
-import loadbalancer.http3.Endings.How;
+import loadbalancer.http3.AttemptOutcomes.How;
+import loadbalancer.policy.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The table of docs/http3.md. */
-class EndingsTest {
+class AttemptOutcomesTest {
     @ParameterizedTest
     @CsvSource({
         "NOT_CONNECTED, false, -1, CONNECT_FAILED",
@@ -29,7 +29,7 @@
         "TOO_LONG, true, -1, RESET"
     })
     void whatAnEndingProves(How how, boolean given, String code, Outcome outcome) {
-        assertEquals(outcome, Endings.outcome(how, given, Long.decode(code)));
+        assertEquals(outcome, AttemptOutcomes.outcome(how, given, Long.decode(code)));
     }
 
     @ParameterizedTest
@@ -38,15 +38,15 @@
             names = {"STREAM_RESET", "CONNECTION_LOST", "BAD_ANSWER", "TOO_LONG"})
     void onceGivenOnlyASpecificationProvesThatNothingRan(How how) {
         for (long code = -1; code < 0x400; code++) {
-            if (code != ErrorCodes.REQUEST_REJECTED) {
-                assertFalse(Endings.outcome(how, true, code).neverRan(), how + " " + code);
+            if (code != Http3ErrorCodes.REQUEST_REJECTED) {
+                assertFalse(AttemptOutcomes.outcome(how, true, code).neverRan(), how + " " + code);
             }
         }
     }
 
     @Test
     void aRejectionCountsOnlyWhereTheStreamWasReset() {
-        assertFalse(Endings.outcome(How.CONNECTION_LOST, true, ErrorCodes.REQUEST_REJECTED)
+        assertFalse(AttemptOutcomes.outcome(How.CONNECTION_LOST, true, Http3ErrorCodes.REQUEST_REJECTED)
                 .neverRan());
     }
 }
--- a/src/test/java/loadbalancer/http3/HeadRulesTest.java
+++ b/src/test/java/loadbalancer/http3/HeaderValidatorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class HeadRulesTest {
+class HeaderValidatorTest {
     private static final String GOOD = ":method=GET|:scheme=https|:authority=a.test|:path=/x?y=1";
 
     private static List<Map.Entry<String, String>> fields(String text) {
@@ -25,22 +25,24 @@
     }
 
     @Test
-    void aHeadIsRead() throws Malformed {
+    void aHeadIsRead() throws MalformedMessageException {
         assertEquals(
-                new HeadRules.Head("GET", "https", "a.test", "/x?y=1", 7),
-                HeadRules.request(fields(GOOD + "|content-length=7|te=trailers|host=a.test")));
+                new HeaderValidator.Head("GET", "https", "a.test", "/x?y=1", 7),
+                HeaderValidator.request(fields(GOOD + "|content-length=7|te=trailers|host=a.test")));
         assertEquals(
                 "b.test",
-                HeadRules.request(fields(":method=GET|:scheme=https|:path=/|host=b.test"))
+                HeaderValidator.request(fields(":method=GET|:scheme=https|:path=/|host=b.test"))
                         .authority());
         assertEquals(
                 "CONNECT",
-                HeadRules.request(fields(":method=CONNECT|:authority=a.test:1")).method());
+                HeaderValidator.request(fields(":method=CONNECT|:authority=a.test:1"))
+                        .method());
         assertEquals(
                 "*",
-                HeadRules.request(fields(":method=OPTIONS|:scheme=http|:authority=a|:path=*"))
+                HeaderValidator.request(fields(":method=OPTIONS|:scheme=http|:authority=a|:path=*"))
                         .path());
-        assertEquals(new HeadRules.Status(200, 3), HeadRules.answer(fields(":status=200|content-length=3")));
+        assertEquals(
+                new HeaderValidator.Status(200, 3), HeaderValidator.answer(fields(":status=200|content-length=3")));
     }
 
     @ParameterizedTest
@@ -81,8 +83,9 @@
                 ":method=GET|:scheme=https|:authority=me@a.test|:path=/"
             })
     void aBadHeadIsAnErrorOfTheMessage(String text) {
-        Malformed why = assertThrows(Malformed.class, () -> HeadRules.request(fields(text)));
-        assertEquals(ErrorCodes.MESSAGE_ERROR, why.code());
+        MalformedMessageException why =
+                assertThrows(MalformedMessageException.class, () -> HeaderValidator.request(fields(text)));
+        assertEquals(Http3ErrorCodes.MESSAGE_ERROR, why.code());
     }
 
     @ParameterizedTest
@@ -99,35 +102,36 @@
                 "x=1|:status=200"
             })
     void aBadAnswerIsNone(String text) {
-        assertThrows(Malformed.class, () -> HeadRules.answer(fields(text)));
+        assertThrows(MalformedMessageException.class, () -> HeaderValidator.answer(fields(text)));
     }
 
     @Test
-    void trailersNameNoPseudoHeadersAndNoLength() throws Malformed {
-        HeadRules.trailers(fields("sum=1"));
-        assertThrows(Malformed.class, () -> HeadRules.trailers(fields(":path=/")));
-        assertThrows(Malformed.class, () -> HeadRules.trailers(fields("content-length=1")));
+    void trailersNameNoPseudoHeadersAndNoLength() throws MalformedMessageException {
+        HeaderValidator.trailers(fields("sum=1"));
+        assertThrows(MalformedMessageException.class, () -> HeaderValidator.trailers(fields(":path=/")));
+        assertThrows(MalformedMessageException.class, () -> HeaderValidator.trailers(fields("content-length=1")));
     }
 
     @Test
     void aSectionIsMeasuredAsTheSettingsMeasureIt() {
         long one = "x".length() + 32;
-        assertFalse(HeadRules.tooLong(fields("x=" + "y".repeat((int) (HeadRules.SECTION_MOST - one)))));
-        assertTrue(HeadRules.tooLong(fields("x=" + "y".repeat((int) (HeadRules.SECTION_MOST - one + 1)))));
+        assertFalse(HeaderValidator.tooLong(fields("x=" + "y".repeat((int) (HeaderValidator.SECTION_MOST - one)))));
+        assertTrue(HeaderValidator.tooLong(fields("x=" + "y".repeat((int) (HeaderValidator.SECTION_MOST - one + 1)))));
     }
 
     @Test
-    void aMessageKeepsItsOrderAndItsLength() throws Malformed {
+    void aMessageKeepsItsOrderAndItsLength() throws MalformedMessageException {
         MessageState state = new MessageState(10);
         assertEquals(
-                ErrorCodes.REQUEST_INCOMPLETE,
-                assertThrows(Malformed.class, () -> new MessageState(10).end()).code());
-        assertThrows(Malformed.class, () -> new MessageState(10).data(1));
+                Http3ErrorCodes.REQUEST_INCOMPLETE,
+                assertThrows(MalformedMessageException.class, () -> new MessageState(10).end())
+                        .code());
+        assertThrows(MalformedMessageException.class, () -> new MessageState(10).data(1));
         state.head(4);
         assertTrue(state.data(3));
-        assertThrows(Malformed.class, state::end);
+        assertThrows(MalformedMessageException.class, state::end);
         assertTrue(state.data(1));
-        assertThrows(Malformed.class, () -> state.data(1));
+        assertThrows(MalformedMessageException.class, () -> state.data(1));
         MessageState open = new MessageState(10);
         open.head(-1);
         assertTrue(open.data(10));
@@ -135,8 +139,8 @@
         MessageState other = new MessageState(10);
         other.head(-1);
         other.trailers();
-        assertThrows(Malformed.class, () -> other.data(1));
-        assertThrows(Malformed.class, other::trailers);
+        assertThrows(MalformedMessageException.class, () -> other.data(1));
+        assertThrows(MalformedMessageException.class, other::trailers);
         other.end();
         assertTrue(other.whole());
     }
--- a/src/test/java/loadbalancer/http3/SessionsTest.java
+++ b/src/test/java/loadbalancer/http3/Http3ConnectionLimiterTest.java
@@ -10,17 +10,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.Sessions.Session;
 import org.junit.jupiter.api.Test;
 
 /** Who is let in, who goes, who proves an address, and who ends streams too often. */
-class SessionsTest {
+class Http3ConnectionLimiterTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-    private final Sessions sessions = new Sessions(new Sessions.Limits(4, 3, 4, 1_000, SECOND, 3 * SECOND));
+    private final Http3ConnectionLimiter sessions =
+            new Http3ConnectionLimiter(new Http3ConnectionLimiter.Limits(4, 3, 4, 1_000, SECOND, 3 * SECOND));
     private final List<String> ended = new ArrayList<>();
 
-    private Session in(String name, Object address, long now) {
-        Session s = sessions.open(address, () -> ended.add(name), now);
+    private Http3ConnectionLimiter.TrackedConnection in(String name, Object address, long now) {
+        Http3ConnectionLimiter.TrackedConnection s = sessions.open(address, () -> ended.add(name), now);
         if (s != null) {
             sessions.established(s, now);
         }
@@ -29,7 +29,7 @@
 
     @Test
     void oneLongAtRestMakesRoomAndNobodyWithARequest() {
-        Session busy = in("busy", "a", 0);
+        Http3ConnectionLimiter.TrackedConnection busy = in("busy", "a", 0);
         sessions.streamOpened(busy);
         in("old", "a", 1);
         in("young", "b", 2);
@@ -51,7 +51,7 @@
 
     @Test
     void halfTheHandshakesMakeNewcomersProveTheirAddressAndAllOfThemShutTheDoor() {
-        List<Session> half = new ArrayList<>();
+        List<Http3ConnectionLimiter.TrackedConnection> half = new ArrayList<>();
         half.add(sessions.open("a", () -> {}, 0));
         assertFalse(sessions.mustProve());
         half.add(sessions.open("b", () -> {}, 0));
@@ -81,8 +81,8 @@
 
     @Test
     void whoLeavesMostUnreadGoesWhereMemoryIsShort() {
-        Session slow = in("slow", "a", 0);
-        Session good = in("good", "b", 0);
+        Http3ConnectionLimiter.TrackedConnection slow = in("slow", "a", 0);
+        Http3ConnectionLimiter.TrackedConnection good = in("good", "b", 0);
         sessions.unread(slow, 700);
         sessions.unread(good, 300);
         assertEquals(List.of(), ended);
@@ -115,13 +115,13 @@
 
     @Test
     void streamsEndedByTheHundredAreNotBorneAndImpatientClientsAre() {
-        ResetGuard guard = new ResetGuard(100, 20, 0);
+        RapidResetGuard guard = new RapidResetGuard(100, 20, 0);
         int borne = 0;
         while (guard.ended(0)) {
             borne++;
         }
         assertEquals(100, borne);
-        ResetGuard patient = new ResetGuard(100, 20, 0);
+        RapidResetGuard patient = new RapidResetGuard(100, 20, 0);
         for (int i = 0; i < 10_000; i++) { // a third of 30 requests a second given up
             patient.answered();
             patient.answered();
--- a/src/test/java/loadbalancer/http3/BoxPlanTest.java
+++ b/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
@@ -12,16 +12,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import loadbalancer.http3.BoxPlan.Choice;
-import loadbalancer.http3.BoxPlan.Link;
-import loadbalancer.http3.BoxPlan.Way;
+import loadbalancer.http3.Http3ConnectionPlan.Choice;
+import loadbalancer.http3.Http3ConnectionPlan.Way;
 import org.junit.jupiter.api.Test;
 
-class BoxPlanTest {
-    private static final BoxPlan.Limits LIMITS = new BoxPlan.Limits(2, 10, 1_000, 8_000);
-    private final BoxPlan plan = new BoxPlan(LIMITS);
+class Http3ConnectionPlanTest {
+    private static final Http3ConnectionPlan.Limits LIMITS = new Http3ConnectionPlan.Limits(2, 10, 1_000, 8_000);
+    private final Http3ConnectionPlan plan = new Http3ConnectionPlan(LIMITS);
 
-    private Link up(long allowed) {
+    private Http3ConnectionPlan.PlannedConnection up(long allowed) {
         Choice choice = plan.choose(0);
         assertTrue(choice.dial());
         plan.up(choice.link(), allowed, 0);
@@ -58,7 +57,7 @@
 
     @Test
     void aPeersLimitIsNotExceededAndAnotherConnectionBegun() {
-        Link link = up(2);
+        Http3ConnectionPlan.PlannedConnection link = up(2);
         plan.allowed(link, 2);
         assertSame(link, plan.choose(0).link());
         assertSame(link, plan.choose(0).link());
@@ -77,7 +76,7 @@
 
     @Test
     void aConnectionThatGoesTakesNothingNewAndKeepsNoPlace() {
-        Link link = up(100);
+        Http3ConnectionPlan.PlannedConnection link = up(100);
         plan.choose(0);
         assertTrue(plan.goAway(link, 8));
         assertTrue(link.beyond(8));
@@ -117,13 +116,14 @@
     void noHistoryExceedsALimit() {
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            BoxPlan any = new BoxPlan(LIMITS);
-            Map<Link, Integer> open = new HashMap<>();
-            Map<Link, Long> left = new HashMap<>();
-            List<Link> dead = new ArrayList<>();
+            Http3ConnectionPlan any = new Http3ConnectionPlan(LIMITS);
+            Map<Http3ConnectionPlan.PlannedConnection, Integer> open = new HashMap<>();
+            Map<Http3ConnectionPlan.PlannedConnection, Long> left = new HashMap<>();
+            List<Http3ConnectionPlan.PlannedConnection> dead = new ArrayList<>();
             for (long now = 0; now < 400; now++) {
-                List<Link> links = new ArrayList<>(any.links());
-                Link some = links.isEmpty() ? null : links.get(random.nextInt(links.size()));
+                List<Http3ConnectionPlan.PlannedConnection> links = new ArrayList<>(any.links());
+                Http3ConnectionPlan.PlannedConnection some =
+                        links.isEmpty() ? null : links.get(random.nextInt(links.size()));
                 int event = random.nextInt(10);
                 if (event < 5) {
                     Choice c = any.choose(now * 100);
--- a/src/test/java/loadbalancer/http3/IdentityTest.java
+++ b/src/test/java/loadbalancer/http3/TlsIdentityTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Certificates and keys, as a configuration names them. */
-class IdentityTest {
+class TlsIdentityTest {
     private static final String REST = """
         [[membership.server]]
         id = "s1"
@@ -51,7 +51,7 @@
             CertificateBuilder.Algorithm.ecp256, CertificateBuilder.Algorithm.rsa2048
         }) {
             X509Bundle made = made(algorithm);
-            Identity read = Identity.parse(made.getCertificatePathPEM(), made.getPrivateKeyPEM());
+            TlsIdentity read = TlsIdentity.parse(made.getCertificatePathPEM(), made.getPrivateKeyPEM());
             assertEquals(made.getCertificate(), read.chain().get(0));
         }
     }
@@ -65,17 +65,17 @@
                 "another key than the certificate's",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> Identity.parse(one.getCertificatePathPEM(), two.getPrivateKeyPEM()))
+                                () -> TlsIdentity.parse(one.getCertificatePathPEM(), two.getPrivateKeyPEM()))
                         .getMessage());
         assertTrue(assertThrows(
                         IllegalArgumentException.class,
-                        () -> Identity.parse(one.getCertificatePathPEM(), rsa.getPrivateKeyPEM()))
+                        () -> TlsIdentity.parse(one.getCertificatePathPEM(), rsa.getPrivateKeyPEM()))
                 .getMessage()
                 .startsWith("not a EC key"));
-        assertThrows(IllegalArgumentException.class, () -> Identity.parse("", one.getPrivateKeyPEM()));
+        assertThrows(IllegalArgumentException.class, () -> TlsIdentity.parse("", one.getPrivateKeyPEM()));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Identity.parse(one.getCertificatePathPEM(), one.getCertificatePathPEM()));
+                () -> TlsIdentity.parse(one.getCertificatePathPEM(), one.getCertificatePathPEM()));
     }
 
     @Test
--- a/src/test/java/loadbalancer/lifecycle/HandoverTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.lifecycle.Succession.Step;
+import loadbalancer.lifecycle.HotRestart.Step;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -26,7 +26,7 @@
 
 /** The lines between an old and a new process, byte for byte: versions must upgrade into one another. */
 @Timeout(60)
-class HandoverTest {
+class HotRestartChannelTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<Step> steps = new LinkedBlockingQueue<>();
     private final BlockingQueue<Boolean> found = new LinkedBlockingQueue<>();
@@ -34,8 +34,8 @@
     @TempDir
     private Path folder;
 
-    private Handover handover(Path path) {
-        return new Handover(group.next(), path, steps::add, line -> {});
+    private HotRestartChannel handover(Path path) {
+        return new HotRestartChannel(group.next(), path, steps::add, line -> {});
     }
 
     @AfterEach
@@ -56,7 +56,7 @@
         Path path = folder.resolve("s");
         try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             old.bind(UnixDomainSocketAddress.of(path));
-            Handover handover = handover(path);
+            HotRestartChannel handover = handover(path);
             group.next().submit(() -> handover.begin(found::add)).get();
             try (SocketChannel successor = old.accept()) {
                 assertEquals("hello 1\n", read(successor, 8));
@@ -71,7 +71,7 @@
     @Test
     void theOldProcessTakesHelloReadyAndTheEndOfTheConnection() throws Exception {
         Path path = folder.resolve("s");
-        Handover handover = handover(path);
+        HotRestartChannel handover = handover(path);
         group.next().submit(() -> handover.begin(found::add)).get();
         assertEquals(false, found.take());
         group.next().submit(handover::ready).get();
--- a/src/test/java/loadbalancer/lifecycle/SuccessionTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import loadbalancer.lifecycle.Succession.Step;
+import loadbalancer.lifecycle.HotRestart.Step;
 import org.junit.jupiter.api.Test;
 
-class SuccessionTest {
-    private final Succession succession = new Succession();
+class HotRestartTest {
+    private final HotRestart succession = new HotRestart();
 
     @Test
     void oneThatDiesBeforeItIsReadyChangesNothing() {
--- a/src/test/java/loadbalancer/lifecycle/LastCallTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
@@ -6,18 +6,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.lifecycle.LastCall.Sight;
-import loadbalancer.lifecycle.LastCall.Step;
+import loadbalancer.lifecycle.ShutdownDrain.Step;
 import org.junit.jupiter.api.Test;
 
-class LastCallTest {
-    private static Sight sight(long comers, long reads, int owed, int halves, int resting, int unsent) {
-        return new Sight(comers, reads, owed, halves, resting, unsent);
+class ShutdownDrainTest {
+    private static ShutdownDrain.Observation sight(
+            long comers, long reads, int owed, int halves, int resting, int unsent) {
+        return new ShutdownDrain.Observation(comers, reads, owed, halves, resting, unsent);
     }
 
     @Test
     void theListenerIsOpenUntilTwoPassesHaveFoundNothing() {
-        LastCall last = new LastCall();
+        ShutdownDrain last = new ShutdownDrain();
         assertEquals(Step.GO_ON, last.look(sight(4, 0, 0, 0, 0, 0)));
         assertEquals(Step.GO_ON, last.look(sight(8, 4, 4, 0, 0, 0)), "four a pass wait to be accepted");
         assertEquals(Step.GO_ON, last.look(sight(8, 8, 8, 0, 0, 0)), "what came last is being read");
@@ -27,7 +27,7 @@
 
     @Test
     void whoeverComesWithoutEndDoesNotKeepItOpen() {
-        LastCall last = new LastCall();
+        ShutdownDrain last = new ShutdownDrain();
         int looks = 1;
         while (last.look(sight(looks, looks, 0, 0, 0, 0)) == Step.GO_ON) {
             looks++;
@@ -37,12 +37,12 @@
 
     @Test
     void itEndsOnceNothingIsOwedAndNothingRestsOrIsHalfThere() {
-        LastCall last = new LastCall();
-        Sight begin = sight(8, 8, 1, 1, 1, 1);
+        ShutdownDrain last = new ShutdownDrain();
+        ShutdownDrain.Observation begin = sight(8, 8, 1, 1, 1, 1);
         for (Step step = Step.GO_ON; step != Step.CLOSE_LISTENER; ) {
             step = last.look(begin);
         }
-        for (Sight open : List.of(
+        for (ShutdownDrain.Observation open : List.of(
                 sight(8, 8, 1, 0, 0, 0), sight(8, 8, 0, 1, 0, 0), sight(8, 8, 0, 0, 1, 0), sight(8, 8, 0, 0, 0, 1))) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(Step.GO_ON, last.look(open), open.toString());
@@ -55,8 +55,8 @@
 
     @Test
     void aRequestWhoseRestNeverComesAndAnAnswerThatNobodyReadsEndInTheEnd() {
-        LastCall last = new LastCall();
-        Sight stuck = sight(1, 1, 0, 1, 0, 1);
+        ShutdownDrain last = new ShutdownDrain();
+        ShutdownDrain.Observation stuck = sight(1, 1, 0, 1, 0, 1);
         int looks = 1;
         while (last.look(stuck) != Step.END) {
             looks++;
@@ -116,8 +116,8 @@
             unsent = answered;
         }
 
-        Sight sight() {
-            return new Sight(comers, reads, owed, halves, resting, unsent);
+        ShutdownDrain.Observation sight() {
+            return new ShutdownDrain.Observation(comers, reads, owed, halves, resting, unsent);
         }
     }
 
@@ -126,7 +126,7 @@
     void nothingIsLostWhereverItStandsStill() {
         for (int seed = 0; seed < 2_000; seed++) {
             Machine machine = new Machine(seed);
-            LastCall last = new LastCall();
+            ShutdownDrain last = new ShutdownDrain();
             int stallAt = new SplittableRandom(seed).nextInt(40);
             Step step = Step.GO_ON;
             int looks = 0;
--- a/src/test/java/loadbalancer/logging/LineSinkTest.java
+++ b/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-class LineSinkTest {
+class AsyncLogWriterTest {
     /** A stream that takes nothing until it is opened, as a full pipe. */
     static final class Pipe extends OutputStream {
         final CountDownLatch open = new CountDownLatch(1);
@@ -43,7 +43,7 @@
     @Timeout(30)
     void aStreamThatBlocksHoldsNobodyUpAndWhatIsDroppedIsCounted() throws InterruptedException {
         Pipe pipe = new Pipe();
-        LineSink sink = new LineSink(new PrintStream(pipe, true, StandardCharsets.UTF_8), "x: ");
+        AsyncLogWriter sink = new AsyncLogWriter(new PrintStream(pipe, true, StandardCharsets.UTF_8), "x: ");
         sink.accept("0");
         pipe.tried.await();
         for (int i = 1; i <= 10_000; i++) {
@@ -53,20 +53,20 @@
         pipe.open.countDown();
         sink.close(20_000);
         List<String> lines = pipe.lines();
-        assertEquals(LineSink.MOST + 2, lines.size());
+        assertEquals(AsyncLogWriter.MOST + 2, lines.size());
         assertEquals("x: 0", lines.get(0));
-        assertEquals("x: " + LineSink.MOST, lines.get(LineSink.MOST));
-        assertEquals("x: log lines dropped: " + (10_000 - LineSink.MOST), lines.get(LineSink.MOST + 1));
+        assertEquals("x: " + AsyncLogWriter.MOST, lines.get(AsyncLogWriter.MOST));
+        assertEquals("x: log lines dropped: " + (10_000 - AsyncLogWriter.MOST), lines.get(AsyncLogWriter.MOST + 1));
     }
 
     @Test
     @Timeout(30)
     void theLastLinesAreOutWhenItIsClosed() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        LineSink sink = new LineSink(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
+        AsyncLogWriter sink = new AsyncLogWriter(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
         sink.close(20_000);
         sink.accept("late");
-        LineSink other = new LineSink(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
+        AsyncLogWriter other = new AsyncLogWriter(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
         for (int i = 0; i < 100; i++) {
             other.accept("line " + i);
         }
--- a/src/test/java/loadbalancer/logging/NettyLogTest.java
+++ b/src/test/java/loadbalancer/logging/NettyLogBridgeTest.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.Test;
 
-class NettyLogTest {
+class NettyLogBridgeTest {
     @Test
     void aWarningIsOneLineWithItsCauseAndNoStackTrace() {
         InternalLoggerFactory before = InternalLoggerFactory.getDefaultFactory();
         List<String> lines = new CopyOnWriteArrayList<>();
         try {
-            NettyLog.install(lines::add);
+            NettyLogBridge.install(lines::add);
             InternalLogger logger = InternalLoggerFactory.getInstance("io.netty.channel.Some");
             logger.warn("no {} for {}\nhere", "channel", 7, new IOException("Too many open files"));
             logger.warn("a moment later");
@@ -33,13 +33,13 @@
 
     @Test
     void whatIsHeldBackIsCountedInTheNextLine() {
-        NettyLog.Limiter limiter = new NettyLog.Limiter();
+        NettyLogBridge.Limiter limiter = new NettyLogBridge.Limiter();
         assertNotNull(limiter.line("warning", "A", "first", null, 0));
-        assertNull(limiter.line("warning", "A", "second", null, NettyLog.EVERY - 1));
-        assertNotNull(limiter.line("error", "A", "another level", null, NettyLog.EVERY - 1));
-        assertNull(limiter.line("warning", "A", "third", null, NettyLog.EVERY - 1));
+        assertNull(limiter.line("warning", "A", "second", null, NettyLogBridge.EVERY - 1));
+        assertNotNull(limiter.line("error", "A", "another level", null, NettyLogBridge.EVERY - 1));
+        assertNull(limiter.line("warning", "A", "third", null, NettyLogBridge.EVERY - 1));
         assertEquals(
                 "event=netty_warning logger=A fourth held_back=1",
-                limiter.line("warning", "A", "fourth", null, NettyLog.EVERY));
+                limiter.line("warning", "A", "fourth", null, NettyLogBridge.EVERY));
     }
 }
--- a/src/test/java/loadbalancer/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/policy/DecisionTraceTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,16 +15,16 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.Policy.Discovery;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.Reports;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
-import loadbalancer.Policy.Tenant;
+import loadbalancer.policy.Policy.Discovery;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Reports;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
+import loadbalancer.policy.Policy.Tenant;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -185,7 +185,7 @@
         History(Site site, long seed) {
             random = new SplittableRandom(seed * 7_919);
             settings = settings(site);
-            policy = new Balance(settings, seed);
+            policy = new JsqDasPolicy(settings, seed);
             try {
                 digest = MessageDigest.getInstance("SHA-256");
             } catch (NoSuchAlgorithmException e) {
--- a/src/test/java/loadbalancer/DispatchTest.java
+++ b/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,25 +10,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path is JSQ-DAS. */
 class DispatchTest {
-    private static final Policy.Settings SAFE = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
+    private static final Policy.Settings SAFE =
+            PolicyTestHarness.settings(PolicyTestHarness.kind(Effect.SAFE, Scope.ALL));
 
     /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
-    private static Harness halves(long seed) {
+    private static PolicyTestHarness halves(long seed) {
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             list.add(new Server("s" + i, State.UP, 0, i < 3 ? 2 : 1, 0, i < 3 ? 0 : 1, 0));
         }
-        return new Harness(SAFE, seed).list(ListKind.PERSISTED, list);
+        return new PolicyTestHarness(SAFE, seed).list(ListKind.PERSISTED, list);
     }
 
     @Test
@@ -49,10 +50,10 @@
         // With ranks fixed by different counts, rank i of three wins with probability 2, 1, 0 of 3.
         Map<Integer, Integer> wins = new HashMap<>();
         for (int seed = 0; seed < 3000; seed++) {
-            Harness harness = halves(seed);
+            PolicyTestHarness harness = halves(seed);
             List<String> order = new ArrayList<>();
             for (int i = 0; i < 60; i++) { // counts come to differ
-                Harness.Sent sent = harness.request("w" + i, 0);
+                PolicyTestHarness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, Outcome.OK);
                 order.add(sent.server);
@@ -78,7 +79,7 @@
     void theShortestSampledQueueWins() {
         // Every server of the top set is given work; then the empty ones of the rest must win.
         for (int seed = 0; seed < 50; seed++) {
-            Harness harness = halves(seed);
+            PolicyTestHarness harness = halves(seed);
             Set<String> busy = new HashSet<>();
             for (int i = 0; i < 3; i++) {
                 busy.add(harness.request("r" + i, 0).server);
@@ -92,7 +93,8 @@
     @Test
     void twoServersAndFewerThanSampledAreUsedToo() {
         for (int size = 1; size <= 3; size++) {
-            Harness harness = new Harness(SAFE, 7).list(ListKind.PERSISTED, Harness.fleet(size));
+            PolicyTestHarness harness =
+                    new PolicyTestHarness(SAFE, 7).list(ListKind.PERSISTED, PolicyTestHarness.fleet(size));
             assertNotNull(harness.request("r", 0));
         }
     }
@@ -105,9 +107,9 @@
     }
 
     private static List<String> script(long seed) {
-        Harness harness = halves(seed);
+        PolicyTestHarness harness = halves(seed);
         for (int i = 0; i < 300; i++) {
-            Harness.Sent sent = harness.request("r" + i, 0);
+            PolicyTestHarness.Sent sent = harness.request("r" + i, 0);
             harness.pass(7_000 + i % 13 * 1000);
             if (sent != null) {
                 harness.end(sent, i % 11 == 0 ? Outcome.ERROR : Outcome.OK);
@@ -118,9 +120,9 @@
 
     @Test
     void aFastFailureKeepsItsSlotAndEarnsNoRank() {
-        Harness harness = new Harness(SAFE, 3).list(ListKind.PERSISTED, Harness.fleet(4));
+        PolicyTestHarness harness = new PolicyTestHarness(SAFE, 3).list(ListKind.PERSISTED, PolicyTestHarness.fleet(4));
         harness.warmUp(40, 0, 50_000);
-        Harness.Sent bad = harness.request("bad", 0);
+        PolicyTestHarness.Sent bad = harness.request("bad", 0);
         harness.now += 500;
         harness.end(bad, Outcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.sentFor("bad").size());
@@ -132,16 +134,17 @@
 
     /** The part of 1,000 requests, one at a time, that goes to servers with a connection: one of each set. */
     private static double onConnected(double handshake) {
-        Policy.Settings settings = Harness.settings(
+        Policy.Settings settings = PolicyTestHarness.settings(
                 new Policy.Prices(0, handshake),
                 1,
                 true,
                 Policy.Discovery.PUSH,
                 List.of(),
-                Harness.kind(Effect.SAFE, Scope.ALL));
+                PolicyTestHarness.kind(Effect.SAFE, Scope.ALL));
         int found = 0;
         for (int seed = 0; seed < 1_000; seed++) {
-            Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(6));
+            PolicyTestHarness harness =
+                    new PolicyTestHarness(settings, seed).list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
             harness.links = Set.of("s0", "s1", "s2")::contains;
             found += harness.links.connected(harness.request("r", 0).server) ? 1 : 0;
         }
@@ -156,19 +159,20 @@
 
     @Test
     void aQueueThatIsLongerByMoreThanThePriceLosesForAllItsConnections() {
-        Policy.Settings settings = Harness.settings(
+        Policy.Settings settings = PolicyTestHarness.settings(
                 new Policy.Prices(0, 0.08),
                 1,
                 true,
                 Policy.Discovery.PUSH,
                 List.of(),
-                Harness.kind(Effect.SAFE, Scope.ALL));
+                PolicyTestHarness.kind(Effect.SAFE, Scope.ALL));
         for (int seed = 0; seed < 50; seed++) {
-            Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(6));
+            PolicyTestHarness harness =
+                    new PolicyTestHarness(settings, seed).list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
             harness.links = Set.of("s0")::contains;
             int held = 0;
             for (int i = 0; i < 200; i++) {
-                Harness.Sent sent = harness.request("r" + i, 0);
+                PolicyTestHarness.Sent sent = harness.request("r" + i, 0);
                 if (sent.server.equals("s0") && held < 3) {
                     held++;
                 } else {
--- a/src/test/java/loadbalancer/Example.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -1,11 +1,11 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** The README's example: a caller that embeds the module. */
-final class Example {
-    private Example() {}
+final class EmbeddingExample {
+    private EmbeddingExample() {}
 
     static List<String> run() {
         List<String> done = new ArrayList<>();
@@ -27,7 +27,7 @@
                 new Policy.Limits(3, true, true, false, 250_000, 0),
                 new Policy.Bounds(20_000, 1_000_000, 0, 0.2, 20_000_000, 2.5, 1_500_000, 100_000),
                 1_000);
-        Policy policy = new Balance(settings, 42);
+        Policy policy = new JsqDasPolicy(settings, 42);
         Policy.Actions actions = new Sink(done);
 
         long now = 0;
@@ -44,7 +44,7 @@
     }
 
     /** Carries out what the module asks for; here it only writes sends down. */
-    private record Sink(List<String> done) implements QuietActions {
+    private record Sink(List<String> done) implements NoOpActions {
         @Override
         public void send(String request, String server, long timeout) {
             done.add("send " + request + " to " + server);
--- a/src/test/java/loadbalancer/LibraryTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,29 +11,29 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What users of the library rely on. */
-class LibraryTest {
-    private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
+class EmbeddingTest {
+    private static final RequestClass SAFE = PolicyTestHarness.kind(Effect.SAFE, Scope.ALL);
 
     @Test
     void theExampleOfTheReadmeRuns() throws IOException {
         String readme = Files.readString(Path.of("README.md"));
-        String example = Files.readString(Path.of("src/test/java/loadbalancer/Example.java"));
+        String example = Files.readString(Path.of("src/test/java/loadbalancer/policy/EmbeddingExample.java"));
         int from = readme.indexOf("```java\n") + 8;
         String shown = readme.substring(from, readme.indexOf("```\n", from));
         assertTrue(example.contains(shown.strip()), "the README shows the code of Example.java");
-        assertEquals(List.of("send r1 to a:80"), Example.run());
+        assertEquals(List.of("send r1 to a:80"), EmbeddingExample.run());
     }
 
     @Test
@@ -54,14 +54,14 @@
                         .getMessage());
         assertEquals(
                 "impossible classes: none",
-                assertThrows(IllegalArgumentException.class, () -> Harness.settings())
+                assertThrows(IllegalArgumentException.class, () -> PolicyTestHarness.settings())
                         .getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"0, 0, impossible balancers: 0", "2, 2, impossible rank: 2", "2, -1, impossible rank: -1"})
     void impossibleNumbersOfBalancersAreNamed(int balancers, int rank, String complaint) {
-        Policy.Settings s = Harness.settings(SAFE);
+        Policy.Settings s = PolicyTestHarness.settings(SAFE);
         assertEquals(
                 complaint,
                 assertThrows(
@@ -99,8 +99,9 @@
             int servers, int balancers, long aim, long deadline, int attempts, boolean copies, int rate, long latency) {
         for (Effect effect : Effect.values()) {
             RequestClass kind = new RequestClass(effect, Scope.CELL, deadline, aim, deadline, 0, 1, 0, false);
-            Policy.Settings base = Harness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
-            Harness harness = new Harness(
+            Policy.Settings base =
+                    PolicyTestHarness.settings(balancers, copies, Policy.Discovery.PUSH, List.of(), kind);
+            PolicyTestHarness harness = new PolicyTestHarness(
                     new Policy.Settings(
                             balancers,
                             0,
@@ -118,7 +119,7 @@
                             base.bounds(),
                             1_000),
                     9);
-            harness.list(ListKind.PERSISTED, Harness.fleet(servers));
+            harness.list(ListKind.PERSISTED, PolicyTestHarness.fleet(servers));
             for (int i = 0; i < 400; i++) {
                 harness.request("r" + i, 0, 0, deadline);
                 harness.pass(1_000_000 / rate);
@@ -139,16 +140,22 @@
 
     @Test
     void memoryDoesNotGrowWithTime() throws ReflectiveOperationException {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(4));
+        PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), 1)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(4));
         for (int i = 0; i < 30_000; i++) {
-            Harness.Sent sent = harness.request("r" + i, 0);
+            PolicyTestHarness.Sent sent = harness.request("r" + i, 0);
             harness.pass(5_000);
             harness.sends.stream()
                     .filter(s -> !s.ended)
                     .toList()
                     .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
             if (i % 50 == 0) { // machines come and go under new names
-                harness.list(ListKind.COMPLETE, List.of(Harness.up("a" + i), Harness.up("b" + i), Harness.up("c")));
+                harness.list(
+                        ListKind.COMPLETE,
+                        List.of(
+                                PolicyTestHarness.up("a" + i),
+                                PolicyTestHarness.up("b" + i),
+                                PolicyTestHarness.up("c")));
                 harness.sends.clear();
                 harness.attempts.clear();
                 harness.finals.clear();
@@ -163,7 +170,7 @@
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/loadbalancer/Balance.java"));
+        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/JsqDasPolicy.java"));
         String page = Files.readString(Path.of("README.md"));
         for (String line : List.of(
                 "overload: refusing, level ",
--- a/src/test/java/loadbalancer/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
-import loadbalancer.connections.IdleRest;
+import loadbalancer.connections.IdleTimeout;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 
 /**
  * Many instances of the module in virtual time, before servers that serve one request at a time, in order,
@@ -21,7 +21,7 @@
 final class FleetModel {
     private static final long STEP = 5_000;
     private static final int ROOM = 12;
-    private static final IdleRest REST = new IdleRest(0);
+    private static final IdleTimeout REST = new IdleTimeout(0);
     private static final int TRIES = 3;
     private static final long BACK_OFF = 50_000;
 
@@ -34,11 +34,11 @@
     }
 
     /** One balancer's connections, each carrying one request at a time, kept as the real one keeps them. */
-    private final class Connections implements Harness.Links {
-        private final Harness of;
+    private final class Connections implements PolicyTestHarness.Links {
+        private final PolicyTestHarness of;
         private final Map<String, ArrayDeque<Long>> idle = new HashMap<>();
 
-        Connections(Harness of) {
+        Connections(PolicyTestHarness of) {
             this.of = of;
         }
 
@@ -64,11 +64,11 @@
         }
     }
 
-    private record Job(Harness at, Harness.Sent sent, long work) {}
+    private record Job(PolicyTestHarness at, PolicyTestHarness.Sent sent, long work) {}
 
     private record Try(long at, int requestClass, int number, long work) {}
 
-    final List<Harness> balancers = new ArrayList<>();
+    final List<PolicyTestHarness> balancers = new ArrayList<>();
     final int[] asked;
     final int[] inTime;
     final int[] refused;
@@ -76,7 +76,7 @@
     double worstFall; // the same, in parts of what fells it: n + 3 * root of n + 3 of n allowed
     int coldSends;
     int opened; // connections to servers, of all balancers
-    long now = Harness.START;
+    long now = PolicyTestHarness.START;
     private final Policy.Settings settings;
     private final SplittableRandom random;
     private final Map<String, Box> boxes = new HashMap<>();
@@ -102,7 +102,7 @@
         servers.forEach(s -> boxes.computeIfAbsent(s.id(), id -> new Box()).server = s);
         for (int i = 0; i < instances; i++) {
             Policy.Settings s = settings;
-            Harness harness = new Harness(
+            PolicyTestHarness harness = new PolicyTestHarness(
                     new Policy.Settings(
                             s.balancers(),
                             i % s.balancers(),
@@ -156,12 +156,12 @@
 
     private void step() {
         now += STEP;
-        for (Harness b : balancers) {
+        for (PolicyTestHarness b : balancers) {
             b.pass(now - b.now);
         }
         while (!tries.isEmpty() && tries.peek().at <= now) {
             Try t = tries.poll();
-            Harness b = balancers.get(random.nextInt(balancers.size()));
+            PolicyTestHarness b = balancers.get(random.nextInt(balancers.size()));
             String id = "q" + requests++;
             open.put(id, t);
             b.request(
@@ -177,7 +177,7 @@
     }
 
     // Giving up an attempt closes its connection.
-    private void end(Harness at, Harness.Sent sent, Outcome outcome) {
+    private void end(PolicyTestHarness at, PolicyTestHarness.Sent sent, Outcome outcome) {
         if (outcome == Outcome.OK || outcome == Outcome.FULL) {
             ((Connections) at.links).idle(sent.server).addLast(at.now);
         }
@@ -242,10 +242,10 @@
 
     // What a balancer has sent, given up or answered since the last step.
     private void take(int number) {
-        Harness b = balancers.get(number);
+        PolicyTestHarness b = balancers.get(number);
         List<Job> jobs = sentOut.get(number);
         for (; seen.get(number) < b.sends.size(); seen.set(number, seen.get(number) + 1)) {
-            Harness.Sent s = b.sends.get(seen.get(number));
+            PolicyTestHarness.Sent s = b.sends.get(seen.get(number));
             Box box = boxes.get(s.server);
             Try t = open.get(s.request);
             count(box, s.at);
--- a/src/test/java/loadbalancer/FleetTest.java
+++ b/src/test/java/loadbalancer/policy/FleetTest.java
@@ -1,16 +1,16 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
