--- a/src/test/java/loadbalancer/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -24,18 +24,20 @@
 
 /** The four rules, class kind by class kind, and over random but legal sequences of events. */
 class FourRulesTest {
-    private static final RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
-    private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
+    private static final RequestClass UNSAFE = PolicyTestHarness.kind(Effect.UNSAFE, Scope.ALL);
+    private static final RequestClass SAFE = PolicyTestHarness.kind(Effect.SAFE, Scope.ALL);
 
-    private static Harness warm(RequestClass kind) {
-        Harness harness = new Harness(Harness.settings(kind), 5).list(ListKind.PERSISTED, Harness.fleet(6));
+    private static PolicyTestHarness warm(RequestClass kind) {
+        PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(kind), 5)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
 
-    private static Harness warmWithoutCopies(RequestClass kind) {
-        Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), kind), 5)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+    private static PolicyTestHarness warmWithoutCopies(RequestClass kind) {
+        PolicyTestHarness harness = new PolicyTestHarness(
+                        PolicyTestHarness.settings(1, false, Policy.Discovery.PUSH, List.of(), kind), 5)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         return harness;
     }
@@ -45,7 +47,7 @@
             value = Outcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunFails(Outcome outcome) {
-        Harness harness = warm(UNSAFE);
+        PolicyTestHarness harness = warm(UNSAFE);
         harness.end(harness.request("r", 0), outcome);
         assertEquals("failed", harness.finals.get("r"));
         assertEquals(1, harness.sentFor("r").size());
@@ -56,8 +58,8 @@
             value = Outcome.class,
             names = {"FULL", "CONNECT_FAILED"})
     void anUnsafeRequestThatNeverRanGoesElsewhere(Outcome outcome) {
-        Harness harness = warm(UNSAFE);
-        Harness.Sent first = harness.request("r", 0);
+        PolicyTestHarness harness = warm(UNSAFE);
+        PolicyTestHarness.Sent first = harness.request("r", 0);
         harness.end(first, outcome);
         assertEquals(2, harness.sentFor("r").size());
         assertFalse(harness.sentFor("r").get(1).server.equals(first.server));
@@ -66,22 +68,22 @@
     /** Repeats are dropped for 2 s from the first send: a connection may come up later than that. */
     @Test
     void aKeyedRepeatSaysHowLongItMayTakeToBegin() {
-        Harness harness = warmWithoutCopies(Harness.kind(Effect.KEYED, Scope.CELL));
-        Harness.Sent first = harness.request("r", 0);
+        PolicyTestHarness harness = warmWithoutCopies(PolicyTestHarness.kind(Effect.KEYED, Scope.CELL));
+        PolicyTestHarness.Sent first = harness.request("r", 0);
         harness.pass(400_000);
         harness.end(first, Outcome.RESET);
         assertEquals(2, harness.sentFor("r").size());
         long left = harness.within.get("r");
         assertTrue(left > 1_500_000 && left <= first.at + 2_000_000 - harness.now, "left: " + left);
-        assertFalse(harness.within.containsKey("warm-" + Harness.START + "-0"), "a first send may come late");
+        assertFalse(harness.within.containsKey("warm-" + PolicyTestHarness.START + "-0"), "a first send may come late");
     }
 
     @Test
     void aKeyedRequestThatMayNotBeRepeatedAnyMoreIsAnsweredAtOnce() {
-        RequestClass kind =
-                new RequestClass(Effect.KEYED, Scope.CELL, 300_000, Harness.AIM, Harness.DEADLINE, 0, 1, 1, false);
-        Harness harness = warmWithoutCopies(kind);
-        Harness.Sent first = harness.request("r", 0);
+        RequestClass kind = new RequestClass(
+                Effect.KEYED, Scope.CELL, 300_000, PolicyTestHarness.AIM, PolicyTestHarness.DEADLINE, 0, 1, 1, false);
+        PolicyTestHarness harness = warmWithoutCopies(kind);
+        PolicyTestHarness.Sent first = harness.request("r", 0);
         harness.pass(310_000);
         harness.end(first, Outcome.RESET);
         assertEquals("failed", harness.finals.get("r"), "not held until its deadline nears");
@@ -90,20 +92,21 @@
 
     @Test
     void anUnsafeRequestGetsNoSecondCopy() {
-        Harness harness = warm(UNSAFE);
+        PolicyTestHarness harness = warm(UNSAFE);
         harness.request("r", 0);
-        harness.pass(Harness.DEADLINE - 100_000);
+        harness.pass(PolicyTestHarness.DEADLINE - 100_000);
         assertEquals(1, harness.sentFor("r").size());
     }
 
     @Test
     void noSecondCopyWhereTheSiteForbidsIt() {
-        Harness harness = new Harness(Harness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+        PolicyTestHarness harness = new PolicyTestHarness(
+                        PolicyTestHarness.settings(1, false, Policy.Discovery.PUSH, List.of(), SAFE), 5)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         harness.warmUp(60, 0, 40_000);
-        Harness.Sent first = harness.request("r", 0);
-        assertTrue(first.timeout > 0 && first.timeout < Harness.DEADLINE, "room is left for another attempt");
-        harness.pass(Harness.AIM);
+        PolicyTestHarness.Sent first = harness.request("r", 0);
+        assertTrue(first.timeout > 0 && first.timeout < PolicyTestHarness.DEADLINE, "room is left for another attempt");
+        harness.pass(PolicyTestHarness.AIM);
         assertEquals(1, harness.sentFor("r").size());
     }
 
@@ -111,12 +114,13 @@
     @EnumSource(Scope.class)
     void aKeyedRequestStaysWithinTheGroupThatRemembersIt(Scope scope) {
         for (int seed = 0; seed < 20; seed++) {
-            Harness harness = new Harness(Harness.settings(Harness.kind(Effect.KEYED, scope)), seed)
-                    .list(ListKind.PERSISTED, Harness.fleet(6));
+            PolicyTestHarness harness = new PolicyTestHarness(
+                            PolicyTestHarness.settings(PolicyTestHarness.kind(Effect.KEYED, scope)), seed)
+                    .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
             harness.warmUp(40, 0, 40_000);
-            Harness.Sent first = harness.request("r", 0);
+            PolicyTestHarness.Sent first = harness.request("r", 0);
             harness.end(first, Outcome.ERROR);
-            Harness.Sent second = harness.sentFor("r").get(1);
+            PolicyTestHarness.Sent second = harness.sentFor("r").get(1);
             if (scope != Scope.ALL) { // cell and zone alternate over the fleet
                 assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
             }
@@ -126,10 +130,10 @@
     @ParameterizedTest
     @EnumSource(Scope.class)
     void aKeyedRequestIsNotSentAgainAfterItsWindow(Scope scope) {
-        Harness harness = warm(Harness.kind(Effect.KEYED, scope));
-        Harness.Sent first = harness.request("r", 0);
+        PolicyTestHarness harness = warm(PolicyTestHarness.kind(Effect.KEYED, scope));
+        PolicyTestHarness.Sent first = harness.request("r", 0);
         harness.pass(2_500_000); // the window is 2 s from the first send
-        for (Harness.Sent copy : harness.sentFor("r")) {
+        for (PolicyTestHarness.Sent copy : harness.sentFor("r")) {
             assertTrue(copy.at - first.at < 2_000_000);
         }
         int before = harness.sentFor("r").size();
@@ -141,27 +145,29 @@
 
     @Test
     void nothingNewGoesToADrainingOrGoneServer() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(3));
+        PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), 1)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(3));
         harness.list(ListKind.PARTIAL, List.of(new Server("s0", State.DRAINING, 0, 1, 0, 0, 0)));
         harness.list(ListKind.PARTIAL, List.of(new Server("s1", State.GONE, 0, 1, 1, 1, 1)));
         for (int i = 0; i < 30; i++) {
-            Harness.Sent sent = harness.request("r" + i, 0);
+            PolicyTestHarness.Sent sent = harness.request("r" + i, 0);
             assertEquals("s2", sent.server);
             harness.pass(30_000);
             harness.end(sent, Outcome.OK);
         }
-        harness.list(ListKind.COMPLETE, List.of(Harness.up("s1")));
+        harness.list(ListKind.COMPLETE, List.of(PolicyTestHarness.up("s1")));
         assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is gone");
     }
 
     @Test
     void everyRequestIsAnsweredWhenNoServerIsListed() {
-        Harness harness = new Harness(Harness.settings(SAFE, UNSAFE), 1).list(ListKind.PERSISTED, List.of());
+        PolicyTestHarness harness =
+                new PolicyTestHarness(PolicyTestHarness.settings(SAFE, UNSAFE), 1).list(ListKind.PERSISTED, List.of());
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
         harness.pass(30_000);
         assertTrue(harness.finals.containsKey("b"), "a nearly spent request is answered at once");
-        harness.pass(Harness.DEADLINE);
+        harness.pass(PolicyTestHarness.DEADLINE);
         assertEquals("refused", harness.finals.get("a"));
     }
 
@@ -169,8 +175,9 @@
     @ValueSource(ints = {1, 3, 8})
     void aColdServerGetsLessThanItsPart(int balancers) {
         // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
-        Policy.Settings settings = Harness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
-        Harness harness = new Harness(settings, 1).list(ListKind.PERSISTED, Harness.fleet(4));
+        Policy.Settings settings = PolicyTestHarness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
+        PolicyTestHarness harness =
+                new PolicyTestHarness(settings, 1).list(ListKind.PERSISTED, PolicyTestHarness.fleet(4));
         harness.warmUp(300, 0, 20_000);
         harness.list(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
         long born = harness.now;
@@ -183,7 +190,8 @@
 
     @Test
     void aRestartUnderTheSameIdIsColdAgain() {
-        Harness harness = new Harness(Harness.settings(SAFE), 1).list(ListKind.PERSISTED, Harness.fleet(2));
+        PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), 1)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(2));
         harness.warmUp(100, 0, 20_000);
         harness.list(ListKind.PARTIAL, List.of(new Server("s0", State.UP, harness.now, 1, 0, 0, 0)));
         long restarted = harness.now;
@@ -200,12 +208,12 @@
         List<RequestClass> kinds = List.of(
                 SAFE,
                 UNSAFE,
-                Harness.kind(Effect.KEYED, Scope.ALL),
-                Harness.kind(Effect.KEYED, Scope.CELL),
-                Harness.kind(Effect.KEYED, Scope.ZONE));
+                PolicyTestHarness.kind(Effect.KEYED, Scope.ALL),
+                PolicyTestHarness.kind(Effect.KEYED, Scope.CELL),
+                PolicyTestHarness.kind(Effect.KEYED, Scope.ZONE));
         boolean copies = random.nextBoolean();
-        Harness harness = new Harness(
-                Harness.settings(
+        PolicyTestHarness harness = new PolicyTestHarness(
+                PolicyTestHarness.settings(
                         1 + random.nextInt(4),
                         copies,
                         random.nextBoolean() ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
@@ -218,8 +226,8 @@
         Map<String, Long> unusable = new TreeMap<>();
         Map<String, Map<Integer, Outcome>> ended = new TreeMap<>();
         List<String> gone = new ArrayList<>();
-        harness.list(ListKind.PERSISTED, Harness.fleet(random.nextInt(8)));
-        Harness.fleet(8).forEach(s -> truth.put(s.id(), s));
+        harness.list(ListKind.PERSISTED, PolicyTestHarness.fleet(random.nextInt(8)));
+        PolicyTestHarness.fleet(8).forEach(s -> truth.put(s.id(), s));
         int checked = 0;
         for (int step = 0; step < 6000; step++) {
             int what = random.nextInt(100);
@@ -231,10 +239,10 @@
                 classOf.put(id, kind);
                 harness.request(id, kind, random.nextInt(2), left);
             } else if (what < 88) {
-                List<Harness.Sent> out =
+                List<PolicyTestHarness.Sent> out =
                         harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
-                    Harness.Sent sent = out.get(random.nextInt(out.size()));
+                    PolicyTestHarness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
                     Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
                     if (outcome == Outcome.OK && gone.contains(sent.request)) {
@@ -275,7 +283,7 @@
                 harness.pass(random.nextLong(60_000));
             }
             // Attempts whose own time-out or request's deadline has come end then, as on the wire.
-            for (Harness.Sent s : new ArrayList<>(harness.sends)) {
+            for (PolicyTestHarness.Sent s : new ArrayList<>(harness.sends)) {
                 long until =
                         s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request)) : deadlines.get(s.request);
                 if (!s.ended && harness.now >= until) {
@@ -284,19 +292,19 @@
                 }
             }
             for (; checked < harness.sends.size(); checked++) {
-                Harness.Sent s = harness.sends.get(checked);
+                PolicyTestHarness.Sent s = harness.sends.get(checked);
                 Long since = unusable.get(s.server);
                 assertTrue(since == null || s.at <= since, "sent to a draining or gone server: " + s.server);
                 checkRepeat(harness, s, kinds.get(classOf.get(s.request)), ended, copies);
             }
         }
-        harness.pass(Harness.DEADLINE + 100_000);
-        for (Harness.Sent s : new ArrayList<>(harness.sends)) {
+        harness.pass(PolicyTestHarness.DEADLINE + 100_000);
+        for (PolicyTestHarness.Sent s : new ArrayList<>(harness.sends)) {
             if (!s.ended) {
                 harness.end(s, Outcome.TIMEOUT);
             }
         }
-        harness.pass(Harness.DEADLINE + 100_000);
+        harness.pass(PolicyTestHarness.DEADLINE + 100_000);
         assertEquals(0, harness.doubleFinals);
         for (String id : deadlines.keySet()) {
             assertTrue(harness.finals.containsKey(id), "no answer for " + id);
@@ -304,12 +312,12 @@
     }
 
     private static void checkRepeat(
-            Harness harness,
-            Harness.Sent s,
+            PolicyTestHarness harness,
+            PolicyTestHarness.Sent s,
             RequestClass kind,
             Map<String, Map<Integer, Outcome>> ended,
             boolean copies) {
-        for (Harness.Sent earlier : harness.sentFor(s.request)) {
+        for (PolicyTestHarness.Sent earlier : harness.sentFor(s.request)) {
             if (earlier.number >= s.number) {
                 continue;
             }
--- a/src/test/java/loadbalancer/FurtherRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FurtherRulesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,28 +6,28 @@
 
 import java.util.List;
 import java.util.Set;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Order by key and placement. */
 class FurtherRulesTest {
-    private static final RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
+    private static final RequestClass SAFE = PolicyTestHarness.kind(Effect.SAFE, Scope.ALL);
 
     private static RequestClass ordered(Effect effect) {
         return new RequestClass(
                 effect,
                 Scope.ALL,
                 2_000_000,
-                Harness.AIM,
-                Harness.DEADLINE,
+                PolicyTestHarness.AIM,
+                PolicyTestHarness.DEADLINE,
                 0,
                 1,
                 0.3,
@@ -39,19 +39,31 @@
 
     private static RequestClass bound(Set<Integer> zones, Set<Integer> kinds) {
         return new RequestClass(
-                Effect.SAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, false, zones, kinds);
+                Effect.SAFE,
+                Scope.ALL,
+                0,
+                PolicyTestHarness.AIM,
+                PolicyTestHarness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                false,
+                zones,
+                kinds);
     }
 
-    private static Harness fleet(RequestClass... kinds) {
-        Harness harness = new Harness(Harness.settings(kinds), 3).list(ListKind.PERSISTED, Harness.fleet(6));
+    private static PolicyTestHarness fleet(RequestClass... kinds) {
+        PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(kinds), 3)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         harness.warmUp(30, 0, 20_000);
         return harness;
     }
 
     @Test
     void aKeysRequestsGoOneByOneInTheOrderTaken() {
-        Harness harness = fleet(ordered(Effect.KEYED), ordered(Effect.SAFE));
-        Harness.Sent first = harness.keyed("a", 0, "k");
+        PolicyTestHarness harness = fleet(ordered(Effect.KEYED), ordered(Effect.SAFE));
+        PolicyTestHarness.Sent first = harness.keyed("a", 0, "k");
         assertNull(harness.keyed("b", 1, "k"), "all ordered classes share their keys");
         assertNull(harness.keyed("c", 0, "k"));
         assertTrue(harness.keyed("other", 0, "l") != null, "another key is not held up");
@@ -69,13 +81,13 @@
             value = Outcome.class,
             names = {"TIMEOUT", "RESET", "CANCELLED"})
     void aKeyRestsAfterAnAttemptThatMayStillRun(Outcome outcome) {
-        Harness harness = fleet(ordered(Effect.UNSAFE));
-        Harness.Sent first = harness.keyed("a", 0, "k");
+        PolicyTestHarness harness = fleet(ordered(Effect.UNSAFE));
+        PolicyTestHarness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.pass(30_000);
         harness.end(first, outcome);
         assertEquals("failed", harness.finals.get("a"));
-        harness.pass(Harness.PAUSE - 10_000);
+        harness.pass(PolicyTestHarness.PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size(), "the key rests");
         harness.pass(50_000);
         assertEquals(1, harness.sentFor("b").size(), "then the next one goes");
@@ -83,15 +95,15 @@
 
     @Test
     void theKeyRestsAlsoWhenTheClientHasLeft() {
-        Harness harness = fleet(ordered(Effect.SAFE));
-        Harness.Sent first = harness.keyed("a", 0, "k");
+        PolicyTestHarness harness = fleet(ordered(Effect.SAFE));
+        PolicyTestHarness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.finals.put("a", "gone");
         harness.policy.clientGone(harness.now, "a", harness);
         harness.pass(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
         harness.end(first, Outcome.CANCELLED);
-        harness.pass(Harness.PAUSE - 10_000);
+        harness.pass(PolicyTestHarness.PAUSE - 10_000);
         assertEquals(0, harness.sentFor("b").size());
         harness.pass(50_000);
         assertEquals(1, harness.sentFor("b").size());
@@ -99,32 +111,32 @@
 
     @Test
     void theOneThatHasTheTurnIsTriedAgainWithoutAWait() {
-        Harness harness = fleet(ordered(Effect.SAFE));
+        PolicyTestHarness harness = fleet(ordered(Effect.SAFE));
         harness.end(harness.keyed("a", 0, "k"), Outcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
     void aRequestWhoseTurnNeverComesIsAnsweredInTime() {
-        Harness harness = fleet(ordered(Effect.SAFE));
+        PolicyTestHarness harness = fleet(ordered(Effect.SAFE));
         harness.keyed("a", 0, "k");
         long from = harness.now;
         harness.keyed("b", 0, "k");
-        harness.pass(Harness.DEADLINE);
+        harness.pass(PolicyTestHarness.DEADLINE);
         assertEquals("refused", harness.finals.get("b"));
-        assertTrue(harness.now - from <= Harness.DEADLINE);
+        assertTrue(harness.now - from <= PolicyTestHarness.DEADLINE);
     }
 
     @Test
     void aBoundClassGoesNowhereElse() {
-        Harness harness = fleet(SAFE, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
+        PolicyTestHarness harness = fleet(SAFE, bound(Set.of(1), Set.of()), bound(Set.of(), Set.of(0)));
         for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.pass(10_000);
         }
         harness.sends.stream().filter(s -> !s.ended).toList().forEach(s -> harness.end(s, Outcome.ERROR));
-        harness.pass(Harness.DEADLINE);
+        harness.pass(PolicyTestHarness.DEADLINE);
         harness.sends.stream()
                 .filter(s -> s.request.startsWith("z"))
                 .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
@@ -135,11 +147,12 @@
 
     @Test
     void aBoundRequestWaitsForAServerOfItsOwnWithoutHoldingUpOthers() {
-        Harness harness =
-                new Harness(Harness.settings(SAFE, bound(Set.of(7), Set.of())), 3).list(ListKind.PERSISTED, List.of());
+        PolicyTestHarness harness = new PolicyTestHarness(
+                        PolicyTestHarness.settings(SAFE, bound(Set.of(7), Set.of())), 3)
+                .list(ListKind.PERSISTED, List.of());
         harness.request("bound", 1);
         harness.request("free", 0);
-        harness.list(ListKind.PARTIAL, Harness.fleet(4));
+        harness.list(ListKind.PARTIAL, PolicyTestHarness.fleet(4));
         assertEquals(1, harness.sentFor("free").size());
         assertEquals(0, harness.sentFor("bound").size());
         harness.list(ListKind.PARTIAL, List.of(new Server("own", State.UP, 0, 1, 0, 0, 7)));
@@ -147,7 +160,7 @@
         harness.request("bound2", 1);
         harness.list(ListKind.PARTIAL, List.of(new Server("own", State.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
-        harness.pass(Harness.DEADLINE);
+        harness.pass(PolicyTestHarness.DEADLINE);
         assertEquals("refused", harness.finals.get("bound3"), "held, then answered in time");
     }
 }
--- a/src/test/java/loadbalancer/LearnedTest.java
+++ b/src/test/java/loadbalancer/policy/LearningTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -8,24 +8,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import loadbalancer.Policy.Discovery;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.Scope;
+import loadbalancer.policy.Policy.Discovery;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Scope;
 import org.junit.jupiter.api.Test;
 
 /** One test for each failure found: it fails without the answer to it in Rules. */
-class LearnedTest {
-    private static final Policy.RequestClass SAFE = Harness.kind(Effect.SAFE, Scope.ALL);
-    private static final Policy.RequestClass UNSAFE = Harness.kind(Effect.UNSAFE, Scope.ALL);
+class LearningTest {
+    private static final Policy.RequestClass SAFE = PolicyTestHarness.kind(Effect.SAFE, Scope.ALL);
+    private static final Policy.RequestClass UNSAFE = PolicyTestHarness.kind(Effect.UNSAFE, Scope.ALL);
 
-    private static Harness harness(int servers, Policy.RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(ListKind.PERSISTED, Harness.fleet(servers));
+    private static PolicyTestHarness harness(int servers, Policy.RequestClass... kinds) {
+        return new PolicyTestHarness(PolicyTestHarness.settings(kinds), 11)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(servers));
     }
 
     /** Serves four requests at a time for a while; attempts on the bad servers end as told. */
-    private static void serve(Harness harness, int requests, long latency, Map<String, Outcome> bad) {
+    private static void serve(PolicyTestHarness harness, int requests, long latency, Map<String, Outcome> bad) {
         for (int i = 0; i < requests; i++) {
             for (int j = 0; j < 4; j++) {
                 harness.request("q" + harness.now + "/" + i + "/" + j, 0);
@@ -40,7 +41,7 @@
 
     @Test
     void aServerThatFailsFastIsEjectedTriedAndTakenBack() {
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
         serve(harness, 200, 20_000, Map.of("s1", Outcome.ERROR));
@@ -53,7 +54,7 @@
     @Test
     void aServerThatOnlyTurnsAwayIsEjected() {
         // A hung server fills up, then turns attempts away: 8% of attempts were lost on such ones.
-        Harness harness = harness(6, UNSAFE);
+        PolicyTestHarness harness = harness(6, UNSAFE);
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
         serve(harness, 300, 20_000, Map.of("s1", Outcome.FULL));
@@ -63,9 +64,9 @@
 
     @Test
     void aStalledServerGetsNothingNewBeforeItsTimeOutsTell() {
-        Harness harness = harness(3, UNSAFE);
+        PolicyTestHarness harness = harness(3, UNSAFE);
         serve(harness, 100, 30_000, Map.of());
-        Harness.Sent stuck = harness.request("stuck", 0);
+        PolicyTestHarness.Sent stuck = harness.request("stuck", 0);
         harness.pass(200_000);
         long from = harness.now;
         for (int i = 0; i < 40; i++) { // three at a time: the third finds all queues alike
@@ -83,7 +84,7 @@
 
     @Test
     void serviceResumesAfterAllServersHaveFailed() {
-        Harness harness = harness(4, SAFE);
+        PolicyTestHarness harness = harness(4, SAFE);
         serve(harness, 60, 20_000, Map.of());
         Map<String, Outcome> bad = new HashMap<>();
         List.of("s0", "s1", "s2", "s3").forEach(s -> bad.put(s, Outcome.ERROR));
@@ -96,7 +97,7 @@
     @Test
     void theLimitRecoversAfterOverload() {
         // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) { // everything takes ten times as long
             harness.request("slow" + i, 0);
@@ -123,11 +124,11 @@
     @Test
     void anOverShareTenantLosesItsExcessAndKeepsItsShare() {
         // All requests of a tenant over its share were marked, so its share starved too.
-        Harness harness = new Harness(
-                        Harness.settings(
+        PolicyTestHarness harness = new PolicyTestHarness(
+                        PolicyTestHarness.settings(
                                 1, true, Discovery.PUSH, List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(2));
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(2));
         Map<Integer, int[]> served = Map.of(0, new int[2], 1, new int[2]);
         for (int i = 0; i < 1200; i++) { // tenant 0 brings 80 a second, tenant 1 20
             int tenant = i % 5 == 4 ? 1 : 0;
@@ -153,7 +154,7 @@
     @Test
     void aCallerThatSleptForLongIsNoFailure() {
         // With every server idle for 13 minutes all weights of the middle strain are 0.
-        Harness harness = harness(1, SAFE);
+        PolicyTestHarness harness = harness(1, SAFE);
         for (int i = 0; i < 10; i++) {
             harness.end(harness.request("r" + i, 0), Outcome.OK);
         }
@@ -163,26 +164,26 @@
     }
 
     /** A harness without a usable server: what comes in is held. */
-    private static Harness holding(Policy.RequestClass... kinds) {
-        return new Harness(Harness.settings(kinds), 11).list(ListKind.PERSISTED, List.of());
+    private static PolicyTestHarness holding(Policy.RequestClass... kinds) {
+        return new PolicyTestHarness(PolicyTestHarness.settings(kinds), 11).list(ListKind.PERSISTED, List.of());
     }
 
     @Test
     void aNextTryThatIsLateAlreadyGivesWay() {
         // A third of all answers came after the first try's aim: worthless work that crowded out the rest.
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("late", 0, Harness.DEADLINE - Harness.AIM - 200_000);
-        harness.again("quick", 0, Harness.DEADLINE - 150_000); // this one can still be in time
+        harness.again("late", 0, PolicyTestHarness.DEADLINE - PolicyTestHarness.AIM - 200_000);
+        harness.again("quick", 0, PolicyTestHarness.DEADLINE - 150_000); // this one can still be in time
         assertEquals(1, harness.sentFor("quick").size());
         assertEquals("refused", harness.finals.get("late"));
     }
 
     @Test
     void aNextTryThatMayBeInTimeIsServedLikeAnyOther() {
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("again", 0, Harness.DEADLINE); // as much time as a first try: age unknown
+        harness.again("again", 0, PolicyTestHarness.DEADLINE); // as much time as a first try: age unknown
         assertEquals(1, harness.sentFor("again").size());
     }
 
@@ -190,11 +191,11 @@
     void theMostUrgentHeldRequestGoesFirst() {
         // In order of arrival requests with a short aim ran out behind those with a long one.
         Policy.RequestClass patient = new Policy.RequestClass(
-                Effect.SAFE, Scope.ALL, 0, 4 * Harness.AIM, 4 * Harness.DEADLINE, 0, 1, 0, false);
-        Harness harness = holding(SAFE, patient);
-        harness.request("patient", 1, 0, 4 * Harness.DEADLINE);
+                Effect.SAFE, Scope.ALL, 0, 4 * PolicyTestHarness.AIM, 4 * PolicyTestHarness.DEADLINE, 0, 1, 0, false);
+        PolicyTestHarness harness = holding(SAFE, patient);
+        harness.request("patient", 1, 0, 4 * PolicyTestHarness.DEADLINE);
         harness.request("urgent", 0);
-        harness.list(ListKind.PARTIAL, Harness.fleet(1));
+        harness.list(ListKind.PARTIAL, PolicyTestHarness.fleet(1));
         assertEquals(
                 List.of("urgent", "patient"),
                 harness.sends.stream().map(s -> s.request).toList());
@@ -202,8 +203,9 @@
 
     @Test
     void discoveryIsAskedAgainAfterErrorsAndSilenceButNotHammered() {
-        Harness harness = new Harness(Harness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
-                .list(ListKind.PERSISTED, Harness.fleet(2));
+        PolicyTestHarness harness = new PolicyTestHarness(
+                        PolicyTestHarness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(2));
         assertEquals(1, harness.watches);
         harness.pass(7_000_000); // silence: asked again within AskWithin
         assertEquals(2, harness.watches);
@@ -216,15 +218,16 @@
         harness.list(ListKind.PARTIAL, List.of());
         harness.pass(60_000_000);
         assertEquals(before, harness.watches, "subscribed: nothing more to ask");
-        Harness empty = new Harness(Harness.settings(SAFE), 3);
+        PolicyTestHarness empty = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), 3);
         assertNull(empty.list(ListKind.PERSISTED, List.of()).request("r", 0));
     }
 
     /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
-    private static int sentOf(Harness harness, int requests, int requestClass, int tenant, long latency) {
+    private static int sentOf(PolicyTestHarness harness, int requests, int requestClass, int tenant, long latency) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
-            Harness.Sent s = harness.request("o" + harness.now + "/" + i, requestClass, tenant, Harness.DEADLINE);
+            PolicyTestHarness.Sent s =
+                    harness.request("o" + harness.now + "/" + i, requestClass, tenant, PolicyTestHarness.DEADLINE);
             harness.pass(latency);
             if (s != null) {
                 sent++;
@@ -240,7 +243,7 @@
     @Test
     void strainTurnsAwayAShareAndCalmTakesItBack() {
         // A limit on attempts in flight, about one for most balancers, refused most of a calm day.
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         assertEquals(40, sentOf(harness, 40, 0, 0, 50_000), "a calm day is served whole");
         sentOf(harness, 30, 0, 0, 900_000);
         int late = sentOf(harness, 20, 0, 0, 900_000);
@@ -252,7 +255,7 @@
     @Test
     void strainWithoutNewsIsForgotten() {
         // Refusing nearly all left no answers to learn from: the balancer never came back.
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         sentOf(harness, 60, 0, 0, 1_800_000);
         harness.pass(20_000_000);
         assertTrue(sentOf(harness, 20, 0, 0, 50_000) >= 19);
@@ -260,9 +263,9 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        Policy.RequestClass dear =
-                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
-        Harness harness = harness(6, UNSAFE, dear);
+        Policy.RequestClass dear = new Policy.RequestClass(
+                Effect.UNSAFE, Scope.ALL, 0, PolicyTestHarness.AIM, PolicyTestHarness.DEADLINE, 0, 9, 0, false);
+        PolicyTestHarness harness = harness(6, UNSAFE, dear);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
             sentOf(harness, 1, 1, 0, 350_000);
@@ -276,8 +279,9 @@
     void oneTenantsExcessDoesNotWidenTheSharesOfAll() {
         // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
         List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4), new Policy.Tenant(8.4));
-        Harness harness = new Harness(Harness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+        PolicyTestHarness harness = new PolicyTestHarness(
+                        PolicyTestHarness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         int sent = 0;
         for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
             sent += sentOf(harness, 3, 0, 0, 270_000);
@@ -290,7 +294,7 @@
     @Test
     void aBalancerUsesASubsetThatGrowsWhenItsServersFail() {
         // Every balancer opened a connection to every server: handshakes overran servers at a start.
-        Harness harness = harness(40, SAFE);
+        PolicyTestHarness harness = harness(40, SAFE);
         serve(harness, 4, 20_000, Map.of());
         List<String> used = harness.sends.stream().map(s -> s.server).distinct().toList();
         assertTrue(used.size() <= 7, "a subset of six: " + used);
@@ -314,7 +318,8 @@
     }
 
     private static List<String> used(int servers, long seed) {
-        Harness harness = new Harness(Harness.settings(SAFE), seed).list(ListKind.PERSISTED, Harness.fleet(servers));
+        PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), seed)
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(servers));
         for (int i = 0; i < 40; i++) {
             harness.request("r" + i, 0);
         }
@@ -325,9 +330,9 @@
     void reportsSteerTheQueueAndAbsurdOnesDoNot() {
         // Own queues are empty nearly always: ties sent 94% of all to half of the servers.
         for (double filled : new double[] {50, Double.NaN, -3, 1e18}) {
-            Harness harness = harness(4, SAFE);
+            PolicyTestHarness harness = harness(4, SAFE);
             for (int i = 0; i < 200; i++) {
-                Harness.Sent s = harness.request("r" + i, 0);
+                PolicyTestHarness.Sent s = harness.request("r" + i, 0);
                 harness.now += 20_000;
                 harness.reported = s.server.equals("s1") ? filled : 2;
                 harness.end(s, Outcome.OK);
@@ -343,11 +348,11 @@
     @Test
     void whatIsNotSafeToRepeatIsGivenUpAtItsAim() {
         // After a burst work whose aim had passed filled the queues before work that could be in time.
-        Harness harness = harness(6, SAFE, UNSAFE);
-        assertEquals(Harness.AIM, harness.request("once", 1).timeout);
+        PolicyTestHarness harness = harness(6, SAFE, UNSAFE);
+        assertEquals(PolicyTestHarness.AIM, harness.request("once", 1).timeout);
         assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
-        Harness.Sent late = harness.sentFor("once").get(0);
-        harness.pass(Harness.AIM);
+        PolicyTestHarness.Sent late = harness.sentFor("once").get(0);
+        harness.pass(PolicyTestHarness.AIM);
         harness.end(late, Outcome.TIMEOUT);
         assertEquals("failed", harness.finals.get("once"));
     }
@@ -355,9 +360,9 @@
     @Test
     void aFullServerRestsForAMoment() {
         // It answers in no time, so it won again and again: two of five attempts were turned away.
-        Harness harness = harness(6, UNSAFE);
+        PolicyTestHarness harness = harness(6, UNSAFE);
         serve(harness, 50, 50_000, Map.of());
-        Harness.Sent full = harness.request("full", 0);
+        PolicyTestHarness.Sent full = harness.request("full", 0);
         harness.now += 300;
         harness.end(full, Outcome.FULL);
         long from = harness.now + 1;
@@ -371,7 +376,7 @@
     @Test
     void aRequestWithNoTimeLeftIsAnsweredAtOnce() {
         // Held until the next sweep it got its answer after its deadline: rule 1 was broken.
-        Harness harness = holding(SAFE);
+        PolicyTestHarness harness = holding(SAFE);
         harness.request("spent", 0, 0, 2_000);
         assertEquals("refused", harness.finals.get("spent"));
     }
@@ -380,10 +385,10 @@
     void silenceIsHedgedOnceWhereARepeatIsAllowed() {
         // Answers that never came were waited out to the deadline: a third of the worth of some days.
         for (Policy.RequestClass kind : List.of(SAFE, UNSAFE)) {
-            Harness harness = harness(6, kind);
+            PolicyTestHarness harness = harness(6, kind);
             serve(harness, 60, 20_000, Map.of());
-            Harness.Sent silent = harness.request("silent", 0);
-            harness.pass(Harness.AIM - 5_000);
+            PolicyTestHarness.Sent silent = harness.request("silent", 0);
+            harness.pass(PolicyTestHarness.AIM - 5_000);
             int copies = harness.sentFor("silent").size() - 1;
             assertEquals(kind == SAFE ? 1 : 0, copies, "copies of " + kind.effect());
             assertTrue(harness.sentFor("silent").stream().skip(1).noneMatch(s -> s.server.equals(silent.server)));
@@ -393,12 +398,12 @@
     @Test
     void aKeyedRequestGetsItsCopyWithinItsCellBeforeItsAim() {
         // One of 14 balancers sees a small part of what stands in a queue: 0.79 of the class was served.
-        Harness harness = harness(6, Harness.kind(Effect.KEYED, Scope.CELL));
+        PolicyTestHarness harness = harness(6, PolicyTestHarness.kind(Effect.KEYED, Scope.CELL));
         serve(harness, 60, 20_000, Map.of());
-        Harness.Sent first = harness.request("late", 0);
-        harness.pass(Harness.AIM / 4);
+        PolicyTestHarness.Sent first = harness.request("late", 0);
+        harness.pass(PolicyTestHarness.AIM / 4);
         assertEquals(2, harness.sentFor("late").size());
-        Harness.Sent copy = harness.sentFor("late").get(1);
+        PolicyTestHarness.Sent copy = harness.sentFor("late").get(1);
         assertEquals(first.server.charAt(1) % 2, copy.server.charAt(1) % 2, "cells alternate over the fleet");
         assertTrue(!copy.server.equals(first.server));
         harness.end(copy, Outcome.OK);
@@ -408,7 +413,7 @@
     @Test
     void noCopyIsMadeWhileTheStrainOfNowTurnsRequestsAway() {
         // The level alone was asked, which rises later: copies went on while requests were refused.
-        Harness harness = harness(6, Harness.kind(Effect.KEYED, Scope.CELL));
+        PolicyTestHarness harness = harness(6, PolicyTestHarness.kind(Effect.KEYED, Scope.CELL));
         serve(harness, 60, 20_000, Map.of());
         for (int i = 0; i < 100 && refusedUnsent(harness) < 5; i++) {
             harness.pass(40_000);
@@ -419,7 +424,7 @@
         }
         assertEquals(5, refusedUnsent(harness), "the strain is high enough");
         harness.pass(60_000); // the servers that were full have rested
-        Harness.Sent sent = null;
+        PolicyTestHarness.Sent sent = null;
         for (int i = 0; sent == null; i++) {
             sent = harness.request("late" + i, 0);
             assertTrue(i < 200, "some are taken");
@@ -428,7 +433,7 @@
         assertEquals(1, harness.sentFor(sent.request).size());
     }
 
-    private static long refusedUnsent(Harness harness) {
+    private static long refusedUnsent(PolicyTestHarness harness) {
         return harness.finals.entrySet().stream()
                 .filter(e -> e.getValue().equals("refused")
                         && harness.sentFor(e.getKey()).isEmpty())
@@ -438,33 +443,33 @@
     @Test
     void hedgesAreBoundedAndRestWhileAttemptsAreTurnedAway() {
         // Copies at a full fleet fed the overload: Kano lost 0.18 of its figure to them.
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 60, 20_000, Map.of());
         for (int i = 0; i < 60; i++) {
             harness.request("burst" + i, 0);
         }
-        harness.pass(Harness.AIM);
+        harness.pass(PolicyTestHarness.AIM);
         long copies = harness.sends.stream()
                 .filter(s -> s.request.startsWith("burst") && s.number > 0)
                 .count();
         assertTrue(copies > 0 && copies <= 10, "a budget of ten at most, not one for each of 60: " + copies);
-        Harness full = harness(6, SAFE);
+        PolicyTestHarness full = harness(6, SAFE);
         serve(full, 60, 20_000, Map.of());
-        List<Harness.Sent> turned =
+        List<PolicyTestHarness.Sent> turned =
                 IntStream.range(0, 8).mapToObj(i -> full.request("full" + i, 0)).toList();
         turned.forEach(s -> full.end(s, Outcome.FULL));
         full.request("wait", 0);
-        full.pass(Harness.AIM);
+        full.pass(PolicyTestHarness.AIM);
         assertEquals(1, full.sentFor("wait").size());
     }
 
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
         // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        Policy.RequestClass dear =
-                new Policy.RequestClass(Effect.UNSAFE, Scope.ALL, 0, Harness.AIM, Harness.DEADLINE, 0, 9, 0, false);
-        Policy.Settings s = Harness.settings(UNSAFE, dear);
-        Harness harness = new Harness(
+        Policy.RequestClass dear = new Policy.RequestClass(
+                Effect.UNSAFE, Scope.ALL, 0, PolicyTestHarness.AIM, PolicyTestHarness.DEADLINE, 0, 9, 0, false);
+        Policy.Settings s = PolicyTestHarness.settings(UNSAFE, dear);
+        PolicyTestHarness harness = new PolicyTestHarness(
                         new Policy.Settings(
                                 1,
                                 0,
@@ -482,7 +487,7 @@
                                 s.bounds(),
                                 s.tick()),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(6));
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         for (int i = 0; i < 40; i++) {
             sentOf(harness, 1, 0, 0, 500_000);
             sentOf(harness, 1, 1, 0, 500_000);
@@ -495,8 +500,8 @@
     @Test
     void aHotKeyGetsMoreServersThanAColdOne() {
         // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
-        Policy.Settings s = Harness.settings(SAFE);
-        Harness harness = new Harness(
+        Policy.Settings s = PolicyTestHarness.settings(SAFE);
+        PolicyTestHarness harness = new PolicyTestHarness(
                         new Policy.Settings(
                                 1,
                                 0,
@@ -514,9 +519,9 @@
                                 s.bounds(),
                                 s.tick()),
                         3)
-                .list(ListKind.PERSISTED, Harness.fleet(20));
+                .list(ListKind.PERSISTED, PolicyTestHarness.fleet(20));
         for (int i = 0; i < 600; i++) {
-            Harness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
+            PolicyTestHarness.Sent sent = harness.keyed("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.pass(10_000);
             harness.sends.stream()
                     .filter(x -> !x.ended && harness.now - x.at >= 60_000)
@@ -529,7 +534,7 @@
         assertTrue(hot >= 8 && cold <= 5, "hot on " + hot + ", cold on " + cold);
     }
 
-    private static long servers(Harness harness, int first, int step) {
+    private static long servers(PolicyTestHarness harness, int first, int step) {
         return harness.sends.stream()
                 .filter(x -> Integer.parseInt(x.request.substring(1)) % step == first)
                 .map(x -> x.server)
@@ -540,15 +545,22 @@
     @Test
     void newsOfFullQueuesDoesNotTurnAllAway() {
         // Late answers counted twice their aim: refusal rose to 86% in seconds, fell back and rose again.
-        Harness harness = harness(6, SAFE);
+        PolicyTestHarness harness = harness(6, SAFE);
         sentOf(harness, 40, 0, 0, 50_000);
         for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
-            Harness.Sent sent = harness.request("late" + i, 0);
+            PolicyTestHarness.Sent sent = harness.request("late" + i, 0);
             harness.pass(100_000);
             if (sent != null) {
                 harness.now += 1;
                 harness.policy.outcome(
-                        harness.now, sent.request, sent.number, Outcome.OK, 2 * Harness.AIM, true, null, harness);
+                        harness.now,
+                        sent.request,
+                        sent.number,
+                        Outcome.OK,
+                        2 * PolicyTestHarness.AIM,
+                        true,
+                        null,
+                        harness);
                 sent.ended = true;
             }
         }
--- a/src/test/java/loadbalancer/QuietActions.java
+++ b/src/test/java/loadbalancer/policy/NoOpActions.java
@@ -1,7 +1,7 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 /** Does nothing of what the module asks for; a test overrides what it looks at. */
-interface QuietActions extends Policy.Actions {
+interface NoOpActions extends Policy.Actions {
     @Override
     default void send(String request, String server, long timeout) {}
 
--- a/src/test/java/loadbalancer/Harness.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestHarness.java
@@ -1,18 +1,18 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 
 /** Drives one module by hand and writes down what it asks for. */
-final class Harness implements Policy.Actions {
+final class PolicyTestHarness implements Policy.Actions {
     static final long START = 1_000_000_000L;
     static final long AIM = 600_000;
     static final long DEADLINE = 3_000_000;
@@ -60,8 +60,8 @@
     Links links = Links.ALL;
     double reported = Double.NaN; // in-flight figure that outcomes carry, if any
 
-    Harness(Policy.Settings settings, long seed) {
-        policy = new Balance(settings, seed);
+    PolicyTestHarness(Policy.Settings settings, long seed) {
+        policy = new JsqDasPolicy(settings, seed);
     }
 
     static Policy.RequestClass kind(Effect effect, Scope scope) {
@@ -118,7 +118,7 @@
         return list;
     }
 
-    Harness list(ListKind kind, List<Server> servers) {
+    PolicyTestHarness list(ListKind kind, List<Server> servers) {
         policy.servers(now, kind, servers, this);
         return this;
     }
--- a/src/test/java/loadbalancer/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -116,20 +116,21 @@
         Server one = new Server("a", State.UP, 0, 1, 0, 0, 0);
         Server two = new Server("b", State.UP, 0, 1, 1, 0, 1);
         Checker c = new Checker();
-        c.taken("u", Harness.kind(Effect.UNSAFE, Scope.ALL), 100);
+        c.taken("u", PolicyTestHarness.kind(Effect.UNSAFE, Scope.ALL), 100);
         assertNull(c.sent("u", one, true, 0));
         assertTrue(c.sent("u", two, true, 1).contains("twice"));
         assertTrue(c.answered("u", "refused", 1).contains("may have run"));
         assertTrue(c.answered("u", "failed", 1).contains("answered twice"));
         assertTrue(c.sent("u", one, true, 2).contains("after its answer"));
-        c.taken("k", Harness.kind(Effect.KEYED, Scope.CELL), 100);
+        c.taken("k", PolicyTestHarness.kind(Effect.KEYED, Scope.CELL), 100);
         assertTrue(c.sent("k", one, false, 0).contains("draining"));
         assertNull(c.sent("k", one, true, 0));
         assertTrue(c.sent("k", two, true, 0).contains("group"));
         assertTrue(c.sent("k", one, true, 2_000_000).contains("window"));
         assertTrue(c.atTheEnd(100 + SLACK + 1).contains("lost"));
         assertTrue(c.answered("k", "failed", 100 + SLACK + 1).contains("too late"));
-        Policy.Bounds b = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL)).bounds();
+        Policy.Bounds b = PolicyTestHarness.settings(PolicyTestHarness.kind(Effect.SAFE, Scope.ALL))
+                .bounds();
         assertTrue(cold(LongStream.range(0, 30).boxed().toList(), 0, 10, b) != null);
         assertNull(cold(List.of(0L, 900_000L), 0, 10, b));
     }
@@ -139,21 +140,22 @@
     void randomEventsKeepTheRules(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RequestClass> kinds = List.of(
-                Harness.kind(Effect.SAFE, Scope.ALL),
-                Harness.kind(Effect.UNSAFE, Scope.ALL),
-                Harness.kind(Effect.KEYED, Scope.ALL),
-                Harness.kind(Effect.KEYED, Scope.CELL),
-                Harness.kind(Effect.KEYED, Scope.ZONE));
-        Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
+                PolicyTestHarness.kind(Effect.SAFE, Scope.ALL),
+                PolicyTestHarness.kind(Effect.UNSAFE, Scope.ALL),
+                PolicyTestHarness.kind(Effect.KEYED, Scope.ALL),
+                PolicyTestHarness.kind(Effect.KEYED, Scope.CELL),
+                PolicyTestHarness.kind(Effect.KEYED, Scope.ZONE));
+        PolicyTestHarness harness =
+                new PolicyTestHarness(PolicyTestHarness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Server> servers = new HashMap<>();
-        Harness.fleet(8).forEach(s -> servers.put(s.id(), s));
-        harness.list(ListKind.PERSISTED, Harness.fleet(8));
+        PolicyTestHarness.fleet(8).forEach(s -> servers.put(s.id(), s));
+        harness.list(ListKind.PERSISTED, PolicyTestHarness.fleet(8));
         int seen = 0;
         int answers = 0;
         for (int step = 0; step < 4000; step++) {
             int what = random.nextInt(100);
-            List<Harness.Sent> out =
+            List<PolicyTestHarness.Sent> out =
                     harness.sends.stream().filter(s -> !s.ended).toList();
             if (what < 40) {
                 RequestClass kind = kinds.get(random.nextInt(kinds.size()));
@@ -161,7 +163,7 @@
                 checker.taken("r" + step, kind, harness.now + left);
                 harness.request("r" + step, kinds.indexOf(kind), 0, left);
             } else if (what < 80 && !out.isEmpty()) {
-                Harness.Sent s = out.get(random.nextInt(out.size()));
+                PolicyTestHarness.Sent s = out.get(random.nextInt(out.size()));
                 Outcome[] all = Outcome.values();
                 end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
@@ -171,7 +173,7 @@
             } else {
                 harness.pass(random.nextLong(20_000));
             }
-            for (Harness.Sent s : new ArrayList<>(harness.sends)) {
+            for (PolicyTestHarness.Sent s : new ArrayList<>(harness.sends)) {
                 if (!s.ended && harness.now >= checker.requests.get(s.request).deadline) {
                     seen = sends(harness, checker, servers, seen);
                     end(harness, checker, s, Outcome.TIMEOUT);
@@ -189,14 +191,14 @@
         assertTrue(seen > 800, "enough was sent: " + seen);
     }
 
-    private static void end(Harness harness, Checker checker, Harness.Sent s, Outcome outcome) {
+    private static void end(PolicyTestHarness harness, Checker checker, PolicyTestHarness.Sent s, Outcome outcome) {
         checker.requests.get(s.request).ended.set(s.number, outcome);
         harness.end(s, outcome);
     }
 
-    private static int sends(Harness harness, Checker checker, Map<String, Server> servers, int from) {
+    private static int sends(PolicyTestHarness harness, Checker checker, Map<String, Server> servers, int from) {
         for (int i = from; i < harness.sends.size(); i++) {
-            Harness.Sent s = harness.sends.get(i);
+            PolicyTestHarness.Sent s = harness.sends.get(i);
             Server to = servers.get(s.server);
             assertNull(checker.sent(s.request, to, to.state() == State.UP, s.at), s.request);
         }
@@ -207,8 +209,9 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void coldServersBearWhatRandomTrafficSends(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Policy.Settings settings = Harness.settings(Harness.kind(Effect.SAFE, Scope.ALL));
-        Harness harness = new Harness(settings, seed).list(ListKind.PERSISTED, Harness.fleet(5));
+        Policy.Settings settings = PolicyTestHarness.settings(PolicyTestHarness.kind(Effect.SAFE, Scope.ALL));
+        PolicyTestHarness harness =
+                new PolicyTestHarness(settings, seed).list(ListKind.PERSISTED, PolicyTestHarness.fleet(5));
         long started = 0;
         for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
             if (i == 500) {
--- a/src/test/java/loadbalancer/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.ListKind;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.Policy.RequestClass;
-import loadbalancer.Policy.Scope;
-import loadbalancer.Policy.Server;
-import loadbalancer.Policy.State;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Scope;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -38,7 +38,7 @@
         void ended(String id, Outcome outcome, long now) {
             out.merge(id, -1, Integer::sum);
             if (Set.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED).contains(outcome)) {
-                rest.put(id, now + Harness.PAUSE);
+                rest.put(id, now + PolicyTestHarness.PAUSE);
             }
         }
 
@@ -78,7 +78,7 @@
         assertTrue(checker.send("b", 1).contains("before a was over"), "an attempt is still out");
         checker.ended("a", Outcome.TIMEOUT, 2);
         assertTrue(checker.send("b", 3).contains("rests"));
-        assertEquals(null, checker.send("b", 2 + Harness.PAUSE));
+        assertEquals(null, checker.send("b", 2 + PolicyTestHarness.PAUSE));
         RequestClass bound = kind(Effect.SAFE, false, Set.of(1), Set.of(0));
         assertTrue(Checker.placed(bound, new Server("s", State.UP, 0, 1, 0, 0, 0)) != null);
         assertTrue(Checker.placed(bound, new Server("s", State.UP, 0, 1, 0, 1, 1)) != null);
@@ -87,7 +87,18 @@
 
     private static RequestClass kind(Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> kinds) {
         return new RequestClass(
-                effect, Scope.ALL, 2_000_000, Harness.AIM, Harness.DEADLINE, 0, 1, 0.3, false, inOrder, zones, kinds);
+                effect,
+                Scope.ALL,
+                2_000_000,
+                PolicyTestHarness.AIM,
+                PolicyTestHarness.DEADLINE,
+                0,
+                1,
+                0.3,
+                false,
+                inOrder,
+                zones,
+                kinds);
     }
 
     @ParameterizedTest
@@ -99,7 +110,8 @@
                 kind(Effect.UNSAFE, true, Set.of(0), Set.of()),
                 kind(Effect.KEYED, false, Set.of(), Set.of(1)),
                 kind(Effect.SAFE, false, Set.of(1), Set.of(0)));
-        Harness harness = new Harness(Harness.settings(kinds.toArray(new RequestClass[0])), seed);
+        PolicyTestHarness harness =
+                new PolicyTestHarness(PolicyTestHarness.settings(kinds.toArray(new RequestClass[0])), seed);
         Checker checker = new Checker();
         Map<String, Integer> classOf = new LinkedHashMap<>();
         Map<String, Server> servers = new LinkedHashMap<>();
@@ -120,10 +132,10 @@
                 }
                 harness.request(id, number, 0, key, 500_000 + random.nextLong(2_000_000), false);
             } else if (what < 80) {
-                List<Harness.Sent> out =
+                List<PolicyTestHarness.Sent> out =
                         harness.sends.stream().filter(s -> !s.ended).toList();
                 if (!out.isEmpty()) {
-                    Harness.Sent sent = out.get(random.nextInt(out.size()));
+                    PolicyTestHarness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
                     Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)];
                     checked = end(harness, checker, sent, outcome, checked, kinds, classOf, servers);
@@ -146,9 +158,9 @@
     }
 
     private static int end(
-            Harness harness,
+            PolicyTestHarness harness,
             Checker checker,
-            Harness.Sent sent,
+            PolicyTestHarness.Sent sent,
             Outcome outcome,
             int checked,
             List<RequestClass> kinds,
@@ -163,7 +175,7 @@
     }
 
     private static int check(
-            Harness harness,
+            PolicyTestHarness harness,
             Checker checker,
             int from,
             List<RequestClass> kinds,
@@ -172,7 +184,7 @@
         harness.finals.keySet().forEach(id -> checker.over.put(id, true));
         int checked = from;
         for (; checked < harness.sends.size(); checked++) {
-            Harness.Sent s = harness.sends.get(checked);
+            PolicyTestHarness.Sent s = harness.sends.get(checked);
             assertEquals(null, checker.send(s.request, s.at));
             assertEquals(null, Checker.placed(kinds.get(classOf.get(s.request)), servers.get(s.server)));
         }
--- a/src/test/java/loadbalancer/RetuneTest.java
+++ b/src/test/java/loadbalancer/policy/SettingsReloadTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,15 +10,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import loadbalancer.Policy.Effect;
-import loadbalancer.Policy.Outcome;
+import loadbalancer.policy.Policy.Effect;
+import loadbalancer.policy.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while requests are open: each request keeps the record that it was taken under. */
-class RetuneTest {
+class SettingsReloadTest {
     private record Out(String request, int attempt) {}
 
-    private static final class World implements QuietActions {
+    private static final class World implements NoOpActions {
         final Map<String, Policy.RequestClass> kinds = new HashMap<>();
         final Map<String, Integer> most = new HashMap<>();
         final Map<String, Integer> sent = new HashMap<>();
@@ -102,7 +102,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             World w = new World();
             Policy.Settings s = settings(random, 1 + random.nextInt(4));
-            Policy module = new Balance(s, seed);
+            Policy module = new JsqDasPolicy(s, seed);
             List<Policy.Server> servers = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 servers.add(new Policy.Server("s" + i, Policy.State.UP, 0, 1, i % 2, 0, 0));
--- a/src/test/java/loadbalancer/proxy/RoomTest.java
+++ b/src/test/java/loadbalancer/proxy/BodyMemoryBudgetTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class RoomTest {
+class BodyMemoryBudgetTest {
     @Test
     void bodiesAreRefusedWhereTogetherTheyTakeTooMuch() {
-        Room room = new Room(10);
+        BodyMemoryBudget room = new BodyMemoryBudget(10);
         assertTrue(room.take(6));
         assertFalse(room.take(5));
         assertTrue(room.take(4));
--- a/src/test/java/loadbalancer/proxy/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -8,29 +8,29 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy;
-import loadbalancer.Policy.Outcome;
-import loadbalancer.SettingsReader;
+import loadbalancer.policy.Policy;
+import loadbalancer.policy.Policy.Outcome;
+import loadbalancer.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 /** The seams without sockets: a carrier that does what the test says, in virtual time. */
 class DispatcherTest {
-    private static final class Started implements Carrier.Attempt {
-        final Carrier.Listener listener;
+    private static final class Started implements AttemptTransport.Attempt {
+        final AttemptTransport.Listener listener;
         final long wait;
         final long before;
         boolean dialling;
-        Carrier.Fate fate = Carrier.Fate.MAY_HAVE_RUN;
+        AttemptTransport.AttemptEffect fate = AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
         boolean givenUp;
 
-        Started(Carrier.Listener listener, long wait, long before) {
+        Started(AttemptTransport.Listener listener, long wait, long before) {
             this.before = before;
             this.listener = listener;
             this.wait = wait;
         }
 
         @Override
-        public Carrier.Fate giveUp() {
+        public AttemptTransport.AttemptEffect giveUp() {
             givenUp = true;
             return fate;
         }
@@ -42,19 +42,19 @@
         }
     }
 
-    private static final class FakeCarrier implements Carrier {
+    private static final class FakeCarrier implements AttemptTransport {
         final List<Started> started = new ArrayList<>();
-        final List<Order> orders = new ArrayList<>();
+        final List<ProxyRequest> orders = new ArrayList<>();
         boolean atOnce; // fails within send
         long heard; // of the list last
 
         @Override
-        public void listed(Targets targets, long now) {
+        public void listed(EndpointUpdate targets, long now) {
             heard = now;
         }
 
         @Override
-        public Attempt send(String server, Order order, long wait, long before, Listener listener) {
+        public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
             Started next = new Started(listener, wait, before);
             started.add(next);
             orders.add(order);
@@ -140,7 +140,7 @@
         public void wake(long now, Actions out) {}
     }
 
-    private static final class Answers implements Reply {
+    private static final class Answers implements ResponseWriter {
         final List<String> given = new ArrayList<>();
         Runnable unread = () -> {}; // what lies in its connection
 
@@ -150,7 +150,7 @@
         }
 
         @Override
-        public void serve(Answer answer) {
+        public void serve(UpstreamResponse answer) {
             given.add("served");
         }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    private final VirtualLoop loop = new VirtualLoop();
+    private final VirtualTimeScheduler loop = new VirtualTimeScheduler();
     private final FakeCarrier carrier = new FakeCarrier();
     private final OneTry policy = new OneTry();
     private final Answers answers = new Answers();
@@ -223,21 +223,23 @@
     }
 
     DispatcherTest() {
-        dispatcher.attach(carrier, Membership.NONE);
+        dispatcher.attach(carrier, EndpointSource.NONE);
     }
 
     private Runnable takeFor(long time) {
         return dispatcher.take(
-                new Order("r1", "GET", "/k", Fields.NONE, new byte[0], 0, 0, "k", time, -1, false), answers);
+                new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", time, -1, false),
+                answers);
     }
 
     private Runnable take() {
         return dispatcher.take(
-                new Order("r1", "GET", "/k", Fields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false), answers);
+                new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false),
+                answers);
     }
 
-    private static Answer ok() {
-        return new Answer(200, Fields.NONE, new byte[0]);
+    private static UpstreamResponse ok() {
+        return new UpstreamResponse(200, HeaderFields.NONE, new byte[0]);
     }
 
     @Test
@@ -249,7 +251,7 @@
         loop.pass(20_001);
         carrier.started.get(1).listener.ended(Outcome.OK, ok(), null);
         assertEquals(List.of("served", "served"), answers.given);
-        Tally.Line all = dispatcher.tally().all();
+        RequestMetrics.Line all = dispatcher.tally().all();
         assertEquals(2, all.taken());
         assertEquals(1, all.inTime());
         assertEquals(1, all.late());
@@ -264,7 +266,7 @@
         take();
         loop.pass(50_000);
         take();
-        carrier.started.get(1).fate = Carrier.Fate.NEVER_RAN;
+        carrier.started.get(1).fate = AttemptTransport.AttemptEffect.NEVER_RAN;
         loop.pass(50_000);
         assertEquals(List.of("TIMEOUT", "NOT_SENT"), policy.told);
         assertTrue(carrier.started.get(0).givenUp && carrier.started.get(1).givenUp);
@@ -274,7 +276,7 @@
     @Test
     void aSecondEndOfOneAttemptIsNotTold() {
         take();
-        Carrier.Listener listener = carrier.started.get(0).listener;
+        AttemptTransport.Listener listener = carrier.started.get(0).listener;
         listener.ended(Outcome.RESET, null, null);
         listener.ended(Outcome.OK, ok(), null);
         assertEquals(List.of("RESET"), policy.told);
@@ -326,9 +328,11 @@
     @Test
     void aRequestThatMustNotRunTwiceIsNotBegunAgainWhileItMayRun() {
         Dispatcher unsafe = new Dispatcher(loop, loop, boot("unsafe"), policy, log::add);
-        unsafe.attach(carrier, Membership.NONE);
+        unsafe.attach(carrier, EndpointSource.NONE);
         policy.copies = 2;
-        unsafe.take(new Order("r1", "POST", "/k", Fields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false), answers);
+        unsafe.take(
+                new ProxyRequest("r1", "POST", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false),
+                answers);
         assertEquals(SendGuard.NOBODY, carrier.started.get(1).listener.awaitedUntil());
         assertEquals(1, unsafe.invariants().count(Invariants.Violation.SECOND_RUN));
         assertEquals(List.of("invariant violated: second_run r1, 1 so far"), log);
@@ -412,16 +416,16 @@
     @Test
     void behindAStandstillNewsOfTheListComesFirst() {
         dispatcher.beat();
-        loop.stall(Standstill.BEAT + 500_000);
+        loop.stall(EventLoopStallDetector.BEAT + 500_000);
         takeFor(900_000);
         takeFor(900_000);
-        dispatcher.listed(Policy.ListKind.PARTIAL, new Targets(2, false, List.of()));
+        dispatcher.listed(Policy.ListKind.PARTIAL, new EndpointUpdate(2, false, List.of()));
         dispatcher.listed(
                 Policy.ListKind.PARTIAL,
-                new Targets(
+                new EndpointUpdate(
                         3,
                         false,
-                        List.of(new Targets.Target(
+                        List.of(new EndpointUpdate.Endpoint(
                                 new Policy.Server("s", Policy.State.DRAINING, 0, 1, 0, 0, 0), null))));
         assertEquals(loop.now() - 500_000, carrier.heard, "it was told as long ago");
         assertEquals(List.of(), policy.seen);
@@ -438,7 +442,7 @@
         for (int look = 1; look <= 4; look++) {
             for (boolean before : new boolean[] {true, false}) {
                 int[] left = {Integer.MAX_VALUE};
-                VirtualLoop still = new VirtualLoop();
+                VirtualTimeScheduler still = new VirtualTimeScheduler();
                 Dispatcher stands = new Dispatcher(
                         still,
                         () -> {
@@ -451,17 +455,17 @@
                         boot(),
                         new OneTry(),
                         line -> {});
-                stands.attach(new FakeCarrier(), Membership.NONE);
+                stands.attach(new FakeCarrier(), EndpointSource.NONE);
                 stands.beat();
                 left[0] = look;
-                still.pass(Standstill.BEAT);
+                still.pass(EventLoopStallDetector.BEAT);
                 boolean stood = left[0] <= 0;
                 left[0] = Integer.MAX_VALUE;
                 String where = (before ? "before look " : "behind look ") + look;
                 if (stood) {
                     assertTrue(stands.mayLieUnread(), where);
                     still.pass(0); // behind passes over the sockets
-                    still.pass(Standstill.BEAT); // its next one may have been asked for behind it
+                    still.pass(EventLoopStallDetector.BEAT); // its next one may have been asked for behind it
                 } else {
                     assertTrue(look > 1, "it looks");
                 }
@@ -474,9 +478,9 @@
     @Test
     void whatCameBehindAPassIsNotHeldBackAgain() {
         for (long turn : new long[] {1_000, 150_000, 700_000}) {
-            VirtualLoop late = new VirtualLoop();
+            VirtualTimeScheduler late = new VirtualTimeScheduler();
             Dispatcher slow = new Dispatcher(late, late, boot(), new OneTry(), line -> {});
-            slow.attach(new FakeCarrier(), Membership.NONE);
+            slow.attach(new FakeCarrier(), EndpointSource.NONE);
             slow.beat();
             late.stall(1_300_000);
             assertTrue(late.now() >= slow.graceHolds(), "nothing has been looked at for longer than a grace");
@@ -486,7 +490,7 @@
                 late.stall(turn);
                 late.pass(0);
             }
-            late.pass(Standstill.BEAT);
+            late.pass(EventLoopStallDetector.BEAT);
             assertEquals(20, over.size());
             assertFalse(over.contains(true), turn + ": " + over);
             late.stall(1_300_000);
@@ -498,14 +502,14 @@
     @Test
     void whoeverLeavesBeforeTheModuleHeardOfItIsNotToldToIt() {
         dispatcher.beat();
-        loop.stall(Standstill.BEAT + 500_000);
+        loop.stall(EventLoopStallDetector.BEAT + 500_000);
         takeFor(900_000).run();
         loop.pass(0);
         assertEquals(List.of(), policy.seen);
         assertEquals(List.of(), policy.told);
         assertFalse(dispatcher.holds("r1"));
         assertEquals(0, dispatcher.owed());
-        loop.stall(Standstill.BEAT + 500_000);
+        loop.stall(EventLoopStallDetector.BEAT + 500_000);
         takeFor(900_000);
         dispatcher.retire();
         loop.pass(0);
@@ -517,16 +521,16 @@
     void whatMayHaveLainUnreadIsKnownWithoutTheModulesWakes() {
         policy.silent = true;
         dispatcher.beat();
-        loop.stall(Standstill.BEAT + 40_000);
+        loop.stall(EventLoopStallDetector.BEAT + 40_000);
         take();
         assertEquals(48_000, carrier.started.get(0).wait);
         loop.pass(0); // the beat has come
         take();
         assertEquals(50_000, carrier.started.get(1).wait);
         assertEquals(List.of(), log);
-        loop.stall(Standstill.BEAT + 730_000);
+        loop.stall(EventLoopStallDetector.BEAT + 730_000);
         loop.pass(0);
-        loop.stall(Standstill.BEAT + 730_000); // right after that: no second line
+        loop.stall(EventLoopStallDetector.BEAT + 730_000); // right after that: no second line
         loop.pass(0);
         assertEquals(
                 List.of("stood still for 730 ms: what came meanwhile lay unread"),
@@ -559,7 +563,7 @@
     }
 
     /** A long body, of which the test says when it has come. */
-    private static final class Body implements Stream {
+    private static final class Body implements BodyStream {
         private Taker taker;
 
         @Override
@@ -579,12 +583,12 @@
         public void drop() {}
     }
 
-    private Order upload(Body body) {
-        return new Order("u", "POST", "/k", Fields.NONE, new byte[0], 0, 0, null, 400_000, -1, false)
+    private ProxyRequest upload(Body body) {
+        return new ProxyRequest("u", "POST", "/k", HeaderFields.NONE, new byte[0], 0, 0, null, 400_000, -1, false)
                 .passing(body, 300_000);
     }
 
-    private static final class Nowhere implements Stream.Taker {
+    private static final class Nowhere implements BodyStream.Taker {
         @Override
         public void piece(byte[] bytes) {}
 
@@ -628,9 +632,9 @@
         Body body = new Body();
         Answers given = new Answers();
         dispatcher.take(upload(body), given);
-        Stream rest = carrier.orders.get(0).rest();
+        BodyStream rest = carrier.orders.get(0).rest();
         rest.to(new Nowhere());
-        carrier.started.get(0).fate = Carrier.Fate.NEVER_RAN;
+        carrier.started.get(0).fate = AttemptTransport.AttemptEffect.NEVER_RAN;
         rest.pull(false);
         loop.pass(9_000_000);
         rest.pull(true);
--- a/src/test/java/loadbalancer/proxy/StandstillTest.java
+++ b/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import loadbalancer.Balance;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
+import loadbalancer.policy.JsqDasPolicy;
+import loadbalancer.policy.Policy;
+import loadbalancer.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
 /**
  * The dispatcher and the module in virtual time, on a loop that stands still for 0.1 to 1 s at any point of
  * a request's life. Clients and servers go on meanwhile: what they send is read when it wakes, before its
- * timers run, as {@code SocketsFirst} has it.
+ * timers run, as {@code ReadBeforeTimers} has it.
  */
-class StandstillTest {
+class EventLoopStallTest {
     private static final long DEADLINE = 400_000; // µs, of every request
     private static final long SLACK = 8_000; // of the settings: a beat less the guards is no more
     private static final int SERVERS = 4;
@@ -66,13 +66,13 @@
     }
 
     /** One client's request: when it was sent, and the answers that came. */
-    private static final class Asked implements Reply {
-        private final VirtualLoop loop;
+    private static final class Asked implements ResponseWriter {
+        private final VirtualTimeScheduler loop;
         private final long sent;
         private final List<String> answers = new ArrayList<>();
         private long answeredAt;
 
-        Asked(VirtualLoop loop) {
+        Asked(VirtualTimeScheduler loop) {
             this.loop = loop;
             this.sent = loop.now();
         }
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public void serve(Answer answer) {
+        public void serve(UpstreamResponse answer) {
             answer("served");
         }
 
@@ -99,25 +99,25 @@
     }
 
     /** Servers that answer after a time of their own; the answer waits in the socket until it is read. */
-    private final class Servers implements Carrier {
+    private final class Servers implements AttemptTransport {
         @Override
-        public void listed(Targets targets, long now) {}
+        public void listed(EndpointUpdate targets, long now) {}
 
         @Override
-        public Attempt send(String server, Order order, long wait, long before, Listener listener) {
+        public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
             boolean[] over = new boolean[1];
             long takes = 5_000 + random.nextLong(random.nextInt(6) == 0 ? 600_000 : 60_000);
             arrivals.add(new Arrival(loop.now() + takes, () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    listener.ended(Policy.Outcome.OK, new Answer(200, Fields.NONE, new byte[0]), null);
+                    listener.ended(Policy.Outcome.OK, new UpstreamResponse(200, HeaderFields.NONE, new byte[0]), null);
                 }
             }));
             return new Attempt() {
                 @Override
-                public Fate giveUp() {
+                public AttemptTransport.AttemptEffect giveUp() {
                     over[0] = true;
-                    return Fate.MAY_HAVE_RUN;
+                    return AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
                 }
 
                 @Override
@@ -137,7 +137,7 @@
     /** Bytes that reach the machine at a time, and what reading them does. */
     private record Arrival(long at, Runnable read) {}
 
-    private final VirtualLoop loop = new VirtualLoop();
+    private final VirtualTimeScheduler loop = new VirtualTimeScheduler();
     private final List<Arrival> arrivals = new ArrayList<>();
     private SplittableRandom random;
     private int made;
@@ -163,15 +163,16 @@
         for (int seed = 0; seed < 400; seed++) {
             random = new SplittableRandom(seed);
             arrivals.clear();
-            Balance module = new Balance(boot().settings(), seed);
+            JsqDasPolicy module = new JsqDasPolicy(boot().settings(), seed);
             Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), module, line -> {});
-            dispatcher.attach(new Servers(), Membership.NONE);
+            dispatcher.attach(new Servers(), EndpointSource.NONE);
             dispatcher.beat();
-            List<Targets.Target> targets = new ArrayList<>();
+            List<EndpointUpdate.Endpoint> targets = new ArrayList<>();
             for (int i = 0; i < SERVERS; i++) {
-                targets.add(new Targets.Target(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
+                targets.add(
+                        new EndpointUpdate.Endpoint(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
             }
-            dispatcher.listed(Policy.ListKind.COMPLETE, new Targets(1, true, targets));
+            dispatcher.listed(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, targets));
             List<Asked> all = new ArrayList<>();
             int stallAt = random.nextInt(300);
             long[] stalled = new long[2];
@@ -212,8 +213,18 @@
         made++;
         int kind = random.nextInt(2);
         String id = "r" + made;
-        Order order = new Order(
-                id, kind == 0 ? "GET" : "POST", "/k", Fields.NONE, new byte[0], kind, 0, null, DEADLINE, -1, false);
+        ProxyRequest order = new ProxyRequest(
+                id,
+                kind == 0 ? "GET" : "POST",
+                "/k",
+                HeaderFields.NONE,
+                new byte[0],
+                kind,
+                0,
+                null,
+                DEADLINE,
+                -1,
+                false);
         arrivals.add(new Arrival(loop.now(), () -> dispatcher.take(order, asked)));
     }
 }
--- a/src/test/java/loadbalancer/proxy/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import loadbalancer.Policy.Outcome;
+import loadbalancer.policy.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
 class SendGuardTest {
--- a/src/test/java/loadbalancer/proxy/VirtualLoop.java
+++ b/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 
 /** A loop in virtual time: runs what is due, in order, when a test lets time pass. */
-final class VirtualLoop implements Loop, Clock {
+final class VirtualTimeScheduler implements Scheduler, Clock {
     private record Entry(long at, long number, Runnable task) {}
 
     private final PriorityQueue<Entry> entries =
--- a/src/test/java/loadbalancer/server/DoorTest.java
+++ b/src/test/java/loadbalancer/server/AdminServerTest.java
@@ -21,7 +21,7 @@
 
 /** The operators' door, and sending clients away by it. */
 @Timeout(120)
-class DoorTest extends NodeFixture {
+class AdminServerTest extends ServerFixture {
     private InetSocketAddress door;
 
     private Config with(String management) throws IOException {
@@ -46,7 +46,7 @@
 
     @Override
     void start() throws IOException, InterruptedException {
-        node = new Node(with("127.0.0.1:0"), (s, seed) -> module, rehearse, line -> {
+        node = new LoadBalancerServer(with("127.0.0.1:0"), (s, seed) -> module, rehearse, line -> {
             synchronized (log) {
                 log.add(line);
             }
@@ -164,7 +164,7 @@
         Client rests = new Client(at);
         assertEquals(200, rests.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         Client held = new Client(at).send(SAFE);
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         assertEquals(200, call("POST", "/api/evacuate"));
         assertEquals(200, call("POST", "/api/evacuate"));
         assertEquals(503, call("GET", "/api/ready"));
@@ -196,7 +196,8 @@
                 .getMessage()
                 .startsWith("management: not an address"));
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Node second = new Node(with("127.0.0.1:" + taken.getLocalPort()), (s, seed) -> module, false, line -> {});
+            LoadBalancerServer second = new LoadBalancerServer(
+                    with("127.0.0.1:" + taken.getLocalPort()), (s, seed) -> module, false, line -> {});
             assertTrue(assertThrows(IOException.class, second::start)
                     .getMessage()
                     .startsWith("management: can't listen on 127.0.0.1:" + taken.getLocalPort()));
--- a/src/test/java/loadbalancer/server/Certificates.java
+++ b/src/test/java/loadbalancer/server/Certificates.java
@@ -2,7 +2,7 @@
 
 import io.netty.pkitesting.CertificateBuilder;
 import io.netty.pkitesting.X509Bundle;
-import loadbalancer.http3.Identity;
+import loadbalancer.http3.TlsIdentity;
 
 /** Certificates for tests, made anew for each run: for 127.0.0.1 and the name box.test. */
 public final class Certificates {
@@ -22,7 +22,7 @@
         }
     }
 
-    static Identity identity(X509Bundle bundle) {
-        return Identity.parse(bundle.getCertificatePathPEM(), bundle.getPrivateKeyPEM());
+    static TlsIdentity identity(X509Bundle bundle) {
+        return TlsIdentity.parse(bundle.getCertificatePathPEM(), bundle.getPrivateKeyPEM());
     }
 }
--- a/src/test/java/loadbalancer/server/ChunkSizesTest.java
+++ b/src/test/java/loadbalancer/server/ChunkSizesTest.java
@@ -16,7 +16,7 @@
  * two on one way take them differently, one finds a request inside the other's body. None may reach an
  * upstream.
  */
-class ChunkSizesTest extends NodeFixture {
+class ChunkSizesTest extends ServerFixture {
     private static final String HEAD = "POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: r\r\nReq-Kind: book\r\n"
             + "Req-Deadline-Ms: 900\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -61,7 +61,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(HEAD + size + "\r\nabcde\r\n0\r\n\r\n");
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertEquals("abcde", new String(got.body(), StandardCharsets.US_ASCII));
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -76,7 +76,7 @@
             client.send(HEAD + "5\r\nabcde\r\n0\r\nContent-Length: 100000005\r\nTransfer-Encoding: gzip\r\n"
                     + "Req-Id: other\r\n\r\n");
             // Refused or read without them; never passed on.
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertArrayEquals("abcde".getBytes(StandardCharsets.US_ASCII), got.body());
             assertEquals("5", got.header("Content-Length"));
             assertNull(got.header("Transfer-Encoding"));
--- a/src/test/java/loadbalancer/server/ClientsTest.java
+++ b/src/test/java/loadbalancer/server/ClientFaultsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What clients may do to a balancer, in error or ill will. */
-class ClientsTest extends NodeFixture {
+class ClientFaultsTest extends ServerFixture {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -130,7 +130,7 @@
         try (Client client = new Client(at);
                 Client thief = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertEquals(409, thief.send(SAFE).status());
             assertNull(thief.answer());
             got.answer(200, "", "mine");
--- a/src/test/java/loadbalancer/server/ConnectionsTest.java
+++ b/src/test/java/loadbalancer/server/ConnectionBudgetOverSocketsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** What clients see of the budget of connections, over sockets: 32 in all where 64 descriptors are told. */
-class ConnectionsTest extends NodeFixture {
+class ConnectionBudgetOverSocketsTest extends ServerFixture {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     private final List<Client> open = new ArrayList<>();
 
@@ -85,7 +85,7 @@
         CountDownLatch goesOn = new CountDownLatch(1);
         List<Client> kept = fill(0);
         block(goesOn);
-        kept.removeIf(ConnectionsTest::hasEnded); // of a rest that was over before, on a slow machine
+        kept.removeIf(ConnectionBudgetOverSocketsTest::hasEnded); // of a rest that was over before, on a slow machine
         assertFalse(kept.isEmpty(), "some are kept");
         for (int i = 0; i < 32; i++) {
             client().send(READY); // the machine accepts them
@@ -115,7 +115,7 @@
             client().send(SAFE.replace("r1", "h" + i));
             upstream.next();
         }
-        kept.removeIf(ConnectionsTest::hasEnded);
+        kept.removeIf(ConnectionBudgetOverSocketsTest::hasEnded);
         return kept.isEmpty() && tries < 20 ? fill(tries + 1) : kept;
     }
 
@@ -155,7 +155,7 @@
         for (int i = 0; i < 20 && crossing == null; i++) {
             Client next = client();
             next.send(SAFE.replace("r1", "x" + i));
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             got.answer(200, "", "whole");
             String head = next.answer();
             crossing = ends(head) ? next : null;
@@ -171,7 +171,7 @@
     void withNoRoomForAnUpstreamsConnectionTheRequestIsAnsweredAtOnce() throws IOException, InterruptedException {
         start(Map.of(), 8); // 4 in all: 1 for clients, 3 for upstreams at most
         List<Client> busy = new ArrayList<>();
-        List<FakeUpstream.Got> held = new ArrayList<>();
+        List<ScriptedUpstream.Got> held = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             Client client = client().send(SAFE.replace("r1", "b" + i));
             busy.add(client);
--- a/src/test/java/loadbalancer/server/DiscoveryTest.java
+++ b/src/test/java/loadbalancer/server/DiscoveryClientTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /** How the list is asked for and watched. */
-class DiscoveryTest extends NodeFixture {
+class DiscoveryClientTest extends ServerFixture {
     @Test
     void theListIsWatchedAsTheModuleAsksAndSplitLinesAreRead() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        ScriptedUpstream.Got watch = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=41 HTTP/1.1", watch.line());
         String first = list(43, true, "in_service");
         watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -31,7 +31,7 @@
         assertEquals(
                 "GET /api/targets?watch=1&from=44 HTTP/1.1", discovery.next().line());
         onLoop(() -> module.actions.fetchList());
-        FakeUpstream.Got fetch = discovery.next();
+        ScriptedUpstream.Got fetch = discovery.next();
         assertEquals("GET /api/targets HTTP/1.1", fetch.line());
         fetch.answer(200, "", list(45, true, "in_service").strip());
         assertEquals("COMPLETE [s1=UP]", module.next());
@@ -51,7 +51,7 @@
     void listsMayComeIndentedOnWatchesAndOnCalls() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        ScriptedUpstream.Got watch = discovery.next();
         String first = list(43, true, "in_service").replace(",", ",\n    ").replace("{", "{\n  ");
         watch.raw(BEGUN + chunk(first.substring(0, 40)) + chunk(first.substring(40)));
         assertEquals("COMPLETE [s1=UP]", module.next());
@@ -66,11 +66,11 @@
     void aWholeListThatIsOlderThanTheWatchsWordDoesNotUndoADrain() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        ScriptedUpstream.Got watch = discovery.next();
         watch.raw(BEGUN + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         onLoop(() -> module.actions.fetchList());
-        FakeUpstream.Got fetch = discovery.next();
+        ScriptedUpstream.Got fetch = discovery.next();
         watch.raw(chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         fetch.answer(200, "", list(43, true, "in_service"));
@@ -84,12 +84,12 @@
     void aWatchThatGoesBackIsBegunAnewFromTheBeginning() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        ScriptedUpstream.Got watch = discovery.next();
         watch.raw(BEGUN + chunk(list(43, true, "in_service")) + chunk(list(44, false, "terminating")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         watch.raw(chunk(list(43, false, "in_service")));
-        FakeUpstream.Got next = discovery.next();
+        ScriptedUpstream.Got next = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=0 HTTP/1.1", next.line());
         assertTrue(watch.closedByPeer());
         next.raw(BEGUN + chunk(list(7, true, "terminating")));
@@ -106,7 +106,7 @@
         String confused = chunk(list(43, true, "in_service")) + chunk(list(42, false, "in_service"));
         discovery.next().raw(BEGUN + confused);
         assertEquals("COMPLETE [s1=UP]", module.next());
-        FakeUpstream.Got second = discovery.next();
+        ScriptedUpstream.Got second = discovery.next();
         long since = System.nanoTime();
         second.raw(BEGUN + confused);
         assertEquals("COMPLETE [s1=UP]", module.next());
@@ -119,12 +119,12 @@
     @Test
     void aWatchThatIsResetWithinALineIsBegunAnewFromTheLastWholeList() throws IOException, InterruptedException {
         startPushed();
-        FakeUpstream.Got watch = discovery.next();
+        ScriptedUpstream.Got watch = discovery.next();
         watch.raw(BEGUN + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         watch.raw(chunk(list(44, false, "terminating").substring(0, 60)));
         watch.reset();
-        FakeUpstream.Got next = discovery.next();
+        ScriptedUpstream.Got next = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=43 HTTP/1.1", next.line());
         next.raw(BEGUN + chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
@@ -136,7 +136,7 @@
     void aWatchThatDripsWithoutEndingAListIsSilent() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got watch = discovery.next();
+        ScriptedUpstream.Got watch = discovery.next();
         watch.raw(BEGUN + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         watch.raw(chunk("{\n\"rev\":"));
@@ -151,7 +151,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        FakeUpstream.Got next = discovery.next();
+        ScriptedUpstream.Got next = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=43 HTTP/1.1", next.line());
         next.raw(BEGUN + chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next(), "and no failure before it");
@@ -162,8 +162,8 @@
     @Timeout(60)
     void anAgentThatSaysNothingIsAskedBesideAndWhicheverCallAnswersCounts() throws IOException, InterruptedException {
         startPushed();
-        FakeUpstream.Got first = discovery.next();
-        FakeUpstream.Got second = discovery.next();
+        ScriptedUpstream.Got first = discovery.next();
+        ScriptedUpstream.Got second = discovery.next();
         first.raw(BEGUN + chunk(list(43, true, "terminating")));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
         assertTrue(second.closedByPeer(), "one watch is enough");
@@ -175,10 +175,10 @@
     @Timeout(60)
     void atMostThreeCallsWaitForASilentAgent() throws IOException, InterruptedException {
         startPushed();
-        FakeUpstream.Got first = discovery.next();
+        ScriptedUpstream.Got first = discovery.next();
         discovery.next();
         discovery.next();
-        FakeUpstream.Got fourth = discovery.next();
+        ScriptedUpstream.Got fourth = discovery.next();
         assertTrue(first.closedByPeer());
         fourth.raw(BEGUN + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
@@ -189,21 +189,21 @@
     void aNewConfigurationMovesTheWatchAndKeepsTheListAndTheRequests() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        FakeUpstream.Got old = discovery.next();
+        ScriptedUpstream.Got old = discovery.next();
         old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(42, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
-        try (FakeUpstream second = new FakeUpstream();
-                FakeUpstream third = new FakeUpstream();
+        try (ScriptedUpstream second = new ScriptedUpstream();
+                ScriptedUpstream third = new ScriptedUpstream();
                 Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got held = upstream.next();
+            ScriptedUpstream.Got held = upstream.next();
             node.reload(() -> {
                 throw new Config.Bad("no good");
             });
             node.reload(() -> config(second.address()));
             node.reload(() -> config(second.address())); // said twice, moved once
             assertTrue(old.closedByPeer());
-            FakeUpstream.Got watch = second.next();
+            ScriptedUpstream.Got watch = second.next();
             assertEquals("GET /api/targets?watch=1&from=0 HTTP/1.1", watch.line());
             held.answer(200, "", "ok");
             assertEquals("OK closed", module.next()); // and no FAILED before it
--- a/src/test/java/loadbalancer/server/AnswersTest.java
+++ b/src/test/java/loadbalancer/server/FinalResponseTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One final answer to each request, and what an attempt is told to have come to. */
-class AnswersTest extends NodeFixture {
+class FinalResponseTest extends ServerFixture {
     @Test
     void aRequestGoesOnUnchangedAndTheWholeAnswerComesBack() throws IOException, InterruptedException {
         start();
@@ -23,7 +23,7 @@
         try (Client client = new Client(at)) {
             client.send(SAFE);
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertEquals("GET /api/k1?x=%20y HTTP/1.1", got.line());
             assertEquals("r1", got.header("Req-Id"));
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) < 20_000);
@@ -73,7 +73,7 @@
             assertEquals("RESET", module.next());
             assertEquals(502, client.status());
             client.send(SAFE);
-            FakeUpstream.Got half = upstream.next();
+            ScriptedUpstream.Got half = upstream.next();
             half.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             half.socket().close();
             assertEquals("RESET", module.next());
@@ -97,7 +97,7 @@
         module.timeout = 100_000;
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertTrue(Integer.parseInt(got.header("Req-Deadline-Ms")) <= 100);
             assertEquals("TIMEOUT", module.next());
             assertEquals(502, client.status());
@@ -109,7 +109,7 @@
     void aClientThatLeavesIsToldToTheModuleAndItsAttemptIsGivenUp() throws IOException, InterruptedException {
         start();
         Client client = new Client(at).send(SAFE);
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         client.close();
         assertEquals("gone", module.next());
         assertEquals("CANCELLED closed", module.next());
--- a/src/test/java/loadbalancer/server/UpgradeTest.java
+++ b/src/test/java/loadbalancer/server/HotRestartProcessesTest.java
@@ -27,7 +27,7 @@
 
 /** One process succeeds another in service: two of them, with a listener that neither owns. */
 @Timeout(120)
-class UpgradeTest extends NodeFixture {
+class HotRestartProcessesTest extends ServerFixture {
     /** What starts balancers as the platform does. */
     private final class Platform implements Closeable {
         private final Path folder = Files.createTempDirectory("up");
@@ -37,7 +37,7 @@
 
         Platform() throws IOException {
             Path script = folder.resolve("platform.pl");
-            try (InputStream in = UpgradeTest.class.getResourceAsStream("platform.pl")) {
+            try (InputStream in = HotRestartProcessesTest.class.getResourceAsStream("platform.pl")) {
                 Files.copy(in, script);
             }
             ProcessBuilder builder = new ProcessBuilder("perl", script.toString());
@@ -157,7 +157,7 @@
             Client kept = new Client(at).send(ask(1));
             assertTrue(kept.answerAfter(upstream).startsWith("HTTP/1.1 200"));
             Client held = new Client(at).send(ask(2));
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             Started next = platform.start(settings());
             next.awaitReady();
             while (old.ready()) {
--- a/src/test/java/loadbalancer/server/UpstreamsTest.java
+++ b/src/test/java/loadbalancer/server/Http1ConnectionPoolTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /** Connections to upstreams: their rest, their drains and their probes. */
-class UpstreamsTest extends NodeFixture {
+class Http1ConnectionPoolTest extends ServerFixture {
     @Test
     void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 400_000), 1024);
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
             assertTrue(closesSoon(got));
@@ -34,9 +34,9 @@
         try (Client first = new Client(at);
                 Client second = new Client(at)) {
             first.send(SAFE);
-            FakeUpstream.Got spare = upstream.next();
+            ScriptedUpstream.Got spare = upstream.next();
             second.send(SAFE.replace("r1", "r2"));
-            FakeUpstream.Got kept = upstream.next();
+            ScriptedUpstream.Got kept = upstream.next();
             assertEquals(2, upstream.connections());
             spare.answer(200, "", "ok");
             assertEquals(200, first.status());
@@ -44,7 +44,7 @@
             assertEquals(200, second.status());
             assertTrue(spare.closedByPeer(), "nobody has use for it, and the upstream holds few");
             first.send(SAFE.replace("r1", "r3"));
-            FakeUpstream.Got next = upstream.next();
+            ScriptedUpstream.Got next = upstream.next();
             assertEquals(kept.connection(), next.connection(), "the other one is used again");
             next.answer(200, "", "ok");
             assertEquals(200, first.status());
@@ -58,7 +58,7 @@
         assertFalse(connected("s1"), "none yet");
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertFalse(connected("s1"), "it carries a request, and one at a time");
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -102,7 +102,7 @@
     @Timeout(60)
     void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace() throws IOException, InterruptedException {
         List<Client> clients = new ArrayList<>();
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             endpoint = held.address();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             clients.add(new Client(at).send(SAFE.replace("r1", "r0")));
@@ -134,7 +134,7 @@
     void probesTellTheLoad() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.probe("s1"));
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         assertEquals("GET /-/load HTTP/1.1", got.line());
         assertNull(got.header("Req-Id"));
         got.answer(200, "", "TEXT inflight=3");
--- a/src/test/java/loadbalancer/server/Http3FrontTest.java
+++ b/src/test/java/loadbalancer/server/Http3DownstreamTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import loadbalancer.http3.Sessions;
+import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.testbed.RelayScript;
 import loadbalancer.testbed.UdpRelay;
 import org.junit.jupiter.api.Test;
@@ -31,21 +31,21 @@
 import tech.kwik.flupke.Http3Client;
 
 /** Clients over HTTP/3, good ones and bad ones, with an upstream that speaks HTTP/1.1. */
-class Http3FrontTest extends Http3Fixture {
+class Http3DownstreamTest extends Http3Fixture {
     private static final long HELD_MILLIS = 150; // for the client's datagrams to leave
 
     @Test
     void aRequestGoesOnAndItsAnswerComesBack() throws Exception {
         start();
-        H3Client client = client();
-        Http3Headers head = H3Client.head("POST", "book", "r1")
+        Http3TestClient client = client();
+        Http3Headers head = Http3TestClient.head("POST", "book", "r1")
                 .add("content-length", "4")
                 .add("cookie", "a=1")
                 .add("cookie", "b=2")
                 .add("x-mine", "y")
                 .add("te", "trailers");
-        H3Client.Got got = client.send(head, "seat", true);
-        FakeUpstream.Got asked = upstream.next();
+        Http3TestClient.Got got = client.send(head, "seat", true);
+        ScriptedUpstream.Got asked = upstream.next();
         assertTrue(asked.head().startsWith("POST /api/k1 HTTP/1.1\r\n"), asked.head());
         assertEquals("backend.local", asked.header("host"));
         assertEquals("a=1; b=2", asked.header("cookie"));
@@ -74,7 +74,7 @@
                         .POST(HttpRequest.BodyPublishers.ofString("seat"))
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
-        FakeUpstream.Got asked = upstream.next();
+        ScriptedUpstream.Got asked = upstream.next();
         assertEquals("seat", new String(asked.body(), java.nio.charset.StandardCharsets.US_ASCII));
         asked.answer(200, "", "done");
         HttpResponse<String> got = answer.get(20, TimeUnit.SECONDS);
@@ -88,13 +88,13 @@
     void refusalsAndFailuresAreWordedAsOverHttp1() throws Exception {
         start();
         module.server = null;
-        H3Client client = client();
-        H3Client.Got refused = client.book("r1");
+        Http3TestClient client = client();
+        Http3TestClient.Got refused = client.book("r1");
         module.requests.take();
         onLoop(() -> module.actions.refuse("1", 1_500_000));
         assertEquals("503 refused: trying again is harmless", refused.end());
         assertEquals("1.500", refused.headers.get("retry-after").toString());
-        H3Client.Got failed = client.book("r2");
+        Http3TestClient.Got failed = client.book("r2");
         module.requests.take();
         onLoop(() -> module.actions.fail("2"));
         assertEquals("502 failed", failed.end());
@@ -127,16 +127,16 @@
     void whatBreaksTheProtocolEndsItsStreamAndReachesNoUpstream(String name, UnaryOperator<Http3Headers> breaks)
             throws Exception {
         start();
-        H3Client client = client();
-        H3Client.Got got = client.send(breaks.apply(H3Client.head("POST", "book", "r1")), "seat", true);
+        Http3TestClient client = client();
+        Http3TestClient.Got got = client.send(breaks.apply(Http3TestClient.head("POST", "book", "r1")), "seat", true);
         assertEquals("reset 0x10e", got.end());
         nextIsServed(client);
     }
 
     /** The connection goes on, and nothing of another request came to the upstream before this one. */
-    private void nextIsServed(H3Client client) throws Exception {
-        H3Client.Got next = client.get("next");
-        FakeUpstream.Got asked = upstream.next();
+    private void nextIsServed(Http3TestClient client) throws Exception {
+        Http3TestClient.Got next = client.get("next");
+        ScriptedUpstream.Got asked = upstream.next();
         assertEquals("next", asked.header("req-id"));
         asked.answer(200, "", "ok");
         assertEquals("200 ok", next.end());
@@ -145,22 +145,24 @@
     @Test
     void whatIsNotTakenIsToldWhy() throws Exception {
         start();
-        H3Client client = client();
+        Http3TestClient client = client();
         assertEquals(
                 "400 unknown Req-Kind",
-                client.send(H3Client.head("GET", "unheard", "r1"), null, true).end());
+                client.send(Http3TestClient.head("GET", "unheard", "r1"), null, true)
+                        .end());
         assertEquals(
                 "400 method or Idempotency-Key contradicts the Req-Kind",
-                client.send(H3Client.head("POST", "read", "r1"), null, true).end());
+                client.send(Http3TestClient.head("POST", "read", "r1"), null, true)
+                        .end());
         assertEquals(
                 "431 too many fields",
-                client.send(H3Client.head("GET", "read", "r1").add("x", "y".repeat(9_000)), null, true)
+                client.send(Http3TestClient.head("GET", "read", "r1").add("x", "y".repeat(9_000)), null, true)
                         .end());
-        Http3Headers large = H3Client.head("POST", "book", "r1").add("content-length", "65537");
+        Http3Headers large = Http3TestClient.head("POST", "book", "r1").add("content-length", "65537");
         assertEquals("413 too large", client.send(large, "some", false).end());
         assertEquals(
                 "413 too large",
-                client.send(H3Client.head("POST", "book", "r1"), "y".repeat(70_000), false)
+                client.send(Http3TestClient.head("POST", "book", "r1"), "y".repeat(70_000), false)
                         .end());
         assertTrue(upstream.isEmpty());
     }
@@ -170,14 +172,14 @@
         start();
         try (Client plain = new Client(at)) {
             plain.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat"));
-            FakeUpstream.Got first = upstream.next();
-            H3Client client = client();
+            ScriptedUpstream.Got first = upstream.next();
+            Http3TestClient client = client();
             assertTrue(client.book("r1").end().startsWith("409 "));
             first.answer(200, "", "done");
             assertEquals(200, plain.status());
             assertTrue(plain.body.length > 0);
-            H3Client.Got again = client.book("r1");
-            FakeUpstream.Got second = upstream.next();
+            Http3TestClient.Got again = client.book("r1");
+            ScriptedUpstream.Got second = upstream.next();
             plain.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat"));
             assertEquals(409, plain.status());
             second.answer(200, "", "done");
@@ -198,7 +200,7 @@
     @Test
     void aClientThatLeavesCountsAsGone() throws Exception {
         start();
-        H3Client client = client();
+        Http3TestClient client = client();
         client.book("r1");
         upstream.next();
         client.quic.close();
@@ -211,8 +213,9 @@
     @Test
     void aRequestThatIsResetBeforeItsEndReachesNoUpstream() throws Exception {
         start();
-        H3Client client = client();
-        H3Client.Got half = client.send(H3Client.head("POST", "book", "r1").add("content-length", "4"), "se", false);
+        Http3TestClient client = client();
+        Http3TestClient.Got half =
+                client.send(Http3TestClient.head("POST", "book", "r1").add("content-length", "4"), "se", false);
         half.stream.shutdown(0x10c).sync();
         nextIsServed(client);
     }
@@ -221,16 +224,16 @@
     @Test
     void aClientThatCancelsIsNoSecondRunWhenever() throws Exception {
         start();
-        H3Client client = client();
-        H3Client.Got before = client.book("before");
-        FakeUpstream.Got asked = upstream.next();
+        Http3TestClient client = client();
+        Http3TestClient.Got before = client.book("before");
+        ScriptedUpstream.Got asked = upstream.next();
         before.stream.shutdown(0x10c).sync();
         asked.answer(200, "", "nobody");
-        H3Client.Got within = client.book("within");
-        FakeUpstream.Got second = upstream.next();
+        Http3TestClient.Got within = client.book("within");
+        ScriptedUpstream.Got second = upstream.next();
         within.stream.shutdownInput(0x10c).sync();
         second.answer(200, "", "y".repeat(60_000));
-        H3Client.Got after = client.book("after");
+        Http3TestClient.Got after = client.book("after");
         upstream.next().answer(200, "", "done");
         assertEquals("200 done", after.end());
         after.stream.shutdown(0x10c).sync();
@@ -247,10 +250,10 @@
     @Test
     void aRequestThatDripsIsToldSo() throws Exception {
         start();
-        H3Client client = client();
+        Http3TestClient client = client();
         assertEquals(
                 "408 too slow",
-                client.send(H3Client.head("POST", "book", "r1").add("content-length", "4"), "se", false)
+                client.send(Http3TestClient.head("POST", "book", "r1").add("content-length", "4"), "se", false)
                         .end());
         nextIsServed(client);
     }
@@ -258,12 +261,12 @@
     /** Handshakes that are begun and never go on, as with forged addresses (RFC 9000, section 21.3). */
     @Test
     void aFloodOfInitialsIsBoundedAndKeepsNobodyOut() throws Exception {
-        sessions = new Sessions.Limits(50, 50, 10, 1 << 20, 0, TimeUnit.MINUTES.toNanos(5));
+        sessions = new Http3ConnectionLimiter.Limits(50, 50, 10, 1 << 20, 0, TimeUnit.MINUTES.toNanos(5));
         start();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (UdpRelay relay = new UdpRelay(group.next(), node.beside(), new RelayScript(1, RelayScript.Faults.NONE))) {
             relay.hole(UdpRelay.Hole.TO_CLIENT);
-            Channel bad = H3Client.dialOnly(relay.open(), OURS.getCertificatePath()[0], 40);
+            Channel bad = Http3TestClient.dialOnly(relay.open(), OURS.getCertificatePath()[0], 40);
             while (relay.counts()[0] < 40) {
                 Thread.onSpinWait();
             }
@@ -281,11 +284,11 @@
     @Test
     void streamsOpenedOnlyToBeResetEndTheirConnection() throws Exception {
         start();
-        H3Client bad = client();
-        H3Client good = client();
+        Http3TestClient bad = client();
+        Http3TestClient good = client();
         for (int i = 0; i < 5_000 && bad.quic.isOpen(); i++) {
             try {
-                bad.send(H3Client.head("POST", "book", "x" + i).add("content-length", "4"), "se", false)
+                bad.send(Http3TestClient.head("POST", "book", "x" + i).add("content-length", "4"), "se", false)
                         .stream
                         .shutdown(0x10c);
             } catch (ExecutionException e) {
@@ -298,17 +301,18 @@
 
     @Test
     void manyConnectionsProveTheirAddressAndTheLastIsTurnedAway() throws Exception {
-        sessions = new Sessions.Limits(4, 10, 20, 1 << 20, TimeUnit.MINUTES.toNanos(5), TimeUnit.MINUTES.toNanos(5));
+        sessions = new Http3ConnectionLimiter.Limits(
+                4, 10, 20, 1 << 20, TimeUnit.MINUTES.toNanos(5), TimeUnit.MINUTES.toNanos(5));
         start();
-        List<H3Client> in = new ArrayList<>();
+        List<Http3TestClient> in = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             in.add(client());
-            H3Client.Got got = in.get(i).get("r" + i); // a server's side is established with it
+            Http3TestClient.Got got = in.get(i).get("r" + i); // a server's side is established with it
             upstream.next().answer(200, "", "ok");
             assertEquals("200 ok", got.end());
         }
         try {
-            H3Client none = client();
+            Http3TestClient none = client();
             assertTrue(none.event("close") != null);
         } catch (ExecutionException e) {
             assertTrue(in.get(0).quic.isOpen()); // refused before its handshake was done
@@ -319,11 +323,11 @@
     @Test
     void aStopIsAnnouncedFinishesWhatIsTakenAndRejectsTheRest() throws Exception {
         start();
-        H3Client client = client();
-        H3Client.Got taken = client.book("r1");
-        FakeUpstream.Got asked = upstream.next();
+        Http3TestClient client = client();
+        Http3TestClient.Got taken = client.book("r1");
+        ScriptedUpstream.Got asked = upstream.next();
         CountDownLatch over = new CountDownLatch(1);
-        Node stopping = node;
+        LoadBalancerServer stopping = node;
         Thread stop = new Thread(() -> {
             stopping.stop();
             over.countDown();
@@ -334,7 +338,8 @@
         assertEquals("goaway 4", client.event("goaway"));
         // What crosses the GOAWAY is rejected as never processed.
         assertEquals(
-                "reset 0x10b", client.raw(H3Client.head("GET", "read", "r2")).end());
+                "reset 0x10b",
+                client.raw(Http3TestClient.head("GET", "read", "r2")).end());
         asked.answer(200, "", "done");
         assertEquals("200 done", taken.end());
         assertTrue(over.await(20, TimeUnit.SECONDS));
@@ -347,7 +352,7 @@
     @ValueSource(ints = {1, 30})
     void aRequestWhoseClientClosesWhileTheLoopIsHeldIsNotSentOn(int requests) throws Exception {
         start();
-        H3Client client = client();
+        Http3TestClient client = client();
         client.get("before");
         upstream.next().answer(200, "", "ok");
         CountDownLatch held = new CountDownLatch(1);
@@ -367,8 +372,8 @@
         client.quic.close(true, 0x100, Unpooled.EMPTY_BUFFER).sync();
         TimeUnit.MILLISECONDS.sleep(HELD_MILLIS);
         held.countDown();
-        H3Client.Got after = client().get("after");
-        FakeUpstream.Got asked = upstream.next();
+        Http3TestClient.Got after = client().get("after");
+        ScriptedUpstream.Got asked = upstream.next();
         assertEquals("after", asked.header("req-id"));
         asked.answer(200, "", "ok");
         assertEquals("200 ok", after.end());
@@ -378,9 +383,9 @@
     @Test
     void aNewCertificateIsShownToNewConnectionsOnly() throws Exception {
         start();
-        H3Client old = client();
-        H3Client.Got open = old.book("r1");
-        FakeUpstream.Got asked = upstream.next();
+        Http3TestClient old = client();
+        Http3TestClient.Got open = old.book("r1");
+        ScriptedUpstream.Got asked = upstream.next();
         var fresh = Certificates.selfSigned();
         node.reload(() -> {
             try {
@@ -395,13 +400,13 @@
         synchronized (log) {
             assertTrue(log.contains("http3: new connections are shown another certificate"), log::toString);
         }
-        H3Client young = client(fresh.getCertificatePath()[0], node.beside());
-        H3Client.Got second = young.get("r2");
+        Http3TestClient young = client(fresh.getCertificatePath()[0], node.beside());
+        Http3TestClient.Got second = young.get("r2");
         upstream.next().answer(200, "", "new");
         assertEquals("200 new", second.end());
         asked.answer(200, "", "old");
         assertEquals("200 old", open.end());
-        H3Client.Got again = old.get("r3");
+        Http3TestClient.Got again = old.get("r3");
         upstream.next().answer(200, "", "still");
         assertEquals("200 still", again.end());
     }
--- a/src/test/java/loadbalancer/server/Http3Fixture.java
+++ b/src/test/java/loadbalancer/server/Http3Fixture.java
@@ -11,19 +11,20 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.Config;
-import loadbalancer.http3.BoxPlan;
-import loadbalancer.http3.Http3;
-import loadbalancer.http3.Sessions;
-import loadbalancer.server.http3.Http3Extension;
+import loadbalancer.http3.Http3ConnectionLimiter;
+import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3Settings;
+import loadbalancer.server.http3.Http3ServerExtension;
 import org.junit.jupiter.api.AfterEach;
 
 /** A node that speaks HTTP/3 to clients, and to upstreams whose list names an address for it. */
-abstract class Http3Fixture extends NodeFixture {
+abstract class Http3Fixture extends ServerFixture {
     static final X509Bundle OURS = Certificates.selfSigned();
     static final X509Bundle THEIRS = Certificates.selfSigned();
 
-    final List<H3Client> open = new ArrayList<>();
-    Sessions.Limits sessions = new Sessions.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
+    final List<Http3TestClient> open = new ArrayList<>();
+    Http3ConnectionLimiter.Limits sessions =
+            new Http3ConnectionLimiter.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
     int streams = 100;
     int connect = 500_000; // µs
     String http3; // the upstream's address
@@ -34,8 +35,8 @@
         return http3 == null ? plain : plain.replace("\"az\"", "\"http3\":\"" + http3 + "\",\"az\"");
     }
 
-    static Http3 told(Sessions.Limits sessions, int streams, X509Bundle ours) {
-        return new Http3(
+    static Http3Settings told(Http3ConnectionLimiter.Limits sessions, int streams, X509Bundle ours) {
+        return new Http3Settings(
                 new InetSocketAddress("127.0.0.1", 0),
                 Certificates.identity(ours),
                 sessions,
@@ -44,10 +45,10 @@
                 true,
                 List.of(THEIRS.getCertificatePath()[0]),
                 "box.test",
-                new BoxPlan.Limits(2, 100, 1_000_000, 4_000_000));
+                new Http3ConnectionPlan.Limits(2, 100, 1_000_000, 4_000_000));
     }
 
-    Config with(Http3 told) throws IOException {
+    Config with(Http3Settings told) throws IOException {
         Map<String, Object> settings = settings();
         @SuppressWarnings("unchecked")
         Map<String, Object> limits = (Map<String, Object>) settings.get("Limits");
@@ -69,27 +70,28 @@
 
     @Override
     void start() throws IOException, InterruptedException {
-        node = new Node(with(told(sessions, streams, OURS)), (s, seed) -> module, false, new Http3Extension(), line -> {
-            synchronized (log) {
-                log.add(line);
-            }
-        });
+        node = new LoadBalancerServer(
+                with(told(sessions, streams, OURS)), (s, seed) -> module, false, new Http3ServerExtension(), line -> {
+                    synchronized (log) {
+                        log.add(line);
+                    }
+                });
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
     }
 
-    H3Client client() throws Exception {
+    Http3TestClient client() throws Exception {
         return client(OURS.getCertificatePath()[0], node.beside());
     }
 
-    H3Client client(X509Certificate trust, InetSocketAddress to) throws Exception {
-        H3Client client = new H3Client(to, trust);
+    Http3TestClient client(X509Certificate trust, InetSocketAddress to) throws Exception {
+        Http3TestClient client = new Http3TestClient(to, trust);
         open.add(client);
         return client;
     }
 
     @AfterEach
     void closeClients() {
-        open.forEach(H3Client::close);
+        open.forEach(Http3TestClient::close);
     }
 }
--- a/src/test/java/loadbalancer/server/Http3PathTest.java
+++ b/src/test/java/loadbalancer/server/Http3NetworkPathTest.java
@@ -21,12 +21,12 @@
 import tech.kwik.flupke.Http3Client;
 
 /** What befalls the path between a client and us: it changes, loses, repeats and bends. */
-class Http3PathTest extends Http3Fixture {
+class Http3NetworkPathTest extends Http3Fixture {
     private static final int CHANGES = 3;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private UdpRelay relay;
 
-    private H3Client through(RelayScript.Faults faults) throws Exception {
+    private Http3TestClient through(RelayScript.Faults faults) throws Exception {
         start();
         relay = new UdpRelay(group.next(), node.beside(), new RelayScript(7, faults));
         return client(OURS.getCertificatePath()[0], relay.open());
@@ -50,10 +50,10 @@
                 .build();
         for (int i = 0; i < CHANGES; i++) {
             CompletableFuture<HttpResponse<String>> open = book(client, uri, "r" + i);
-            FakeUpstream.Got asked = upstream.next();
+            ScriptedUpstream.Got asked = upstream.next();
             relay.rebind(); // the next request tells of the new path
             CompletableFuture<HttpResponse<String>> next = book(client, uri, "n" + i);
-            FakeUpstream.Got second = upstream.next();
+            ScriptedUpstream.Got second = upstream.next();
             assertEquals("r" + i, asked.header("req-id"));
             assertEquals("n" + i, second.header("req-id"));
             asked.answer(200, "", "done");
@@ -80,12 +80,12 @@
 
     @Test
     void aPathThatDiesForAWhileDelaysAndDoublesNothing() throws Exception {
-        H3Client client = through(RelayScript.Faults.NONE);
-        H3Client.Got got = client.book("r1");
-        FakeUpstream.Got asked = upstream.next();
+        Http3TestClient client = through(RelayScript.Faults.NONE);
+        Http3TestClient.Got got = client.book("r1");
+        ScriptedUpstream.Got asked = upstream.next();
         relay.hole(UdpRelay.Hole.TO_CLIENT);
         asked.answer(200, "", "done");
-        H3Client.Got other = client.book("r2"); // still arrives, and is not answered to its client
+        Http3TestClient.Got other = client.book("r2"); // still arrives, and is not answered to its client
         upstream.next().answer(200, "", "ok");
         assertTrue(!got.ended.isDone());
         relay.hole(UdpRelay.Hole.NONE);
@@ -96,14 +96,14 @@
 
     @Test
     void lossRepeatsDisorderAndBentBitsDoubleNothing() throws Exception {
-        H3Client client = through(new RelayScript.Faults(0.05, 0.1, 0.2, 0.02, 3_000));
-        List<H3Client.Got> gots = new ArrayList<>();
+        Http3TestClient client = through(new RelayScript.Faults(0.05, 0.1, 0.2, 0.02, 3_000));
+        List<Http3TestClient.Got> gots = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            gots.add(client.send(H3Client.head("POST", "book", "r" + i), "seat".repeat(500), true));
+            gots.add(client.send(Http3TestClient.head("POST", "book", "r" + i), "seat".repeat(500), true));
         }
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            FakeUpstream.Got asked = upstream.next();
+            ScriptedUpstream.Got asked = upstream.next();
             ids.add(asked.header("req-id"));
             assertEquals(2_000, asked.body().length);
             asked.answer(200, "", asked.header("req-id"));
--- a/src/test/java/loadbalancer/server/H3Box.java
+++ b/src/test/java/loadbalancer/server/Http3StandInServer.java
@@ -34,10 +34,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.http3.codec.FinalFrame;
 
 /** An upstream over HTTP/3 that does what the test says with each request. */
-final class H3Box implements Closeable {
+final class Http3StandInServer implements Closeable {
     private static final EventLoopGroup GROUP = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     /** A request that has come whole. */
@@ -62,7 +62,7 @@
             if (name != null) {
                 out.add(name, value);
             }
-            LastFrame end = new LastFrame();
+            FinalFrame end = new FinalFrame();
             stream.pipeline().addFirst(end);
             end.last();
             stream.write(new DefaultHttp3HeadersFrame(out));
@@ -94,12 +94,12 @@
     /** The code with which it asks for no more once it has a head, before it reads on; -1: it reads on. */
     volatile int stopAtHead = -1;
 
-    H3Box(X509Bundle identity, int port, int streams) throws Exception {
+    Http3StandInServer(X509Bundle identity, int port, int streams) throws Exception {
         this(identity, port, streams, 1 << 17);
     }
 
     /** {@code window}: bytes of a stream that it takes and no more. */
-    H3Box(X509Bundle identity, int port, int streams, int window) throws Exception {
+    Http3StandInServer(X509Bundle identity, int port, int streams, int window) throws Exception {
         QuicSslContext context = QuicSslContextBuilder.forServer(
                         identity.getKeyPair().getPrivate(), null, identity.getCertificatePath())
                 .applicationProtocols(Http3.supportedApplicationProtocols())
--- a/src/test/java/loadbalancer/server/H3Client.java
+++ b/src/test/java/loadbalancer/server/Http3TestClient.java
@@ -37,10 +37,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.http3.codec.FinalFrame;
 
 /** A client over HTTP/3 that does as it is told, also what no client should. */
-final class H3Client implements Closeable {
+final class Http3TestClient implements Closeable {
     private static final EventLoopGroup GROUP = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     /** What came of one request: one of status and reset; all answers counted. */
@@ -88,7 +88,7 @@
     final Channel udp;
     final QuicChannel quic;
 
-    H3Client(InetSocketAddress to, X509Certificate trust) throws Exception {
+    Http3TestClient(InetSocketAddress to, X509Certificate trust) throws Exception {
         udp = socket(to, trust);
         quic = dial(to).get(20, TimeUnit.SECONDS);
     }
@@ -186,7 +186,7 @@
         Got got = new Got();
         QuicStreamChannel stream = open(got);
         if (whole) {
-            LastFrame end = new LastFrame();
+            FinalFrame end = new FinalFrame();
             stream.pipeline().addFirst(end);
             end.last();
         }
--- a/src/test/java/loadbalancer/server/Http3UpstreamTest.java
+++ b/src/test/java/loadbalancer/server/Http3UpstreamTest.java
@@ -23,12 +23,12 @@
 class Http3UpstreamTest extends Http3Fixture {
     private static final int HANDSHAKE_MICROS = 15_000_000;
 
-    private H3Box box;
+    private Http3StandInServer box;
 
     // A handshake takes longer than the usual connect timeout on a busy machine: HTTP/1.1 would stand in.
     private void startWithBox(int allowed) throws Exception {
         connect = HANDSHAKE_MICROS;
-        box = new H3Box(THEIRS, 0, allowed);
+        box = new Http3StandInServer(THEIRS, 0, allowed);
         http3 = box.address();
         start();
     }
@@ -40,7 +40,7 @@
         }
     }
 
-    private static Client plain(NodeFixture f, String id) throws Exception {
+    private static Client plain(ServerFixture f, String id) throws Exception {
         return new Client(f.at)
                 .send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat").replace("Req-Id: r1", "Req-Id: " + id));
     }
@@ -49,7 +49,7 @@
     void httpOneGoesOnOverHttp3AndBack() throws Exception {
         startWithBox(100);
         try (Client client = plain(this, "r1")) {
-            H3Box.Got got = box.next();
+            Http3StandInServer.Got got = box.next();
             assertEquals("POST", got.field(":method"));
             assertEquals("backend.local", got.field(":authority"));
             assertEquals("seat", got.body);
@@ -67,9 +67,9 @@
     @Test
     void bothSidesSpeakHttp3() throws Exception {
         startWithBox(100);
-        H3Client client = client();
-        H3Client.Got got = client.book("r1");
-        H3Box.Got asked = box.next();
+        Http3TestClient client = client();
+        Http3TestClient.Got got = client.book("r1");
+        Http3StandInServer.Got asked = box.next();
         assertEquals("seat", asked.body);
         assertEquals("backend.local", asked.field(":authority"));
         asked.answer("done");
@@ -80,13 +80,13 @@
     @Test
     void oneConnectionCarriesManyAndOneAnswerEach() throws Exception {
         startWithBox(100);
-        H3Client client = client();
-        List<H3Client.Got> gots = new ArrayList<>();
+        Http3TestClient client = client();
+        List<Http3TestClient.Got> gots = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             gots.add(client.get("r" + i));
         }
         for (int i = 0; i < 100; i++) {
-            H3Box.Got asked = box.next();
+            Http3StandInServer.Got asked = box.next();
             asked.answer(asked.field("req-id"));
         }
         for (int i = 0; i < 100; i++) {
@@ -106,7 +106,7 @@
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", body).replace("r1", "r" + i));
         }
         for (int i = 0; i < 60; i++) {
-            H3Box.Got asked = box.next();
+            Http3StandInServer.Got asked = box.next();
             assertEquals(body, asked.body);
             asked.answer("ok");
         }
@@ -117,7 +117,7 @@
     }
 
     /** What the module is told where the box ends one attempt so. */
-    private String told(java.util.function.Consumer<H3Box.Got> ending) throws Exception {
+    private String told(java.util.function.Consumer<Http3StandInServer.Got> ending) throws Exception {
         startWithBox(100);
         try (Client client = plain(this, "r1")) {
             ending.accept(box.next());
@@ -150,7 +150,7 @@
 
     @Test
     void aConnectionThatClosesMayHaveRunWhatItHeld() throws Exception {
-        assertEquals("RESET", told(H3Box.Got::closeConnection));
+        assertEquals("RESET", told(Http3StandInServer.Got::closeConnection));
     }
 
     @Test
@@ -175,7 +175,7 @@
      */
     @Test
     void aRequestThatIsNotWholeNeverRan() throws Exception {
-        box = new H3Box(THEIRS, 0, 100, 1_000);
+        box = new Http3StandInServer(THEIRS, 0, 100, 1_000);
         box.stopAtHead = 0x10c; // STOP_SENDING alone
         http3 = box.address();
         start();
@@ -193,7 +193,7 @@
         module.timeout = 300_000;
         startWithBox(100);
         try (Client client = plain(this, "r1")) {
-            H3Box.Got got = box.next();
+            Http3StandInServer.Got got = box.next();
             assertEquals("TIMEOUT", module.next());
             assertEquals(502, client.status());
             got.answer("too late"); // nobody hears it
@@ -212,8 +212,8 @@
     @Test
     void whereNoStreamIsLeftNothingWasSent() throws Exception {
         startWithBox(1);
-        H3Client client = client();
-        List<H3Box.Got> held = new ArrayList<>();
+        Http3TestClient client = client();
+        List<Http3StandInServer.Got> held = new ArrayList<>();
         for (int i = 0; i < 2; i++) { // one for each of the two connections
             client.book("r" + i);
             held.add(box.next());
@@ -228,7 +228,7 @@
     @Test
     void thoseBeyondTheLimitThatWaitedWereNotSentAndTheRestGoesOn() throws Exception {
         connect = HANDSHAKE_MICROS;
-        box = new H3Box(THEIRS, 0, 3);
+        box = new Http3StandInServer(THEIRS, 0, 3);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (UdpRelay relay = new UdpRelay(
                 group.next(),
@@ -237,8 +237,8 @@
             relay.hole(UdpRelay.Hole.TO_SERVER);
             http3 = Addresses.text(relay.open());
             start();
-            H3Client client = client();
-            List<H3Client.Got> gots = new ArrayList<>();
+            Http3TestClient client = client();
+            List<Http3TestClient.Got> gots = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 gots.add(client.get("r" + i));
                 module.requests.take();
@@ -246,20 +246,20 @@
             relay.hole(UdpRelay.Hole.NONE); // the handshake goes on with its next attempt
             Channel waited = null;
             for (int i = 0; i < 3; i++) {
-                H3Box.Got asked = box.next();
+                Http3StandInServer.Got asked = box.next();
                 waited = asked.stream.parent();
                 asked.answer(asked.field("req-id"));
             }
             int served = 0;
-            for (H3Client.Got got : gots) {
+            for (Http3TestClient.Got got : gots) {
                 served += got.end().startsWith("200 ") ? 1 : 0;
             }
             assertEquals(3, served);
             // The box raises its limit when it gets to it: until then one may go on a second connection.
             Map<Channel, List<Long>> streams = new HashMap<>();
             for (int i = 0; i < 20; i++) {
-                H3Client.Got got = client.get("n" + i);
-                H3Box.Got asked = box.next();
+                Http3TestClient.Got got = client.get("n" + i);
+                Http3StandInServer.Got asked = box.next();
                 streams.computeIfAbsent(asked.stream.parent(), c -> new ArrayList<>())
                         .add(asked.stream.streamId());
                 asked.answer(asked.field("req-id"));
@@ -281,16 +281,16 @@
     @Test
     void aDrainedUpstreamGetsNothingNewOnItsConnection() throws Exception {
         startWithBox(100);
-        H3Client client = client();
-        H3Client.Got held = client.book("held");
-        H3Box.Got before = box.next();
+        Http3TestClient client = client();
+        Http3TestClient.Got held = client.book("held");
+        Http3StandInServer.Got before = box.next();
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(200, "", list(42, true, "terminating"));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
         long told = System.nanoTime();
         String end = "200";
         for (int i = 0; end.startsWith("200"); i++) {
-            H3Client.Got got = client.get("r" + i);
+            Http3TestClient.Got got = client.get("r" + i);
             while (box.isEmpty() && !got.ended.isDone()) {
                 Thread.onSpinWait();
             }
@@ -318,11 +318,11 @@
     void aGoAwayLetsWhatItCoversFinish() throws Exception {
         startWithBox(100);
         try (Client client = plain(this, "r1")) {
-            H3Box.Got got = box.next();
+            Http3StandInServer.Got got = box.next();
             got.goAway(4);
             // Another connection for what comes now; the first one's answer still counts.
             try (Client second = plain(this, "r2")) {
-                H3Box.Got other = box.next();
+                Http3StandInServer.Got other = box.next();
                 while (other.stream.parent() == got.stream.parent()) {
                     // It crossed the GOAWAY: never processed, says the box, and the module is told so.
                     assertEquals("NOT_SENT", module.next());
@@ -342,17 +342,17 @@
     @Test
     void aConnectionThatDiesWithAHundredStreamsGivesEachOneAnswer() throws Exception {
         startWithBox(200);
-        H3Client client = client();
-        List<H3Client.Got> gots = new ArrayList<>();
+        Http3TestClient client = client();
+        List<Http3TestClient.Got> gots = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             gots.add(client.book("r" + i));
         }
-        H3Box.Got last = null;
+        Http3StandInServer.Got last = null;
         for (int i = 0; i < 100; i++) {
             last = box.next();
         }
         last.closeConnection();
-        for (H3Client.Got got : gots) {
+        for (Http3TestClient.Got got : gots) {
             assertEquals("502 failed", got.end());
             assertEquals(1, got.heads);
         }
@@ -362,7 +362,7 @@
 
     @Test
     void withoutAHandshakeHttp1StandsInAndHttp3ComesBack() throws Exception {
-        H3Box gone = new H3Box(THEIRS, 0, 100);
+        Http3StandInServer gone = new Http3StandInServer(THEIRS, 0, 100);
         http3 = gone.address();
         int port = gone.port();
         gone.close();
@@ -375,7 +375,7 @@
             assertEquals(200, Integer.parseInt(second.answerAfter(upstream).split(" ")[1]));
         }
         module.next();
-        box = new H3Box(THEIRS, port, 100);
+        box = new Http3StandInServer(THEIRS, port, 100);
         // A trial begins beside the requests that HTTP/1.1 carries; after it HTTP/3 carries them again.
         for (int i = 0; box.isEmpty(); i++) {
             try (Client next = plain(this, "n" + i)) {
@@ -398,7 +398,7 @@
 
     @Test
     void anUpstreamThatShowsAnotherCertificateIsNotTrusted() throws Exception {
-        box = new H3Box(OURS, 0, 100);
+        box = new Http3StandInServer(OURS, 0, 100);
         http3 = box.address();
         start();
         try (Client first = plain(this, "r1")) {
@@ -412,21 +412,21 @@
     @Test
     void streamsThatEndedMakeRoomForOthers() throws Exception {
         startWithBox(6);
-        H3Client client = client();
-        List<H3Client.Got> gots = new ArrayList<>();
+        Http3TestClient client = client();
+        List<Http3TestClient.Got> gots = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             gots.add(client.get("w" + i));
         }
         for (int i = 0; i < 4; i++) {
-            H3Box.Got asked = box.next();
+            Http3StandInServer.Got asked = box.next();
             asked.answer(asked.field("req-id"));
         }
         for (int i = 0; i < 4; i++) {
             assertEquals("200 w" + i, gots.get(i).end());
         }
         for (int i = 0; i < 60; i++) {
-            H3Client.Got got = client.get("r" + i);
-            H3Box.Got asked = box.next();
+            Http3TestClient.Got got = client.get("r" + i);
+            Http3StandInServer.Got asked = box.next();
             asked.answer(asked.field("req-id"));
             assertEquals("200 r" + i, got.end());
         }
@@ -436,17 +436,17 @@
     @Test
     void theUpstreamsLimitOfStreamsIsKept() throws Exception {
         startWithBox(3);
-        H3Client client = client();
-        List<H3Client.Got> gots = new ArrayList<>();
+        Http3TestClient client = client();
+        List<Http3TestClient.Got> gots = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             gots.add(client.get("r" + i));
         }
-        List<H3Box.Got> asked = new ArrayList<>();
+        List<Http3StandInServer.Got> asked = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             asked.add(box.next());
         }
-        H3Client.Got fourth = client.get("r3"); // a second connection
-        H3Box.Got other = box.next();
+        Http3TestClient.Got fourth = client.get("r3"); // a second connection
+        Http3StandInServer.Got other = box.next();
         assertNotEquals(asked.get(0).stream.parent(), other.stream.parent());
         other.answer("r3");
         assertEquals("200 r3", fourth.end());
--- a/src/test/java/loadbalancer/server/CrossingsTest.java
+++ b/src/test/java/loadbalancer/server/RaceConditionsTest.java
@@ -27,7 +27,7 @@
 
 /** What crosses on the way of a request, forced by peers that hold and order: see docs/crossings.md. */
 @Timeout(120)
-class CrossingsTest extends NodeFixture {
+class RaceConditionsTest extends ServerFixture {
     private static final String EMPTY = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
     private static String request(String kind, String id) {
@@ -40,7 +40,7 @@
         };
     }
 
-    private void startHeld(HeldListener held, boolean cancels) throws IOException, InterruptedException {
+    private void startHeld(UnacceptingListener held, boolean cancels) throws IOException, InterruptedException {
         endpoint = held.address();
         module.cancels = cancels;
         start(Map.of("DialTimeout", 30_000_000, "Cancel", cancels), 1024);
@@ -61,7 +61,7 @@
     })
     void aRequestWhoseClientHasLeftIsNotSentOn(String kind, String way, boolean cancels)
             throws IOException, InterruptedException {
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, cancels);
             Client client = new Client(at).send(request(kind, "gone"));
             assertTrue(module.requests.poll(20, TimeUnit.SECONDS).contains(" k1 "));
@@ -78,7 +78,7 @@
             Socket first = held.next();
             awaitRested("s1");
             try (Client other = new Client(at).send(request(kind, "stays"))) {
-                String head = FakeUpstream.head(first.getInputStream());
+                String head = ScriptedUpstream.head(first.getInputStream());
                 assertTrue(head.contains("Req-Id: stays\r\n"), head);
                 first.getOutputStream().write(EMPTY.getBytes(StandardCharsets.US_ASCII));
                 assertEquals(200, other.status());
@@ -90,7 +90,7 @@
     @Test
     void aRequestWhoseClientLeavesWhileTheProcessEndsIsNotSentOn() throws Exception {
         Future<List<String>> heads;
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, false);
             Client gone = new Client(at).send(request("book", "gone"));
             try (Client stays = new Client(at)) {
@@ -133,7 +133,7 @@
 
     @Test
     void ofManyClientsThatLeaveAtOnceNoneIsSentOn() throws IOException, InterruptedException {
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, false);
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
@@ -186,7 +186,7 @@
                 all.append(request("read", "a" + i));
             }
             client.send(all.toString());
-            FakeUpstream.Got first = upstream.next();
+            ScriptedUpstream.Got first = upstream.next();
             StringBuilder more = new StringBuilder();
             for (int i = 17; i < 30; i++) {
                 more.append(request("read", "a" + i));
@@ -194,7 +194,7 @@
             client.send(more.toString());
             first.answer(200, "", "0");
             for (int i = 1; i < 30; i++) {
-                FakeUpstream.Got got = upstream.next();
+                ScriptedUpstream.Got got = upstream.next();
                 assertEquals("a" + i, got.header("Req-Id"));
                 got.answer(200, "", Integer.toString(i));
             }
@@ -208,7 +208,7 @@
     /** Whoever listens at the address that its upstream has left is not that upstream. */
     @Test
     void anAttemptWhoseUpstreamHasMovedMeanwhileIsNotWrittenToItsOldAddress() throws IOException, InterruptedException {
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, true);
             try (Client client = new Client(at).send(request("book", "r1"))) {
                 module.requests.poll(20, TimeUnit.SECONDS);
@@ -226,7 +226,7 @@
 
     @Test
     void anAttemptWhoseConnectionComesUpAfterItMayRunIsNotWritten() throws IOException, InterruptedException {
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, true);
             module.within = 100_000;
             try (Client client = new Client(at).send(request("pay", "late"))) {
@@ -239,7 +239,7 @@
                 Socket first = held.next();
                 awaitRested("s1");
                 try (Client other = new Client(at).send(request("pay", "next"))) {
-                    String head = FakeUpstream.head(first.getInputStream());
+                    String head = ScriptedUpstream.head(first.getInputStream());
                     assertTrue(head.contains("Req-Id: next\r\n"), head);
                     first.getOutputStream().write(EMPTY.getBytes(StandardCharsets.US_ASCII));
                     assertEquals(200, other.status());
@@ -262,7 +262,7 @@
     })
     void anUploadWhoseClientHasLeftIsNotSentOn(String kind, int length, int came, boolean cancels) throws Exception {
         Future<List<String>> heads;
-        try (HeldListener held = new HeldListener()) {
+        try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, cancels);
             Client client = new Client(at).send(upload(kind, "gone", length) + "x".repeat(came));
             assertTrue(module.requests.poll(20, TimeUnit.SECONDS).contains(" k1 "));
@@ -323,7 +323,7 @@
         for (int i = 0; i < 4; i++) {
             String number = Integer.toString(i + 7, Character.MAX_RADIX);
             onLoop(() -> module.actions.send(number, "s1", 0));
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             byte[] body = got.body();
             assertEquals(900_000, body.length);
             for (byte b : body) {
@@ -342,7 +342,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(request("read", "first"));
-            FakeUpstream.Got first = upstream.next();
+            ScriptedUpstream.Got first = upstream.next();
             first.answer(200, "", "ok");
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
@@ -352,7 +352,7 @@
             client.send(request(kind, "second"));
             first.socket().close();
             goesOn.countDown();
-            FakeUpstream.Got second = upstream.next();
+            ScriptedUpstream.Got second = upstream.next();
             assertEquals("second", second.header("Req-Id"));
             second.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -366,7 +366,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(request("read", "first"));
-            FakeUpstream.Got first = upstream.next();
+            ScriptedUpstream.Got first = upstream.next();
             first.answer(200, "", "ok");
             assertEquals(200, client.status());
             awaitRested("s1");
@@ -375,7 +375,7 @@
             client.send(request("book", "second"));
             TimeUnit.MILLISECONDS.sleep(300); // the time itself is what has to pass
             goesOn.countDown();
-            FakeUpstream.Got second = upstream.next();
+            ScriptedUpstream.Got second = upstream.next();
             second.answer(200, "", "ok");
             assertEquals(200, client.status());
             assertEquals(first.connection(), second.connection());
@@ -394,7 +394,7 @@
                         + "Req-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
                 Socket box = server.accept();
                 box.setSoTimeout(20_000);
-                FakeUpstream.head(box.getInputStream());
+                ScriptedUpstream.head(box.getInputStream());
                 box.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + "y".repeat(length))
                                 .getBytes());
@@ -412,7 +412,7 @@
         module.onOutcome = () -> seen.set(module.actions.connected("s1") ? 1 : 2);
         try (Client client = new Client(at)) {
             client.send(request("read", "r1"));
-            FakeUpstream.Got first = upstream.next();
+            ScriptedUpstream.Got first = upstream.next();
             first.answer(200, "", "first");
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
--- a/src/test/java/loadbalancer/server/AnswerReaderTest.java
+++ b/src/test/java/loadbalancer/server/ResponseDecoderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What upstreams may answer, spoilt or with more than belongs to it. */
-class AnswerReaderTest extends NodeFixture {
+class ResponseDecoderTest extends ServerFixture {
     /** The request has run, perhaps; the client gets a failure, and the connection is of no further use. */
     @ParameterizedTest
     @ValueSource(
@@ -32,7 +32,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             got.raw(answer);
             assertEquals("RESET", module.next());
             assertEquals(502, client.status());
@@ -52,7 +52,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             got.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nno length");
             if (inOrder) {
                 got.socket().shutdownOutput();
@@ -106,7 +106,7 @@
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             got.answer(200, "", "ok");
             assertEquals(200, client.status());
             assertTrue(closesSoon(got));
--- a/src/test/java/loadbalancer/server/FakeUpstream.java
+++ b/src/test/java/loadbalancer/server/ScriptedUpstream.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The other side of a connection, for tests: hands each request over, and answers what the test says. */
-final class FakeUpstream implements Closeable {
+final class ScriptedUpstream implements Closeable {
     /** A request as it came, and the connection to answer on. */
     record Got(String head, byte[] body, Socket socket, int connection) {
         String line() {
@@ -81,7 +81,7 @@
     private final AtomicInteger connections = new AtomicInteger();
     private final List<Thread> readers = new CopyOnWriteArrayList<>();
 
-    FakeUpstream() throws IOException {
+    ScriptedUpstream() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         accepter = run(() -> {
             while (true) {
--- a/src/test/java/loadbalancer/server/NodeFixture.java
+++ b/src/test/java/loadbalancer/server/ServerFixture.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Policy;
 import loadbalancer.config.Config;
+import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
 /** A real balancer over loopback sockets, with a module that does what the test says. */
-abstract class NodeFixture {
+abstract class ServerFixture {
     /** A module that notes what it is told and sends each request where {@code onRequest} says. */
     static class Scripted implements Policy {
         final BlockingQueue<String> told = new LinkedBlockingQueue<>();
@@ -140,7 +140,7 @@
 
         /** The head of the next answer; its body is kept. Null at the end of the connection. */
         String answer() throws IOException {
-            String head = FakeUpstream.head(in);
+            String head = ScriptedUpstream.head(in);
             if (head != null) {
                 String length = head.toLowerCase().split("content-length: ")[1].split("\r\n")[0];
                 body = in.readNBytes(Integer.parseInt(length));
@@ -149,7 +149,7 @@
         }
 
         /** The same, where an upstream has to answer first. */
-        String answerAfter(FakeUpstream upstream) throws IOException, InterruptedException {
+        String answerAfter(ScriptedUpstream upstream) throws IOException, InterruptedException {
             upstream.next().answer(200, "", "ok");
             return answer();
         }
@@ -172,15 +172,15 @@
     boolean rehearse;
     boolean pushed; // lists come from an agent
     String endpoint;
-    FakeUpstream upstream;
-    FakeUpstream discovery;
-    Node node;
+    ScriptedUpstream upstream;
+    ScriptedUpstream discovery;
+    LoadBalancerServer node;
     InetSocketAddress at;
 
     @BeforeEach
     void open() throws IOException {
-        upstream = new FakeUpstream();
-        discovery = new FakeUpstream();
+        upstream = new ScriptedUpstream();
+        discovery = new ScriptedUpstream();
     }
 
     @AfterEach
@@ -297,7 +297,7 @@
         Map<String, Object> all = (Map<String, Object>) settings.get("Limits");
         all.putAll(limits);
         settings.put("MembershipMode", pushed ? "push" : "ask");
-        node = new Node(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
+        node = new LoadBalancerServer(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
             synchronized (log) {
                 log.add(line);
             }
@@ -312,7 +312,7 @@
     }
 
     // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
-    static boolean closesSoon(FakeUpstream.Got got) throws InterruptedException {
+    static boolean closesSoon(ScriptedUpstream.Got got) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (System.nanoTime() < until) {
             try {
--- a/src/test/java/loadbalancer/server/LifeCycleTest.java
+++ b/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.Config;
-import loadbalancer.logging.LineSink;
+import loadbalancer.logging.AsyncLogWriter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Start, configuration and stop. */
-class LifeCycleTest extends NodeFixture {
+class ServerLifeCycleTest extends ServerFixture {
     /** Interrupted, the starting thread never comes to hold the listener that clients reach all the same. */
     @Test
     void aConnectionThatComesBeforeTheStartHasReturnedIsAnswered() throws Exception {
@@ -31,7 +31,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        node = new Node(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
+        node = new LoadBalancerServer(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, node::start);
         assertTrue(Thread.interrupted());
@@ -73,7 +73,7 @@
         Client idle = new Client(at);
         assertEquals(200, idle.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status());
         Client held = new Client(at).send(SAFE);
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         Thread stop = new Thread(node::stop);
         stop.start();
         int ready = 200;
@@ -118,8 +118,8 @@
     @Timeout(120)
     void requestsGoOnWhileNobodyReadsTheLog() throws IOException, InterruptedException {
         PipedOutputStream pipe = new PipedOutputStream(new PipedInputStream(64));
-        LineSink sink = new LineSink(new PrintStream(pipe, true, StandardCharsets.UTF_8), "");
-        node = new Node(config(1024, settings(), 0), (s, seed) -> module, false, sink);
+        AsyncLogWriter sink = new AsyncLogWriter(new PrintStream(pipe, true, StandardCharsets.UTF_8), "");
+        node = new LoadBalancerServer(config(1024, settings(), 0), (s, seed) -> module, false, sink);
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
         try (Client client = new Client(at)) {
--- a/src/test/java/loadbalancer/server/SettingsRangeTest.java
+++ b/src/test/java/loadbalancer/server/SettingsRangeTest.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.Balance;
 import loadbalancer.config.Config;
+import loadbalancer.policy.JsqDasPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -36,7 +36,7 @@
     private record Run(int box, boolean ran, long at) {}
 
     private final Map<String, List<Run>> runs = new ConcurrentHashMap<>();
-    private final List<FakeUpstream> boxes = new ArrayList<>();
+    private final List<ScriptedUpstream> boxes = new ArrayList<>();
     private final AtomicInteger number = new AtomicInteger();
     private volatile boolean over;
 
@@ -120,7 +120,7 @@
     private void serve(int box) {
         while (!over) {
             try {
-                FakeUpstream.Got got = boxes.get(box).next();
+                ScriptedUpstream.Got got = boxes.get(box).next();
                 int n = number.incrementAndGet() % 10;
                 boolean ran = n != 3;
                 runs.computeIfAbsent(got.header("Req-Id"), id -> new CopyOnWriteArrayList<>())
@@ -160,9 +160,9 @@
     private void play(Map<String, Object> settings, List<String> areas, List<Map<String, Object>> classes)
             throws Exception {
         for (int i = 0; i < BOXES; i++) {
-            boxes.add(new FakeUpstream());
+            boxes.add(new ScriptedUpstream());
         }
-        FakeUpstream discovery = new FakeUpstream();
+        ScriptedUpstream discovery = new ScriptedUpstream();
         ExecutorService threads = Executors.newCachedThreadPool();
         Config config = Config.of(
                 Map.of(),
@@ -181,12 +181,12 @@
                         settings,
                         "known",
                         JSON.std.mapFrom(list(1, true, 0, "in_service", areas))));
-        Node node = new Node(config, Balance::new, true, line -> {});
+        LoadBalancerServer node = new LoadBalancerServer(config, JsqDasPolicy::new, true, line -> {});
         try {
             InetSocketAddress at = node.start();
-            FakeUpstream.Got watch = discovery.next();
+            ScriptedUpstream.Got watch = discovery.next();
             watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + NodeFixture.chunk(list(2, true, 0, "in_service", areas)));
+                    + ServerFixture.chunk(list(2, true, 0, "in_service", areas)));
             assertTrue(node.awaitReady(60_000));
             for (int i = 0; i < BOXES; i++) {
                 int box = i;
@@ -194,7 +194,7 @@
             }
             AtomicInteger served = new AtomicInteger();
             clients(threads, at, classes, "a", served);
-            watch.raw(NodeFixture.chunk(list(3, false, 0, "terminating", areas)));
+            watch.raw(ServerFixture.chunk(list(3, false, 0, "terminating", areas)));
             long told = System.nanoTime();
             TimeUnit.MILLISECONDS.sleep(1_050); // the grace itself
             clients(threads, at, classes, "b", served);
@@ -212,7 +212,7 @@
             node.stop();
             threads.shutdownNow();
             discovery.close();
-            for (FakeUpstream box : boxes) {
+            for (ScriptedUpstream box : boxes) {
                 box.close();
             }
         }
@@ -244,7 +244,7 @@
             throws IOException {
         String effect = (String) kind.get("Idempotency");
         boolean safe = effect.equals("safe");
-        try (NodeFixture.Client client = new NodeFixture.Client(at)) {
+        try (ServerFixture.Client client = new ServerFixture.Client(at)) {
             client.send((safe ? "GET" : "POST") + " /api/k HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: "
                     + kind.get("Name") + "\r\nReq-Owner: public\r\nReq-Deadline-Ms: "
                     + (int) kind.get("GiveUp") / 1000 + "\r\n"
--- a/src/test/java/loadbalancer/server/RetuneOverSocketsTest.java
+++ b/src/test/java/loadbalancer/server/SettingsReloadOverSocketsTest.java
@@ -11,7 +11,7 @@
 
 /** Settings that change in service, as clients meet them. */
 @Timeout(120)
-class RetuneOverSocketsTest extends NodeFixture {
+class SettingsReloadOverSocketsTest extends ServerFixture {
     private static String of(String kind, String id) {
         return SAFE.replace("Req-Kind: read", "Req-Kind: " + kind).replace("r1", id);
     }
@@ -29,7 +29,7 @@
         other.put("Classes", List.of(kind("look", "safe"), kind("pay", "unsafe")));
         Config fresh = config(1024, other, 0);
         Client held = new Client(at).send(of("read", "h"));
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         node.reload(() -> {
             throw new Config.Bad("half written");
         });
--- a/src/test/java/loadbalancer/server/StoodStillTest.java
+++ b/src/test/java/loadbalancer/server/StallBeforeSendTest.java
@@ -20,17 +20,17 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Policy;
-import loadbalancer.SettingsReader;
-import loadbalancer.connections.Budget;
-import loadbalancer.connections.Limits;
+import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.connections.ConnectionLimits;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Addresses;
-import loadbalancer.proxy.Fields;
-import loadbalancer.proxy.ListNews;
-import loadbalancer.proxy.Order;
-import loadbalancer.proxy.Stream;
-import loadbalancer.proxy.Targets;
-import loadbalancer.upstream.http1.Upstreams;
+import loadbalancer.proxy.BodyStream;
+import loadbalancer.proxy.EndpointUpdate;
+import loadbalancer.proxy.HeaderFields;
+import loadbalancer.proxy.PendingUpdates;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.http1.Http1ConnectionPool;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
 
 /** The thread stands still for longer than a drain's grace, right before a request that is ready leaves. */
 @Timeout(60)
-class StoodStillTest {
+class StallBeforeSendTest {
     private static final long GRACE = 1_000_000;
     private static final byte[] BODY = "abcdefgh".getBytes(StandardCharsets.US_ASCII);
 
@@ -51,7 +51,7 @@
     }
 
     /** What is looked at before a request leaves: the first time, time has passed meanwhile. */
-    private final class StandsStillOnce implements ListNews {
+    private final class StandsStillOnce implements PendingUpdates {
         private Runnable meanwhile;
         private boolean over = true;
         private long holds = Long.MAX_VALUE; // where it is not over
@@ -78,7 +78,7 @@
     }
 
     /** The rest of a long body, whose first bytes are with the order. */
-    private static final class Rest implements Stream {
+    private static final class Rest implements BodyStream {
         private boolean started;
 
         @Override
@@ -105,9 +105,9 @@
     private final StandsStillOnce news = new StandsStillOnce();
     private final BlockingQueue<Policy.Outcome> ends = new LinkedBlockingQueue<>();
     private final List<Rest> rests = new ArrayList<>();
-    private FakeUpstream upstream;
+    private ScriptedUpstream upstream;
     private InetSocketAddress at; // in place of its own, or null
-    private Upstreams upstreams;
+    private Http1ConnectionPool upstreams;
     private long stoodFor; // µs, on top of the system's clock; of the loop
     private long standsBehindLook; // and what is added behind the next look at it
 
@@ -166,10 +166,14 @@
 
     @BeforeEach
     void open() throws IOException, InterruptedException {
-        upstream = new FakeUpstream();
+        upstream = new ScriptedUpstream();
         onLoop(() -> {
-            upstreams = new Upstreams(
-                    group.next(), boot(), new Budget(Limits.of(1024), System.nanoTime()), this::now, news);
+            upstreams = new Http1ConnectionPool(
+                    group.next(),
+                    boot(),
+                    new ConnectionBudget(ConnectionLimits.of(1024), System.nanoTime()),
+                    this::now,
+                    news);
             listed(1, Policy.State.UP, now());
         });
     }
@@ -187,17 +191,18 @@
 
     private void listed(long rev, Policy.State state, long when) {
         upstreams.listed(
-                new Targets(
+                new EndpointUpdate(
                         rev,
                         true,
-                        List.of(new Targets.Target(
+                        List.of(new EndpointUpdate.Endpoint(
                                 new Policy.Server("s1", state, 0, 1, 0, 0, 0),
                                 at == null ? Addresses.parse(upstream.address()) : at))),
                 when);
     }
 
     private void send(String id, long before, boolean upload) throws InterruptedException {
-        Order order = new Order(id, "POST", "/" + id, Fields.NONE, BODY, 0, 0, null, 20_000_000, -1, false);
+        ProxyRequest order =
+                new ProxyRequest(id, "POST", "/" + id, HeaderFields.NONE, BODY, 0, 0, null, 20_000_000, -1, false);
         onLoop(() -> {
             rests.add(new Rest());
             upstreams.send(
@@ -246,7 +251,7 @@
     private void assertNothingCame() throws IOException, InterruptedException {
         onLoop(() -> listed(3, Policy.State.UP, now()));
         send("after", 0, false);
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         assertEquals("POST /after HTTP/1.1", got.line());
         got.answer(200, "", "ok");
         assertEquals(Policy.Outcome.OK, end());
@@ -259,7 +264,7 @@
         ready(way);
         onLoop(() -> news.meanwhile = () -> stoodFor += GRACE + 300_000);
         send("once", 0, way == Way.UPLOAD);
-        FakeUpstream.Got got = upstream.next();
+        ScriptedUpstream.Got got = upstream.next();
         assertEquals("POST /once HTTP/1.1", got.line());
         assertEquals(way == Way.UPLOAD ? 2 * BODY.length : BODY.length, got.body().length);
         got.answer(200, "", "ok");
--- a/src/test/java/loadbalancer/server/LongBodiesTest.java
+++ b/src/test/java/loadbalancer/server/StreamedBodiesTest.java
@@ -20,7 +20,7 @@
 
 /** Bodies that are longer than is held go through as they come, and none that breaks off passes for whole. */
 @Timeout(120)
-class LongBodiesTest extends NodeFixture {
+class StreamedBodiesTest extends ServerFixture {
     private static final String LONG = "POST /api/k1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: r1\r\n"
             + "Req-Kind: book\r\nReq-Deadline-Ms: 20000\r\n";
 
@@ -49,7 +49,7 @@
         start();
         byte[] body = random(5 << 20);
         try (Client client = new Client(at).send(SAFE)) {
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             byte[] wire = chunked ? chunks(body, new Random(7)) : body;
             got.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
                     + "\r\n\r\n");
@@ -61,12 +61,12 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            String head = FakeUpstream.head(client.in); // before the upstream is at its end
+            String head = ScriptedUpstream.head(client.in); // before the upstream is at its end
             assertTrue(head.startsWith("HTTP/1.1 200"), head);
             assertEquals("OK closed", module.next());
             CompletableFuture<byte[]> reading = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return chunked ? FakeUpstream.unchunked(client.in) : client.in.readNBytes(body.length);
+                    return chunked ? ScriptedUpstream.unchunked(client.in) : client.in.readNBytes(body.length);
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
@@ -87,7 +87,7 @@
         start();
         byte[] body = random(40 << 20);
         try (Client client = new Client(at).send(SAFE)) {
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             CompletableFuture<Void> writing = CompletableFuture.runAsync(() -> {
                 try {
                     got.answer(200, "", body);
@@ -95,7 +95,7 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            assertTrue(FakeUpstream.head(client.in).startsWith("HTTP/1.1 200"));
+            assertTrue(ScriptedUpstream.head(client.in).startsWith("HTTP/1.1 200"));
             assertThrows(java.util.concurrent.TimeoutException.class, () -> writing.get(2, TimeUnit.SECONDS));
             assertArrayEquals(body, client.in.readNBytes(body.length));
             writing.get(60, TimeUnit.SECONDS);
@@ -107,17 +107,17 @@
     void anAnswerThatBreaksOffIsNeverTakenForWhole(boolean chunked) throws Exception {
         start();
         try (Client client = new Client(at).send(SAFE)) {
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             got.raw("HTTP/1.1 200 OK\r\n" + (chunked ? "Transfer-Encoding: chunked" : "Content-Length: 300000")
                     + "\r\n\r\n");
             got.raw(chunked ? "30d40\r\n" : "");
             got.raw(random(200_000));
             got.raw(chunked ? "\r\n" : "");
             got.socket().shutdownOutput();
-            assertTrue(FakeUpstream.head(client.in).startsWith("HTTP/1.1 200"));
+            assertTrue(ScriptedUpstream.head(client.in).startsWith("HTTP/1.1 200"));
             assertThrows(IOException.class, () -> {
                 if (chunked) {
-                    FakeUpstream.unchunked(client.in);
+                    ScriptedUpstream.unchunked(client.in);
                 } else if (client.in.readNBytes(300_000).length < 300_000) {
                     throw new IOException("not whole");
                 }
@@ -135,7 +135,7 @@
                         + "\r\n\r\n")) {
             OutputStream out = client.socket.getOutputStream();
             out.write(chunked ? chunks(body, new Random(3)) : body);
-            FakeUpstream.Got got = upstream.next();
+            ScriptedUpstream.Got got = upstream.next();
             assertArrayEquals(body, got.body());
             assertEquals(chunked ? "chunked" : null, got.header("Transfer-Encoding"));
             got.answer(200, "", "ok");
--- a/src/test/java/loadbalancer/server/HeldListener.java
+++ b/src/test/java/loadbalancer/server/UnacceptingListener.java
@@ -22,14 +22,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** An upstream whose connections come up only once the test says so: its queue of waiting ones is full. */
-final class HeldListener implements Closeable {
+final class UnacceptingListener implements Closeable {
     private final ServerSocket server;
     private final List<Socket> fillers = new ArrayList<>();
     private final Set<Integer> ports = new HashSet<>();
     private final List<Socket> taken = new ArrayList<>();
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
-    HeldListener() throws IOException {
+    UnacceptingListener() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         while (fill()) {
             if (fillers.size() > 50) {
@@ -101,9 +101,9 @@
 
     private static void answer(Socket socket, String response, List<String> heads) {
         try (socket) {
-            for (String head = FakeUpstream.head(socket.getInputStream());
+            for (String head = ScriptedUpstream.head(socket.getInputStream());
                     head != null;
-                    head = FakeUpstream.head(socket.getInputStream())) {
+                    head = ScriptedUpstream.head(socket.getInputStream())) {
                 heads.add(head);
                 socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
--- a/src/test/java/loadbalancer/AdapterTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package loadbalancer;
+package loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,12 +11,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.policy.JsqDasPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The wire: frames in, frames out, and plain complaints about what is malformed. */
-class AdapterTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = String.join(
             "\t",
             "Balancers=2",
@@ -51,7 +52,7 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(Balance::new, new BufferedReader(new StringReader(input)), out).run();
+        new SimulatorAdapter(JsqDasPolicy::new, new BufferedReader(new StringReader(input)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -95,10 +96,10 @@
     @Test
     void aFailureInTheModuleIsReported() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Adapter.Factory broken = (settings, seed) -> {
+        SimulatorAdapter.Factory broken = (settings, seed) -> {
             throw new IllegalStateException("odd\tstate");
         };
-        new Adapter(
+        new SimulatorAdapter(
                         broken,
                         new BufferedReader(new StringReader("TICK\t1\n" + enlist("balancer/0", SETTINGS) + "GO\n")),
                         out)
@@ -132,7 +133,8 @@
         String frames = text.replace('~', '\t') + "\n";
         assertEquals(
                 complaint.strip(),
-                assertThrows(WireException.class, () -> run(frames)).getMessage());
+                assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                        .getMessage());
     }
 
     @ParameterizedTest
@@ -153,7 +155,8 @@
     void malformedEventsAreNamed(String event, String complaint) {
         String frames =
                 "TICK\t1\n" + enlist("balancer/0", SETTINGS) + event.strip().replace('~', '\t') + "\nGO\n";
-        String message = assertThrows(WireException.class, () -> run(frames)).getMessage();
+        String message = assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                .getMessage();
         assertTrue(message.startsWith("line 8: ") && message.endsWith("field " + complaint.strip()), message);
     }
 
@@ -170,7 +173,8 @@
         String frames = "TICK\t1\n" + enlist("balancer/0", SETTINGS.replace(setting + "\t", "")) + "GO\n";
         assertEquals(
                 "line 3: ENLIST: field " + setting.substring(0, setting.indexOf('=')) + ": required setting is missing",
-                assertThrows(WireException.class, () -> run(frames)).getMessage());
+                assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                        .getMessage());
     }
 
     @Test
@@ -198,7 +202,8 @@
         String frames = "TICK\t1\n" + enlist("balancer/0", settings) + "GO\n";
         assertEquals(
                 "line 3: ENLIST: field " + complaint.strip(),
-                assertThrows(WireException.class, () -> run(frames)).getMessage());
+                assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                        .getMessage());
     }
 
     @Test
--- a/src/test/java/loadbalancer/testbed/DemoTest.java
+++ b/src/test/java/loadbalancer/testbed/DemoTest.java
@@ -46,13 +46,13 @@
         "FORGETS, BROKEN, unanswered:",
         "REFUSES_WHAT_RAN, BROKEN, refused after it ran:"
     })
-    void theLedgerCatchesABalancerThatBreaksARule(Twin.Fault fault, Demo.End end, String words)
+    void theLedgerCatchesABalancerThatBreaksARule(ReferenceBalancer.Fault fault, Demo.End end, String words)
             throws IOException, InterruptedException, Problems.Bad {
         assertEquals(
                 end,
                 play(
                         ScenarioReaderTest.SMALL.replace("\"2s\"\n[[boxes]]", "\"1s\"\n[[boxes]]"),
-                        (scenario, known, discovery) -> new Twin(known, fault)),
+                        (scenario, known, discovery) -> new ReferenceBalancer(known, fault)),
                 this::told);
         assertTrue(told().contains(words), this::told);
         if (end == Demo.End.BROKEN) {
@@ -72,7 +72,8 @@
                 Demo.End.BROKEN,
                 play(
                         ScenarioReaderTest.SMALL.replace("\"2s\"", "\"1s\""),
-                        (scenario, known, discovery) -> new Twin(known, Twin.Fault.KNOWS_NOTHING)),
+                        (scenario, known, discovery) ->
+                                new ReferenceBalancer(known, ReferenceBalancer.Fault.KNOWS_NOTHING)),
                 this::told);
     }
 
--- a/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
+++ b/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Policy;
-import loadbalancer.testbed.fleet.Member;
-import loadbalancer.testbed.fleet.Wire;
+import loadbalancer.policy.Policy;
+import loadbalancer.testbed.fleet.BalancerMember;
+import loadbalancer.testbed.fleet.ClientSocket;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -40,24 +40,25 @@
     @Test
     void aFailedAcceptIsTriedAgainSoon() throws IOException, InterruptedException {
         try (Testbed testbed = testbed();
-                Member member = Member.start(DemoTest.CLASS_PATH, testbed.configuration(0, 1))) {
+                BalancerMember member = BalancerMember.start(DemoTest.CLASS_PATH, testbed.configuration(0, 1))) {
             member.awaitReady();
             assertTrue(
                     member.log().stream().noneMatch(line -> line.contains("accept failed")),
                     () -> "accept failed before the limit: " + member.log());
             member.limitDescriptors(member.openDescriptors() + DESCRIPTORS_FOR_CLIENTS);
-            List<Wire> clients = new ArrayList<>();
+            List<ClientSocket> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(testbed.connect(member.address()));
                 assertTrue(clients.get(i).send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
             }
             member.line("accept failed: ");
             Thread.sleep(SETTLE_MILLIS);
-            int accepted = (int) clients.stream().filter(Wire::hasAnswer).count();
+            int accepted =
+                    (int) clients.stream().filter(ClientSocket::hasAnswer).count();
             assertTrue(accepted > 0 && accepted + WAITING < CLIENTS, () -> accepted + " were accepted");
             long begin = System.nanoTime();
-            Wire before = clients.get(0);
-            for (Wire next : clients.subList(accepted, accepted + WAITING)) {
+            ClientSocket before = clients.get(0);
+            for (ClientSocket next : clients.subList(accepted, accepted + WAITING)) {
                 before.close();
                 assertEquals(200, next.answer().status());
                 before = next;
--- a/src/test/java/loadbalancer/testbed/LedgerTest.java
+++ b/src/test/java/loadbalancer/testbed/LedgerTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import loadbalancer.Policy.Effect;
+import loadbalancer.policy.Policy.Effect;
 import loadbalancer.testbed.Ledger.Breach;
 import loadbalancer.testbed.Ledger.Final;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/loadbalancer/testbed/HeldProcessesTest.java
+++ b/src/test/java/loadbalancer/testbed/PausedProcessesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Whatever the machines of processes that stand still accepted gets its one answer when they go on. */
-class HeldProcessesTest {
+class PausedProcessesTest {
     /** In service with two hundred requests in the sockets of each. */
     @ParameterizedTest
     @Timeout(300)
@@ -22,10 +22,10 @@
         "SIGTERM, 60, 25",
         "STOPPING, 60, 25"
     })
-    void nothingIsLost(HeldProcesses.When when, int kept, int fresh) throws IOException, InterruptedException {
-        HeldProcesses.Size size = new HeldProcesses.Size(3, kept, fresh);
-        try (HeldProcesses run = new HeldProcesses(DemoTest.CLASS_PATH, size)) {
-            HeldProcesses.Outcome outcome = run.play(when);
+    void nothingIsLost(PausedProcesses.When when, int kept, int fresh) throws IOException, InterruptedException {
+        PausedProcesses.Size size = new PausedProcesses.Size(3, kept, fresh);
+        try (PausedProcesses run = new PausedProcesses(DemoTest.CLASS_PATH, size)) {
+            PausedProcesses.Outcome outcome = run.play(when);
             assertTrue(outcome.isClean(), () -> outcome.summary() + " | " + outcome.log());
         }
     }
--- a/src/test/java/loadbalancer/testbed/Twin.java
+++ b/src/test/java/loadbalancer/testbed/ReferenceBalancer.java
@@ -19,7 +19,7 @@
 import loadbalancer.proxy.Addresses;
 
 /** A balancer in its simplest form, and with the faults that a ledger must catch: see {@link Fault}. */
-final class Twin implements Balancer {
+final class ReferenceBalancer implements TestedBalancer {
     enum Fault {
         NONE,
         DOUBLES,
@@ -34,7 +34,7 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final Fault fault;
 
-    Twin(String known, Fault fault) throws IOException {
+    ReferenceBalancer(String known, Fault fault) throws IOException {
         this.fault = fault;
         for (Object target : (List<?>) JSON.std.mapFrom(known).get("targets")) {
             boxes.add(Addresses.parse((String) ((Map<?, ?>) target).get("endpoint")));
--- a/src/test/java/loadbalancer/testbed/ScenarioReaderTest.java
+++ b/src/test/java/loadbalancer/testbed/ScenarioReaderTest.java
@@ -118,9 +118,9 @@
     @Test
     void theSameSeedGivesTheSameScriptAndAnotherSeedAnother() throws Problems.Bad {
         Scenario scenario = ScenarioReader.read("f.toml", SMALL);
-        List<Script.Order> first = Script.of(scenario);
-        assertEquals(first, Script.of(scenario));
-        assertEquals(false, first.equals(Script.of(ScenarioReader.read("f.toml", "seed = 2\n" + SMALL))));
+        List<ArrivalSchedule.Order> first = ArrivalSchedule.of(scenario);
+        assertEquals(first, ArrivalSchedule.of(scenario));
+        assertEquals(false, first.equals(ArrivalSchedule.of(ScenarioReader.read("f.toml", "seed = 2\n" + SMALL))));
         assertEquals(400, first.size(), 80);
     }
 }
--- a/src/test/java/loadbalancer/testbed/ServerModelTest.java
+++ b/src/test/java/loadbalancer/testbed/ServerModelTest.java
@@ -87,7 +87,7 @@
 
     @Test
     void aCellDropsARepeatWithinItsWindowOnly() {
-        Cell cell = new Cell();
+        IdempotencyKeys cell = new IdempotencyKeys();
         assertTrue(cell.first("k", 1_000, 0));
         assertFalse(cell.first("k", 1_000, 999));
         assertTrue(cell.first("k", 1_000, 1_000));
--- a/src/test/java/loadbalancer/testbed/fleet/SpreadTest.java
+++ b/src/test/java/loadbalancer/testbed/fleet/LoadSpreadTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** How load is dealt to a fleet, how its evenness is told, and whom troubles strike. */
-class SpreadTest {
+class LoadSpreadTest {
     private static final double[] EQUAL = {1, 1, 1, 1};
 
     @Test
     void whatIsByWeightIsEvenAndHasNothingBeyondChance() {
-        Spread even = Spread.of(new long[] {100, 100, 200, 400}, new double[] {1, 1, 2, 4});
+        LoadSpread even = LoadSpread.of(new long[] {100, 100, 200, 400}, new double[] {1, 1, 2, 4});
         assertEquals(0, even.deviation(), 1e-9);
         assertEquals(0, even.beyond(), 1e-9);
         assertEquals(1, even.least(), 1e-9);
@@ -23,15 +23,15 @@
 
     @Test
     void oneThatGetsNothingAndOneThatGetsDoubleAreTold() {
-        Spread spread = Spread.of(new long[] {0, 200, 100, 100}, EQUAL);
+        LoadSpread spread = LoadSpread.of(new long[] {0, 200, 100, 100}, EQUAL);
         assertEquals(Math.sqrt(0.5), spread.deviation(), 1e-9);
         assertEquals(Math.sqrt(0.0075), spread.chance(), 1e-9);
         assertEquals(Math.sqrt(0.5 - 0.0075), spread.beyond(), 1e-9);
         assertEquals(0, spread.least());
         assertEquals(2, spread.most());
         assertEquals(1, spread.idle());
-        assertEquals(4, Spread.of(new long[4], EQUAL).idle(), "nothing was asked");
-        assertThrows(IllegalArgumentException.class, () -> Spread.of(new long[3], EQUAL));
+        assertEquals(4, LoadSpread.of(new long[4], EQUAL).idle(), "nothing was asked");
+        assertThrows(IllegalArgumentException.class, () -> LoadSpread.of(new long[3], EQUAL));
     }
 
     /** What is drawn has the deviation that chance alone gives. */
@@ -47,13 +47,13 @@
             int drawn = random.nextInt(600);
             got[drawn < 200 ? 2 * drawn : (drawn - 200) / 2 * 2 + 1]++;
         }
-        Spread spread = Spread.of(got, weights);
+        LoadSpread spread = LoadSpread.of(got, weights);
         assertEquals(1, spread.deviation() / spread.chance(), 0.1);
     }
 
     @Test
     void sharesAddUpAndOrdersFollowThem() {
-        Shares shares = Shares.of(50, 0.8, 3);
+        LoadShares shares = LoadShares.of(50, 0.8, 3);
         double all = 0;
         double most = 0;
         int[] got = new int[50];
@@ -67,19 +67,18 @@
         }
         assertEquals(1, all, 1e-9);
         assertTrue(most > 0.04, "uneven: " + most);
-        assertEquals(0.1, Shares.of(10, 0, 3).of(7), 1e-9, "even");
-        assertEquals(9, Shares.of(10, 0, 3).balancer(Math.nextDown(1.0)));
-        assertThrows(IllegalArgumentException.class, () -> Shares.of(0, 1, 1));
+        assertEquals(0.1, LoadShares.of(10, 0, 3).of(7), 1e-9, "even");
+        assertEquals(9, LoadShares.of(10, 0, 3).balancer(Math.nextDown(1.0)));
+        assertThrows(IllegalArgumentException.class, () -> LoadShares.of(0, 1, 1));
     }
 
     @Test
     void aTroubleStrikesAsManyAsItSaysAndTheSameForTheSameSeed() {
-        Trouble kill = new Trouble(1_000, Trouble.What.KILL, 0.7, 1_000);
+        Fault kill = new Fault(1_000, Fault.What.KILL, 0.7, 1_000);
         List<Integer> struck = kill.struck(100, 5);
         assertEquals(70, struck.stream().distinct().count());
         assertEquals(struck, kill.struck(100, 5));
         assertTrue(!struck.equals(kill.struck(100, 6)), "drawn by the seed");
-        assertEquals(
-                1, new Trouble(0, Trouble.What.STALL, 0.001, 1).struck(3, 1).size(), "one at least");
+        assertEquals(1, new Fault(0, Fault.What.STALL, 0.001, 1).struck(3, 1).size(), "one at least");
     }
 }
--- a/src/testbed/java/loadbalancer/cli/Calls.java
+++ b/src/testbed/java/loadbalancer/cli/AdminCommands.java
@@ -11,10 +11,10 @@
 import picocli.CommandLine.Parameters;
 
 /** The operators' calls, as commands: what a balancer answers, and an exit code that tells yes from no. */
-final class Calls {
+final class AdminCommands {
     private static final int WAIT_MS = 5_000;
 
-    private Calls() {}
+    private AdminCommands() {}
 
     private abstract static class Call implements Callable<Integer> {
         @Parameters(paramLabel = "ADDRESS", description = "what `management` says, as 127.0.0.1:8081")
