--- a/src/testbed/java/loadbalancer/cli/Cli.java
+++ b/src/testbed/java/loadbalancer/cli/Cli.java
@@ -14,9 +14,9 @@
 import loadbalancer.config.Config;
 import loadbalancer.config.toml.ConfigFile;
 import loadbalancer.config.toml.Problems;
-import loadbalancer.server.Node;
-import loadbalancer.server.http3.Http3Extension;
-import loadbalancer.testbed.Bench;
+import loadbalancer.server.LoadBalancerServer;
+import loadbalancer.server.http3.Http3ServerExtension;
+import loadbalancer.testbed.Benchmark;
 import loadbalancer.testbed.Demo;
 import loadbalancer.testbed.Http3Run;
 import picocli.AutoComplete;
@@ -35,15 +35,15 @@
         subcommands = {
             Cli.DemoCommand.class,
             Cli.BenchCommand.class,
-            HeldProcessesCommand.class,
+            PausedProcessesCommand.class,
             FleetCommand.class,
             SoakCommand.class,
             Cli.Check.class,
             Cli.Defaults.class,
             Cli.Serve.class,
-            Calls.Ready.class,
-            Calls.Evacuate.class,
-            Calls.Rejoin.class,
+            AdminCommands.Ready.class,
+            AdminCommands.Evacuate.class,
+            AdminCommands.Rejoin.class,
             Cli.Wirehost.class,
             AutoComplete.GenerateCompletion.class
         },
@@ -194,10 +194,11 @@
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            var result = new Bench(System.out, served(), System.getProperty("java.class.path"), seconds, rounds, rate)
+            var result = new Benchmark(
+                            System.out, served(), System.getProperty("java.class.path"), seconds, rounds, rate)
                     .run(boxes);
             if (json != null) {
-                Files.writeString(json.toPath(), Bench.json(result));
+                Files.writeString(json.toPath(), Benchmark.json(result));
             }
             return 0;
         }
@@ -219,7 +220,7 @@
         @Override
         public Integer call() {
             if (config == null) {
-                return Node.serve(System.getenv());
+                return LoadBalancerServer.serve(System.getenv());
             }
             Supplier<Config> read = () -> {
                 try {
@@ -228,7 +229,7 @@
                     throw new Config.Bad(told(config, e));
                 }
             };
-            return Node.serve(read, read, new Http3Extension());
+            return LoadBalancerServer.serve(read, read, new Http3ServerExtension());
         }
     }
 
--- a/src/testbed/java/loadbalancer/cli/HeldProcessesCommand.java
+++ b/src/testbed/java/loadbalancer/cli/PausedProcessesCommand.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Callable;
-import loadbalancer.testbed.HeldProcesses;
+import loadbalancer.testbed.PausedProcesses;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -21,7 +21,7 @@
             "1:one was not: what came is told",
             "2:the command line can't be used"
         })
-final class HeldProcessesCommand implements Callable<Integer> {
+final class PausedProcessesCommand implements Callable<Integer> {
     @Option(
             names = "--processes",
             paramLabel = "N",
@@ -30,7 +30,7 @@
     private int processes;
 
     @Option(names = "--at", paramLabel = "POINT", split = ",", description = "${COMPLETION-CANDIDATES} (default all)")
-    private List<HeldProcesses.When> points = List.of(HeldProcesses.When.values());
+    private List<PausedProcesses.When> points = List.of(PausedProcesses.When.values());
 
     @Option(
             names = "--kept",
@@ -50,12 +50,12 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         int code = 0;
-        for (HeldProcesses.When when : points) {
-            try (HeldProcesses run = new HeldProcesses(
-                    System.getProperty("java.class.path"), new HeldProcesses.Size(processes, kept, fresh))) {
+        for (PausedProcesses.When when : points) {
+            try (PausedProcesses run = new PausedProcesses(
+                    System.getProperty("java.class.path"), new PausedProcesses.Size(processes, kept, fresh))) {
                 Thread hook = new Thread(run::close);
                 Runtime.getRuntime().addShutdownHook(hook);
-                HeldProcesses.Outcome outcome = run.play(when);
+                PausedProcesses.Outcome outcome = run.play(when);
                 Runtime.getRuntime().removeShutdownHook(hook);
                 System.out.println(outcome.summary());
                 outcome.examples().forEach(e -> System.out.println("  " + e));
--- a/src/testbed/java/loadbalancer/testbed/Script.java
+++ b/src/testbed/java/loadbalancer/testbed/ArrivalSchedule.java
@@ -9,11 +9,11 @@
  * them.
  * Each concern has a stream of its own, so that a change of one leaves the others as they were.
  */
-final class Script {
+final class ArrivalSchedule {
     /** An order; {@code at} in µs from the beginning, {@code work} in µs of one core at speed 1. */
     record Order(int number, String id, long at, int kind, String key, long work) {}
 
-    private Script() {}
+    private ArrivalSchedule() {}
 
     static List<Order> of(Scenario scenario) {
         SplittableRandom seeds = new SplittableRandom(scenario.seed());
--- a/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
+++ b/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
@@ -20,7 +20,7 @@
 import loadbalancer.proxy.Addresses;
 
 /** The real balancer as a process of its own, told of a scenario as the platform would tell it. */
-final class BalancerProcess implements Balancer {
+final class BalancerProcess implements TestedBalancer {
     private static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC",
             "-Xms40m",
--- a/src/testbed/java/loadbalancer/testbed/Bench.java
+++ b/src/testbed/java/loadbalancer/testbed/Benchmark.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Clock;
 import org.HdrHistogram.Histogram;
 
@@ -25,7 +25,7 @@
  * drifts
  * is no one's advantage. Figures are medians over the rounds; ratios are of rounds side by side.
  */
-public final class Bench {
+public final class Benchmark {
     private static final List<String> WAYS = List.of("direct", "bare", "balancer");
     private static final long READY_S = 60;
     private static final long END_S = 30;
@@ -41,7 +41,7 @@
      * {@code classPath} holds the balancer, {@code ownPath} the rig; a round lasts {@code seconds} for each
      * way.
      */
-    public Bench(PrintStream out, String classPath, String ownPath, long seconds, int rounds, double rate) {
+    public Benchmark(PrintStream out, String classPath, String ownPath, long seconds, int rounds, double rate) {
         this.out = out;
         this.classPath = classPath;
         this.ownPath = ownPath;
@@ -85,30 +85,31 @@
         Clock clock = Clock.system();
         Ledger ledger = new Ledger();
         // Each way of each round has orders of its own, so that no id comes twice; round 0 warms up.
-        List<List<Script.Order>> scripts = new ArrayList<>();
-        List<Script.Order> every = new ArrayList<>();
+        List<List<ArrivalSchedule.Order>> scripts = new ArrayList<>();
+        List<ArrivalSchedule.Order> every = new ArrayList<>();
         for (int i = 0; i < (rounds + 1) * WAYS.size(); i++) {
             String prefix = i + "-";
-            List<Script.Order> script = Script.of(scenario(boxes, seconds, rate, 1 + i / WAYS.size())).stream()
-                    .map(o ->
-                            new Script.Order(o.number(), prefix + o.id(), o.at(), o.kind(), prefix + o.key(), o.work()))
-                    .toList();
+            List<ArrivalSchedule.Order> script =
+                    ArrivalSchedule.of(scenario(boxes, seconds, rate, 1 + i / WAYS.size())).stream()
+                            .map(o -> new ArrivalSchedule.Order(
+                                    o.number(), prefix + o.id(), o.at(), o.kind(), prefix + o.key(), o.work()))
+                            .toList();
             scripts.add(script);
             every.addAll(script);
         }
         Scenario scenario = scenario(boxes, seconds, rate, 1);
-        Fleet fleet = new Fleet(scenario, every, boxLoops.next(), clock, ledger, 0);
+        StandInFleet fleet = new StandInFleet(scenario, every, boxLoops.next(), clock, ledger, 0);
         fleet.open();
-        try (Balancer bare = BalancerProcess.bare(ownPath, fleet.addresses(), READY_S);
-                Balancer real =
+        try (TestedBalancer bare = BalancerProcess.bare(ownPath, fleet.addresses(), READY_S);
+                TestedBalancer real =
                         BalancerProcess.start(classPath, scenario, fleet.list(), fleet.discoveryAt(), READY_S)) {
             Map<String, List<Round>> results = new LinkedHashMap<>();
             WAYS.forEach(w -> results.put(w, new ArrayList<>()));
             for (int i = 0; i < scripts.size(); i++) {
                 String way = WAYS.get(i % WAYS.size());
-                Balancer through = way.equals("bare") ? bare : way.equals("balancer") ? real : null;
+                TestedBalancer through = way.equals("bare") ? bare : way.equals("balancer") ? real : null;
                 RequestCounts counts = new RequestCounts(scenario);
-                Load load = new Load(
+                LoadGenerator load = new LoadGenerator(
                         scenario,
                         scripts.get(i),
                         loadLoops.next(),
--- a/src/testbed/java/loadbalancer/testbed/Demo.java
+++ b/src/testbed/java/loadbalancer/testbed/Demo.java
@@ -49,7 +49,7 @@
 
     /** Where the balancer comes from; in tests another one than the real. */
     interface Balancers {
-        Balancer start(Scenario scenario, String known, InetSocketAddress discovery)
+        TestedBalancer start(Scenario scenario, String known, InetSocketAddress discovery)
                 throws IOException, InterruptedException;
     }
 
@@ -66,8 +66,8 @@
     private final CountDownLatch told = new CountDownLatch(1);
     private final AtomicBoolean aborted = new AtomicBoolean();
     private final Http3Run http3; // null where all speak HTTP/1.1
-    private volatile Balancer balancer;
-    private Fleet fleet;
+    private volatile TestedBalancer balancer;
+    private StandInFleet fleet;
 
     Demo(Scenario scenario, Balancers balancers, PrintStream out, boolean terminal) {
         this(scenario, balancers, null, out, terminal);
@@ -85,8 +85,8 @@
 
     /** Plays to the end, and tells of it on the stream. */
     End play() throws IOException, InterruptedException {
-        List<Script.Order> script = Script.of(scenario);
-        fleet = new Fleet(scenario, script, boxLoops.next(), clock, ledger, GRACE + SLACK);
+        List<ArrivalSchedule.Order> script = ArrivalSchedule.of(scenario);
+        fleet = new StandInFleet(scenario, script, boxLoops.next(), clock, ledger, GRACE + SLACK);
         try {
             if (http3 != null) {
                 fleet.speakHttp3(http3.identity());
@@ -102,8 +102,8 @@
                     scenario.seed(),
                     scenario.headroom());
             balancer = balancers.start(scenario, fleet.list(), fleet.discoveryAt());
-            Load load =
-                    new Load(scenario, script, loadLoops.next(), clock, ledger, counts, List.of(balancer.address()));
+            LoadGenerator load = new LoadGenerator(
+                    scenario, script, loadLoops.next(), clock, ledger, counts, List.of(balancer.address()));
             if (http3 != null) {
                 load.through(http3.open(loadLoops.next(), balancer.http3()));
             }
@@ -121,7 +121,7 @@
             long memory = balancer.memoryKib();
             boolean alive = balancer.isAlive();
             int exit = balancer.stop();
-            List<Fleet.Standing> boxes = standings();
+            List<StandInFleet.Standing> boxes = standings();
             tell(used, boxes);
             if (http3 != null) {
                 out.printf(
@@ -134,22 +134,22 @@
             }
             return aborted.get()
                     ? End.INTERRUPTED
-                    : orderly && Report.isClean(counts, ledger, boxes) ? End.CLEAN : End.BROKEN;
+                    : orderly && RunReport.isClean(counts, ledger, boxes) ? End.CLEAN : End.BROKEN;
         } finally {
             told.countDown();
             close();
         }
     }
 
-    private void tell(long used, List<Fleet.Standing> boxes) {
+    private void tell(long used, List<StandInFleet.Standing> boxes) {
         out.println();
-        Report.lines(counts, ledger, boxes).forEach(out::println);
+        RunReport.lines(counts, ledger, boxes).forEach(out::println);
         long taken = Math.max(1, counts.all().taken);
         if (used > 0) {
             out.printf(Locale.ROOT, "CPU of the balancer: %.0f µs a request%n", (double) used / taken);
         }
         // All that it said, where something went wrong; its last words otherwise.
-        boolean clean = Report.isClean(counts, ledger, boxes);
+        boolean clean = RunReport.isClean(counts, ledger, boxes);
         List<String> said = balancer.log();
         said.subList(Math.max(0, said.size() - LINES), said.size()).stream()
                 .filter(l -> !clean || l.contains("stopped: "))
@@ -157,7 +157,7 @@
         out.flush();
     }
 
-    private List<Fleet.Standing> standings() throws InterruptedException {
+    private List<StandInFleet.Standing> standings() throws InterruptedException {
         try {
             return boxLoops.next().submit(() -> fleet.standings()).get();
         } catch (ExecutionException e) {
@@ -168,7 +168,7 @@
     private void watch(long begin) throws InterruptedException {
         int height = 0;
         while (!over.await(1, TimeUnit.SECONDS) && !aborted.get()) {
-            List<Fleet.Standing> boxes = standings();
+            List<StandInFleet.Standing> boxes = standings();
             RequestCounts.Recent recent = counts.recent();
             RequestCounts.Line all = counts.all();
             String line = String.format(
@@ -198,7 +198,7 @@
         }
     }
 
-    private int screen(String line, List<Fleet.Standing> boxes) {
+    private int screen(String line, List<StandInFleet.Standing> boxes) {
         int height = 1;
         out.println("\u001b[2K" + line);
         for (RequestCounts.Line of : counts.lines()) {
@@ -211,7 +211,7 @@
                     of.latency.getValueAtPercentile(99) / 1e3);
             height++;
         }
-        for (Fleet.Standing box : boxes.subList(0, Math.min(boxes.size(), 24))) {
+        for (StandInFleet.Standing box : boxes.subList(0, Math.min(boxes.size(), 24))) {
             out.printf(
                     Locale.ROOT,
                     "\u001b[2K  %-12s %-9s in flight %4d  served %8d%n",
--- a/src/testbed/java/loadbalancer/testbed/DepartedClients.java
+++ b/src/testbed/java/loadbalancer/testbed/DepartedClients.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.Policy;
-import loadbalancer.testbed.fleet.Member;
-import loadbalancer.testbed.fleet.Wire;
+import loadbalancer.policy.Policy;
+import loadbalancer.testbed.fleet.BalancerMember;
+import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
  * Processes of the program that are held up (SIGSTOP) while clients send requests and close their
@@ -81,9 +81,9 @@
     public DepartedClients(String classPath, int processes, int rounds) throws InterruptedException {
         this.processes = processes;
         this.rounds = rounds;
-        List<Script.Order> known = new ArrayList<>();
+        List<ArrivalSchedule.Order> known = new ArrayList<>();
         for (int i = 0; i < processes * rounds * 2 * PER_BURST; i++) {
-            known.add(new Script.Order(i, "r" + i, 0, 0, "k", WORK));
+            known.add(new ArrivalSchedule.Order(i, "r" + i, 0, 0, "k", WORK));
         }
         testbed = new Testbed(classPath, scenario(), known);
     }
@@ -128,7 +128,7 @@
 
     /** One process and its clients; on a thread of its own. */
     private final class Driver {
-        private final Member member;
+        private final BalancerMember member;
         private final InetSocketAddress address;
         private final Arrival arrival;
         private final Close close;
@@ -144,39 +144,39 @@
 
         void run() throws IOException, InterruptedException {
             for (int round = 0; round < rounds; round++) {
-                List<Wire> wires = before();
+                List<ClientSocket> wires = before();
                 if (arrival != Arrival.BEFORE_HOLD) {
-                    member.signal(Member.Signal.STOP);
+                    member.signal(BalancerMember.Signal.STOP);
                     member.awaitStopped();
                 }
-                List<Wire> clients = arrival == Arrival.KEPT ? wires : connect();
+                List<ClientSocket> clients = arrival == Arrival.KEPT ? wires : connect();
                 List<String> ids = new ArrayList<>();
-                for (Wire client : clients) {
+                for (ClientSocket client : clients) {
                     ids.add(send(client));
                     if (arrival == Arrival.PIPELINED) {
                         ids.add(send(client));
                     }
                 }
                 if (arrival == Arrival.BEFORE_HOLD) {
-                    member.signal(Member.Signal.STOP);
+                    member.signal(BalancerMember.Signal.STOP);
                     member.awaitStopped();
                 }
                 clients.forEach(this::end);
                 ids.forEach(id -> testbed.ledger.left(id, testbed.clock.now()));
                 Thread.sleep(HOLD_LEAST_MILLIS + random.nextLong(HOLD_SPREAD_MILLIS));
-                member.signal(Member.Signal.CONT);
+                member.signal(BalancerMember.Signal.CONT);
                 Thread.sleep(SETTLE_MILLIS);
             }
         }
 
         // Connections that are at rest, where such are wanted.
-        private List<Wire> before() throws IOException, InterruptedException {
-            List<Wire> wires = new ArrayList<>();
+        private List<ClientSocket> before() throws IOException, InterruptedException {
+            List<ClientSocket> wires = new ArrayList<>();
             if (arrival == Arrival.KEPT) {
                 wires = connect();
-                for (Wire wire : wires) {
+                for (ClientSocket wire : wires) {
                     String id = send(wire);
-                    Wire.Answer answer = wire.answer();
+                    ClientSocket.Answer answer = wire.answer();
                     testbed.ledger.answered(id, Ledger.Final.SERVED, testbed.clock.now());
                     if (answer.status() != 200 || !answer.stays()) {
                         throw new IOException("before the hold: " + answer);
@@ -187,8 +187,8 @@
             return wires;
         }
 
-        private List<Wire> connect() throws IOException {
-            List<Wire> wires = new ArrayList<>();
+        private List<ClientSocket> connect() throws IOException {
+            List<ClientSocket> wires = new ArrayList<>();
             int count = arrival == Arrival.SINGLE ? 1 : PER_BURST / (arrival == Arrival.PIPELINED ? 2 : 1);
             for (int i = 0; i < count; i++) {
                 wires.add(testbed.connect(address));
@@ -196,7 +196,7 @@
             return wires;
         }
 
-        private String send(Wire wire) throws IOException {
+        private String send(ClientSocket wire) throws IOException {
             String id = "r" + requests.getAndIncrement();
             testbed.ledger.asked(id, Policy.Effect.UNSAFE, testbed.clock.now());
             String body = "x".repeat(arrival == Arrival.LONG_BODY ? LONG_BODY : SHORT_BODY);
@@ -207,7 +207,7 @@
             return id;
         }
 
-        private void end(Wire wire) {
+        private void end(ClientSocket wire) {
             if (close == Close.RESET) {
                 wire.reset();
             } else {
--- a/src/testbed/java/loadbalancer/testbed/FaultSoak.java
+++ b/src/testbed/java/loadbalancer/testbed/FaultSoak.java
@@ -15,7 +15,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.BalancerMember;
 
 /**
  * Processes of the program under load and faults that overlap in time: processes are held, killed, told to
@@ -85,12 +85,12 @@
      */
     public FaultSoak(String classPath, long seed, int processes, int seconds) throws InterruptedException {
         plan = SoakPlan.of(seed, processes, TimeUnit.SECONDS.toMicros(seconds));
-        List<Script.Order> requests = new ArrayList<>();
+        List<ArrivalSchedule.Order> requests = new ArrayList<>();
         List<Scenario.Kind> kinds = plan.scenario().kinds();
         for (int client = 0; client < processes * CLIENTS; client++) {
             for (int i = 0; i < MOST_REQUESTS; i++) {
                 int kind = i % kinds.size();
-                requests.add(new Script.Order(
+                requests.add(new ArrivalSchedule.Order(
                         i,
                         SoakClient.id(client, i),
                         0,
@@ -107,7 +107,7 @@
     public Outcome play() throws IOException, InterruptedException {
         testbed.start(plan.processes());
         testbed.awaitReady();
-        for (Member member : testbed.members()) {
+        for (BalancerMember member : testbed.members()) {
             targets.add(new SoakTarget(member));
         }
         long begin = testbed.clock.now();
@@ -202,14 +202,14 @@
     }
 
     private void hold(SoakTarget target, long micros) throws IOException, InterruptedException {
-        Member member = target.beginHold();
+        BalancerMember member = target.beginHold();
         if (member == null) {
             return; // it is held, or down
         }
         try {
-            member.signal(Member.Signal.STOP);
+            member.signal(BalancerMember.Signal.STOP);
             Thread.sleep(TimeUnit.MICROSECONDS.toMillis(micros));
-            member.signal(Member.Signal.CONT);
+            member.signal(BalancerMember.Signal.CONT);
         } catch (IOException e) {
             if (target.isUp(member)) { // else it has ended meanwhile, as it was told
                 throw e;
@@ -220,12 +220,12 @@
     }
 
     private void reload(SoakTarget target, int place) throws IOException, InterruptedException {
-        Member member = target.upMember();
+        BalancerMember member = target.upMember();
         if (member != null) {
             member.rewrite(testbed.configuration(place, plan.processes())
                     .replace("aim = \"500000us\"", "aim = \"" + (500_000 + System.nanoTime() % 1_000) + "us\""));
             try {
-                member.signal(Member.Signal.HUP);
+                member.signal(BalancerMember.Signal.HUP);
             } catch (IOException e) {
                 if (target.isUp(member)) {
                     throw e;
@@ -235,19 +235,19 @@
     }
 
     private void replace(SoakTarget target, int place, boolean kill) throws IOException, InterruptedException {
-        Member member = target.beginEnd(kill);
+        BalancerMember member = target.beginEnd(kill);
         if (member == null) {
             return; // it is down already
         }
         restarts.incrementAndGet();
         try {
-            member.signal(kill ? Member.Signal.KILL : Member.Signal.TERM);
+            member.signal(kill ? BalancerMember.Signal.KILL : BalancerMember.Signal.TERM);
             int code = member.await();
             target.ended();
             if (!kill) {
                 checkEnd(place, member, code);
             }
-            Member next = testbed.restart(place);
+            BalancerMember next = testbed.restart(place);
             next.awaitReady();
             target.began(next);
         } finally {
@@ -255,7 +255,7 @@
         }
     }
 
-    private void checkEnd(int place, Member member, int code) throws InterruptedException {
+    private void checkEnd(int place, BalancerMember member, int code) throws InterruptedException {
         if (code != 0) {
             mishaps.add("process " + place + " ended with code " + code);
         } else if (!member.line("stopped: ").contains(" 0 unanswered")) {
@@ -266,11 +266,11 @@
     private void endAll() throws IOException, InterruptedException {
         faults.shutdown();
         faults.awaitTermination(1, TimeUnit.MINUTES);
-        for (Member member : testbed.members()) {
-            member.signal(Member.Signal.TERM);
+        for (BalancerMember member : testbed.members()) {
+            member.signal(BalancerMember.Signal.TERM);
         }
         for (int place = 0; place < testbed.members().size(); place++) {
-            Member member = testbed.members().get(place);
+            BalancerMember member = testbed.members().get(place);
             checkEnd(place, member, member.await());
         }
     }
--- a/src/testbed/java/loadbalancer/testbed/FleetRun.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetRun.java
@@ -21,10 +21,10 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.toml.Problems;
 import loadbalancer.proxy.Clock;
-import loadbalancer.testbed.fleet.Member;
-import loadbalancer.testbed.fleet.Shares;
-import loadbalancer.testbed.fleet.Spread;
-import loadbalancer.testbed.fleet.Trouble;
+import loadbalancer.testbed.fleet.BalancerMember;
+import loadbalancer.testbed.fleet.Fault;
+import loadbalancer.testbed.fleet.LoadShares;
+import loadbalancer.testbed.fleet.LoadSpread;
 
 /**
  * Many processes of the program before stand-in boxes and a discovery, with a load that is uneven by balancer
@@ -43,8 +43,8 @@
      * the most that a box held at any look, ten a second.
      */
     public record Result(
-            FleetPlan plan,
-            Spread spread,
+            FleetRunPlan plan,
+            LoadSpread spread,
             long asked,
             long served,
             long refused,
@@ -98,7 +98,7 @@
         }
     }
 
-    private final FleetPlan plan;
+    private final FleetRunPlan plan;
     private final Scenario scenario;
     private final String classPath;
     private final PrintStream out;
@@ -109,17 +109,17 @@
     private final EventLoop boxLoop = loops.next();
     private final EventLoop loadLoop = loops.next();
     private final ScheduledExecutorService hands = Executors.newScheduledThreadPool(8);
-    private final List<Script.Order> script;
-    private final Fleet boxes;
-    private final List<Member> members = new CopyOnWriteArrayList<>(); // by place: the present ones
-    private final List<Member> former = new CopyOnWriteArrayList<>();
+    private final List<ArrivalSchedule.Order> script;
+    private final StandInFleet boxes;
+    private final List<BalancerMember> members = new CopyOnWriteArrayList<>(); // by place: the present ones
+    private final List<BalancerMember> former = new CopyOnWriteArrayList<>();
     private final List<String> mishaps = new CopyOnWriteArrayList<>();
-    private Load load;
+    private LoadGenerator load;
     private long[] cpuBefore;
     private volatile boolean closed;
 
     /** {@code classPath}: what holds the program with its tools; {@code out}: how it goes. */
-    FleetRun(FleetPlan plan, String classPath, PrintStream out) {
+    FleetRun(FleetRunPlan plan, String classPath, PrintStream out) {
         this.plan = plan;
         Scenario of = plan.scenario();
         this.scenario = new Scenario(
@@ -135,8 +135,8 @@
         this.classPath = classPath;
         this.out = out;
         this.counts = new RequestCounts(scenario);
-        this.script = Script.of(scenario);
-        this.boxes = new Fleet(scenario, script, boxLoop, clock, ledger, Demo.GRACE + Demo.SLACK);
+        this.script = ArrivalSchedule.of(scenario);
+        this.boxes = new StandInFleet(scenario, script, boxLoop, clock, ledger, Demo.GRACE + Demo.SLACK);
     }
 
     /**
@@ -148,7 +148,7 @@
     public static FleetRun of(Path file, int processes, long seed, String classPath, PrintStream out)
             throws IOException {
         try {
-            FleetPlan plan = ScenarioReader.fleet(file);
+            FleetRunPlan plan = ScenarioReader.fleet(file);
             Scenario s = plan.scenario();
             Scenario seeded = new Scenario(
                     s.name(),
@@ -161,7 +161,7 @@
                     s.kinds(),
                     s.faults());
             return new FleetRun(
-                    new FleetPlan(
+                    new FleetRunPlan(
                             seeded,
                             processes > 0 ? processes : plan.processes(),
                             plan.wave(),
@@ -180,27 +180,27 @@
         boxes.open();
         startAll();
         Thread.sleep(plan.settle() / 1_000);
-        Shares shares = Shares.of(plan.processes(), plan.uneven(), scenario.seed());
+        LoadShares shares = LoadShares.of(plan.processes(), plan.uneven(), scenario.seed());
         SplittableRandom random = new SplittableRandom(scenario.seed() ^ 0xdea1);
         int[] dealt = script.stream()
                 .mapToInt(o -> shares.balancer(random.nextDouble()))
                 .toArray();
         List<InetSocketAddress> at = new ArrayList<>();
-        for (Member member : members) {
+        for (BalancerMember member : members) {
             at.add(member.address());
         }
-        load = new Load(scenario, script, loadLoop, clock, ledger, counts, at, order -> dealt[order]);
+        load = new LoadGenerator(scenario, script, loadLoop, clock, ledger, counts, at, order -> dealt[order]);
         long connections = onBoxes(boxes::connections);
-        cpuBefore = members.stream().mapToLong(Member::cpuMicros).toArray();
+        cpuBefore = members.stream().mapToLong(BalancerMember::cpuMicros).toArray();
         CountDownLatch over = new CountDownLatch(1);
         long begin = clock.now() + LEAD;
         boxes.script(begin);
         load.start(begin, over::countDown);
         troubles(begin);
         long queue = watch(over, begin);
-        List<Fleet.Standing> boxesNow = onBoxes(boxes::standings);
-        Spread spread =
-                Spread.of(boxesNow.stream().mapToLong(Fleet.Standing::served).toArray(), boxes.weights());
+        List<StandInFleet.Standing> boxesNow = onBoxes(boxes::standings);
+        LoadSpread spread = LoadSpread.of(
+                boxesNow.stream().mapToLong(StandInFleet.Standing::served).toArray(), boxes.weights());
         long cpu = 0;
         for (int i = 0; i < members.size(); i++) {
             cpu += Math.max(0, members.get(i).cpuMicros() - cpuBefore[i]);
@@ -209,7 +209,7 @@
         List<String> breaches = new ArrayList<>(mishaps);
         ledger.findings()
                 .forEach(f -> breaches.add(
-                        Report.words(f.breach()) + ": " + f.order() + ": " + String.join(", ", f.history())));
+                        RunReport.words(f.breach()) + ": " + f.order() + ": " + String.join(", ", f.history())));
         return new Result(
                 plan,
                 spread,
@@ -225,12 +225,12 @@
                 all.latency.getValueAtPercentile(90),
                 all.latency.getValueAtPercentile(99),
                 cpu,
-                boxesNow.stream().mapToLong(Fleet.Standing::falls).sum(),
+                boxesNow.stream().mapToLong(StandInFleet.Standing::falls).sum(),
                 breaches);
     }
 
-    private Member start(int place) throws IOException {
-        Member member = Member.start(
+    private BalancerMember start(int place) throws IOException {
+        BalancerMember member = BalancerMember.start(
                 classPath, BalancerToml.of(scenario, boxes.discoveryAt(), "n" + place, place, plan.processes()));
         if (closed) {
             member.close();
@@ -246,7 +246,7 @@
             while (members.size() < Math.min(plan.processes(), from + plan.wave())) {
                 members.add(start(members.size()));
             }
-            for (Member member : members.subList(from, members.size())) {
+            for (BalancerMember member : members.subList(from, members.size())) {
                 member.awaitReady();
             }
             out.printf(
@@ -277,9 +277,13 @@
     private long watch(CountDownLatch over, long begin) throws InterruptedException {
         long most = 0;
         for (int look = 1; !over.await(100, TimeUnit.MILLISECONDS); look++) {
-            List<Fleet.Standing> now = onBoxes(boxes::standings);
+            List<StandInFleet.Standing> now = onBoxes(boxes::standings);
             most = Math.max(
-                    most, now.stream().mapToLong(Fleet.Standing::inFlight).max().orElse(0));
+                    most,
+                    now.stream()
+                            .mapToLong(StandInFleet.Standing::inFlight)
+                            .max()
+                            .orElse(0));
             if (look % 10 == 0) {
                 RequestCounts.Recent recent = counts.recent();
                 RequestCounts.Line all = counts.all();
@@ -301,7 +305,7 @@
     // ---------------------------------------------------------------- troubles
 
     private void troubles(long begin) {
-        for (Trouble trouble : plan.troubles()) {
+        for (Fault trouble : plan.troubles()) {
             for (int place : trouble.struck(plan.processes(), scenario.seed())) {
                 hands.schedule(
                         () -> guarded(place, () -> befall(trouble, place)),
@@ -327,27 +331,27 @@
         }
     }
 
-    private void befall(Trouble trouble, int place) throws IOException, InterruptedException {
-        Member member = members.get(place);
+    private void befall(Fault trouble, int place) throws IOException, InterruptedException {
+        BalancerMember member = members.get(place);
         switch (trouble.what()) {
             case STALL -> {
                 load.broken(place, true);
-                member.signal(Member.Signal.STOP);
+                member.signal(BalancerMember.Signal.STOP);
                 after(trouble.lasting(), place, () -> {
-                    member.signal(Member.Signal.CONT);
+                    member.signal(BalancerMember.Signal.CONT);
                     load.broken(place, false);
                 });
             }
             case KILL -> {
                 load.broken(place, true);
                 load.moved(place, null);
-                member.signal(Member.Signal.KILL);
+                member.signal(BalancerMember.Signal.KILL);
                 member.await();
                 after(trouble.lasting(), place, () -> again(place, member));
             }
             case STOP -> {
                 load.moved(place, null);
-                member.signal(Member.Signal.TERM);
+                member.signal(BalancerMember.Signal.TERM);
                 int code = member.await();
                 if (code != 0 || !member.line("stopped: ").contains(" 0 unanswered")) {
                     mishaps.add("n" + place + " ended with code " + code);
@@ -362,9 +366,9 @@
         hands.schedule(() -> guarded(place, deed), micros, TimeUnit.MICROSECONDS);
     }
 
-    private void again(int place, Member before) throws IOException, InterruptedException {
+    private void again(int place, BalancerMember before) throws IOException, InterruptedException {
         former.add(before);
-        Member next = start(place);
+        BalancerMember next = start(place);
         members.set(place, next);
         cpuBefore[place] = Long.MAX_VALUE; // a start is not counted as work on requests
         next.awaitReady();
@@ -376,8 +380,8 @@
     public void close() {
         closed = true;
         hands.shutdownNow();
-        members.forEach(Member::close);
-        former.forEach(Member::close);
+        members.forEach(BalancerMember::close);
+        former.forEach(BalancerMember::close);
         if (load != null) {
             load.close();
         }
--- a/src/testbed/java/loadbalancer/testbed/FleetPlan.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetRunPlan.java
@@ -1,7 +1,7 @@
 package loadbalancer.testbed;
 
 import java.util.List;
-import loadbalancer.testbed.fleet.Trouble;
+import loadbalancer.testbed.fleet.Fault;
 
 /**
  * A run of many balancers before the boxes of a scenario, whose rate is that of the whole fleet. No I/O.
@@ -10,4 +10,4 @@
  * @param uneven of the logarithm of what a balancer gets
  * @param settle µs between the last one's readiness and the load
  */
-record FleetPlan(Scenario scenario, int processes, int wave, double uneven, long settle, List<Trouble> troubles) {}
+record FleetRunPlan(Scenario scenario, int processes, int wave, double uneven, long settle, List<Fault> troubles) {}
--- a/src/testbed/java/loadbalancer/testbed/Http3Clients.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Clients.java
@@ -26,9 +26,9 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.ErrorCodes;
-import loadbalancer.http3.codec.Codes;
-import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.http3.Http3ErrorCodes;
+import loadbalancer.http3.codec.CodecErrors;
+import loadbalancer.http3.codec.FinalFrame;
 import loadbalancer.testbed.Ledger.Final;
 
 /** Clients over HTTP/3: some connections, each with as many streams as it is asked for. On an event loop. */
@@ -137,7 +137,7 @@
         loop.execute(() -> {
             for (Connection c : connections) {
                 if (c != null && c.channel != null) {
-                    Codes.end(c.channel, ErrorCodes.NO_ERROR);
+                    CodecErrors.end(c.channel, Http3ErrorCodes.NO_ERROR);
                 }
             }
         });
@@ -154,8 +154,8 @@
                         @Override
                         protected void initChannel(QuicChannel quic) {
                             quic.pipeline()
-                                    .addLast(
-                                            new Http3ClientConnectionHandler(null, null, null, Codes.settings(), true));
+                                    .addLast(new Http3ClientConnectionHandler(
+                                            null, null, null, CodecErrors.settings(), true));
                             quic.closeFuture().addListener(closed -> over = true);
                         }
                     })
@@ -205,7 +205,7 @@
 
         void write(QuicStreamChannel stream) {
             asking.asked();
-            LastFrame last = new LastFrame();
+            FinalFrame last = new FinalFrame();
             stream.pipeline().addFirst(last);
             last.last();
             stream.write(new DefaultHttp3HeadersFrame(asking.head()));
@@ -249,7 +249,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             // Rejected is a promise that nobody has looked at it (RFC 9114, section 4.1.1).
-            end(Codes.code(cause) == ErrorCodes.REQUEST_REJECTED ? Final.NOT_TAKEN : Final.NONE, null);
+            end(CodecErrors.code(cause) == Http3ErrorCodes.REQUEST_REJECTED ? Final.NOT_TAKEN : Final.NONE, null);
         }
 
         @Override
--- a/src/testbed/java/loadbalancer/testbed/Http3Run.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Run.java
@@ -4,7 +4,7 @@
 import io.netty.pkitesting.CertificateBuilder;
 import io.netty.pkitesting.X509Bundle;
 import java.net.InetSocketAddress;
-import loadbalancer.http3.Identity;
+import loadbalancer.http3.TlsIdentity;
 
 /**
  * HTTP/3 in a run: the certificate of balancer and boxes, made for it, and the path between clients and
@@ -38,8 +38,8 @@
         }
     }
 
-    Identity identity() {
-        return Identity.parse(bundle.getCertificatePathPEM(), bundle.getPrivateKeyPEM());
+    TlsIdentity identity() {
+        return TlsIdentity.parse(bundle.getCertificatePathPEM(), bundle.getPrivateKeyPEM());
     }
 
     /** The certificate and its key. */
--- a/src/testbed/java/loadbalancer/testbed/Http3Side.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Testbed.java
@@ -30,13 +30,13 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import loadbalancer.http3.Identity;
-import loadbalancer.http3.codec.Codes;
-import loadbalancer.http3.codec.LastFrame;
+import loadbalancer.http3.TlsIdentity;
+import loadbalancer.http3.codec.CodecErrors;
+import loadbalancer.http3.codec.FinalFrame;
 import loadbalancer.proxy.Clock;
 
-/** The HTTP/3 side of a {@link StandInServer}: each request is a {@link Line}. On its event loop. */
-final class Http3Side {
+/** The HTTP/3 side of a {@link StandInServer}: each request is a {@link ServerExchange}. On its event loop. */
+final class Http3Testbed {
     private static final int STREAMS = 200;
     private static final int INTERNAL_ERROR = 0x102;
 
@@ -48,7 +48,7 @@
     private Channel socket;
     private InetSocketAddress address;
 
-    Http3Side(EventLoop loop, Clock clock, Identity identity, StandInServer taker) {
+    Http3Testbed(EventLoop loop, Clock clock, TlsIdentity identity, StandInServer taker) {
         this.loop = loop;
         this.clock = clock;
         this.taker = taker;
@@ -92,7 +92,7 @@
                                                 },
                                                 null,
                                                 null,
-                                                Codes.settings(),
+                                                CodecErrors.settings(),
                                                 true));
                             }
                         })
@@ -115,9 +115,9 @@
         connections.clear();
     }
 
-    private final class Stream extends Http3RequestStreamInboundHandler implements Line {
+    private final class Stream extends Http3RequestStreamInboundHandler implements ServerExchange {
         private final QuicStreamChannel stream;
-        private final LastFrame last = new LastFrame();
+        private final FinalFrame last = new FinalFrame();
         private Http3Headers head;
         private long begunAt;
 
@@ -168,7 +168,7 @@
 
         @Override
         public void reset() {
-            Codes.reset(stream, INTERNAL_ERROR);
+            CodecErrors.reset(stream, INTERNAL_ERROR);
         }
 
         @Override
--- a/src/testbed/java/loadbalancer/testbed/Cell.java
+++ b/src/testbed/java/loadbalancer/testbed/IdempotencyKeys.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What boxes of one cell remember together: the keys whose effect has happened, each for its window. */
-final class Cell {
+final class IdempotencyKeys {
     private final Map<String, Long> until = new HashMap<>();
     private long swept;
 
--- a/src/testbed/java/loadbalancer/testbed/Ledger.java
+++ b/src/testbed/java/loadbalancer/testbed/Ledger.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * The one book of all orders: when each was asked, where its work began, and which final answers came. Every
--- a/src/testbed/java/loadbalancer/testbed/Load.java
+++ b/src/testbed/java/loadbalancer/testbed/LoadGenerator.java
@@ -28,7 +28,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Clock;
 import loadbalancer.testbed.Ledger.Final;
 
@@ -38,7 +38,7 @@
  * several
  * addresses they are taken in turn. On one event loop.
  */
-final class Load {
+final class LoadGenerator {
     /**
      * µs beyond an order's deadline after which its client has waited in vain: more than a noisy machine's.
      */
@@ -47,7 +47,7 @@
     private static final int BODY = 200;
 
     private final Scenario scenario;
-    private final List<Script.Order> script;
+    private final List<ArrivalSchedule.Order> script;
     private final EventLoop loop;
     private final Clock clock;
     private final Ledger ledger;
@@ -65,9 +65,9 @@
     private Runnable then;
     private Http3Clients http3; // null where all clients speak HTTP/1.1
 
-    Load(
+    LoadGenerator(
             Scenario scenario,
-            List<Script.Order> script,
+            List<ArrivalSchedule.Order> script,
             EventLoop loop,
             Clock clock,
             Ledger ledger,
@@ -76,9 +76,9 @@
         this(scenario, script, loop, clock, ledger, counts, to, order -> order % to.size());
     }
 
-    Load(
+    LoadGenerator(
             Scenario scenario,
-            List<Script.Order> script,
+            List<ArrivalSchedule.Order> script,
             EventLoop loop,
             Clock clock,
             Ledger ledger,
@@ -212,14 +212,14 @@
     }
 
     private final class Asking implements Http3Clients.Asking {
-        final Script.Order order;
+        final ArrivalSchedule.Order order;
         final Scenario.Kind kind;
         boolean again;
         boolean over;
         int target;
         Future<?> patience;
 
-        Asking(Script.Order order) {
+        Asking(ArrivalSchedule.Order order) {
             this.order = order;
             this.kind = scenario.kinds().get(order.kind());
         }
@@ -313,7 +313,7 @@
             }
             counts.ended(order.kind(), order.work(), told, latency);
             open--;
-            Load.this.ended();
+            LoadGenerator.this.ended();
         }
     }
 
--- a/src/testbed/java/loadbalancer/testbed/HeldProcesses.java
+++ b/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import loadbalancer.Policy;
-import loadbalancer.testbed.fleet.Member;
-import loadbalancer.testbed.fleet.Wire;
+import loadbalancer.policy.Policy;
+import loadbalancer.testbed.fleet.BalancerMember;
+import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
  * Several processes of the program that stand still (SIGSTOP) for a while with requests in their sockets, at
@@ -26,7 +26,7 @@
  * owed its one answer when they go on. One ledger over all. For one thread; {@link #close} from any, and it
  * ends every process that was started.
  */
-public final class HeldProcesses implements AutoCloseable {
+public final class PausedProcesses implements AutoCloseable {
     /** Where in its life a process stands still. */
     public enum When {
         /** It listens, and rehearses. */
@@ -80,7 +80,7 @@
         }
     }
 
-    private record Owed(String id, String what, Wire wire) {}
+    private record Owed(String id, String what, ClientSocket wire) {}
 
     private static final long[] STALLS = {150, 700, 1_500}; // ms, in turn
     private static final long DRAINED = 1_300; // ms from the news: the grace with its slack, and more
@@ -101,7 +101,7 @@
     private final AtomicInteger late = new AtomicInteger();
 
     /** {@code classPath}: what holds the program with its tools. */
-    public HeldProcesses(String classPath, Size size) throws InterruptedException {
+    public PausedProcesses(String classPath, Size size) throws InterruptedException {
         this.size = size;
         Scenario.Kind kind =
                 new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, QUICK, 30_000_000, 60_000_000, 1, 1, 0);
@@ -115,10 +115,10 @@
                 List.of(new Scenario.Boxes("box", BOXES, 512, 1, 10_000, "a", "m", 1)),
                 List.of(kind),
                 List.of());
-        List<Script.Order> script = new ArrayList<>();
+        List<ArrivalSchedule.Order> script = new ArrayList<>();
         for (int i = 0; i < size.processes() * (size.kept() + size.fresh()); i++) {
-            script.add(new Script.Order(i, "q" + i, 0, 0, "k", QUICK));
-            script.add(new Script.Order(i, "o" + i, 0, 0, "k", LONG));
+            script.add(new ArrivalSchedule.Order(i, "q" + i, 0, 0, "k", QUICK));
+            script.add(new ArrivalSchedule.Order(i, "o" + i, 0, 0, "k", LONG));
         }
         testbed = new Testbed(classPath, scenario, script);
         ledger = testbed.ledger;
@@ -165,7 +165,7 @@
 
     // What each has to say or do besides answers.
     private void after(When when, Map<String, Integer> wrong) throws InterruptedException {
-        for (Member member : testbed.members()) {
+        for (BalancerMember member : testbed.members()) {
             if (when == When.SIGHUP) {
                 member.line("configuration taken over");
             } else if (when == When.SIGTERM || when == When.STOPPING) {
@@ -193,7 +193,7 @@
     // What came in place of answers, and how often.
     private void answers(List<Owed> all, Map<String, Integer> wrong) {
         for (Owed owed : all) {
-            Wire.Answer answer = owed.wire().answer();
+            ClientSocket.Answer answer = owed.wire().answer();
             boolean served = answer.status() == 200 && answer.text().equals(owed.id());
             ledger.answered(
                     owed.id(),
@@ -213,7 +213,7 @@
         }
     }
 
-    private static void send(Wire wire, String text) throws IOException {
+    private static void send(ClientSocket wire, String text) throws IOException {
         if (!wire.send(text)) {
             throw new IOException("its machine does not take what is sent");
         }
@@ -224,8 +224,8 @@
         private final When when;
         private final int number;
         private final CyclicBarrier drain;
-        private final Member member;
-        private final List<Wire> kept = new ArrayList<>();
+        private final BalancerMember member;
+        private final List<ClientSocket> kept = new ArrayList<>();
         private final List<Owed> all = new ArrayList<>();
         private long stoodAt;
 
@@ -252,9 +252,9 @@
                 case SIGHUP -> {
                     member.rewrite(testbed.configuration(number, size.processes())
                             .replace("aim = \"30000000us\"", "aim = \"20000000us\""));
-                    member.signal(Member.Signal.HUP);
+                    member.signal(BalancerMember.Signal.HUP);
                 }
-                case SIGTERM -> member.signal(Member.Signal.TERM);
+                case SIGTERM -> member.signal(BalancerMember.Signal.TERM);
                 case DRAIN -> {
                     drain.await(); // all stand, and requests came before the news
                     since = System.nanoTime();
@@ -263,7 +263,7 @@
                 default -> {}
             }
             Thread.sleep(Math.max(0, stands - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since)));
-            member.signal(Member.Signal.CONT);
+            member.signal(BalancerMember.Signal.CONT);
             return timely ? all : List.of();
         }
 
@@ -288,13 +288,13 @@
             if (when == When.RESTS) {
                 Thread.sleep(NEARLY_RESTED);
             } else if (when == When.EVACUATION) {
-                Wire door = testbed.connect(member.management());
+                ClientSocket door = testbed.connect(member.management());
                 send(door, "POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
                 if (door.answer().status() != 200) {
                     throw new IOException("no evacuation");
                 }
             } else if (when == When.STOPPING) {
-                member.signal(Member.Signal.TERM);
+                member.signal(BalancerMember.Signal.TERM);
                 Thread.sleep(BEFORE[number % BEFORE.length]);
             }
         }
@@ -311,7 +311,7 @@
                 split.add(new Owed(id, "split over the stall", kept.get(i)));
                 all.add(late(kept.get(i + 1), "sent right before it"));
             }
-            member.signal(Member.Signal.STOP);
+            member.signal(BalancerMember.Signal.STOP);
             stoodAt = System.nanoTime();
             for (int i = 0; i < split.size(); i++) {
                 send(split.get(i).wire(), rests.get(i));
@@ -332,11 +332,11 @@
             };
         }
 
-        private Owed late(Wire wire, String what) throws IOException {
+        private Owed late(ClientSocket wire, String what) throws IOException {
             return ask("o" + late.getAndIncrement(), wire, what);
         }
 
-        private Owed ask(String id, Wire wire, String what) throws IOException {
+        private Owed ask(String id, ClientSocket wire, String what) throws IOException {
             send(wire, String.join("", order(id)));
             return new Owed(id, what, wire);
         }
--- a/src/testbed/java/loadbalancer/testbed/Report.java
+++ b/src/testbed/java/loadbalancer/testbed/RunReport.java
@@ -5,19 +5,19 @@
 import java.util.Locale;
 
 /** The tally at the end of a run, and whether the rules were kept. Does no I/O. */
-final class Report {
+final class RunReport {
     private static final int SHOWN = 5; // findings of one sort whose history is told
 
-    private Report() {}
+    private RunReport() {}
 
     /** Whether nothing went against the rules, and every order was taken: all of them are well formed. */
-    static boolean isClean(RequestCounts counts, Ledger ledger, List<Fleet.Standing> boxes) {
+    static boolean isClean(RequestCounts counts, Ledger ledger, List<StandInFleet.Standing> boxes) {
         return ledger.findings().isEmpty()
                 && counts.all().notTaken == 0
                 && boxes.stream().allMatch(b -> b.falls() == 0);
     }
 
-    static List<String> lines(RequestCounts counts, Ledger ledger, List<Fleet.Standing> boxes) {
+    static List<String> lines(RequestCounts counts, Ledger ledger, List<StandInFleet.Standing> boxes) {
         List<String> out = new ArrayList<>();
         out.add(String.format(
                 Locale.ROOT,
@@ -53,7 +53,7 @@
         out.add("");
         out.add("runs begun by boxes: " + runs[0] + ", repeats dropped: " + runs[1]
                 + ", turned away by boxes: "
-                + boxes.stream().mapToLong(Fleet.Standing::declined).sum() + ", not taken: "
+                + boxes.stream().mapToLong(StandInFleet.Standing::declined).sum() + ", not taken: "
                 + counts.all().notTaken);
         StringBuilder verdict = new StringBuilder();
         for (Ledger.Breach breach : Ledger.Breach.values()) {
@@ -63,7 +63,7 @@
                     .append(ledger.count(breach));
         }
         verdict.append(", cold boxes pushed over: ")
-                .append(boxes.stream().mapToLong(Fleet.Standing::falls).sum());
+                .append(boxes.stream().mapToLong(StandInFleet.Standing::falls).sum());
         out.add(verdict.toString());
         for (Ledger.Breach breach : Ledger.Breach.values()) {
             ledger.findings().stream()
--- a/src/testbed/java/loadbalancer/testbed/Scenario.java
+++ b/src/testbed/java/loadbalancer/testbed/Scenario.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * A run to be played: boxes, classes of requests, load and a script of faults. Times are in µs; those of
--- a/src/testbed/java/loadbalancer/testbed/ScenarioReader.java
+++ b/src/testbed/java/loadbalancer/testbed/ScenarioReader.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import loadbalancer.Policy;
 import loadbalancer.config.toml.Problems;
 import loadbalancer.config.toml.Table;
+import loadbalancer.policy.Policy;
 import loadbalancer.testbed.Scenario.What;
-import loadbalancer.testbed.fleet.Trouble;
+import loadbalancer.testbed.fleet.Fault;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
@@ -39,19 +39,19 @@
     }
 
     /** A fleet's plan: a scenario with [fleet] and [[trouble]] besides. */
-    static FleetPlan fleet(Path file) throws IOException, Problems.Bad {
+    static FleetRunPlan fleet(Path file) throws IOException, Problems.Bad {
         return fleet(Toml.parse(file), new Problems(file.toString()));
     }
 
-    static FleetPlan fleet(String name, String text) throws Problems.Bad {
+    static FleetRunPlan fleet(String name, String text) throws Problems.Bad {
         return fleet(Toml.parse(text), new Problems(name));
     }
 
-    private static FleetPlan fleet(TomlParseResult toml, Problems problems) throws Problems.Bad {
+    private static FleetRunPlan fleet(TomlParseResult toml, Problems problems) throws Problems.Bad {
         Table top = Table.of(toml, problems);
         problems.check();
-        FleetPlan plan = top.table("fleet")
-                .map(t -> new FleetPlan(
+        FleetRunPlan plan = top.table("fleet")
+                .map(t -> new FleetRunPlan(
                         null,
                         (int) t.number("processes", null, 1, PROCESSES_MOST),
                         (int) t.number("wave", 12, 1, PROCESSES_MOST),
@@ -59,15 +59,15 @@
                         t.time("settle", "2s"),
                         List.of()))
                 .get(0);
-        List<Trouble> troubles = top.optional("trouble")
-                .map(t -> new Trouble(
+        List<Fault> troubles = top.optional("trouble")
+                .map(t -> new Fault(
                         t.time("at", null),
-                        t.word("what", Trouble.What.class),
+                        t.word("what", Fault.What.class),
                         t.number("share", 0.1, 0.0001, 1),
                         t.time("lasting", "2s")));
         Scenario scenario = scenario(top);
         problems.check();
-        return new FleetPlan(scenario, plan.processes(), plan.wave(), plan.uneven(), plan.settle(), troubles);
+        return new FleetRunPlan(scenario, plan.processes(), plan.wave(), plan.uneven(), plan.settle(), troubles);
     }
 
     private static Scenario scenario(Table top) {
--- a/src/testbed/java/loadbalancer/testbed/SoakClient.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakClient.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.Policy;
-import loadbalancer.testbed.fleet.Wire;
+import loadbalancer.policy.Policy;
+import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
  * One client of a soak: sends requests to one place over kept and new connections, and leaves some of them at
@@ -33,7 +33,7 @@
     private final List<String> mishaps;
     private final SplittableRandom random;
     private int place;
-    private Wire kept;
+    private ClientSocket kept;
     private int next;
 
     SoakClient(SoakPlan plan, int number, int most, Testbed testbed, List<SoakTarget> targets, List<String> mishaps) {
@@ -82,7 +82,7 @@
         long sentAt = System.nanoTime();
         long held = targets.get(place).heldMicros();
         boolean sent = kept.send(whole(id, kind));
-        Wire.Answer answer = sent ? kept.answer() : new Wire.Answer(0, "not taken", false);
+        ClientSocket.Answer answer = sent ? kept.answer() : new ClientSocket.Answer(0, "not taken", false);
         if (answer.status() == 0 && again && !targets.get(place).killedSince(sentAt)) {
             // Its end crossed the request: the client asks once more, elsewhere, on a new connection.
             testbed.ledger.note(id, "sent again: " + answer.text(), testbed.clock.now());
@@ -93,12 +93,12 @@
                 return;
             }
             sent = kept.send(whole(id, kind));
-            answer = sent ? kept.answer() : new Wire.Answer(0, "not taken", false);
+            answer = sent ? kept.answer() : new ClientSocket.Answer(0, "not taken", false);
         }
         note(id, kind, answer, sentAt, targets.get(place).heldMicros() - held);
     }
 
-    private void note(String id, Scenario.Kind kind, Wire.Answer answer, long sentAt, long held) {
+    private void note(String id, Scenario.Kind kind, ClientSocket.Answer answer, long sentAt, long held) {
         boolean killed = targets.get(place).killedSince(sentAt);
         long took = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentAt);
         Ledger.Final last = switch (answer.status()) {
@@ -148,7 +148,7 @@
     }
 
     // Where its own place takes nobody at present it goes to the next one that does.
-    private Wire connect() throws InterruptedException {
+    private ClientSocket connect() throws InterruptedException {
         for (int i = 0; i < targets.size(); i++) {
             place = (number + i) % targets.size();
             InetSocketAddress to = targets.get(place).address(NEW_CONNECTIONS);
--- a/src/testbed/java/loadbalancer/testbed/SoakPlan.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakPlan.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import loadbalancer.Policy;
+import loadbalancer.policy.Policy;
 
 /**
  * What a fault soak plays, drawn from its seed alone: the scenario with the faults of servers and discovery,
--- a/src/testbed/java/loadbalancer/testbed/SoakTarget.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakTarget.java
@@ -1,7 +1,7 @@
 package loadbalancer.testbed;
 
 import java.net.InetSocketAddress;
-import loadbalancer.testbed.fleet.Member;
+import loadbalancer.testbed.fleet.BalancerMember;
 
 /** One place among the processes of a soak: who stands there, and what befalls it. For any thread. */
 final class SoakTarget {
@@ -11,7 +11,7 @@
         DOWN
     }
 
-    private Member member;
+    private BalancerMember member;
     private State state = State.UP;
     private long endingAt; // System.nanoTime
     private boolean held;
@@ -19,7 +19,7 @@
     private boolean killing;
     private long killedAt = Long.MIN_VALUE; // System.nanoTime, when the last one had died
 
-    SoakTarget(Member member) {
+    SoakTarget(BalancerMember member) {
         this.member = member;
     }
 
@@ -39,17 +39,17 @@
         return heldMicros;
     }
 
-    synchronized boolean isUp(Member which) {
+    synchronized boolean isUp(BalancerMember which) {
         return state == State.UP && member == which;
     }
 
     /** The present process where it is up; else null. */
-    synchronized Member upMember() {
+    synchronized BalancerMember upMember() {
         return state == State.UP ? member : null;
     }
 
     /** It is about to be held; null where it is, or nobody stands here. One that is ending may be held. */
-    synchronized Member beginHold() {
+    synchronized BalancerMember beginHold() {
         if (held || state == State.DOWN) {
             return null;
         }
@@ -63,7 +63,7 @@
     }
 
     /** It is about to be killed or told to end; null where it is already. */
-    synchronized Member beginEnd(boolean kill) {
+    synchronized BalancerMember beginEnd(boolean kill) {
         if (state != State.UP) {
             return null;
         }
@@ -79,7 +79,7 @@
         state = State.DOWN;
     }
 
-    synchronized void began(Member next) {
+    synchronized void began(BalancerMember next) {
         member = next;
         state = State.UP;
         held = false;
--- a/src/testbed/java/loadbalancer/testbed/Fleet.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInFleet.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import loadbalancer.http3.Identity;
+import loadbalancer.http3.TlsIdentity;
 import loadbalancer.proxy.Clock;
 
 /** All stand-in boxes of a scenario with their discovery, and the script of faults that befalls them. */
-final class Fleet {
+final class StandInFleet {
     private final Scenario scenario;
     private final EventLoop loop;
     private final Clock clock;
@@ -20,12 +20,18 @@
     private final StandInDiscovery discovery;
     private InetSocketAddress discoveryAt;
 
-    Fleet(Scenario scenario, List<Script.Order> script, EventLoop loop, Clock clock, Ledger ledger, long grace) {
+    StandInFleet(
+            Scenario scenario,
+            List<ArrivalSchedule.Order> script,
+            EventLoop loop,
+            Clock clock,
+            Ledger ledger,
+            long grace) {
         this.scenario = scenario;
         this.loop = loop;
         this.clock = clock;
         Map<String, StandInServer.Known> known = new HashMap<>();
-        for (Script.Order order : script) {
+        for (ArrivalSchedule.Order order : script) {
             Scenario.Kind kind = scenario.kinds().get(order.kind());
             known.put(order.id(), new StandInServer.Known(kind.effect(), order.work(), kind.window()));
         }
@@ -34,10 +40,10 @@
         lag.start();
         int cells = 0;
         for (Scenario.Boxes kind : scenario.boxes()) {
-            Cell cell = null;
+            IdempotencyKeys cell = null;
             for (int i = 0; i < kind.count(); i++) {
                 if (i % kind.cellSize() == 0) {
-                    cell = new Cell();
+                    cell = new IdempotencyKeys();
                     cells++;
                 }
                 boxes.add(new StandInServer(
@@ -58,7 +64,7 @@
     }
 
     /** Every second box speaks HTTP/3 as well, with this certificate; before they are opened. */
-    void speakHttp3(Identity identity) {
+    void speakHttp3(TlsIdentity identity) {
         for (int i = 0; i < boxes.size(); i += 2) {
             boxes.get(i).speakHttp3(identity);
         }
--- a/src/testbed/java/loadbalancer/testbed/StandInServer.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInServer.java
@@ -31,8 +31,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import loadbalancer.Policy;
-import loadbalancer.http3.Identity;
+import loadbalancer.http3.TlsIdentity;
+import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Clock;
 
 /** An order box on a socket: HTTP/1.1 round a {@link ServerModel}, and what befalls it. On one event loop. */
@@ -49,14 +49,14 @@
     private final LoopLag lag;
     private final Clock clock;
     private final Ledger ledger;
-    private final Cell cell;
+    private final IdempotencyKeys cell;
     private final int cellNumber;
     private final Function<String, Known> orders;
     private final SplittableRandom chance;
     private final ServerModel model;
     private final Set<Connection> connections = new HashSet<>();
-    private final Map<Line, ServerModel.Job> jobs = new HashMap<>();
-    private Http3Side http3; // null where it speaks HTTP/1.1 only
+    private final Map<ServerExchange, ServerModel.Job> jobs = new HashMap<>();
+    private Http3Testbed http3; // null where it speaks HTTP/1.1 only
     private Channel listener;
     private InetSocketAddress address;
     private Future<?> timer;
@@ -80,7 +80,7 @@
             LoopLag lag,
             Clock clock,
             Ledger ledger,
-            Cell cell,
+            IdempotencyKeys cell,
             int cellNumber,
             Function<String, Known> orders,
             SplittableRandom chance) {
@@ -107,8 +107,8 @@
     }
 
     /** Speaks HTTP/3 as well, with this certificate; before it is opened. */
-    void speakHttp3(Identity identity) {
-        http3 = new Http3Side(loop, clock, identity, this);
+    void speakHttp3(TlsIdentity identity) {
+        http3 = new Http3Testbed(loop, clock, identity, this);
     }
 
     /** Where it speaks HTTP/3; null where it doesn't. */
@@ -313,10 +313,10 @@
         loop.schedule(() -> restart(() -> {}), cold.down(), TimeUnit.MICROSECONDS);
     }
 
-    private record Asked(Line line, String key) {}
+    private record Asked(ServerExchange line, String key) {}
 
     /** A whole request, by whatever protocol; {@code begunAt}: when its first bytes came. */
-    void take(Line line, String id, String uri, String key, long begunAt) {
+    void take(ServerExchange line, String id, String uri, String key, long begunAt) {
         if (uri.startsWith("/-/")) {
             line.answer(200, "ok", false);
             return;
@@ -352,7 +352,7 @@
     }
 
     /** Who asked has left: what has not begun is dropped. */
-    void gone(Line line) {
+    void gone(ServerExchange line) {
         ServerModel.Job job = jobs.remove(line);
         if (job != null) {
             model.forget(job);
@@ -364,7 +364,7 @@
         return model.inFlight();
     }
 
-    private final class Connection extends ChannelInboundHandlerAdapter implements Line {
+    private final class Connection extends ChannelInboundHandlerAdapter implements ServerExchange {
         private final Channel channel;
         private long begunAt;
 
--- a/src/testbed/java/loadbalancer/testbed/Testbed.java
+++ b/src/testbed/java/loadbalancer/testbed/Testbed.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import loadbalancer.proxy.Clock;
-import loadbalancer.testbed.fleet.Member;
-import loadbalancer.testbed.fleet.Wire;
+import loadbalancer.testbed.fleet.BalancerMember;
+import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
  * Several processes of the program before stand-in servers and a discovery, with one ledger over all of them.
@@ -27,14 +27,14 @@
 
     final Clock clock = Clock.system();
     final Ledger ledger = new Ledger();
-    final Fleet servers;
+    final StandInFleet servers;
     private final String classPath;
     private final Scenario scenario;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final List<Member> members = new CopyOnWriteArrayList<>();
-    private final List<Member> former = new CopyOnWriteArrayList<>();
-    private final List<Wire> wires = new CopyOnWriteArrayList<>();
+    private final List<BalancerMember> members = new CopyOnWriteArrayList<>();
+    private final List<BalancerMember> former = new CopyOnWriteArrayList<>();
+    private final List<ClientSocket> wires = new CopyOnWriteArrayList<>();
 
     /**
      * Opens the servers and the discovery; no process yet.
@@ -42,10 +42,10 @@
      * @param classPath what holds the program with its tools
      * @param requests all requests that will be sent, as the servers have to know their work
      */
-    Testbed(String classPath, Scenario scenario, List<Script.Order> requests) throws InterruptedException {
+    Testbed(String classPath, Scenario scenario, List<ArrivalSchedule.Order> requests) throws InterruptedException {
         this.classPath = classPath;
         this.scenario = scenario;
-        this.servers = new Fleet(scenario, requests, loop, clock, ledger, Demo.GRACE + Demo.SLACK);
+        this.servers = new StandInFleet(scenario, requests, loop, clock, ledger, Demo.GRACE + Demo.SLACK);
         servers.open();
     }
 
@@ -62,21 +62,21 @@
     /** Starts so many processes, each with its own configuration; they may not listen yet. */
     void start(int processes) throws IOException {
         for (int place = 0; place < processes; place++) {
-            members.add(Member.start(classPath, configuration(place, processes)));
+            members.add(BalancerMember.start(classPath, configuration(place, processes)));
         }
     }
 
     /** Starts another process in the place of one that has ended. */
-    Member restart(int place) throws IOException {
+    BalancerMember restart(int place) throws IOException {
         former.add(members.get(place));
-        Member next = Member.start(classPath, configuration(place, members.size()));
+        BalancerMember next = BalancerMember.start(classPath, configuration(place, members.size()));
         members.set(place, next);
         return next;
     }
 
     /** Waits until all are ready and watch the discovery. */
     void awaitReady() throws IOException, InterruptedException {
-        for (Member member : members) {
+        for (BalancerMember member : members) {
             member.awaitReady();
         }
         long until = System.nanoTime() + WATCHING_NANOS;
@@ -89,7 +89,7 @@
     }
 
     /** The present processes, by place. */
-    List<Member> members() {
+    List<BalancerMember> members() {
         return members;
     }
 
@@ -109,8 +109,8 @@
     }
 
     /** A new connection of a client. */
-    Wire connect(InetSocketAddress to) throws IOException {
-        Wire wire = new Wire();
+    ClientSocket connect(InetSocketAddress to) throws IOException {
+        ClientSocket wire = new ClientSocket();
         wires.add(wire);
         if (!wire.open(to)) {
             throw new IOException("its machine does not accept");
@@ -119,7 +119,7 @@
     }
 
     /** Forgets a connection that its owner has closed. */
-    void closed(Wire wire) {
+    void closed(ClientSocket wire) {
         wires.remove(wire);
     }
 
@@ -134,9 +134,9 @@
 
     @Override
     public void close() {
-        members.forEach(Member::close);
-        former.forEach(Member::close);
-        wires.forEach(Wire::close);
+        members.forEach(BalancerMember::close);
+        former.forEach(BalancerMember::close);
+        wires.forEach(ClientSocket::close);
         try {
             loop.submit(servers::close).get(CLOSE_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
--- a/src/testbed/java/loadbalancer/testbed/Balancer.java
+++ b/src/testbed/java/loadbalancer/testbed/TestedBalancer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A balancer that a run is played against: the real one, or a test's twin with a fault of its own. */
-interface Balancer extends AutoCloseable {
+interface TestedBalancer extends AutoCloseable {
     InetSocketAddress address();
 
     /** Where it takes HTTP/3; null where it doesn't. */
--- a/src/testbed/java/loadbalancer/testbed/fleet/Member.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/BalancerMember.java
@@ -21,7 +21,7 @@
  * go on again, always by its id. Ends with {@link #close}, stalled or not. May be used from any thread; waits
  * throw IllegalStateException with the process's last lines where it says or does nothing for too long.
  */
-public final class Member implements AutoCloseable {
+public final class BalancerMember implements AutoCloseable {
     private static final long PATIENCE_S = 90; // for a process on a busy machine
     private static final Clock CLOCK = Clock.system();
     private static final int LAST = 8; // lines that a complaint quotes
@@ -31,7 +31,7 @@
     private final List<String> lines = new ArrayList<>();
     private final List<Long> times = new ArrayList<>(); // when each was read
 
-    private Member(Process process, Path file) {
+    private BalancerMember(Process process, Path file) {
         this.process = process;
         this.file = file;
         Thread reader = new Thread(this::read, "member-log");
@@ -45,7 +45,7 @@
      * @param classPath what holds the program
      * @param toml its configuration; see {@link #rewrite}
      */
-    public static Member start(String classPath, String toml) throws IOException {
+    public static BalancerMember start(String classPath, String toml) throws IOException {
         Path file = Files.createTempFile("member", ".toml");
         Files.writeString(file, toml);
         List<String> command = new ArrayList<>();
@@ -62,7 +62,8 @@
                 "serve",
                 "--config",
                 file.toString()));
-        return new Member(new ProcessBuilder(command).redirectErrorStream(true).start(), file);
+        return new BalancerMember(
+                new ProcessBuilder(command).redirectErrorStream(true).start(), file);
     }
 
     private void read() {
@@ -141,7 +142,7 @@
         InetSocketAddress at = address();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         for (int status = 0; status != 200; ) {
-            try (Wire asks = new Wire()) {
+            try (ClientSocket asks = new ClientSocket()) {
                 status = asks.open(at) && asks.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                         ? asks.answer().status()
                         : 0;
--- a/src/testbed/java/loadbalancer/testbed/fleet/Wire.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/ClientSocket.java
@@ -13,7 +13,7 @@
  * A client's connection that sends bytes as it is told and says what came back: a whole answer, or how the
  * connection ended without one. Blocks; for one thread.
  */
-public final class Wire implements AutoCloseable {
+public final class ClientSocket implements AutoCloseable {
     private static final int PATIENCE_MS = 60_000; // for an answer, on a busy machine
 
     /** What came: a status, or 0 and why there was none; {@code stays}: it may be used again. */
--- a/src/testbed/java/loadbalancer/testbed/fleet/Trouble.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/Fault.java
@@ -12,7 +12,7 @@
  * @param share of the balancers, above 0; one at least
  * @param lasting until a stalled one goes on, or one that has ended is started again
  */
-public record Trouble(long at, What what, double share, long lasting) {
+public record Fault(long at, What what, double share, long lasting) {
     /** What may befall a balancer. */
     public enum What {
         /** It stands still: SIGSTOP, then SIGCONT. */
--- a/src/testbed/java/loadbalancer/testbed/fleet/Shares.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/LoadShares.java
@@ -7,10 +7,10 @@
  * What part of a fleet's load each balancer gets: lognormally uneven, by a seed. Does no I/O. Immutable; from
  * any thread.
  */
-public final class Shares {
+public final class LoadShares {
     private final double[] upTo; // the parts' sums, the last one 1
 
-    private Shares(double[] upTo) {
+    private LoadShares(double[] upTo) {
         this.upTo = upTo;
     }
 
@@ -18,7 +18,7 @@
      * @param sigma of the logarithm of what a balancer gets; 0: all get the same, 0.8: the busiest of a
      *     hundred some eight times the median
      */
-    public static Shares of(int balancers, double sigma, long seed) {
+    public static LoadShares of(int balancers, double sigma, long seed) {
         if (balancers < 1 || !(sigma >= 0)) {
             throw new IllegalArgumentException("no shares of " + balancers + " balancers at " + sigma);
         }
@@ -32,7 +32,7 @@
         for (int i = 0; i < balancers; i++) {
             upTo[i] /= sum;
         }
-        return new Shares(upTo);
+        return new LoadShares(upTo);
     }
 
     // Box and Muller, 1958: one of the two.
--- a/src/testbed/java/loadbalancer/testbed/fleet/Spread.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/LoadSpread.java
@@ -11,13 +11,13 @@
  * @param least of any server, in parts of its share; {@code most} likewise
  * @param idle servers that got nothing
  */
-public record Spread(double deviation, double chance, double beyond, double least, double most, int idle) {
+public record LoadSpread(double deviation, double chance, double beyond, double least, double most, int idle) {
     /**
      * @param got requests by server
      * @param weights of the same servers, above 0
      * @throws IllegalArgumentException where there are no servers, or not as many weights
      */
-    public static Spread of(long[] got, double[] weights) {
+    public static LoadSpread of(long[] got, double[] weights) {
         if (got.length == 0 || got.length != weights.length) {
             throw new IllegalArgumentException(got.length + " servers and " + weights.length + " weights");
         }
@@ -42,11 +42,11 @@
             idle += got[i] == 0 ? 1 : 0;
         }
         if (all == 0) {
-            return new Spread(0, 0, 0, 0, 0, got.length);
+            return new LoadSpread(0, 0, 0, 0, 0, got.length);
         }
         squares /= got.length;
         chance /= got.length;
-        return new Spread(
+        return new LoadSpread(
                 Math.sqrt(squares), Math.sqrt(chance), Math.sqrt(Math.max(0, squares - chance)), least, most, idle);
     }
 
