--- a/src/main/java/loadbalancer/admin/AdminRoutes.java
+++ b/src/main/java/loadbalancer/admin/AdminRoutes.java
@@ -32,7 +32,7 @@
     }
 
     /** Carries a call out; {@code uri} may have a query, which says nothing. */
-    static Answer answer(String method, String uri, AdminOperations to) {
+    static Answer respond(String method, String uri, AdminOperations to) {
         Call call = CALLS.get(uri.split("\\?", 2)[0]);
         if (call == null) {
             return new Answer(404, "no such call", null);
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -140,7 +140,7 @@
                 if (length > BODY_MOST) {
                     answer(new AdminRoutes.Answer(413, "a call has no such body", null));
                 } else if (part instanceof LastHttpContent) {
-                    answer(AdminRoutes.answer(head.method().name(), head.uri(), operations));
+                    answer(AdminRoutes.respond(head.method().name(), head.uri(), operations));
                 }
             }
         }
--- a/src/main/java/loadbalancer/connections/ConnectionBudget.java
+++ b/src/main/java/loadbalancer/connections/ConnectionBudget.java
@@ -51,20 +51,20 @@
 
     /** A budget with nothing open. */
     public ConnectionBudget(ConnectionLimits limits, long now) {
-        limit(limits);
+        setLimits(limits);
         this.tally = new ConnectionMetrics(now);
-        unlearn(now);
+        resetEstimates(now);
     }
 
-    /** Other limits from here on; what is open beyond them goes as {@link #makeRoom} is called. */
-    public void limit(ConnectionLimits to) {
+    /** Other limits from here on; what is open beyond them goes as {@link #evictToAdmit} is called. */
+    public void setLimits(ConnectionLimits to) {
         limits = to;
         clientFloor = Math.max(1, (int) (to.most() * to.clientFloor()));
         upstreamFloor = Math.max(1, (int) (to.most() * to.upstreamFloor()));
     }
 
     /** Forgets what it has learned, not what is open: after connections that were none of its clients'. */
-    public void unlearn(long now) {
+    public void resetEstimates(long now) {
         reuse = new ReuseEstimator(REUSE_MEMORY, now);
         clientNeed = new DecayingPeak(now);
         upstreamNeed = new DecayingPeak(now);
@@ -84,23 +84,23 @@
 
     /** Whether another connection of that side may be opened with no other one ended for it. */
     public boolean admits(Direction side, long now) {
-        return room(side, now) > 0;
+        return available(side, now) > 0;
     }
 
     /** How many more connections of that side may be opened with no other one ended for them. */
-    public int room(Direction side, long now) {
+    public int available(Direction side, long now) {
         Direction other = side == Direction.CLIENT ? Direction.UPSTREAM : Direction.CLIENT;
-        int total = limits.most() - open(Direction.CLIENT) - open(Direction.UPSTREAM);
-        return Math.max(0, Math.min(total, limits.most() - kept(other, now) - open(side)));
+        int total = limits.most() - openConnections(Direction.CLIENT) - openConnections(Direction.UPSTREAM);
+        return Math.max(0, Math.min(total, limits.most() - kept(other, now) - openConnections(side)));
     }
 
     private boolean sideFull(Direction side, long now) {
         Direction other = side == Direction.CLIENT ? Direction.UPSTREAM : Direction.CLIENT;
-        return open(side) >= limits.most() - kept(other, now);
+        return openConnections(side) >= limits.most() - kept(other, now);
     }
 
     /** How many connections clients may hold together. */
-    public int clientsMost(long now) {
+    public int maxClients(long now) {
         return limits.most() - kept(Direction.UPSTREAM, now);
     }
 
@@ -122,13 +122,13 @@
     // ---------------------------------------------------------------- what happens to connections
 
     /** A client's connection has come, from that {@link #address}. */
-    public ConnectionPermit client(Object address, int units, ConnectionPermit.Holder holder, long now) {
+    public ConnectionPermit openClient(Object address, int units, ConnectionPermit.Holder holder, long now) {
         tally.opened();
         return register.client(address, units, holder, now);
     }
 
     /** A connection to an upstream is being opened, for a request that it is to carry. */
-    public ConnectionPermit upstream(ConnectionPermit.Holder holder, long now) {
+    public ConnectionPermit openUpstream(ConnectionPermit.Holder holder, long now) {
         ConnectionPermit lease = register.upstream(holder, now);
         upstreamNeed.set(register.busy(Direction.UPSTREAM), now);
         return lease;
@@ -136,15 +136,15 @@
 
     /** Part of a client's request has come in. */
     public void receiving(ConnectionPermit lease, long now) {
-        if (lease.atRest()) {
+        if (lease.isIdle()) {
             used(lease, now);
             register.enter(lease, ConnectionPermit.State.RECEIVING, now);
         }
     }
 
     /** A client's request has come in whole, or an upstream's connection is to carry one. */
-    public void asked(ConnectionPermit lease, long now) {
-        if (lease.ending()) {
+    public void requestReceived(ConnectionPermit lease, long now) {
+        if (lease.isClosing()) {
             throw new IllegalStateException("asked after its end");
         }
         used(lease, now);
@@ -194,7 +194,7 @@
      * @param more whether more of the client's has come in already, which must not be lost
      * @return whether it may stay
      */
-    public boolean answered(ConnectionPermit lease, boolean wanted, boolean more, long now) {
+    public boolean responseSent(ConnectionPermit lease, boolean wanted, boolean more, long now) {
         tally.answered();
         lease.inFlight = Math.max(0, lease.inFlight - 1);
         if (lease.state == ConnectionPermit.State.GONE) {
@@ -221,7 +221,7 @@
     // the price falls for those that hold less than it: the first to lose connections is whoever has many.
     private boolean worth(ConnectionPermit lease, long now) {
         double most = register.held.most();
-        double share = Math.min(1, most / clientsMost(now));
+        double share = Math.min(1, most / maxClients(now));
         double price = price(now) * (1 - share * (1 - lease.peer.held.value() / Math.max(1, most)));
         if (price <= 0) {
             return true;
@@ -245,13 +245,13 @@
     }
 
     private double use(long now) {
-        return (double) open(Direction.CLIENT) / Math.max(1, clientsMost(now));
+        return (double) openConnections(Direction.CLIENT) / Math.max(1, maxClients(now));
     }
 
     /** An upstream's connection has carried its request and is idle. */
-    public void idle(ConnectionPermit lease, long now) {
+    public void becameIdle(ConnectionPermit lease, long now) {
         lease.inFlight = 0;
-        if (!lease.ending()) {
+        if (!lease.isClosing()) {
             enter(lease, ConnectionPermit.State.RESTING, now);
         }
     }
@@ -281,28 +281,28 @@
     // ---------------------------------------------------------------- who goes
 
     /** Ends connections until another one of that side may be opened; false where that can't be. */
-    public boolean makeRoom(Direction side, long now) {
+    public boolean evictToAdmit(Direction side, long now) {
         while (!admits(side, now)) {
             ConnectionPermit goes = spare(side, now);
             if (goes == null) {
                 return false;
             }
-            goes.holder().end();
+            goes.holder().close();
         }
         return true;
     }
 
     /** Ends the connections whose time is over: at rest, silent or lingering. */
-    public void endOverdue(long now) {
-        overdue(now).forEach(l -> l.holder().end());
+    public void closeExpired(long now) {
+        overdue(now).forEach(l -> l.holder().close());
     }
 
     // Each is named once, and counts as gone.
     private List<ConnectionPermit> overdue(long now) {
         advance(now);
         List<ConnectionPermit> over = new ArrayList<>();
-        rested(register.resting, restMost(now), over, now);
-        rested(register.proven, restMost(PROVEN, now), over, now);
+        rested(register.resting, maxIdleTime(now), over, now);
+        rested(register.proven, maxIdleTime(PROVEN, now), over, now);
         for (ConnectionPermit l = register.silent.first();
                 l != null && now - l.openedAt > limits.silentMost();
                 l = register.silent.first()) {
@@ -324,11 +324,11 @@
     }
 
     /** How long a client's connection may rest, in ns: less where room is dear and reuse unlikely. */
-    public long restMost(long now) {
-        return restMost(common(now), now);
+    public long maxIdleTime(long now) {
+        return maxIdleTime(common(now), now);
     }
 
-    private long restMost(double chance, long now) {
+    private long maxIdleTime(double chance, long now) {
         double worth = Math.max(0, 1 - price(now) / Math.max(0.01, chance));
         return limits.restLeast() + (long) ((limits.restMost() - limits.restLeast()) * worth);
     }
@@ -339,7 +339,7 @@
     }
 
     /** How long a newcomer may take to ask before it can be ended for others, in ns. */
-    public long fairTime() {
+    public long requestGracePeriod() {
         return Math.max(limits.askLeast(), Math.min(limits.askMost(), (long) (ASKS * askMean)));
     }
 
@@ -362,8 +362,8 @@
         }
         ConnectionPermit rests = rests(now);
         boolean lately = rests == null || now - rests.since < limits.restLeast();
-        boolean mayIdle =
-                !ownSide && (side == Direction.UPSTREAM || open(Direction.UPSTREAM) > kept(Direction.UPSTREAM, now));
+        boolean mayIdle = !ownSide
+                && (side == Direction.UPSTREAM || openConnections(Direction.UPSTREAM) > kept(Direction.UPSTREAM, now));
         if (lately && mayIdle && idle != null) {
             return end(idle, CloseReason.IDLE_FOR_ROOM, now);
         }
@@ -372,7 +372,7 @@
         boolean waits = side == Direction.CLIENT
                 && lately
                 && register.fresh.size() > 0
-                && register.resting.size() <= clientsMost(now) / 2;
+                && register.resting.size() <= maxClients(now) / 2;
         if (rests != null && !waits) {
             return end(rests, CloseReason.RESTING_FOR_ROOM, now);
         }
@@ -404,7 +404,7 @@
             l.hopePlace.leave();
             saw(l, false, now);
         }
-        long fair = fairTime();
+        long fair = requestGracePeriod();
         for (ConnectionPermit l = register.fresh.first();
                 l != null && now - l.openedAt >= fair;
                 l = register.fresh.first()) {
@@ -421,7 +421,7 @@
     // ---------------------------------------------------------------- the tally
 
     /** New clients wait, or wait no more, to be accepted. */
-    public void waiting(boolean now) {
+    public void setClientsWaiting(boolean now) {
         tally.waiting(now);
     }
 
@@ -431,17 +431,17 @@
     }
 
     /** A line for the log where the pressure has changed, at most one in 5 s; otherwise null. */
-    public String news(long now) {
-        return tally.news(use(now), clientsMost(now), register, now);
+    public String pressureChange(long now) {
+        return tally.news(use(now), maxClients(now), register, now);
     }
 
     /** How many connections the budget ended for that reason. */
-    public long ended(CloseReason why) {
+    public long closedCount(CloseReason why) {
         return tally.count(why);
     }
 
     /** How many connections that side holds, in units. */
-    public int open(Direction side) {
+    public int openConnections(Direction side) {
         return register.open(side);
     }
 
--- a/src/main/java/loadbalancer/connections/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/connections/ConnectionLimits.java
@@ -42,7 +42,7 @@
     }
 
     /** The same for half as many descriptors, where two processes share them. */
-    public ConnectionLimits half() {
+    public ConnectionLimits halved() {
         int reserve = Math.min(RESERVE, most);
         return new ConnectionLimits(
                 Math.max(2, (most + reserve) / 2 - reserve),
--- a/src/main/java/loadbalancer/connections/ConnectionPermit.java
+++ b/src/main/java/loadbalancer/connections/ConnectionPermit.java
@@ -1,15 +1,15 @@
 package loadbalancer.connections;
 
 /**
- * One connection's part of the budget. It is handed out by {@link ConnectionBudget#open} and belongs to that budget's
- * thread; only the budget changes it.
+ * One connection's part of the budget: handed out by {@link ConnectionBudget#openClient} and
+ * {@link ConnectionBudget#openUpstream}. It belongs to that budget's thread, and only the budget changes it.
  */
 public final class ConnectionPermit {
     /** The connection itself, to the budget. */
     @FunctionalInterface
     public interface Holder {
         /** Ends the connection, at once; the budget's {@code closed} is told as at any end. */
-        void end();
+        void close();
     }
 
     /** What a connection is at. */
@@ -58,12 +58,12 @@
     }
 
     /** Whether nothing is being answered and nothing has begun to come in. */
-    public boolean atRest() {
+    public boolean isIdle() {
         return state == State.NEW || state == State.SILENT || state == State.RESTING;
     }
 
     /** Whether its last answer has been worded: nothing that comes in behind it is taken. */
-    public boolean ending() {
+    public boolean isClosing() {
         return state == State.LINGERING || state == State.GONE;
     }
 
--- a/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
@@ -59,8 +59,8 @@
                             startedAt,
                             weight > 0 ? weight : 1,
                             (int) number(e.get("pod_group"), -1),
-                            boot.kinds().indexOf(SettingsReader.plain(e.get("model"))),
-                            boot.zones().indexOf(SettingsReader.plain(e.get("az")))),
+                            boot.kinds().indexOf(SettingsReader.toText(e.get("model"))),
+                            boot.zones().indexOf(SettingsReader.toText(e.get("az")))),
                     endpoint,
                     e.get("http3") instanceof String at ? Addresses.parse(at) : null));
         }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -154,8 +154,8 @@
     // What it gets can't be taken for whole, and nobody wants the rest.
     private void breakOff() {
         if (outflow != null) {
-            outflow.rest.drop();
-            outflow.broken();
+            outflow.rest.cancel();
+            outflow.onError();
         } else {
             close("no progress");
         }
@@ -170,7 +170,7 @@
         intake.drop();
         gate.drop();
         if (outflow != null) {
-            outflow.rest.drop();
+            outflow.rest.cancel();
             outflow = null;
         }
         letGo();
@@ -181,20 +181,20 @@
 
     // Nothing of the request that was served is needed any more.
     private void letGo() {
-        server.room().give(charged);
+        server.room().release(charged);
         charged = 0;
         letGo(upload);
         upload = null;
     }
 
     private void letGo(Taken unserved) {
-        server.room().give(unserved.body().length);
+        server.room().release(unserved.body().length);
         letGo(unserved.rest());
     }
 
     private static void letGo(BodyStream unwanted) {
         if (unwanted != null && !unwanted.started()) {
-            unwanted.drop();
+            unwanted.cancel();
         }
     }
 
@@ -246,12 +246,12 @@
         byte[] body = taken.body();
         receiving = false;
         headed = false;
-        if (lease.ending()) {
+        if (lease.isClosing()) {
             letGo(taken.rest());
             return; // behind the end: its client asks elsewhere
         }
-        server.budget().asked(lease, System.nanoTime());
-        server.room().take(body.length);
+        server.budget().requestReceived(lease, System.nanoTime());
+        server.room().tryReserve(body.length);
         if (ahead.size() >= AHEAD_MOST) { // in what had been read already
             letGo(taken);
             bad(HttpResponseStatus.BAD_REQUEST, "too many requests sent ahead");
@@ -320,7 +320,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (outflow != null) {
-            outflow.rest.pull(channel.isWritable());
+            outflow.rest.setReady(channel.isWritable());
         }
         if (channel.isWritable()) {
             next();
@@ -358,7 +358,7 @@
         letGo();
         boolean more = receiving || problem != null || decoder.holdsMore();
         boolean stay =
-                server.budget().answered(lease, keep && server.keeps() && !intake.flows(), more, System.nanoTime());
+                server.budget().responseSent(lease, keep && server.keeps() && !intake.flows(), more, System.nanoTime());
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         if (type != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
@@ -422,7 +422,7 @@
         movedAt = System.nanoTime();
         outflow = new Outflow(answer.rest(), wanted);
         outflow.sink.begin(head, answer.body());
-        answer.rest().to(outflow);
+        answer.rest().subscribe(outflow);
     }
 
     /** A long answer on its way to the client. */
@@ -437,21 +437,21 @@
         }
 
         @Override
-        public void piece(byte[] bytes) {
+        public void onData(byte[] bytes) {
             sink.write(bytes);
             if (!sink.room()) {
-                rest.pull(false);
+                rest.setReady(false);
             }
         }
 
         @Override
-        public void ended() {
+        public void onComplete() {
             if (outflow != this) {
                 return;
             }
             outflow = null;
             boolean more = receiving || problem != null || decoder.holdsMore();
-            boolean stay = server.budget().answered(lease, wanted, more, System.nanoTime());
+            boolean stay = server.budget().responseSent(lease, wanted, more, System.nanoTime());
             if (!stay && problem == null) {
                 problem = new RequestFraming.Problem(HttpResponseStatus.OK, "over");
                 intake.drop();
@@ -463,7 +463,7 @@
 
         // A reset: it can't be taken for whole, whatever frames it.
         @Override
-        public void broken() {
+        public void onError() {
             if (outflow == this) {
                 outflow = null;
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -157,17 +157,17 @@
     }
 
     /** Serves a rehearsal's requests as well; null when it is over. */
-    public void rehearse(WarmUpRequests with) {
+    public void warmUp(WarmUpRequests with) {
         rehearsal = with;
     }
 
     /** Other settings hold from here on, for what comes in. */
-    public void retune(SettingsReader.Boot to) {
+    public void reload(SettingsReader.Boot to) {
         boot = to;
     }
 
     /** Does what the life cycle says by now: takes connections or not, and ends those that rest too long. */
-    public void follow() {
+    public void applyLifeCycle() {
         makeRoom();
         wind();
     }
@@ -175,12 +175,12 @@
     // A few at a time: what has come in meanwhile is read between them, and not cut off.
     private void wind() {
         long now = System.nanoTime();
-        long most = life.restMost(now);
+        long most = life.maxIdleTime(now);
         if (most == Long.MAX_VALUE || winding) {
             return;
         }
         List<Http1ClientConnection> over = clients.stream()
-                .filter(c -> c.lease().atRest() && c.lease().since(now) >= most)
+                .filter(c -> c.lease().isIdle() && c.lease().since(now) >= most)
                 .limit(CLOSES)
                 .toList();
         over.forEach(Http1ClientConnection::close);
@@ -199,11 +199,11 @@
     }
 
     String elsewhere() {
-        return life.keeps() ? elsewhere : null;
+        return life.keepsConnections() ? elsewhere : null;
     }
 
     boolean keeps() {
-        return life.keeps();
+        return life.keepsConnections();
     }
 
     ConnectionBudget budget() {
@@ -241,13 +241,13 @@
     }
 
     /** How the connections stand, for a balancer that is to end and owes so many answers. */
-    public ShutdownDrain.Observation sight(int owed) {
+    public ShutdownDrain.Observation observe(int owed) {
         int halves = 0;
         int resting = 0;
         int unsent = 0;
         for (Http1ClientConnection client : clients) {
             halves += client.isHalf() ? 1 : 0;
-            resting += client.lease().atRest() ? 1 : 0;
+            resting += client.lease().isIdle() ? 1 : 0;
             unsent += client.isUnsent() ? 1 : 0;
         }
         return new ShutdownDrain.Observation(comers, reads, owed, halves, resting, unsent);
@@ -281,15 +281,15 @@
         Object address = channel.remoteAddress() instanceof InetSocketAddress from
                 ? ConnectionBudget.address(from.getAddress().getAddress())
                 : "gone";
-        return budget.client(address, 1, client::close, System.nanoTime());
+        return budget.openClient(address, 1, client::close, System.nanoTime());
     }
 
     private void look() {
         long now = System.nanoTime();
         List.copyOf(clients).forEach(c -> c.look(now));
-        budget.endOverdue(now);
+        budget.closeExpired(now);
         makeRoom();
-        String news = budget.news(now);
+        String news = budget.pressureChange(now);
         if (news != null) {
             log.accept(news);
         }
@@ -300,20 +300,20 @@
         if (makingRoom || waking) {
             return; // what it closes tells of its end here
         }
-        if (dispatcher.mayLieUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
+        if (dispatcher.mayHaveUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
             // Of those that seem to rest some hold a request that has not been read.
             waking = true;
             accept(false, "unread news");
-            dispatcher.afterNews(() -> {
+            dispatcher.afterUpdates(() -> {
                 waking = false;
                 makeRoom();
             });
             return;
         }
         makingRoom = true;
-        boolean room = budget.makeRoom(Direction.CLIENT, System.nanoTime());
+        boolean room = budget.evictToAdmit(Direction.CLIENT, System.nanoTime());
         makingRoom = false;
-        budget.waiting(!room);
+        budget.setClientsWaiting(!room);
         if (listener.isOpen()) {
             boolean open = room && !acceptFails && (rehearsal == null || strangers < STRANGERS) && life.accepts(shared);
             accept(open, !room ? "no room" : rehearsal != null ? "warm-up" : "life cycle");
@@ -338,7 +338,7 @@
         public boolean mayAccept(int accepted) {
             return accepted == 0
                     || accepted < ACCEPTS
-                            && accepted < budget.room(Direction.CLIENT, System.nanoTime())
+                            && accepted < budget.available(Direction.CLIENT, System.nanoTime())
                             && (rehearsal == null || strangers + accepted < STRANGERS);
         }
 
@@ -392,22 +392,23 @@
         } else {
             ProxyRequest order;
             try {
-                order = RequestValidator.order(request.method().name(), path, fields, body, boot)
-                        .passing(rest, length);
+                order = RequestValidator.validate(request.method().name(), path, fields, body, boot)
+                        .withBodyStream(rest, length);
                 fields.endToEnd();
             } catch (IllegalArgumentException e) {
                 client.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
                 return;
             }
             Dispatcher to = path.equals(WarmUpRequests.PATH) ? rehearsal.dispatcher() : dispatcher;
-            if (to.holds(order.id())) {
+            if (to.isOpen(order.id())) {
                 // An upstream could not tell the two apart, and might answer one with the other's.
                 client.refuse(HttpResponseStatus.CONFLICT, "a request with this Req-Id is open");
                 return;
             }
             OneAnswer answer =
                     new OneAnswer(client, keep, request.protocolVersion().equals(HttpVersion.HTTP_1_0));
-            Runnable leave = to.take(path.equals(WarmUpRequests.PATH) ? order.to(WarmUpRequests.HOP) : order, answer);
+            Runnable leave =
+                    to.dispatch(path.equals(WarmUpRequests.PATH) ? order.withUri(WarmUpRequests.HOP) : order, answer);
             if (!answer.given) {
                 client.owed(leave);
             }
@@ -450,7 +451,7 @@
         }
 
         @Override
-        public void refuse(long retryAfter) {
+        public void reject(long retryAfter) {
             given();
             String seconds = retryAfter <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfter / 1e6);
             client.write(
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -88,7 +88,7 @@
                 HttpRequest request = head;
                 head = null;
                 byte[] all = body.length == length ? body : Arrays.copyOf(body, length);
-                room.give(length);
+                room.release(length);
                 taker.whole(request, all);
             }
         }
@@ -106,7 +106,7 @@
             }
             return;
         }
-        if (!room.take(bytes)) {
+        if (!room.tryReserve(bytes)) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
             return;
         }
@@ -126,7 +126,7 @@
         byte[] held = Arrays.copyOf(body, length);
         head = null;
         body = null;
-        room.give(length);
+        room.release(length);
         inflow = new Inflow(channel);
         taker.flowing(request, held, inflow, told);
     }
@@ -159,24 +159,24 @@
 
         @Override
         protected void begin() {
-            pull(true);
-            early.give(charged);
+            setReady(true);
+            early.release(charged);
             charged = 0;
             while (!held.isEmpty()) {
-                taker().piece(held.poll());
+                taker().onData(held.poll());
             }
             if (whole) {
-                taker().ended();
+                taker().onComplete();
             }
         }
 
         @Override
-        public void drop() {
+        public void cancel() {
             dropped = true;
             held.clear();
-            early.give(charged);
+            early.release(charged);
             charged = 0;
-            pull(true); // its client may have to finish before it reads
+            setReady(true); // its client may have to finish before it reads
         }
 
         private void more(ByteBuf more, boolean last) {
@@ -188,30 +188,30 @@
             if (!started() && !dropped) {
                 hold(ByteBufUtil.getBytes(more));
             } else if (started() && more.isReadable()) {
-                taker().piece(ByteBufUtil.getBytes(more));
+                taker().onData(ByteBufUtil.getBytes(more));
             }
             if (last) {
                 whole = true;
                 inflow = null;
                 if (started()) {
-                    taker().ended();
+                    taker().onComplete();
                 }
             }
         }
 
         private void hold(byte[] piece) {
             held.add(piece);
-            if (early.take(piece.length)) {
+            if (early.tryReserve(piece.length)) {
                 charged += piece.length;
             } else {
-                pull(false);
+                setReady(false);
             }
         }
 
         private void broken() {
-            drop();
+            cancel();
             if (started()) {
-                taker().broken();
+                taker().onError();
             }
         }
     }
@@ -229,7 +229,7 @@
     void drop() {
         over = true;
         if (head != null) {
-            room.give(length);
+            room.release(length);
         }
         head = null;
         body = null;
--- a/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
@@ -152,6 +152,6 @@
     }
 
     void end(long code) {
-        CodecErrors.end(channel, code);
+        CodecErrors.close(channel, code);
     }
 }
--- a/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
@@ -158,7 +158,7 @@
     }
 
     /** Other settings hold from here on, for what comes in. */
-    public void retune(SettingsReader.Boot to) {
+    public void reload(SettingsReader.Boot to) {
         boot = to;
     }
 
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -62,8 +62,8 @@
 
     /** Ends what takes too long. */
     void look(long now) {
-        if (!answered && !rejected && !state.whole() && now - since > RECEIVE) {
-            refuse(408, "too slow");
+        if (!answered && !rejected && !state.isComplete() && now - since > RECEIVE) {
+            reject(408, "too slow");
         } else if (answered && now - answeredAt > UNREAD) {
             // Not taken yet, or its client neither ends its request nor resets it.
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
@@ -90,8 +90,8 @@
     }
 
     private void drop() {
-        server.room.give(body.length());
-        body.drop();
+        server.room.release(body.length());
+        body.release();
     }
 
     // ---------------------------------------------------------------- what comes in
@@ -115,15 +115,15 @@
             }
             headers = frame.headers();
             if (HeaderValidator.tooLong(headers)) {
-                refuse(431, "too many fields");
+                reject(431, "too many fields");
                 return;
             }
             head = HeaderValidator.request(headers);
             state.head(head.length());
             if (state.announcesTooMuch()) {
-                refuse(413, "too large");
+                reject(413, "too large");
             } else if (head.method().equals("GET") && head.length() > 0) {
-                refuse(400, "a GET with a body");
+                reject(400, "a GET with a body");
             }
         } catch (MalformedMessageException e) {
             malformed(e);
@@ -137,8 +137,8 @@
                 return;
             }
             int bytes = frame.content().readableBytes();
-            if (!state.data(bytes) || !server.room.take(bytes)) {
-                refuse(413, "too large");
+            if (!state.data(bytes) || !server.room.tryReserve(bytes)) {
+                reject(413, "too large");
                 return;
             }
             body.add(frame.content());
@@ -151,7 +151,7 @@
 
     @Override
     protected void channelInputClosed(ChannelHandlerContext context) {
-        if (answered || rejected || state.whole()) {
+        if (answered || rejected || state.isComplete()) {
             return;
         }
         try {
@@ -207,7 +207,7 @@
         String path = head.path();
         if (path != null && path.startsWith("/-/")) {
             boolean asked = path.equals("/-/ready") && head.method().equals("GET");
-            refuse(
+            reject(
                     !asked ? 404 : server.isReady() ? 200 : 503,
                     !asked ? "not found" : server.isReady() ? "ready" : "not ready");
             return;
@@ -221,18 +221,18 @@
             if (head.method().equals("GET") && body.length() > 0) {
                 throw new IllegalArgumentException("a GET with a body");
             }
-            order = RequestValidator.order(head.method(), path, fields, body.all(), server.boot);
+            order = RequestValidator.validate(head.method(), path, fields, body.all(), server.boot);
             fields.endToEnd();
         } catch (IllegalArgumentException e) {
-            refuse(400, e.getMessage());
+            reject(400, e.getMessage());
             return;
         }
-        if (server.dispatcher.holds(order.id())) {
+        if (server.dispatcher.isOpen(order.id())) {
             // Whatever protocol the other one came by: an upstream could not tell the two apart.
-            refuse(409, "a request with this Req-Id is open");
+            reject(409, "a request with this Req-Id is open");
             return;
         }
-        Runnable leave = server.dispatcher.take(order, this);
+        Runnable leave = server.dispatcher.dispatch(order, this);
         if (!answered) {
             gone = leave;
         }
@@ -251,16 +251,16 @@
     }
 
     @Override
-    public void refuse(long retryAfter) {
+    public void reject(long retryAfter) {
         write(503, "refused: trying again is harmless\n".getBytes(StandardCharsets.UTF_8), "text/plain", retryAfter);
     }
 
     @Override
     public void fail() {
-        refuse(502, "failed");
+        reject(502, "failed");
     }
 
-    private void refuse(int status, String text) {
+    private void reject(int status, String text) {
         write(status, (text + "\n").getBytes(StandardCharsets.UTF_8), "text/plain", 0);
     }
 
@@ -268,7 +268,7 @@
         answered = true;
         gone = null;
         answeredAt = System.nanoTime();
-        boolean unfinished = !state.whole();
+        boolean unfinished = !state.isComplete();
         drop();
         Http3Headers out = new DefaultHttp3Headers();
         out.status(Integer.toString(status));
--- a/src/main/java/loadbalancer/http1/BodyReader.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public final void to(Taker to) {
+    public final void subscribe(Taker to) {
         if (taker != null) {
             throw new IllegalStateException("taken before");
         }
@@ -35,7 +35,7 @@
     protected void begin() {}
 
     @Override
-    public final void pull(boolean room) {
+    public final void setReady(boolean room) {
         channel.config().setAutoRead(room);
     }
 }
--- a/src/main/java/loadbalancer/http3/HeaderValidator.java
+++ b/src/main/java/loadbalancer/http3/HeaderValidator.java
@@ -138,7 +138,7 @@
     }
 
     /** Reads an answer's head. */
-    public static Status answer(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
+    public static Status response(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
             throws MalformedMessageException {
         Reader r = new Reader(OF_ANSWERS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
--- a/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
@@ -110,7 +110,7 @@
     }
 
     /** Whether a request that came now would find a stream on a connection that stands. Changes nothing. */
-    public boolean connected() {
+    public boolean isConnected() {
         return links.stream().anyMatch(this::hasRoom);
     }
 
@@ -190,11 +190,11 @@
     }
 
     /** Whether HTTP/1.1 stands in for the time being. */
-    public boolean failing() {
+    public boolean isFailing() {
         return failures > 0;
     }
 
-    public List<PlannedConnection> links() {
+    public List<PlannedConnection> connections() {
         return List.copyOf(links);
     }
 }
--- a/src/main/java/loadbalancer/http3/MessageState.java
+++ b/src/main/java/loadbalancer/http3/MessageState.java
@@ -71,7 +71,7 @@
         at = At.END;
     }
 
-    public boolean whole() {
+    public boolean isComplete() {
         return at == At.END;
     }
 }
--- a/src/main/java/loadbalancer/http3/codec/AggregatedBody.java
+++ b/src/main/java/loadbalancer/http3/codec/AggregatedBody.java
@@ -32,7 +32,7 @@
     }
 
     /** Keeps nothing. */
-    public void drop() {
+    public void release() {
         bytes = NOTHING;
         length = 0;
     }
--- a/src/main/java/loadbalancer/http3/codec/CodecErrors.java
+++ b/src/main/java/loadbalancer/http3/codec/CodecErrors.java
@@ -27,7 +27,7 @@
     }
 
     /** Ends a connection with a code of HTTP/3 (CONNECTION_CLOSE of type 0x1d). */
-    public static void end(Channel connection, long code) {
+    public static void close(Channel connection, long code) {
         if (connection instanceof QuicChannel quic && quic.isOpen()) {
             quic.close(true, (int) code, Unpooled.EMPTY_BUFFER);
         }
--- a/src/main/java/loadbalancer/lifecycle/HotRestart.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestart.java
@@ -31,7 +31,7 @@
     private Object successor;
 
     /** What a process has said; {@code from} stands for its connection. */
-    public Step said(Object from, String line) {
+    public Step received(Object from, String line) {
         String word = line.strip().split(" ", 2)[0];
         if (word.equals(HELLO)) {
             return here.add(from) && here.size() == 1 ? Step.SHARE : Step.NOTHING;
@@ -44,7 +44,7 @@
     }
 
     /** Its connection, and so the process, has ended. */
-    public Step ended(Object from) {
+    public Step disconnected(Object from) {
         boolean known = here.remove(from);
         if (from == successor) {
             successor = null;
@@ -54,7 +54,7 @@
     }
 
     /** Whether another process is there. */
-    public boolean shares() {
+    public boolean hasPeer() {
         return !here.isEmpty();
     }
 }
--- a/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -77,8 +77,8 @@
     }
 
     /** Whether another process shares what this one may use. */
-    public boolean shares() {
-        return predecessor != null || succession.shares();
+    public boolean hasPeer() {
+        return predecessor != null || succession.hasPeer();
     }
 
     /** This process takes clients: the predecessor is told, and successors find this one from here on. */
@@ -133,12 +133,12 @@
     private final class Successor extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
-            steps.accept(succession.said(context.channel(), line));
+            steps.accept(succession.received(context.channel(), line));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            steps.accept(succession.ended(context.channel()));
+            steps.accept(succession.disconnected(context.channel()));
         }
 
         @Override
--- a/src/main/java/loadbalancer/lifecycle/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -117,12 +117,12 @@
     }
 
     /** It is about to end, and what came before has been read: see {@link ShutdownDrain}. */
-    public void lastCalled() {
+    public void listenerClosed() {
         called = state == State.STOPPING;
     }
 
     /** Time passes; returns whether an evacuation has come to its end with that. */
-    public boolean pass(long now) {
+    public boolean advance(long now) {
         if (state == State.EVACUATING && now - since >= EVACUATE) {
             enter(State.EVACUATED, now);
             return true;
@@ -152,17 +152,17 @@
     }
 
     /** Whether it may leave by itself once nothing is held: a successor has had the clients for a while. */
-    public boolean left(long now) {
+    public boolean hasLeft(long now) {
         return state == State.HANDING_OVER && now - since >= HAND_OVER || state == State.STOPPING && succeeded;
     }
 
     /** Whether an answer leaves its connection open, where nothing else speaks against it. */
-    public boolean keeps() {
+    public boolean keepsConnections() {
         return state == State.STARTING || state == State.READY;
     }
 
     /** How long a client's connection may be at rest, in ns; {@link Long#MAX_VALUE}: as long as any time. */
-    public long restMost(long now) {
+    public long maxIdleTime(long now) {
         long age = now - since;
         return switch (state) {
             case STARTING, READY -> NO_LIMIT;
--- a/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
+++ b/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
@@ -38,7 +38,7 @@
     private int quiet;
 
     /** Another look, behind a pass over the sockets; after {@link Step#END} none follows. */
-    public Step look(Observation now) {
+    public Step observe(Observation now) {
         boolean same = last != null && last.comers() == now.comers() && last.reads() == now.reads();
         quiet = same ? quiet + 1 : 0;
         looks++;
--- a/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void retune(long now, Settings to, List<Integer> formerClasses, List<Integer> formerTenants,
+    public void reload(long now, Settings to, List<Integer> formerClasses, List<Integer> formerTenants,
             Actions out) {
         tune(now, to, formerClasses, formerTenants);
         wakeBy(now, tick, out);
@@ -245,7 +245,7 @@
         }
         Prices prices = settings.prices();
         double far = n.server.zone() == settings.zone() ? 0 : CROSSING * prices.crossZone();
-        if (prices.handshake() > 0 && !out.connected(n.server.id())) {
+        if (prices.handshake() > 0 && !out.isConnected(n.server.id())) {
             far += CROSSING * prices.handshake();
         }
         double queue = (n.inFlight + n.penalties.size() + others(n, now)) * meanWeight / n.server.weight();
@@ -690,7 +690,7 @@
         boolean harmless = firstThatMayHaveRun(r) == null || r.kind.effect() == Effect.SAFE
             || r.kind.effect() == Effect.KEYED && r.kind.scope() == Scope.ALL;
         if (harmless) {
-            out.refuse(r.id, 0);
+            out.reject(r.id, 0);
         } else {
             out.fail(r.id);
         }
@@ -798,7 +798,7 @@
     }
 
     @Override
-    public void clientGone(long now, String id, Actions out) {
+    public void clientDisconnected(long now, String id, Actions out) {
         Request r = open.get(id);
         if (r != null && !r.closed) {
             close(r, out);
@@ -891,12 +891,12 @@
     }
 
     @Override
-    public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
+    public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
 
     private void remark(long now, String line, Actions out) {
         if (now >= remarkAt) {
             remarkAt = now + 1_000_000;
-            out.remark(line);
+            out.log(line);
         }
     }
 
@@ -965,7 +965,7 @@
     // ---------------------------------------------------------------- membership
 
     @Override
-    public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
+    public void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out) {
         if (wakeAt == Long.MAX_VALUE) {
             Arrays.fill(shareAt, now);
             fadedAt = now;
@@ -987,7 +987,7 @@
         }
         if (kind != ListKind.PARTIAL) {
             for (Node n : nodes.values()) {
-                n.server = n.server.in(State.GONE);
+                n.server = n.server.withState(State.GONE);
             }
         }
         for (Server s : servers) {
--- a/src/main/java/loadbalancer/policy/Policy.java
+++ b/src/main/java/loadbalancer/policy/Policy.java
@@ -11,7 +11,7 @@
  * are opaque. One object serves one balancer and is not thread-safe: events are handed over one at a time, in
  * the order in which they happened, and each returns before the next. Actions are carried out in the order in
  * which they are asked for, at the time {@code now}. A new or restarted balancer is a new object, and its
- * first event is {@link #servers} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers
+ * first event is {@link #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers
  * that the module no longer holds are legal and passed over.
  */
 public interface Policy {
@@ -86,7 +86,7 @@
      */
     record Server(String id, State state, long startedAt, double weight, int cell, int kind, int zone) {
         /** The same server in another state. */
-        public Server in(State other) {
+        public Server withState(State other) {
             return new Server(id, other, startedAt, weight, cell, kind, zone);
         }
     }
@@ -249,10 +249,10 @@
      * @param formerClasses for each class of {@code settings} the number that it had before, or -1
      * @param formerTenants the same for each tenant
      */
-    void retune(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out);
+    void reload(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out);
 
     /** News of the list of servers; {@code servers} is empty for {@link ListKind#FAILED}. */
-    void servers(long now, ListKind kind, List<Server> servers, Actions out);
+    void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out);
 
     /**
      * A request has come in and is owed one final answer before {@code timeLeft} is over.
@@ -294,10 +294,10 @@
     void streamStarted(long now, String request, int attempt, Actions out);
 
     /** The client has left: nothing more is owed. */
-    void clientGone(long now, String request, Actions out);
+    void clientDisconnected(long now, String request, Actions out);
 
     /** A probe has come back. */
-    void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out);
+    void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out);
 
     /** The time asked for with {@link Actions#wake} has come. */
     void wake(long now, Actions out);
@@ -320,7 +320,7 @@
         }
 
         /** Final answer: refused, trying again is harmless; {@code retryAfter} 0 gives no advice. */
-        void refuse(String request, long retryAfter);
+        void reject(String request, long retryAfter);
 
         /** Final answer: failed, nothing promised. */
         void fail(String request);
@@ -332,7 +332,7 @@
          * Whether an attempt at that server would find a connection to go on, and so need no handshake; true
          * where nobody knows. A question: it changes nothing.
          */
-        default boolean connected(String server) {
+        default boolean isConnected(String server) {
             return true;
         }
 
@@ -349,12 +349,12 @@
         void closeIdle(String server);
 
         /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
-        void tell(int peer, byte[] data);
+        void sendToPeer(int peer, byte[] data);
 
         /** Call {@link Policy#wake} once after {@code delay}. */
         void wakeAfter(long delay);
 
         /** A line for the operators. */
-        void remark(String line);
+        void log(String line);
     }
 }
--- a/src/main/java/loadbalancer/proxy/AttemptTransport.java
+++ b/src/main/java/loadbalancer/proxy/AttemptTransport.java
@@ -36,7 +36,7 @@
     /** An attempt that has been started. */
     interface Attempt {
         /** Stops waiting and tells nobody from here on. */
-        AttemptEffect giveUp();
+        AttemptEffect cancel();
 
         /**
          * Takes it back where its last byte has not been written yet, and tells nobody from here on; false
@@ -46,7 +46,7 @@
     }
 
     /** The list of upstreams has changed; {@code now} in µs by the node's clock. */
-    void listed(EndpointUpdate targets, long now);
+    void updateEndpoints(EndpointUpdate targets, long now);
 
     /**
      * Starts an attempt.
@@ -57,7 +57,7 @@
     Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener);
 
     /** Whether an attempt that starts now finds a connection that stands; true where that is not known. */
-    default boolean connected(String server) {
+    default boolean isConnected(String server) {
         return true;
     }
 
--- a/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
+++ b/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
@@ -16,7 +16,7 @@
     }
 
     /** False where there is no room: nothing is taken then. */
-    public boolean take(int bytes) {
+    public boolean tryReserve(int bytes) {
         if (held + bytes > most) {
             return false;
         }
@@ -24,7 +24,7 @@
         return true;
     }
 
-    public void give(int bytes) {
+    public void release(int bytes) {
         held -= bytes;
     }
 }
--- a/src/main/java/loadbalancer/proxy/BodyStream.java
+++ b/src/main/java/loadbalancer/proxy/BodyStream.java
@@ -8,24 +8,24 @@
     /** Where the bytes go; after {@link #ended} or {@link #broken}, of which one is called once, none. */
     interface Taker {
         /** {@code bytes} belong to the taker. */
-        void piece(byte[] bytes);
+        void onData(byte[] bytes);
 
         /** It is whole. */
-        void ended();
+        void onComplete();
 
         /** The rest will never come. */
-        void broken();
+        void onError();
     }
 
     /** Whether it has a taker: what has been passed on is not held any more. */
     boolean started();
 
     /** Begins to hand over; throws IllegalStateException where it has begun before. */
-    void to(Taker taker);
+    void subscribe(Taker taker);
 
     /** Whether the taker has room; where it has none the reads stop, and a little may still come. */
-    void pull(boolean room);
+    void setReady(boolean room);
 
     /** Nobody wants the rest. */
-    void drop();
+    void cancel();
 }
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -113,7 +113,7 @@
     }
 
     /** What happens to requests and attempts is logged there from here on. */
-    public void logTo(RequestLog events) {
+    public void setRequestLog(RequestLog events) {
         requestLog = events;
     }
 
@@ -133,7 +133,7 @@
     }
 
     /** What has become of the requests so far. */
-    public RequestMetrics tally() {
+    public RequestMetrics metrics() {
         return tally;
     }
 
@@ -156,14 +156,14 @@
             return;
         }
         postponed = true;
-        afterNews(() -> {
+        afterUpdates(() -> {
             postponed = false;
             handAll();
         });
     }
 
     @Override
-    public boolean mayLieUnread() {
+    public boolean mayHaveUnread() {
         return standstill.hidesNews(now());
     }
 
@@ -173,11 +173,11 @@
     }
 
     @Override
-    public void afterNews(Runnable task) {
-        if (mayLieUnread()) {
-            loop.soon(() -> {
+    public void afterUpdates(Runnable task) {
+        if (mayHaveUnread()) {
+            loop.execute(() -> {
                 long from = now();
-                loop.after(0, () -> {
+                loop.schedule(0, () -> {
                     standstill.passed(from);
                     task.run();
                 });
@@ -210,10 +210,10 @@
     }
 
     /** Takes a request, for one final answer; returns what to run if the client leaves before it. */
-    public Runnable take(ProxyRequest asked, ResponseWriter reply) {
+    public Runnable dispatch(ProxyRequest asked, ResponseWriter reply) {
         String id = Long.toString(++taken, Character.MAX_RADIX);
         Upload upload = asked.rest() == null ? null : new Upload(asked.rest());
-        ProxyRequest order = upload == null ? asked : asked.passing(upload, asked.length());
+        ProxyRequest order = upload == null ? asked : asked.withBodyStream(upload, asked.length());
         Policy.Settings settings = boot.settings();
         boolean unsafe = settings.classes().get(order.requestClass()).effect() == Policy.Effect.UNSAFE;
         Exchange x = new Exchange(
@@ -221,7 +221,7 @@
         table.put(id, x);
         ids.add(order.id());
         owed++;
-        x.entry = tally.taken(order);
+        x.entry = tally.received(order);
         guard(x, x.deadline - now());
         requestLog.request(RequestLog.Event.REQUEST_TAKEN, order.id(), x.deadline - now());
         if (upload != null) {
@@ -255,7 +255,7 @@
      * It has been told to end. What is taken from here on is answered before the process may be killed: that
      * is no sooner than the longest deadline and {@code more} µs from now, whoever asks when.
      */
-    public void ending(long more) {
+    public void beginShutdown(long more) {
         long longest = boot.settings().classes().stream()
                 .mapToLong(Policy.RequestClass::deadline)
                 .max()
@@ -264,16 +264,16 @@
     }
 
     /** From here on it is known at any time for how long the loop has not looked at its sockets. */
-    public void beat() {
+    public void startStallDetection() {
         long now = now();
         standstill.passed(now);
-        beat(now);
+        startStallDetection(now);
     }
 
-    private void beat(long from) {
+    private void startStallDetection(long from) {
         long at = from + EventLoopStallDetector.BEAT;
         standstill.expect(at);
-        loop.after(Math.max(0, at - now()), () -> {
+        loop.schedule(Math.max(0, at - now()), () -> {
             standstill.passed(from);
             beaten(at, false);
         });
@@ -284,7 +284,7 @@
     private void beaten(long at, boolean again) {
         long now = now();
         if (standstill.hidesNews(now) && !again) {
-            loop.after(0, () -> {
+            loop.schedule(0, () -> {
                 standstill.passed(now);
                 beaten(at, true);
             });
@@ -294,20 +294,20 @@
         if (standstill.tells(now - at, now)) {
             log.accept("stood still for " + (now - at) / 1000 + " ms: what came meanwhile lay unread");
         }
-        beat(now);
+        startStallDetection(now);
     }
 
     private void due(long delay, LongConsumer task) {
         long at = now() + delay;
         standstill.expect(at);
-        loop.after(delay, () -> {
+        loop.schedule(delay, () -> {
             standstill.came(at);
             task.accept(now() - at);
         });
     }
 
     private void guard(Exchange x, long left) {
-        x.guard = loop.after(Math.max(0, left - GUARD), () -> {
+        x.guard = loop.schedule(Math.max(0, left - GUARD), () -> {
             if (x.arriving && x.out > 0) {
                 guard(x, x.order.timeLeft()); // on its way: its time has not begun
             } else {
@@ -323,8 +323,8 @@
             x.stall = null;
         }
         if (stalled && !x.closed) {
-            x.stall =
-                    loop.after(STALLED, () -> List.copyOf(x.attempts).forEach(a -> giveUp(a, Policy.Outcome.TIMEOUT)));
+            x.stall = loop.schedule(
+                    STALLED, () -> List.copyOf(x.attempts).forEach(a -> giveUp(a, Policy.Outcome.TIMEOUT)));
         }
     }
 
@@ -339,7 +339,7 @@
             for (Attempt a : x.attempts) {
                 if (!a.ended) {
                     a.at = now();
-                    a.timer = loop.after(a.wait, () -> giveUp(a, Policy.Outcome.TIMEOUT));
+                    a.timer = loop.schedule(a.wait, () -> giveUp(a, Policy.Outcome.TIMEOUT));
                 }
             }
         }
@@ -361,47 +361,47 @@
         }
 
         @Override
-        public void to(Taker taker) {
-            from.to(new Taker() {
+        public void subscribe(Taker taker) {
+            from.subscribe(new Taker() {
                 @Override
-                public void piece(byte[] bytes) {
-                    taker.piece(bytes);
+                public void onData(byte[] bytes) {
+                    taker.onData(bytes);
                 }
 
                 @Override
-                public void ended() {
+                public void onComplete() {
                     then.run();
-                    taker.ended();
+                    taker.onComplete();
                 }
 
                 @Override
-                public void broken() {
-                    taker.broken();
+                public void onError() {
+                    taker.onError();
                 }
             });
         }
 
         @Override
-        public void pull(boolean room) {
+        public void setReady(boolean room) {
             stalled.accept(!room);
-            from.pull(room);
+            from.setReady(room);
         }
 
         @Override
-        public void drop() {
-            from.drop();
+        public void cancel() {
+            from.cancel();
         }
     }
 
     /** Whether a request by that name of its client's is open, or an attempt of it. */
-    public boolean holds(String id) {
+    public boolean isOpen(String id) {
         return ids.contains(id);
     }
 
     private void gone(Exchange x) {
         if (!x.closed) {
             close(x);
-            tally.gone();
+            tally.clientDisconnected();
             requestLog.request(RequestLog.Event.CLIENT_CLOSED, x.order.id(), x.out);
             tellGone(x);
             withdraw(x);
@@ -432,7 +432,7 @@
 
     private void tellGone(Exchange x) {
         if (x.told) {
-            hand(now -> policy.clientGone(now, x.id, this));
+            hand(now -> policy.clientDisconnected(now, x.id, this));
         }
     }
 
@@ -442,7 +442,7 @@
         stalled(x, false);
         owed--;
         if (owed == 0 && whenIdle != null) {
-            loop.soon(whenIdle);
+            loop.execute(whenIdle);
         }
     }
 
@@ -485,7 +485,7 @@
             tally.served(x.entry, x.order.timeLeft() - (x.deadline - now()));
             x.reply.serve(answer);
         } else if (answer != null && answer.rest() != null) {
-            answer.rest().drop(); // nobody waits for it any more
+            answer.rest().cancel(); // nobody waits for it any more
         }
         hand(now -> policy.outcome(now, x.id, a.number, outcome, latency, x.closed, load, this));
         if (x.closed) {
@@ -543,7 +543,7 @@
     private void giveUp(Attempt a, Policy.Outcome ifWritten) {
         if (!a.ended) {
             requestLog.attempt(RequestLog.Event.ATTEMPT_GIVEN_UP, a.exchange.order.id(), a.number, ifWritten);
-            boolean mayHaveRun = a.carried != null && a.carried.giveUp() == AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
+            boolean mayHaveRun = a.carried != null && a.carried.cancel() == AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
             ended(a, mayHaveRun ? ifWritten : Policy.Outcome.NOT_SENT, null, null);
         }
     }
@@ -552,12 +552,12 @@
      * Other settings hold from here on, for the module as well; what is open keeps those it was taken under.
      * Classes and tenants of the same name are the same.
      */
-    public void retune(SettingsReader.Boot to) {
+    public void reload(SettingsReader.Boot to) {
         List<Integer> classes = former(to.classes(), boot.classes());
         List<Integer> tenants = former(to.tenants(), boot.tenants());
         boot = to;
-        tally.retune(to.settings(), classes, tenants);
-        hand(now -> policy.retune(now, to.settings(), classes, tenants, this));
+        tally.reload(to.settings(), classes, tenants);
+        hand(now -> policy.reload(now, to.settings(), classes, tenants, this));
     }
 
     // Of several by one name the first is meant: the others are former ones that are about to go.
@@ -566,17 +566,17 @@
     }
 
     /** News of the list of upstreams; null: the call or the watch has failed. */
-    public void listed(Policy.ListKind kind, EndpointUpdate targets) {
-        listed(kind, targets, 0);
+    public void updateEndpoints(Policy.ListKind kind, EndpointUpdate targets) {
+        updateEndpoints(kind, targets, 0);
     }
 
     /** The same, which may have counted as told for {@code toldFor} µs before it came. */
-    public void listed(Policy.ListKind kind, EndpointUpdate targets, long toldFor) {
+    public void updateEndpoints(Policy.ListKind kind, EndpointUpdate targets, long toldFor) {
         if (targets != null) {
             requestLog.process(RequestLog.Event.LIST_RECEIVED, targets.rev());
-            carrier.listed(targets, now() - standstill.unread(now()) - toldFor);
+            carrier.updateEndpoints(targets, now() - standstill.unread(now()) - toldFor);
         }
-        hand(news, now -> policy.servers(now, kind, targets == null ? List.of() : targets.servers(), this));
+        hand(news, now -> policy.updateEndpoints(now, kind, targets == null ? List.of() : targets.servers(), this));
     }
 
     /** The module is told nothing more, and so asks for nothing. */
@@ -587,7 +587,7 @@
     }
 
     /** How many final answers are owed. */
-    public int owed() {
+    public int pendingResponses() {
         return owed;
     }
 
@@ -595,7 +595,7 @@
     public void whenIdle(Runnable then) {
         whenIdle = then;
         if (owed == 0) {
-            loop.soon(then);
+            loop.execute(then);
         }
     }
 
@@ -635,7 +635,7 @@
             long until = x.arriving ? within : Math.min(within, wait);
             long before = until < Long.MAX_VALUE - now ? now + until : Long.MAX_VALUE;
             if (!x.arriving) {
-                a.timer = loop.after(wait, () -> giveUp(a, Policy.Outcome.TIMEOUT));
+                a.timer = loop.schedule(wait, () -> giveUp(a, Policy.Outcome.TIMEOUT));
             }
             a.carried = carrier.send(server, x.order, wait, before, new AttemptListener(a));
         } else {
@@ -644,18 +644,18 @@
     }
 
     @Override
-    public boolean connected(String server) {
-        return carrier.connected(server);
+    public boolean isConnected(String server) {
+        return carrier.isConnected(server);
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         Exchange x = table.get(request);
         if (x != null && !x.closed) {
             close(x);
             tally.refused();
             requestLog.request(RequestLog.Event.RESPONSE_REFUSED, x.order.id(), retryAfter);
-            x.reply.refuse(retryAfter);
+            x.reply.reject(retryAfter);
             withdraw(x);
             forget(x);
         }
@@ -689,7 +689,8 @@
         carrier.probe(
                 server,
                 reports,
-                (outcome, answer, load) -> hand(now -> policy.probed(now, server, outcome, now - sent, load, this)));
+                (outcome, answer, load) ->
+                        hand(now -> policy.probeCompleted(now, server, outcome, now - sent, load, this)));
     }
 
     @Override
@@ -709,7 +710,7 @@
 
     /** Balancers share nothing here: the module sends no messages, and there is no way for one. */
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         throw new UnsupportedOperationException("messages between balancers");
     }
 
@@ -719,7 +720,7 @@
     }
 
     @Override
-    public void remark(String line) {
+    public void log(String line) {
         log.accept(line);
     }
 }
--- a/src/main/java/loadbalancer/proxy/PendingUpdates.java
+++ b/src/main/java/loadbalancer/proxy/PendingUpdates.java
@@ -8,7 +8,7 @@
     /** Of a loop that has no list to hear of. */
     PendingUpdates NONE = new PendingUpdates() {
         @Override
-        public boolean mayLieUnread() {
+        public boolean mayHaveUnread() {
             return false;
         }
 
@@ -18,13 +18,13 @@
         }
 
         @Override
-        public void afterNews(Runnable task) {
+        public void afterUpdates(Runnable task) {
             task.run();
         }
     };
 
     /** Whether the loop has stood still, and not passed over its sockets since. */
-    boolean mayLieUnread();
+    boolean mayHaveUnread();
 
     /**
      * Until when what is ready may leave, in µs of the node's clock (rule 3): then the grace of a drain may
@@ -37,5 +37,5 @@
      * up, else behind a whole pass over its sockets. The present pass may have begun before the standstill,
      * and look at none that became ready since.
      */
-    void afterNews(Runnable task);
+    void afterUpdates(Runnable task);
 }
--- a/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -60,7 +60,7 @@
     public static final String DEADLINE = "Req-Deadline-Ms";
 
     /** The same for another path. */
-    public ProxyRequest to(String other) {
+    public ProxyRequest withUri(String other) {
         return new ProxyRequest(
                 id,
                 method,
@@ -79,7 +79,7 @@
     }
 
     /** The same from a front that passes long answers on, and with what follows behind its body, or null. */
-    public ProxyRequest passing(BodyStream following, long all) {
+    public ProxyRequest withBodyStream(BodyStream following, long all) {
         return new ProxyRequest(
                 id,
                 method,
--- a/src/main/java/loadbalancer/proxy/RequestMetrics.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -71,7 +71,7 @@
     public record Entry(Line ofClass, Line ofTenant, double worth, long aim, double lateShare) {}
 
     /** Other settings hold from here on; the lines go on under the numbers that they have now, or begin. */
-    public void retune(Policy.Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
+    public void reload(Policy.Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
         settings = to;
         classes = carried(classes, formerClasses);
         tenants = to.tenants().isEmpty() ? lines(1) : carried(tenants, formerTenants);
@@ -82,18 +82,18 @@
     }
 
     /** A request has been taken. */
-    public Entry taken(ProxyRequest order) {
+    public Entry received(ProxyRequest order) {
         Policy.RequestClass kind = settings.classes().get(order.requestClass());
         long aim = kind.aim() + (order.work() > 0 ? (long) (kind.aimStretch() * order.work()) : 0);
         Entry entry =
                 new Entry(classes[order.requestClass()], tenants[order.tenant()], worth(order), aim, kind.lateShare());
-        taken(all, entry.worth());
-        taken(entry.ofClass(), entry.worth());
-        taken(entry.ofTenant(), entry.worth());
+        received(all, entry.worth());
+        received(entry.ofClass(), entry.worth());
+        received(entry.ofTenant(), entry.worth());
         return entry;
     }
 
-    private static void taken(Line line, double worth) {
+    private static void received(Line line, double worth) {
         line.taken++;
         line.asked += worth;
     }
@@ -127,7 +127,7 @@
     }
 
     /** One's client has left before its answer. */
-    public void gone() {
+    public void clientDisconnected() {
         gone++;
     }
 
--- a/src/main/java/loadbalancer/proxy/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -21,7 +21,7 @@
      * @param fields those that go on, and with them those that tell of the request itself
      * @throws IllegalArgumentException with the reason, where it can't be taken
      */
-    public static ProxyRequest order(
+    public static ProxyRequest validate(
             String method, String uri, HeaderFields fields, byte[] body, SettingsReader.Boot boot) {
         for (String name : SINGLE) {
             if (fields.several(name)) {
--- a/src/main/java/loadbalancer/proxy/ResponseWriter.java
+++ b/src/main/java/loadbalancer/proxy/ResponseWriter.java
@@ -9,7 +9,7 @@
     void serve(UpstreamResponse answer);
 
     /** Refused, trying again is harmless; {@code retryAfter} in µs, 0 where none is advised. */
-    void refuse(long retryAfter);
+    void reject(long retryAfter);
 
     /** Failed, nothing promised. */
     void fail();
--- a/src/main/java/loadbalancer/proxy/Scheduler.java
+++ b/src/main/java/loadbalancer/proxy/Scheduler.java
@@ -9,8 +9,8 @@
     }
 
     /** Runs {@code task} on the loop's thread, not from within this call. May be called from any thread. */
-    void soon(Runnable task);
+    void execute(Runnable task);
 
     /** Runs {@code task} on the loop's thread once, after {@code delay} µs. */
-    Timer after(long delay, Runnable task);
+    Timer schedule(long delay, Runnable task);
 }
--- a/src/main/java/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/loadbalancer/server/LoadBalancerServer.java
@@ -97,7 +97,7 @@
         budget = new ConnectionBudget(config.connections(), System.nanoTime());
         Policy policy = module.apply(config.boot().settings(), config.seed());
         dispatcher = new Dispatcher(new NettyScheduler(loop), Clock.system(), config.boot(), policy, log);
-        dispatcher.logTo(RequestLog.of(System.getenv(), log));
+        dispatcher.setRequestLog(RequestLog.of(System.getenv(), log));
         upstreams = new Http1ConnectionPool(loop, config.boot(), budget, dispatcher::now, dispatcher);
         boolean asked = config.discovery() != null;
         discovery = asked
@@ -111,7 +111,7 @@
                 !config.inherited() ? null : new HotRestartChannel(loop, shared("honeyspindle.sock"), this::step, log);
         door = config.management() == null ? null : new AdminServer(loop, new Orders());
         extra = extension == null ? null : extension.of(new ServerExtension.Lent(loop, config, dispatcher, room, log));
-        dispatcher.attach(extra == null ? upstreams : extra.carrier(upstreams), asked ? discovery : fixed);
+        dispatcher.attach(extra == null ? upstreams : extra.transport(upstreams), asked ? discovery : fixed);
     }
 
     /** Runs a balancer until it is told to stop; returns only if it can't start. */
@@ -175,7 +175,7 @@
         }
         ReadBeforeTimers.every(loop, FOLLOW_MS, TimeUnit.MILLISECONDS, this::follow);
         loop.execute(() -> {
-            dispatcher.beat();
+            dispatcher.startStallDetection();
             if (beside != null) {
                 clients.advertise(extra.advertisement(beside));
             }
@@ -221,8 +221,8 @@
             return;
         }
         WarmUp rehearsal = new WarmUp(loop, config, own == null ? null : own.localAddress(), () -> {
-            clients.rehearse(null);
-            budget.unlearn(System.nanoTime());
+            clients.warmUp(null);
+            budget.resetEstimates(System.nanoTime());
             if (own != null) {
                 own.close();
             }
@@ -230,13 +230,13 @@
                 rehearsed = true;
                 readyIfSo();
             } else {
-                extra.rehearse(beside, () -> {
+                extra.warmUp(beside, () -> {
                     rehearsed = true;
                     readyIfSo();
                 });
             }
         });
-        clients.rehearse(rehearsal);
+        clients.warmUp(rehearsal);
         rehearsal.start(at);
     }
 
@@ -256,8 +256,8 @@
     // ---------------------------------------------------------------- upgrades
 
     private void share() {
-        budget.limit(handover.shares() ? config.connections().half() : config.connections());
-        clients.follow();
+        budget.setLimits(handover.hasPeer() ? config.connections().halved() : config.connections());
+        clients.applyLifeCycle();
     }
 
     private void step(HotRestart.Step step) {
@@ -365,17 +365,17 @@
     }
 
     private void tune() {
-        dispatcher.retune(boot);
-        upstreams.retune(boot);
-        clients.retune(boot);
+        dispatcher.reload(boot);
+        upstreams.reload(boot);
+        clients.reload(boot);
         if (extra != null) {
-            extra.retune(boot);
+            extra.reload(boot);
         }
     }
 
     private void reloadExtra(Config fresh) {
         if (extra != null) {
-            loop.execute(() -> extra.reload(fresh));
+            loop.execute(() -> extra.reloadCertificates(fresh));
         }
     }
 
@@ -385,7 +385,7 @@
     }
 
     private void listed(Policy.ListKind kind, EndpointUpdate targets, long toldFor) {
-        dispatcher.listed(kind, targets, toldFor);
+        dispatcher.updateEndpoints(kind, targets, toldFor);
         boolean usable = kind == Policy.ListKind.COMPLETE
                 || targets != null
                         && targets.list().stream().anyMatch(t -> t.server().state() == Policy.State.UP);
@@ -400,7 +400,7 @@
             if (life.prepared(System.nanoTime()) && extra != null) {
                 extra.ready();
             }
-            clients.follow();
+            clients.applyLifeCycle();
             if (handover != null && life.ready()) {
                 handover.ready();
             }
@@ -409,13 +409,13 @@
     }
 
     private void follow() {
-        if (life.pass(System.nanoTime())) {
+        if (life.advance(System.nanoTime())) {
             log.accept("evacuated: " + clients.open() + " connections left to answer");
         }
         if (!life.ready()) {
-            clients.follow();
+            clients.applyLifeCycle();
         }
-        if (life.left(System.nanoTime()) && clients.open() == 0) {
+        if (life.hasLeft(System.nanoTime()) && clients.open() == 0) {
             dispatcher.whenIdle(stopped::countDown);
         }
     }
@@ -447,7 +447,7 @@
                 if (extra != null && life.ready()) {
                     extra.ready();
                 }
-                clients.follow();
+                clients.applyLifeCycle();
                 if (handover != null && life.ready()) {
                     handover.ready();
                 }
@@ -465,7 +465,7 @@
     void stop() {
         loop.execute(() -> {
             life.stop(System.nanoTime());
-            dispatcher.ending(LAST_ANSWERS);
+            dispatcher.beginShutdown(LAST_ANSWERS);
             if (extra != null) {
                 extra.stopping();
             }
@@ -482,15 +482,15 @@
     // Each time behind a pass over the sockets.
     private void look(ShutdownDrain last) {
         int passing = clients.passes() ? 1 : 0; // a long answer: it takes as long as it takes
-        ShutdownDrain.Step step = last.look(clients.sight(dispatcher.owed() + passing));
+        ShutdownDrain.Step step = last.observe(clients.observe(dispatcher.pendingResponses() + passing));
         if (step == ShutdownDrain.Step.END) {
             end();
             return;
         }
         if (step == ShutdownDrain.Step.CLOSE_LISTENER) {
-            life.lastCalled();
+            life.listenerClosed();
             clients.close();
-            clients.follow();
+            clients.applyLifeCycle();
             if (extra != null) {
                 extra.close();
             }
--- a/src/main/java/loadbalancer/server/NettyScheduler.java
+++ b/src/main/java/loadbalancer/server/NettyScheduler.java
@@ -8,12 +8,12 @@
 /** The real event loop, as the core sees it. */
 record NettyScheduler(EventLoop loop) implements Scheduler {
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         loop.execute(task);
     }
 
     @Override
-    public Timer after(long delay, Runnable task) {
+    public Timer schedule(long delay, Runnable task) {
         return ReadBeforeTimers.after(loop, delay, TimeUnit.MICROSECONDS, task)::cancel;
     }
 }
--- a/src/main/java/loadbalancer/server/ServerExtension.java
+++ b/src/main/java/loadbalancer/server/ServerExtension.java
@@ -21,7 +21,7 @@
     /** What it has become in one node; all but {@link #listen} is called on the event loop. */
     interface Part {
         /** The carrier to use, which may be {@code usual} itself or something in front of it. */
-        AttemptTransport carrier(AttemptTransport usual);
+        AttemptTransport transport(AttemptTransport usual);
 
         /**
          * Listens; not for the loop's thread.
@@ -34,16 +34,16 @@
         String advertisement(InetSocketAddress at);
 
         /** Requests of its own before clients come; runs {@code done} once, whether they went well or not. */
-        void rehearse(InetSocketAddress at, Runnable done);
+        void warmUp(InetSocketAddress at, Runnable done);
 
         /** The node takes requests from here on. */
         void ready();
 
         /** Takes over what can change in service. */
-        void reload(Config fresh);
+        void reloadCertificates(Config fresh);
 
         /** Other settings hold from here on. */
-        void retune(SettingsReader.Boot to);
+        void reload(SettingsReader.Boot to);
 
         /** The node is about to stop: clients are told. */
         void stopping();
--- a/src/main/java/loadbalancer/server/WarmUp.java
+++ b/src/main/java/loadbalancer/server/WarmUp.java
@@ -96,8 +96,8 @@
             targets.add(new EndpointUpdate.Endpoint(server, self));
         }
         EndpointUpdate all = new EndpointUpdate(0, true, targets);
-        front.listed(all, dispatcher.now());
-        dispatcher.listed(Policy.ListKind.PERSISTED, all);
+        front.updateEndpoints(all, dispatcher.now());
+        dispatcher.updateEndpoints(Policy.ListKind.PERSISTED, all);
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
         for (int i = 0; i < AT_ONCE; i++) {
             next();
--- a/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
+++ b/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public AttemptTransport carrier(AttemptTransport usual) {
+        public AttemptTransport transport(AttemptTransport usual) {
             if (told.trust().isEmpty()) {
                 return usual;
             }
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public void rehearse(InetSocketAddress at, Runnable done) {
+        public void warmUp(InetSocketAddress at, Runnable done) {
             if (server == null) {
                 done.run();
             } else {
@@ -87,7 +87,7 @@
         }
 
         @Override
-        public void reload(Config fresh) {
+        public void reloadCertificates(Config fresh) {
             TlsIdentity other = fresh.http3() == null ? null : fresh.http3().identity();
             if (server != null && other != null && !other.equals(identity)) {
                 identity = other;
@@ -97,9 +97,9 @@
         }
 
         @Override
-        public void retune(SettingsReader.Boot to) {
+        public void reload(SettingsReader.Boot to) {
             if (server != null) {
-                server.retune(to);
+                server.reload(to);
             }
         }
 
--- a/src/main/java/loadbalancer/server/http3/Http3WarmUp.java
+++ b/src/main/java/loadbalancer/server/http3/Http3WarmUp.java
@@ -57,7 +57,7 @@
         InetSocketAddress own = at.getAddress().isAnyLocalAddress()
                 ? new InetSocketAddress(InetAddress.getLoopbackAddress(), at.getPort())
                 : at;
-        carrier.listed(
+        carrier.updateEndpoints(
                 new EndpointUpdate(
                         0,
                         true,
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -72,15 +72,15 @@
                     flatten(path + "." + i, list.get(i), into);
                 }
             } else {
-                into.put(path, list.stream().map(SettingsReader::plain).collect(Collectors.joining(",")));
+                into.put(path, list.stream().map(SettingsReader::toText).collect(Collectors.joining(",")));
             }
         } else if (value != null) {
-            into.put(path, plain(value));
+            into.put(path, toText(value));
         }
     }
 
     /** A value as it stands on the wire, where spaces and commas within values are replaced. */
-    public static String plain(Object value) {
+    public static String toText(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -136,7 +136,7 @@
                         throw f.bad("Buffer", "no LIST has that number: " + f.raw(3, "Buffer"));
                     }
                 }
-                policy.servers(now, kind, list, reply);
+                policy.updateEndpoints(now, kind, list, reply);
             }
             case "INBOUND" -> {
                 f.expect("Req", "Priority", "Account", "NameKey", "Ttl", "Hint", "Options");
@@ -181,10 +181,10 @@
                 f.expect("Req", "SendNo", "Upstream", "Lag");
                 policy.streamStarted(now, f.text(1, "Req"), f.index(2, "SendNo", Integer.MAX_VALUE), reply);
             }
-            case "WITHDRAWN" -> policy.clientGone(now, f.expect("Req").text(1, "Req"), reply);
+            case "WITHDRAWN" -> policy.clientDisconnected(now, f.expect("Req").text(1, "Req"), reply);
             case "PROBE_RESULT" -> {
                 f.expect("Upstream", "Lag", "Rc", "Usage");
-                policy.probed(
+                policy.probeCompleted(
                         now, f.text(1, "Upstream"), outcome(f, 3), f.number(2, "Lag"), load(f, 4, instance), reply);
             }
             case "MAIL" -> {
@@ -288,7 +288,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             line("REFUSE", request, retryAfter);
         }
 
@@ -323,7 +323,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
+        public void sendToPeer(int peer, byte[] data) {
             String bytes = data.length == 0 ? "-" : Base64.getEncoder().encodeToString(data);
             line("BROADCAST_TO", peer < 0 ? "*" : peer, bytes);
         }
@@ -334,7 +334,7 @@
         }
 
         @Override
-        public void remark(String line) {
+        public void log(String line) {
             line("REMARK", clean(line));
         }
     }
--- a/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
@@ -133,7 +133,7 @@
     }
 
     /** Other settings hold from here on. */
-    public void retune(SettingsReader.Boot to) {
+    public void reload(SettingsReader.Boot to) {
         boot = to;
         rest = new IdleTimeout(to.idleClose());
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis());
@@ -142,7 +142,7 @@
     // ---------------------------------------------------------------- the list
 
     @Override
-    public void listed(EndpointUpdate targets, long now) {
+    public void updateEndpoints(EndpointUpdate targets, long now) {
         Set<String> named = new HashSet<>();
         for (EndpointUpdate.Endpoint t : targets.list()) {
             named.add(t.server().id());
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public boolean connected(String server) {
+    public boolean isConnected(String server) {
         Upstream u = upstreams.get(server);
         return u != null && ready(u) != null;
     }
@@ -209,7 +209,7 @@
         Call call = new Call(order, 0, Long.MAX_VALUE, listener);
         call.timer = loop.schedule(
                 () -> {
-                    boolean asked = call.giveUp() == AttemptEffect.MAY_HAVE_RUN;
+                    boolean asked = call.cancel() == AttemptEffect.MAY_HAVE_RUN;
                     listener.ended(asked ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, null, null);
                 },
                 connectMillis(),
@@ -236,7 +236,7 @@
     }
 
     private void dial(Upstream u, Call call) {
-        if (!budget.makeRoom(Direction.UPSTREAM, System.nanoTime())) {
+        if (!budget.evictToAdmit(Direction.UPSTREAM, System.nanoTime())) {
             // Our own want of room: no failure of that upstream's, and nothing has run.
             call.end(Outcome.NOT_SENT, null, null);
             return;
@@ -328,7 +328,7 @@
          * run if its last byte has been written.
          */
         @Override
-        public AttemptEffect giveUp() {
+        public AttemptEffect cancel() {
             Connection c = connection;
             if (ended || c == null) {
                 return AttemptEffect.NEVER_RAN;
@@ -348,7 +348,7 @@
             if (ended || connection.written) {
                 return false;
             }
-            giveUp();
+            cancel();
             return true;
         }
 
@@ -406,7 +406,7 @@
         Connection(Upstream upstream) {
             this.upstream = upstream;
             this.endpoint = upstream.endpoint;
-            this.lease = budget.upstream(this::close, System.nanoTime());
+            this.lease = budget.openUpstream(this::close, System.nanoTime());
         }
 
         boolean settled() {
@@ -420,7 +420,7 @@
         // Behind this pass over the sockets, in which its end may lie, and behind news of the list where the
         // loop has stood still since the module decided; never from within a read of a client's connection.
         void goSoon() {
-            loop.execute(() -> news.afterNews(this::go));
+            loop.execute(() -> news.afterUpdates(this::go));
         }
 
         // It stands, and news of the list has been read.
@@ -461,7 +461,7 @@
             next.connection = this;
             begun = true;
             written = false;
-            budget.asked(lease, System.nanoTime());
+            budget.requestReceived(lease, System.nanoTime());
             reader.expect();
             if (next.order.rest() != null) {
                 upload(next, permit);
@@ -512,7 +512,7 @@
             BodyWriter sink = new BodyWriter(channel);
             sink.begin(next.message(endpoint), next.order.body());
             if (leaves(permit) && call == next) { // else it has broken at its first bytes
-                next.order.rest().to(new Upload(next, sink));
+                next.order.rest().subscribe(new Upload(next, sink));
             }
         }
 
@@ -532,7 +532,7 @@
             }
 
             @Override
-            public void piece(byte[] bytes) {
+            public void onData(byte[] bytes) {
                 left -= bytes.length;
                 if (left <= 0) {
                     last = bytes;
@@ -540,12 +540,12 @@
                 }
                 flushed = sink.write(bytes);
                 if (!sink.room()) {
-                    next.order.rest().pull(false);
+                    next.order.rest().setReady(false);
                 }
             }
 
             @Override
-            public void ended() {
+            public void onComplete() {
                 if (flushed == null) {
                     loop.execute(this::finish);
                 } else {
@@ -569,7 +569,7 @@
             }
 
             @Override
-            public void broken() {
+            public void onError() {
                 if (call == next) {
                     Connection.this.finish(Outcome.NOT_SENT, null, null);
                     Connection.this.close();
@@ -580,7 +580,7 @@
         @Override
         public void writable(boolean now) {
             if (call != null && call.order.rest() != null && !written) {
-                call.order.rest().pull(now);
+                call.order.rest().setReady(now);
             }
         }
 
@@ -621,7 +621,7 @@
             } else {
                 rested = true;
                 upstream.idle.addLast(this);
-                budget.idle(lease, System.nanoTime());
+                budget.becameIdle(lease, System.nanoTime());
             }
         }
 
--- a/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -181,7 +181,7 @@
     void ended() {
         if (rest != null && !rest.ended && rest.started()) {
             rest.ended = true;
-            rest.taker().broken();
+            rest.taker().onError();
         }
     }
 
@@ -194,7 +194,7 @@
         }
 
         @Override
-        public void drop() {
+        public void cancel() {
             if (!ended) {
                 ended = true;
                 spoilt = true;
@@ -207,12 +207,12 @@
                 return; // nobody took it: dropped
             }
             if (bytes.isReadable()) {
-                taker().piece(ByteBufUtil.getBytes(bytes));
+                taker().onData(ByteBufUtil.getBytes(bytes));
             }
             if (last && !ended) {
                 ended = true;
                 passed = true;
-                taker().ended();
+                taker().onComplete();
             }
         }
     }
--- a/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
@@ -78,7 +78,7 @@
         timer = owner.loop.schedule(
                 () -> {
                     if (!ended) {
-                        boolean asked = giveUp() == AttemptEffect.MAY_HAVE_RUN;
+                        boolean asked = cancel() == AttemptEffect.MAY_HAVE_RUN;
                         listener.ended(asked ? Policy.Outcome.TIMEOUT : Policy.Outcome.CONNECT_FAILED, null, null);
                     }
                 },
@@ -136,7 +136,7 @@
 
     /** Stops waiting and tells nobody; the upstream is asked to stop as well (RFC 9114, section 4.1.1). */
     @Override
-    public AttemptEffect giveUp() {
+    public AttemptEffect cancel() {
         if (ended) {
             return AttemptEffect.NEVER_RAN;
         }
@@ -153,7 +153,7 @@
         if (ended || stream != null) {
             return false;
         }
-        giveUp();
+        cancel();
         return true;
     }
 
@@ -215,7 +215,7 @@
                     state.trailers();
                     return;
                 }
-                HeaderValidator.Status head = HeaderValidator.answer(frame.headers());
+                HeaderValidator.Status head = HeaderValidator.response(frame.headers());
                 if (head.status() >= 200) {
                     headers = frame.headers();
                     status = head.status();
--- a/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
@@ -150,9 +150,9 @@
     // ---------------------------------------------------------------- the list
 
     @Override
-    public void listed(EndpointUpdate targets, long now) {
+    public void updateEndpoints(EndpointUpdate targets, long now) {
         if (other != null) {
-            other.listed(targets, now);
+            other.updateEndpoints(targets, now);
         }
         Set<String> named = new HashSet<>();
         for (EndpointUpdate.Endpoint t : targets.list()) {
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public boolean connected(String server) {
+    public boolean isConnected(String server) {
         Http3Upstream box = boxes.get(server);
-        if (box != null && !box.plan().failing()) {
-            return box.plan().connected();
+        if (box != null && !box.plan().isFailing()) {
+            return box.plan().isConnected();
         }
-        return other != null && other.connected(server);
+        return other != null && other.isConnected(server);
     }
 
     /** Gives up after the time that a connection may take. */
--- a/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
@@ -77,10 +77,10 @@
     }
 
     void closed(Http3ConnectionPlan.PlannedConnection link) {
-        boolean before = plan.failing();
+        boolean before = plan.isFailing();
         plan.closed(link, owner.clock.now());
         channels.remove(link);
-        if (plan.failing() && !before) {
+        if (plan.isFailing() && !before) {
             owner.log("http3 to " + id + " failed: HTTP/1.1 stands in");
         }
     }
@@ -98,7 +98,7 @@
     /** Takes nothing new; what it holds goes on. */
     void retire() {
         stopAt = Long.MIN_VALUE;
-        plan.links().forEach(plan::retire);
+        plan.connections().forEach(plan::retire);
         closeIdle(Long.MAX_VALUE);
     }
 
--- a/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
@@ -48,7 +48,7 @@
         Http3AttemptTransport owner = box.owner();
         patience = owner.loop.schedule(
                 () -> {
-                    CodecErrors.end(channel, Http3ErrorCodes.NO_ERROR);
+                    CodecErrors.close(channel, Http3ErrorCodes.NO_ERROR);
                     lost();
                 },
                 owner.connectMicros(),
@@ -84,7 +84,7 @@
                     if (!done.isSuccess()) {
                         lost();
                     } else if (over) {
-                        CodecErrors.end(channel, Http3ErrorCodes.NO_ERROR);
+                        CodecErrors.close(channel, Http3ErrorCodes.NO_ERROR);
                     } else {
                         connected = true;
                         upIfSo();
@@ -128,7 +128,7 @@
     // Never from within a read of a client's connection, and behind news of the list that may lie unread.
     private void open(Http3Attempt call) {
         Http3AttemptTransport owner = box.owner();
-        owner.loop.execute(() -> owner.news.afterNews(() -> begin(call)));
+        owner.loop.execute(() -> owner.news.afterUpdates(() -> begin(call)));
     }
 
     private void begin(Http3Attempt call) {
@@ -168,7 +168,7 @@
 
     private void goAway(long id) {
         if (!box.plan().goAway(link, id)) {
-            CodecErrors.end(channel, Http3ErrorCodes.ID_ERROR);
+            CodecErrors.close(channel, Http3ErrorCodes.ID_ERROR);
             return;
         }
         for (Http3Attempt call : new ArrayList<>(calls)) {
@@ -198,7 +198,7 @@
         if (channel == null) {
             lost();
         } else {
-            CodecErrors.end(channel, Http3ErrorCodes.NO_ERROR);
+            CodecErrors.close(channel, Http3ErrorCodes.NO_ERROR);
         }
     }
 
--- a/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
+++ b/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
@@ -21,7 +21,7 @@
     private ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(256), now); // 192 in all
 
     private ConnectionPermit client(String address, String name) {
-        return budget.client(address, 1, () -> ended.add(name), now);
+        return budget.openClient(address, 1, () -> ended.add(name), now);
     }
 
     private List<ConnectionPermit> clients(String address, int count) {
@@ -34,13 +34,13 @@
 
     private ConnectionPermit served(String address, String name) {
         ConnectionPermit lease = client(address, name);
-        budget.asked(lease, now);
-        assertTrue(budget.answered(lease, true, false, now));
+        budget.requestReceived(lease, now);
+        assertTrue(budget.responseSent(lease, true, false, now));
         return lease;
     }
 
     private ConnectionPermit upstream(String name) {
-        return budget.upstream(() -> ended.add(name), now);
+        return budget.openUpstream(() -> ended.add(name), now);
     }
 
     private void fillClients(String address) {
@@ -54,7 +54,7 @@
         for (int i = 0; i < 30; i++) {
             served("a", "a" + i);
         }
-        assertEquals(5 * S, budget.restMost(now), "none of its time to rest is taken away");
+        assertEquals(5 * S, budget.maxIdleTime(now), "none of its time to rest is taken away");
         assertEquals(Pressure.AMPLE, budget.pressure(now));
     }
 
@@ -67,8 +67,8 @@
         }
         for (int round = 0; round < 3; round++) {
             now += 100 * MS;
-            regular.forEach(l -> budget.asked(l, now));
-            regular.forEach(l -> assertTrue(budget.answered(l, true, false, now)));
+            regular.forEach(l -> budget.requestReceived(l, now));
+            regular.forEach(l -> assertTrue(budget.responseSent(l, true, false, now)));
         }
         int kept = 0;
         int ends = 0;
@@ -76,20 +76,21 @@
             now += 5 * MS;
             if (i % 5 == 0) {
                 ConnectionPermit again = regular.get(i / 5 % regular.size());
-                budget.asked(again, now);
-                assertTrue(budget.answered(again, true, false, now), "a regular one, at " + i);
+                budget.requestReceived(again, now);
+                assertTrue(budget.responseSent(again, true, false, now), "a regular one, at " + i);
             }
             ConnectionPermit once = client("once" + i, "once");
             now += MS;
-            budget.asked(once, now);
-            if (budget.answered(once, true, false, now)) {
+            budget.requestReceived(once, now);
+            if (budget.responseSent(once, true, false, now)) {
                 kept++;
             } else {
                 ends++;
                 budget.closed(once, now);
             }
-            budget.endOverdue(now);
-            assertTrue(budget.open(Direction.CLIENT) < budget.clientsMost(now) * 3 / 4, "room is left at " + i);
+            budget.closeExpired(now);
+            assertTrue(
+                    budget.openConnections(Direction.CLIENT) < budget.maxClients(now) * 3 / 4, "room is left at " + i);
         }
         assertTrue(ends > 200, "ended " + ends + ", kept " + kept);
         assertFalse(ended.contains("regular"));
@@ -99,11 +100,11 @@
     void theSameClientsStayOnceTheCrowdHasGone() {
         whoAsksOnceIsEndedAtItsAnswerAndWhoAsksAgainStays();
         now += 120 * S;
-        budget.endOverdue(now);
-        assertEquals(5 * S, budget.restMost(now));
+        budget.closeExpired(now);
+        assertEquals(5 * S, budget.maxIdleTime(now));
         ConnectionPermit back = client("once1", "back");
-        budget.asked(back, now);
-        assertTrue(budget.answered(back, true, false, now));
+        budget.requestReceived(back, now);
+        assertTrue(budget.responseSent(back, true, false, now));
     }
 
     /** From one address, as behind a front, all that is asked again stays. */
@@ -112,15 +113,15 @@
         List<ConnectionPermit> pool = new ArrayList<>();
         for (int i = 0; i < 60; i++) { // a front opens another one where all are busy
             pool.add(client("front", "pool"));
-            budget.asked(pool.get(i), now);
+            budget.requestReceived(pool.get(i), now);
         }
-        pool.forEach(l -> assertTrue(budget.answered(l, true, false, now)));
+        pool.forEach(l -> assertTrue(budget.responseSent(l, true, false, now)));
         for (int i = 0; i < 5_000; i++) {
             now += MS;
             ConnectionPermit lease = pool.get(i % pool.size());
-            budget.asked(lease, now);
-            assertTrue(budget.answered(lease, true, false, now), "at " + i);
-            budget.endOverdue(now);
+            budget.requestReceived(lease, now);
+            assertTrue(budget.responseSent(lease, true, false, now), "at " + i);
+            budget.closeExpired(now);
         }
         assertTrue(ended.isEmpty());
     }
@@ -129,23 +130,23 @@
     void silentOnesOfTheAddressThatHoldsMostGoFirstTheNewestFirst() {
         client("usual", "usual");
         clients("crowd", 20);
-        now += 2 * budget.fairTime();
+        now += 2 * budget.requestGracePeriod();
         fillClients("later");
-        assertTrue(budget.makeRoom(Direction.CLIENT, now));
+        assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
         assertEquals(List.of("crowd19"), ended);
-        assertEquals(1, budget.ended(CloseReason.SILENT_FOR_ROOM));
+        assertEquals(1, budget.closedCount(CloseReason.SILENT_FOR_ROOM));
     }
 
     @Test
     void newcomersHaveAFairTimeAndOthersWaitForThat() {
         ConnectionPermit resting = served("usual", "usual");
         fillClients("crowd");
-        assertFalse(budget.makeRoom(Direction.CLIENT, now), "all are new: the next one waits");
+        assertFalse(budget.evictToAdmit(Direction.CLIENT, now), "all are new: the next one waits");
         assertTrue(ended.isEmpty(), "and the one that was just served stays");
-        now += budget.fairTime();
-        assertTrue(budget.makeRoom(Direction.CLIENT, now));
+        now += budget.requestGracePeriod();
+        assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
         assertEquals(List.of("crowd"), ended);
-        assertTrue(resting.atRest());
+        assertTrue(resting.isIdle());
     }
 
     @Test
@@ -153,19 +154,19 @@
         for (int i = 0; i < 200; i++) {
             ConnectionPermit quick = client("q", "q");
             now += 2 * MS;
-            budget.asked(quick, now);
-            budget.answered(quick, true, false, now);
+            budget.requestReceived(quick, now);
+            budget.responseSent(quick, true, false, now);
             budget.closed(quick, now);
         }
-        assertEquals(60 * MS, budget.fairTime(), "the least");
+        assertEquals(60 * MS, budget.requestGracePeriod(), "the least");
         for (int i = 0; i < 200; i++) {
             ConnectionPermit slow = client("s", "s");
             now += 100 * MS;
-            budget.asked(slow, now);
-            budget.answered(slow, true, false, now);
+            budget.requestReceived(slow, now);
+            budget.responseSent(slow, true, false, now);
             budget.closed(slow, now);
         }
-        assertTrue(budget.fairTime() > 500 * MS, "fair: " + budget.fairTime());
+        assertTrue(budget.requestGracePeriod() > 500 * MS, "fair: " + budget.requestGracePeriod());
     }
 
     @Test
@@ -177,9 +178,9 @@
         now += S;
         for (ConnectionPermit lease = null; budget.admits(Direction.CLIENT, now); ) {
             lease = client("busy", "busy");
-            budget.asked(lease, now);
+            budget.requestReceived(lease, now);
         }
-        assertTrue(budget.makeRoom(Direction.CLIENT, now));
+        assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
         assertEquals(List.of("greedy0"), ended);
     }
 
@@ -188,34 +189,34 @@
         served("a", "rested");
         client("b", "silent");
         ConnectionPermit busy = client("c", "busy");
-        budget.asked(busy, now);
+        budget.requestReceived(busy, now);
         ConnectionPermit last = client("d", "lingering");
-        budget.asked(last, now);
-        assertFalse(budget.answered(last, false, false, now));
+        budget.requestReceived(last, now);
+        assertFalse(budget.responseSent(last, false, false, now));
         now += 6 * S;
-        budget.endOverdue(now);
-        budget.endOverdue(now);
+        budget.closeExpired(now);
+        budget.closeExpired(now);
         assertEquals(List.of("rested", "silent", "lingering"), ended);
-        assertEquals(1, budget.open(Direction.CLIENT));
+        assertEquals(1, budget.openConnections(Direction.CLIENT));
         budget.closed(busy, now);
         budget.closed(busy, now);
-        assertEquals(0, budget.open(Direction.CLIENT), "told twice, counted once");
+        assertEquals(0, budget.openConnections(Direction.CLIENT), "told twice, counted once");
     }
 
     /** A last answer that is still on its way must not be cut off for a newcomer's sake. */
     @Test
     void aLastAnswerHasTimeToBeReadBeforeItsConnectionGoesForRoom() {
         ConnectionPermit last = client("slow", "slow");
-        budget.asked(last, now);
-        budget.answered(last, false, false, now);
+        budget.requestReceived(last, now);
+        budget.responseSent(last, false, false, now);
         fillClients("crowd");
         now += 400 * MS;
-        budget.makeRoom(Direction.CLIENT, now);
+        budget.evictToAdmit(Direction.CLIENT, now);
         assertFalse(ended.contains("slow"));
         fillClients("crowd");
         now += 200 * MS;
         ended.clear();
-        assertTrue(budget.makeRoom(Direction.CLIENT, now));
+        assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
         assertEquals(List.of("slow"), ended);
     }
 
@@ -224,62 +225,62 @@
     void whatHasComeInIsNotLostAtTheEndOfAnAnswer() {
         for (int i = 0; i < 500; i++) { // nobody asks twice, and room is dear
             ConnectionPermit once = client("once" + i, "once");
-            budget.asked(once, now);
-            budget.answered(once, true, false, now += MS);
+            budget.requestReceived(once, now);
+            budget.responseSent(once, true, false, now += MS);
         }
         ConnectionPermit pipelining = client("p", "p");
-        budget.asked(pipelining, now);
-        budget.asked(pipelining, now);
-        assertTrue(budget.answered(pipelining, true, false, now), "one more has been taken");
-        assertTrue(budget.answered(pipelining, true, true, now), "part of another has come in");
-        budget.asked(pipelining, now);
-        assertFalse(budget.answered(pipelining, true, false, now), "at rest it would be too dear");
-        assertThrows(IllegalStateException.class, () -> budget.asked(pipelining, now));
+        budget.requestReceived(pipelining, now);
+        budget.requestReceived(pipelining, now);
+        assertTrue(budget.responseSent(pipelining, true, false, now), "one more has been taken");
+        assertTrue(budget.responseSent(pipelining, true, true, now), "part of another has come in");
+        budget.requestReceived(pipelining, now);
+        assertFalse(budget.responseSent(pipelining, true, false, now), "at rest it would be too dear");
+        assertThrows(IllegalStateException.class, () -> budget.requestReceived(pipelining, now));
     }
 
     /** A connection with many requests at once, as of HTTP/2, is busy until its last answer. */
     @Test
     void aConnectionWithManyRequestsRestsAfterTheLast() {
-        ConnectionPermit many = budget.client("proxy", 3, () -> ended.add("many"), now);
+        ConnectionPermit many = budget.openClient("proxy", 3, () -> ended.add("many"), now);
         for (int i = 0; i < 100; i++) {
-            budget.asked(many, now);
+            budget.requestReceived(many, now);
         }
-        assertEquals(3, budget.open(Direction.CLIENT), "its units");
+        assertEquals(3, budget.openConnections(Direction.CLIENT), "its units");
         for (int i = 0; i < 100; i++) {
-            assertFalse(many.atRest());
-            assertTrue(budget.answered(many, true, false, now));
+            assertFalse(many.isIdle());
+            assertTrue(budget.responseSent(many, true, false, now));
         }
-        assertTrue(many.atRest());
+        assertTrue(many.isIdle());
     }
 
     @Test
     void clientsLeaveUpstreamsTheirFloorAndWhatTheyLatelyNeeded() {
         fillClients("crowd");
-        assertEquals(154, budget.open(Direction.CLIENT), "192 less the floor of a fifth");
+        assertEquals(154, budget.openConnections(Direction.CLIENT), "192 less the floor of a fifth");
         for (int i = 0; i < 38; i++) {
-            assertTrue(budget.makeRoom(Direction.UPSTREAM, now));
+            assertTrue(budget.evictToAdmit(Direction.UPSTREAM, now));
             upstream("up");
         }
         assertTrue(ended.isEmpty(), "the floor is there for nothing");
-        assertTrue(budget.makeRoom(Direction.UPSTREAM, now), "beyond it a newcomer goes that has not asked");
-        assertEquals(1, budget.ended(CloseReason.NEW_FOR_ROOM));
+        assertTrue(budget.evictToAdmit(Direction.UPSTREAM, now), "beyond it a newcomer goes that has not asked");
+        assertEquals(1, budget.closedCount(CloseReason.NEW_FOR_ROOM));
         upstream("up");
-        assertTrue(budget.clientsMost(now) < 154, "clients have less while upstreams need more");
-        assertFalse(budget.makeRoom(Direction.CLIENT, now));
+        assertTrue(budget.maxClients(now) < 154, "clients have less while upstreams need more");
+        assertFalse(budget.evictToAdmit(Direction.CLIENT, now));
     }
 
     @Test
     void upstreamsLeaveClientsTheirFloorAndNothingBusyIsEnded() {
         int opened = 0;
-        while (budget.makeRoom(Direction.UPSTREAM, now)) {
+        while (budget.evictToAdmit(Direction.UPSTREAM, now)) {
             upstream("up");
             opened++;
         }
         assertEquals(125, opened, "192 less the floor of 0.35");
         assertTrue(ended.isEmpty());
         fillClients("c");
-        assertEquals(67, budget.open(Direction.CLIENT));
-        assertFalse(budget.makeRoom(Direction.UPSTREAM, now), "no room: the request is not sent");
+        assertEquals(67, budget.openConnections(Direction.CLIENT));
+        assertFalse(budget.evictToAdmit(Direction.UPSTREAM, now), "no room: the request is not sent");
     }
 
     @Test
@@ -288,31 +289,31 @@
         for (int i = 0; i < 100; i++) {
             ups.add(upstream("up" + i));
         }
-        ups.forEach(l -> budget.idle(l, now));
+        ups.forEach(l -> budget.becameIdle(l, now));
         now += 120 * S; // what was needed then counts no more
         fillClients("c");
-        assertEquals(92, budget.open(Direction.CLIENT));
-        while (budget.makeRoom(Direction.CLIENT, now) && budget.open(Direction.CLIENT) < 154) {
+        assertEquals(92, budget.openConnections(Direction.CLIENT));
+        while (budget.evictToAdmit(Direction.CLIENT, now) && budget.openConnections(Direction.CLIENT) < 154) {
             ConnectionPermit lease = client("c", "c");
-            budget.asked(lease, now);
+            budget.requestReceived(lease, now);
         }
         assertEquals("up0", ended.get(0), "the one that has been idle for longest");
-        assertEquals(62, budget.ended(CloseReason.IDLE_FOR_ROOM));
-        assertEquals(38, budget.open(Direction.UPSTREAM), "their floor stays");
+        assertEquals(62, budget.closedCount(CloseReason.IDLE_FOR_ROOM));
+        assertEquals(38, budget.openConnections(Direction.UPSTREAM), "their floor stays");
     }
 
     @Test
     void newsComesAtAChangeOfPressureAndNotOften() {
-        assertNull(budget.news(now));
+        assertNull(budget.pressureChange(now));
         fillClients("crowd");
-        String line = budget.news(now);
+        String line = budget.pressureChange(now);
         assertNotNull(line);
         assertTrue(line.startsWith("connections short: clients 154 of 154 (0 busy, 0 at rest, 154 unasked)"), line);
         now += 3 * S;
-        budget.endOverdue(now);
-        assertNull(budget.news(now), "too soon");
+        budget.closeExpired(now);
+        assertNull(budget.pressureChange(now), "too soon");
         now += 3 * S;
-        line = budget.news(now);
+        line = budget.pressureChange(now);
         assertTrue(line.startsWith("connections ample: clients 0 of 154"), line);
         assertTrue(line.endsWith("ended since the last such line: 154 silent for too long"), line);
     }
--- a/src/test/java/loadbalancer/connections/TurnoverTest.java
+++ b/src/test/java/loadbalancer/connections/TurnoverTest.java
@@ -66,22 +66,24 @@
 
         private void look() {
             if (way == Way.BUDGET) {
-                budget.endOverdue(now);
+                budget.closeExpired(now);
             }
             at(now + 200 * MS, this::look);
         }
 
         private boolean admit() {
-            return way == Way.BUDGET ? budget.makeRoom(Direction.CLIENT, now) : budget.admits(Direction.CLIENT, now);
+            return way == Way.BUDGET
+                    ? budget.evictToAdmit(Direction.CLIENT, now)
+                    : budget.admits(Direction.CLIENT, now);
         }
 
         private boolean stays(ConnectionPermit lease) {
-            return budget.answered(lease, way != Way.CLOSE, false, now);
+            return budget.responseSent(lease, way != Way.CLOSE, false, now);
         }
 
         // More of its client's is said to be there, so that it stays whatever the budget makes of it.
         private void keep(ConnectionPermit lease) {
-            budget.answered(lease, true, true, now);
+            budget.responseSent(lease, true, true, now);
         }
 
         private void once(int rate) {
@@ -91,8 +93,8 @@
                 return;
             }
             letIn++;
-            ConnectionPermit lease = budget.client("once" + offered, 1, () -> {}, now);
-            budget.asked(lease, now);
+            ConnectionPermit lease = budget.openClient("once" + offered, 1, () -> {}, now);
+            budget.requestReceived(lease, now);
             at(now + 10 * MS, () -> {
                 if (way == Way.KEEP) {
                     keep(lease);
@@ -117,17 +119,17 @@
             void ask() {
                 at(now + 100 * MS, this::ask);
                 offered++;
-                boolean kept = lease != null && (way == Way.KEEP || lease.atRest());
+                boolean kept = lease != null && (way == Way.KEEP || lease.isIdle());
                 if (!kept && !admit()) {
                     return;
                 }
                 letIn++;
                 reused += kept ? 1 : 0;
                 if (!kept) {
-                    lease = budget.client(address, 1, () -> {}, now);
+                    lease = budget.openClient(address, 1, () -> {}, now);
                 }
                 ConnectionPermit mine = lease;
-                budget.asked(mine, now);
+                budget.requestReceived(mine, now);
                 at(now + 10 * MS, () -> {
                     if (way == Way.KEEP) {
                         keep(mine);
--- a/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -63,33 +63,33 @@
         EmbeddedChannel second = waiting(60_000);
         assertFalse(second.config().isAutoRead(), "no room for as much");
         first.pipeline().get(RequestAggregator.class).drop();
-        assertTrue(early.take(MOST), "all is given back");
-        assertFalse(early.take(1));
+        assertTrue(early.tryReserve(MOST), "all is given back");
+        assertFalse(early.tryReserve(1));
     }
 
     @Test
     void whatWasHeldIsGivenBackOnceWhenItIsTakenOrDropped() {
         EmbeddedChannel channel = waiting(60_000);
-        rest.to(new BodyStream.Taker() {
+        rest.subscribe(new BodyStream.Taker() {
             @Override
-            public void piece(byte[] bytes) {
+            public void onData(byte[] bytes) {
                 passed += bytes.length;
             }
 
             @Override
-            public void ended() {}
+            public void onComplete() {}
 
             @Override
-            public void broken() {}
+            public void onError() {}
         });
         assertEquals(60_000, passed);
         more(channel, 90_000);
         assertEquals(150_000, passed, "what follows is not held");
         channel.pipeline().get(RequestAggregator.class).drop();
         waiting(60_000);
-        rest.drop();
-        rest.drop();
-        assertTrue(early.take(MOST));
-        assertFalse(early.take(1), "not more than was held");
+        rest.cancel();
+        rest.cancel();
+        assertTrue(early.tryReserve(MOST));
+        assertFalse(early.tryReserve(1), "not more than was held");
     }
 }
--- a/src/test/java/loadbalancer/http3/HeaderValidatorTest.java
+++ b/src/test/java/loadbalancer/http3/HeaderValidatorTest.java
@@ -42,7 +42,7 @@
                 HeaderValidator.request(fields(":method=OPTIONS|:scheme=http|:authority=a|:path=*"))
                         .path());
         assertEquals(
-                new HeaderValidator.Status(200, 3), HeaderValidator.answer(fields(":status=200|content-length=3")));
+                new HeaderValidator.Status(200, 3), HeaderValidator.response(fields(":status=200|content-length=3")));
     }
 
     @ParameterizedTest
@@ -102,7 +102,7 @@
                 "x=1|:status=200"
             })
     void aBadAnswerIsNone(String text) {
-        assertThrows(MalformedMessageException.class, () -> HeaderValidator.answer(fields(text)));
+        assertThrows(MalformedMessageException.class, () -> HeaderValidator.response(fields(text)));
     }
 
     @Test
@@ -142,6 +142,6 @@
         assertThrows(MalformedMessageException.class, () -> other.data(1));
         assertThrows(MalformedMessageException.class, other::trailers);
         other.end();
-        assertTrue(other.whole());
+        assertTrue(other.isComplete());
     }
 }
--- a/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
+++ b/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
@@ -30,18 +30,18 @@
 
     @Test
     void isConnectedWhileAStreamIsLeftOnAConnectionThatStands() {
-        assertFalse(plan.connected());
+        assertFalse(plan.isConnected());
         Choice first = plan.choose(0);
-        assertFalse(plan.connected(), "its handshake is under way");
+        assertFalse(plan.isConnected(), "its handshake is under way");
         plan.up(first.link(), 2, 0);
-        assertTrue(plan.connected());
+        assertTrue(plan.isConnected());
         plan.choose(0);
-        assertFalse(plan.connected(), "the peer allows no more");
+        assertFalse(plan.isConnected(), "the peer allows no more");
         plan.released(first.link(), 0);
         plan.allowed(first.link(), 1);
-        assertTrue(plan.connected());
+        assertTrue(plan.isConnected());
         plan.goAway(first.link(), 8);
-        assertFalse(plan.connected());
+        assertFalse(plan.isConnected());
     }
 
     @Test
@@ -104,10 +104,10 @@
         Choice again = plan.choose(3_500);
         assertTrue(again.dial());
         plan.up(again.link(), 100, 3_600);
-        assertFalse(plan.failing());
+        assertFalse(plan.isFailing());
         assertEquals(Way.STREAM, plan.choose(3_600).way());
         plan.closed(again.link(), 4_000);
-        assertFalse(plan.failing(), "a connection that worked and ended is no failed handshake");
+        assertFalse(plan.isFailing(), "a connection that worked and ended is no failed handshake");
         assertEquals(Way.WAIT, plan.choose(4_000).way());
     }
 
@@ -121,7 +121,7 @@
             Map<Http3ConnectionPlan.PlannedConnection, Long> left = new HashMap<>();
             List<Http3ConnectionPlan.PlannedConnection> dead = new ArrayList<>();
             for (long now = 0; now < 400; now++) {
-                List<Http3ConnectionPlan.PlannedConnection> links = new ArrayList<>(any.links());
+                List<Http3ConnectionPlan.PlannedConnection> links = new ArrayList<>(any.connections());
                 Http3ConnectionPlan.PlannedConnection some =
                         links.isEmpty() ? null : links.get(random.nextInt(links.size()));
                 int event = random.nextInt(10);
@@ -147,7 +147,7 @@
                     any.closed(some, now * 100);
                     dead.add(some);
                 }
-                assertTrue(any.links().stream().noneMatch(dead::contains));
+                assertTrue(any.connections().stream().noneMatch(dead::contains));
             }
         }
     }
--- a/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
@@ -82,7 +82,7 @@
             successor.write(ByteBuffer.wrap("hello 1\nready\n".getBytes(StandardCharsets.US_ASCII)));
             assertEquals(Step.SHARE, steps.take());
             assertEquals(Step.HAND_OVER, steps.take());
-            assertTrue(handover.shares());
+            assertTrue(handover.hasPeer());
         }
         assertEquals(Step.TAKE_BACK, steps.take());
     }
--- a/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
@@ -12,35 +12,35 @@
 
     @Test
     void oneThatDiesBeforeItIsReadyChangesNothing() {
-        assertEquals(Step.SHARE, succession.said("b", "hello 1"));
-        assertTrue(succession.shares());
-        assertEquals(Step.ALONE, succession.ended("b"));
-        assertFalse(succession.shares());
+        assertEquals(Step.SHARE, succession.received("b", "hello 1"));
+        assertTrue(succession.hasPeer());
+        assertEquals(Step.ALONE, succession.disconnected("b"));
+        assertFalse(succession.hasPeer());
     }
 
     @Test
     void oneThatDiesAfterItWasReadyGivesTheClientsBack() {
-        succession.said("b", "hello 1");
-        assertEquals(Step.HAND_OVER, succession.said("b", "ready"));
-        assertEquals(Step.NOTHING, succession.said("b", "ready"));
-        assertEquals(Step.TAKE_BACK, succession.ended("b"));
+        succession.received("b", "hello 1");
+        assertEquals(Step.HAND_OVER, succession.received("b", "ready"));
+        assertEquals(Step.NOTHING, succession.received("b", "ready"));
+        assertEquals(Step.TAKE_BACK, succession.disconnected("b"));
     }
 
     @Test
     void twoAtOnceAndTheFirstThatIsReadyTakesTheClients() {
-        succession.said("b", "hello 1");
-        assertEquals(Step.NOTHING, succession.said("c", "hello 1"));
-        assertEquals(Step.HAND_OVER, succession.said("c", "ready"));
-        assertEquals(Step.NOTHING, succession.ended("b"));
-        assertTrue(succession.shares());
+        succession.received("b", "hello 1");
+        assertEquals(Step.NOTHING, succession.received("c", "hello 1"));
+        assertEquals(Step.HAND_OVER, succession.received("c", "ready"));
+        assertEquals(Step.NOTHING, succession.disconnected("b"));
+        assertTrue(succession.hasPeer());
     }
 
     @Test
     void strangersAndOtherVersionsSayNothing() {
-        assertEquals(Step.NOTHING, succession.said("x", "ready"));
-        assertEquals(Step.NOTHING, succession.said("x", "GET / HTTP/1.1"));
-        assertEquals(Step.NOTHING, succession.ended("x"));
-        assertEquals(Step.SHARE, succession.said("b", "hello 7 and more"));
-        assertEquals(Step.NOTHING, succession.said("b", "state {}"));
+        assertEquals(Step.NOTHING, succession.received("x", "ready"));
+        assertEquals(Step.NOTHING, succession.received("x", "GET / HTTP/1.1"));
+        assertEquals(Step.NOTHING, succession.disconnected("x"));
+        assertEquals(Step.SHARE, succession.received("b", "hello 7 and more"));
+        assertEquals(Step.NOTHING, succession.received("b", "state {}"));
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
+++ b/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
@@ -23,20 +23,20 @@
     @Test
     void anEvacuationSendsClientsAwayAtOnceAndClosesWhatRestsLate() {
         LifeCycle life = ready();
-        assertTrue(life.ready() && life.keeps());
+        assertTrue(life.ready() && life.keepsConnections());
         assertEquals(Verdict.DONE, life.evacuate(0));
         assertEquals(Verdict.ALREADY, life.evacuate(MS));
-        assertFalse(life.ready() || life.keeps());
+        assertFalse(life.ready() || life.keepsConnections());
         assertTrue(life.accepts(false), "the front still sends some");
-        assertEquals(Long.MAX_VALUE, life.restMost(300 * MS));
-        assertEquals(500 * MS, life.restMost(700 * MS));
-        assertEquals(0, life.restMost(1_700 * MS));
-        assertFalse(life.pass(1_500 * MS));
-        assertTrue(life.pass(1_700 * MS));
+        assertEquals(Long.MAX_VALUE, life.maxIdleTime(300 * MS));
+        assertEquals(500 * MS, life.maxIdleTime(700 * MS));
+        assertEquals(0, life.maxIdleTime(1_700 * MS));
+        assertFalse(life.advance(1_500 * MS));
+        assertTrue(life.advance(1_700 * MS));
         assertEquals(State.EVACUATED, life.state());
-        assertTrue(life.restMost(9_000 * MS) <= 300 * MS, "who comes all the same does not stay");
+        assertTrue(life.maxIdleTime(9_000 * MS) <= 300 * MS, "who comes all the same does not stay");
         assertEquals(Verdict.DONE, life.rejoin(9_000 * MS));
-        assertTrue(life.ready() && life.keeps());
+        assertTrue(life.ready() && life.keepsConnections());
         assertEquals(Verdict.ALREADY, life.rejoin(9_000 * MS));
     }
 
@@ -59,7 +59,7 @@
     void itHandsOverAndTakesBackWhereTheSuccessorIsGone() {
         LifeCycle life = ready();
         assertTrue(life.handOver(0));
-        assertFalse(life.accepts(true) || life.ready() || life.keeps());
+        assertFalse(life.accepts(true) || life.ready() || life.keepsConnections());
         assertEquals(Verdict.NOT_POSSIBLE, life.rejoin(1));
         assertTrue(life.takeBack(2));
         assertTrue(life.accepts(true) && life.ready());
@@ -87,10 +87,10 @@
         assertEquals(Verdict.NOT_POSSIBLE, life.evacuate(101 * MS));
         assertEquals(Verdict.NOT_POSSIBLE, life.rejoin(101 * MS));
         assertTrue(life.accepts(false));
-        assertEquals(Long.MAX_VALUE, life.restMost(9_000 * MS), "time alone does not tell what has come");
-        life.lastCalled();
+        assertEquals(Long.MAX_VALUE, life.maxIdleTime(9_000 * MS), "time alone does not tell what has come");
+        life.listenerClosed();
         assertFalse(life.accepts(false));
-        assertEquals(0, life.restMost(701 * MS));
+        assertEquals(0, life.maxIdleTime(701 * MS));
     }
 
     /** Whatever is called in whatever order: never ready while it winds down, never kept then. */
@@ -113,17 +113,17 @@
                     case 5 -> {
                         if (random.nextInt(8) == 0) {
                             life.stop(now);
-                            life.lastCalled();
+                            life.listenerClosed();
                             stopped = true;
                         }
                     }
-                    default -> life.pass(now);
+                    default -> life.advance(now);
                 }
                 boolean winds = life.state().ordinal() >= State.EVACUATING.ordinal();
                 String seen = history + " " + life.state();
-                assertFalse(winds && (life.ready() || life.keeps()), seen);
+                assertFalse(winds && (life.ready() || life.keepsConnections()), seen);
                 assertFalse(life.ready() && !life.accepts(true), seen);
-                assertEquals(!winds, life.restMost(now + 700 * MS) == Long.MAX_VALUE, seen);
+                assertEquals(!winds, life.maxIdleTime(now + 700 * MS) == Long.MAX_VALUE, seen);
                 assertEquals(stopped, life.state() == State.STOPPING, seen);
             }
         }
--- a/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
@@ -18,18 +18,18 @@
     @Test
     void theListenerIsOpenUntilTwoPassesHaveFoundNothing() {
         ShutdownDrain last = new ShutdownDrain();
-        assertEquals(Step.GO_ON, last.look(sight(4, 0, 0, 0, 0, 0)));
-        assertEquals(Step.GO_ON, last.look(sight(8, 4, 4, 0, 0, 0)), "four a pass wait to be accepted");
-        assertEquals(Step.GO_ON, last.look(sight(8, 8, 8, 0, 0, 0)), "what came last is being read");
-        assertEquals(Step.GO_ON, last.look(sight(8, 8, 8, 0, 0, 0)));
-        assertEquals(Step.CLOSE_LISTENER, last.look(sight(8, 8, 8, 0, 0, 0)));
+        assertEquals(Step.GO_ON, last.observe(sight(4, 0, 0, 0, 0, 0)));
+        assertEquals(Step.GO_ON, last.observe(sight(8, 4, 4, 0, 0, 0)), "four a pass wait to be accepted");
+        assertEquals(Step.GO_ON, last.observe(sight(8, 8, 8, 0, 0, 0)), "what came last is being read");
+        assertEquals(Step.GO_ON, last.observe(sight(8, 8, 8, 0, 0, 0)));
+        assertEquals(Step.CLOSE_LISTENER, last.observe(sight(8, 8, 8, 0, 0, 0)));
     }
 
     @Test
     void whoeverComesWithoutEndDoesNotKeepItOpen() {
         ShutdownDrain last = new ShutdownDrain();
         int looks = 1;
-        while (last.look(sight(looks, looks, 0, 0, 0, 0)) == Step.GO_ON) {
+        while (last.observe(sight(looks, looks, 0, 0, 0, 0)) == Step.GO_ON) {
             looks++;
         }
         assertEquals(80, looks);
@@ -40,17 +40,17 @@
         ShutdownDrain last = new ShutdownDrain();
         ShutdownDrain.Observation begin = sight(8, 8, 1, 1, 1, 1);
         for (Step step = Step.GO_ON; step != Step.CLOSE_LISTENER; ) {
-            step = last.look(begin);
+            step = last.observe(begin);
         }
         for (ShutdownDrain.Observation open : List.of(
                 sight(8, 8, 1, 0, 0, 0), sight(8, 8, 0, 1, 0, 0), sight(8, 8, 0, 0, 1, 0), sight(8, 8, 0, 0, 0, 1))) {
             for (int i = 0; i < 10; i++) {
-                assertEquals(Step.GO_ON, last.look(open), open.toString());
+                assertEquals(Step.GO_ON, last.observe(open), open.toString());
             }
         }
-        assertEquals(Step.GO_ON, last.look(sight(8, 9, 0, 0, 0, 0)), "something has just been read");
-        assertEquals(Step.GO_ON, last.look(sight(8, 9, 0, 0, 0, 0)));
-        assertEquals(Step.END, last.look(sight(8, 9, 0, 0, 0, 0)));
+        assertEquals(Step.GO_ON, last.observe(sight(8, 9, 0, 0, 0, 0)), "something has just been read");
+        assertEquals(Step.GO_ON, last.observe(sight(8, 9, 0, 0, 0, 0)));
+        assertEquals(Step.END, last.observe(sight(8, 9, 0, 0, 0, 0)));
     }
 
     @Test
@@ -58,7 +58,7 @@
         ShutdownDrain last = new ShutdownDrain();
         ShutdownDrain.Observation stuck = sight(1, 1, 0, 1, 0, 1);
         int looks = 1;
-        while (last.look(stuck) != Step.END) {
+        while (last.observe(stuck) != Step.END) {
             looks++;
         }
         assertEquals(403, looks);
@@ -138,7 +138,7 @@
                     machine.clients(200); // it stands still, then its timers are due
                 }
                 machine.pass();
-                step = last.look(machine.sight());
+                step = last.observe(machine.sight());
                 history.add(step + " " + machine.sight());
                 if (step == Step.CLOSE_LISTENER) {
                     machine.open = false;
--- a/src/test/java/loadbalancer/policy/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/policy/DecisionTraceTest.java
@@ -197,8 +197,8 @@
         }
 
         void play() {
-            policy.servers(now, ListKind.PERSISTED, List.copyOf(servers), this);
-            policy.servers(now, ListKind.COMPLETE, List.copyOf(servers), this);
+            policy.updateEndpoints(now, ListKind.PERSISTED, List.copyOf(servers), this);
+            policy.updateEndpoints(now, ListKind.COMPLETE, List.copyOf(servers), this);
             later(0, this::arrive);
             later(300_000, this::changeList);
             later(2 * SECOND, this::reload);
@@ -251,7 +251,7 @@
         private void leave(Call call) {
             if (!call.closed) {
                 call.closed = true;
-                policy.clientGone(now, call.id, this);
+                policy.clientDisconnected(now, call.id, this);
             }
         }
 
@@ -261,9 +261,9 @@
             int index = random.nextInt(SERVERS);
             Server before = servers.get(index);
             if (chance == 0) {
-                policy.servers(now, ListKind.FAILED, List.of(), this);
+                policy.updateEndpoints(now, ListKind.FAILED, List.of(), this);
             } else if (chance == 1) {
-                policy.servers(
+                policy.updateEndpoints(
                         now,
                         ListKind.COMPLETE,
                         servers.stream().filter(s -> s.state() != State.GONE).toList(),
@@ -280,7 +280,7 @@
                         before.kind(),
                         before.zone());
                 servers.set(index, changed);
-                policy.servers(now, ListKind.PARTIAL, List.of(changed), this);
+                policy.updateEndpoints(now, ListKind.PARTIAL, List.of(changed), this);
             }
             later(50_000 + random.nextInt(400_000), this::changeList);
         }
@@ -294,7 +294,7 @@
             for (int i = 0; i < settings.tenants().size(); i++) {
                 tenants.add(i);
             }
-            policy.retune(now, settings, classes, tenants, this);
+            policy.reload(now, settings, classes, tenants, this);
             later(3 * SECOND, this::reload);
         }
 
@@ -367,7 +367,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             note("refuse", request, retryAfter);
             finals++;
             calls.get(request).closed = true;
@@ -389,7 +389,7 @@
         }
 
         @Override
-        public boolean connected(String server) {
+        public boolean isConnected(String server) {
             return server.hashCode() % 3 != 0;
         }
 
@@ -414,7 +414,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] data) {
+        public void sendToPeer(int peer, byte[] data) {
             note("tell", peer, data.length);
         }
 
@@ -425,7 +425,7 @@
         }
 
         @Override
-        public void remark(String line) {
+        public void log(String line) {
             note("remark");
         }
     }
--- a/src/test/java/loadbalancer/policy/EmbeddingExample.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExample.java
@@ -31,7 +31,7 @@
         Policy.Actions actions = new Sink(done);
 
         long now = 0;
-        policy.servers(
+        policy.updateEndpoints(
                 now,
                 Policy.ListKind.PERSISTED,
                 List.of(new Policy.Server("a:80", Policy.State.UP, 0, 1, 0, 0, 0)),
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -256,7 +256,7 @@
                 if (deadlines.containsKey(id) && !harness.finals.containsKey(id)) {
                     harness.finals.put(id, "gone");
                     gone.add(id);
-                    harness.policy.clientGone(harness.now, id, harness);
+                    harness.policy.clientDisconnected(harness.now, id, harness);
                 }
             } else if (what < 93) {
                 String id = "s" + random.nextInt(8);
--- a/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FurtherRulesTest.java
@@ -99,7 +99,7 @@
         PolicyTestHarness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
         harness.finals.put("a", "gone");
-        harness.policy.clientGone(harness.now, "a", harness);
+        harness.policy.clientDisconnected(harness.now, "a", harness);
         harness.pass(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
         harness.end(first, Outcome.CANCELLED);
--- a/src/test/java/loadbalancer/policy/NoOpActions.java
+++ b/src/test/java/loadbalancer/policy/NoOpActions.java
@@ -6,7 +6,7 @@
     default void send(String request, String server, long timeout) {}
 
     @Override
-    default void refuse(String request, long retryAfter) {}
+    default void reject(String request, long retryAfter) {}
 
     @Override
     default void fail(String request) {}
@@ -27,11 +27,11 @@
     default void closeIdle(String server) {}
 
     @Override
-    default void tell(int peer, byte[] data) {}
+    default void sendToPeer(int peer, byte[] data) {}
 
     @Override
     default void wakeAfter(long delay) {}
 
     @Override
-    default void remark(String line) {}
+    default void log(String line) {}
 }
--- a/src/test/java/loadbalancer/policy/PolicyTestHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestHarness.java
@@ -119,7 +119,7 @@
     }
 
     PolicyTestHarness list(ListKind kind, List<Server> servers) {
-        policy.servers(now, kind, servers, this);
+        policy.updateEndpoints(now, kind, servers, this);
         return this;
     }
 
@@ -221,12 +221,12 @@
     }
 
     @Override
-    public boolean connected(String server) {
+    public boolean isConnected(String server) {
         return links.connected(server);
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
+    public void reject(String request, long retryAfter) {
         log.add(now + " refuse " + request + " " + retryAfter);
         answer(request, "refused");
     }
@@ -263,7 +263,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] data) {
+    public void sendToPeer(int peer, byte[] data) {
         log.add(now + " tell " + peer);
     }
 
@@ -273,7 +273,7 @@
     }
 
     @Override
-    public void remark(String line) {
+    public void log(String line) {
         log.add(now + " remark " + line);
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -168,7 +168,7 @@
                 end(harness, checker, s, random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length - 1)]);
             } else if (what < 84) {
                 String id = "s" + random.nextInt(8);
-                servers.computeIfPresent(id, (i, s) -> s.in(State.values()[random.nextInt(3)]));
+                servers.computeIfPresent(id, (i, s) -> s.withState(State.values()[random.nextInt(3)]));
                 harness.list(ListKind.PARTIAL, List.of(servers.get(id)));
             } else {
                 harness.pass(random.nextLong(20_000));
--- a/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -142,12 +142,12 @@
                 }
             } else if (what < 84) {
                 Server s = servers.get("s" + random.nextInt(8));
-                harness.list(ListKind.PARTIAL, List.of(s.in(State.values()[random.nextInt(3)])));
+                harness.list(ListKind.PARTIAL, List.of(s.withState(State.values()[random.nextInt(3)])));
             } else if (what < 86 && !classOf.isEmpty()) {
                 String id = List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size()));
                 if (harness.finals.putIfAbsent(id, "gone") == null) {
                     checker.over.put(id, true);
-                    harness.policy.clientGone(harness.now, id, harness);
+                    harness.policy.clientDisconnected(harness.now, id, harness);
                 }
             } else {
                 harness.pass(random.nextLong(40_000));
--- a/src/test/java/loadbalancer/policy/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/policy/SettingsReloadTest.java
@@ -39,7 +39,7 @@
         }
 
         @Override
-        public void refuse(String request, long retryAfter) {
+        public void reject(String request, long retryAfter) {
             assertTrue(!mayHaveRun.contains(request) || kinds.get(request).effect() == Effect.SAFE, request);
             answers.merge(request, 1, Integer::sum);
         }
@@ -107,7 +107,7 @@
             for (int i = 0; i < 6; i++) {
                 servers.add(new Policy.Server("s" + i, Policy.State.UP, 0, 1, i % 2, 0, 0));
             }
-            module.servers(0, Policy.ListKind.PERSISTED, servers, w);
+            module.updateEndpoints(0, Policy.ListKind.PERSISTED, servers, w);
             int taken = 0;
             for (int step = 0; step < 1_500; step++) {
                 w.now += random.nextInt(1_500);
@@ -118,7 +118,7 @@
                 int what = random.nextInt(20);
                 if (what == 0) {
                     Policy.Settings next = settings(random, 1 + random.nextInt(4));
-                    module.retune(
+                    module.reload(
                             w.now,
                             next,
                             former(random, next.classes().size(), s.classes().size()),
--- a/src/test/java/loadbalancer/proxy/BodyMemoryBudgetTest.java
+++ b/src/test/java/loadbalancer/proxy/BodyMemoryBudgetTest.java
@@ -9,10 +9,10 @@
     @Test
     void bodiesAreRefusedWhereTogetherTheyTakeTooMuch() {
         BodyMemoryBudget room = new BodyMemoryBudget(10);
-        assertTrue(room.take(6));
-        assertFalse(room.take(5));
-        assertTrue(room.take(4));
-        room.give(6);
-        assertTrue(room.take(5));
+        assertTrue(room.tryReserve(6));
+        assertFalse(room.tryReserve(5));
+        assertTrue(room.tryReserve(4));
+        room.release(6);
+        assertTrue(room.tryReserve(5));
     }
 }
--- a/src/test/java/loadbalancer/proxy/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -30,7 +30,7 @@
         }
 
         @Override
-        public AttemptTransport.AttemptEffect giveUp() {
+        public AttemptTransport.AttemptEffect cancel() {
             givenUp = true;
             return fate;
         }
@@ -49,7 +49,7 @@
         long heard; // of the list last
 
         @Override
-        public void listed(EndpointUpdate targets, long now) {
+        public void updateEndpoints(EndpointUpdate targets, long now) {
             heard = now;
         }
 
@@ -81,11 +81,11 @@
         long within = Long.MAX_VALUE;
 
         @Override
-        public void retune(
+        public void reload(
                 long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out) {}
 
         @Override
-        public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
+        public void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out) {
             seen.add("list of " + servers.size());
         }
 
@@ -126,7 +126,7 @@
         public void streamStarted(long now, String request, int attempt, Actions out) {}
 
         @Override
-        public void clientGone(long now, String request, Actions out) {
+        public void clientDisconnected(long now, String request, Actions out) {
             told.add("gone");
             if (!mayNotCancel) {
                 out.cancel(request, 0);
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
+        public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out) {}
 
         @Override
         public void wake(long now, Actions out) {}
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void refuse(long retryAfter) {
+        public void reject(long retryAfter) {
             given.add("refused");
         }
 
@@ -227,13 +227,13 @@
     }
 
     private Runnable takeFor(long time) {
-        return dispatcher.take(
+        return dispatcher.dispatch(
                 new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", time, -1, false),
                 answers);
     }
 
     private Runnable take() {
-        return dispatcher.take(
+        return dispatcher.dispatch(
                 new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false),
                 answers);
     }
@@ -251,14 +251,14 @@
         loop.pass(20_001);
         carrier.started.get(1).listener.ended(Outcome.OK, ok(), null);
         assertEquals(List.of("served", "served"), answers.given);
-        RequestMetrics.Line all = dispatcher.tally().all();
+        RequestMetrics.Line all = dispatcher.metrics().all();
         assertEquals(2, all.taken());
         assertEquals(1, all.inTime());
         assertEquals(1, all.late());
         assertEquals(8.0, all.asked());
         assertEquals(5.0, all.earned());
-        assertEquals(5.0, dispatcher.tally().ofClass(0).earned());
-        assertEquals(Map.of(Outcome.OK, 2L), dispatcher.tally().attempts());
+        assertEquals(5.0, dispatcher.metrics().ofClass(0).earned());
+        assertEquals(Map.of(Outcome.OK, 2L), dispatcher.metrics().attempts());
     }
 
     @Test
@@ -290,7 +290,7 @@
         loop.pass(200_000);
         assertEquals(List.of("NOT_SENT"), policy.told);
         assertEquals(List.of("failed"), answers.given);
-        assertFalse(dispatcher.holds("r1"));
+        assertFalse(dispatcher.isOpen("r1"));
     }
 
     @Test
@@ -300,10 +300,10 @@
         loop.pass(100_000 - Dispatcher.GUARD);
         assertEquals(List.of("failed"), answers.given);
         assertEquals(List.of("last-resort answers: 1"), log);
-        assertFalse(dispatcher.holds("r1"));
+        assertFalse(dispatcher.isOpen("r1"));
         loop.pass(1_000_000);
         assertEquals(1, answers.given.size());
-        assertEquals(1, dispatcher.tally().failures());
+        assertEquals(1, dispatcher.metrics().failures());
     }
 
     @Test
@@ -330,7 +330,7 @@
         Dispatcher unsafe = new Dispatcher(loop, loop, boot("unsafe"), policy, log::add);
         unsafe.attach(carrier, EndpointSource.NONE);
         policy.copies = 2;
-        unsafe.take(
+        unsafe.dispatch(
                 new ProxyRequest("r1", "POST", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false),
                 answers);
         assertEquals(SendGuard.NOBODY, carrier.started.get(1).listener.awaitedUntil());
@@ -351,10 +351,10 @@
         assertTrue(carrier.started.get(0).givenUp, "nothing is sent on for a client that has left");
         assertFalse(carrier.started.get(1).givenUp, "it may be at work, and cancelling is not allowed");
         assertEquals(List.of("gone", "NOT_SENT closed"), policy.told);
-        assertTrue(dispatcher.holds("r1"), "an attempt of it is out");
+        assertTrue(dispatcher.isOpen("r1"), "an attempt of it is out");
         carrier.started.get(1).listener.ended(Outcome.OK, ok(), null);
         assertEquals(List.of("gone", "NOT_SENT closed", "OK closed"), policy.told);
-        assertFalse(dispatcher.holds("r1"));
+        assertFalse(dispatcher.isOpen("r1"));
         assertEquals(List.of(), answers.given);
     }
 
@@ -368,7 +368,7 @@
         assertTrue(carrier.started.get(1).givenUp, "nothing is sent on after the final answer");
         assertEquals(List.of("OK closed", "NOT_SENT closed"), policy.told);
         assertEquals(List.of("served"), answers.given);
-        assertFalse(dispatcher.holds("r1"));
+        assertFalse(dispatcher.isOpen("r1"));
     }
 
     @Test
@@ -387,7 +387,7 @@
 
     @Test
     void whatIsTakenBehindTheWordToEndIsAnsweredBeforeTheProcessMayBeKilled() {
-        dispatcher.ending(600_000); // the longest deadline is 100 ms
+        dispatcher.beginShutdown(600_000); // the longest deadline is 100 ms
         loop.pass(650_000);
         takeFor(5_000_000);
         assertEquals(50_000 - Dispatcher.GUARD - Dispatcher.LAST_WORD, carrier.started.get(0).wait);
@@ -415,12 +415,12 @@
     /** Requests and two lists lay unread, and the requests are read first: they go by the last list. */
     @Test
     void behindAStandstillNewsOfTheListComesFirst() {
-        dispatcher.beat();
+        dispatcher.startStallDetection();
         loop.stall(EventLoopStallDetector.BEAT + 500_000);
         takeFor(900_000);
         takeFor(900_000);
-        dispatcher.listed(Policy.ListKind.PARTIAL, new EndpointUpdate(2, false, List.of()));
-        dispatcher.listed(
+        dispatcher.updateEndpoints(Policy.ListKind.PARTIAL, new EndpointUpdate(2, false, List.of()));
+        dispatcher.updateEndpoints(
                 Policy.ListKind.PARTIAL,
                 new EndpointUpdate(
                         3,
@@ -456,20 +456,20 @@
                         new OneTry(),
                         line -> {});
                 stands.attach(new FakeCarrier(), EndpointSource.NONE);
-                stands.beat();
+                stands.startStallDetection();
                 left[0] = look;
                 still.pass(EventLoopStallDetector.BEAT);
                 boolean stood = left[0] <= 0;
                 left[0] = Integer.MAX_VALUE;
                 String where = (before ? "before look " : "behind look ") + look;
                 if (stood) {
-                    assertTrue(stands.mayLieUnread(), where);
+                    assertTrue(stands.mayHaveUnread(), where);
                     still.pass(0); // behind passes over the sockets
                     still.pass(EventLoopStallDetector.BEAT); // its next one may have been asked for behind it
                 } else {
                     assertTrue(look > 1, "it looks");
                 }
-                assertFalse(stands.mayLieUnread(), where);
+                assertFalse(stands.mayHaveUnread(), where);
             }
         }
     }
@@ -481,12 +481,12 @@
             VirtualTimeScheduler late = new VirtualTimeScheduler();
             Dispatcher slow = new Dispatcher(late, late, boot(), new OneTry(), line -> {});
             slow.attach(new FakeCarrier(), EndpointSource.NONE);
-            slow.beat();
+            slow.startStallDetection();
             late.stall(1_300_000);
             assertTrue(late.now() >= slow.graceHolds(), "nothing has been looked at for longer than a grace");
             List<Boolean> over = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                slow.afterNews(() -> over.add(late.now() >= slow.graceHolds()));
+                slow.afterUpdates(() -> over.add(late.now() >= slow.graceHolds()));
                 late.stall(turn);
                 late.pass(0);
             }
@@ -501,14 +501,14 @@
     /** The module would count its attempt as out for ever: nobody tells it of one that was never begun. */
     @Test
     void whoeverLeavesBeforeTheModuleHeardOfItIsNotToldToIt() {
-        dispatcher.beat();
+        dispatcher.startStallDetection();
         loop.stall(EventLoopStallDetector.BEAT + 500_000);
         takeFor(900_000).run();
         loop.pass(0);
         assertEquals(List.of(), policy.seen);
         assertEquals(List.of(), policy.told);
-        assertFalse(dispatcher.holds("r1"));
-        assertEquals(0, dispatcher.owed());
+        assertFalse(dispatcher.isOpen("r1"));
+        assertEquals(0, dispatcher.pendingResponses());
         loop.stall(EventLoopStallDetector.BEAT + 500_000);
         takeFor(900_000);
         dispatcher.retire();
@@ -520,7 +520,7 @@
     @Test
     void whatMayHaveLainUnreadIsKnownWithoutTheModulesWakes() {
         policy.silent = true;
-        dispatcher.beat();
+        dispatcher.startStallDetection();
         loop.stall(EventLoopStallDetector.BEAT + 40_000);
         take();
         assertEquals(48_000, carrier.started.get(0).wait);
@@ -545,7 +545,7 @@
         assertTrue(carrier.started.get(0).givenUp);
         loop.pass(1_000_000);
         assertEquals(List.of(), answers.given);
-        assertEquals(1, dispatcher.tally().departures());
+        assertEquals(1, dispatcher.metrics().departures());
         boolean[] idle = new boolean[1];
         dispatcher.whenIdle(() -> idle[0] = true);
         loop.pass(0);
@@ -572,43 +572,43 @@
         }
 
         @Override
-        public void to(Taker to) {
+        public void subscribe(Taker to) {
             taker = to;
         }
 
         @Override
-        public void pull(boolean room) {}
+        public void setReady(boolean room) {}
 
         @Override
-        public void drop() {}
+        public void cancel() {}
     }
 
     private ProxyRequest upload(Body body) {
         return new ProxyRequest("u", "POST", "/k", HeaderFields.NONE, new byte[0], 0, 0, null, 400_000, -1, false)
-                .passing(body, 300_000);
+                .withBodyStream(body, 300_000);
     }
 
     private static final class Nowhere implements BodyStream.Taker {
         @Override
-        public void piece(byte[] bytes) {}
+        public void onData(byte[] bytes) {}
 
         @Override
-        public void ended() {}
+        public void onComplete() {}
 
         @Override
-        public void broken() {}
+        public void onError() {}
     }
 
     @Test
     void anUploadsTimeCountsFromItsLastByte() {
         Body body = new Body();
         Answers given = new Answers();
-        dispatcher.take(upload(body), given);
-        carrier.orders.get(0).rest().to(new Nowhere());
+        dispatcher.dispatch(upload(body), given);
+        carrier.orders.get(0).rest().subscribe(new Nowhere());
         loop.pass(5_000_000);
         assertEquals(List.of(), given.given);
         assertFalse(carrier.started.get(0).givenUp);
-        body.taker.ended();
+        body.taker.onComplete();
         loop.pass(49_000);
         assertFalse(carrier.started.get(0).givenUp);
         loop.pass(2_000);
@@ -622,7 +622,7 @@
         Answers given = new Answers();
         carrier.atOnce = true;
         policy.silent = true;
-        dispatcher.take(upload(new Body()), given);
+        dispatcher.dispatch(upload(new Body()), given);
         loop.pass(400_000);
         assertEquals(List.of("failed"), given.given);
     }
@@ -631,16 +631,16 @@
     void anUpstreamThatTakesNoMoreOfAnUploadIsGivenUp() {
         Body body = new Body();
         Answers given = new Answers();
-        dispatcher.take(upload(body), given);
+        dispatcher.dispatch(upload(body), given);
         BodyStream rest = carrier.orders.get(0).rest();
-        rest.to(new Nowhere());
+        rest.subscribe(new Nowhere());
         carrier.started.get(0).fate = AttemptTransport.AttemptEffect.NEVER_RAN;
-        rest.pull(false);
+        rest.setReady(false);
         loop.pass(9_000_000);
-        rest.pull(true);
+        rest.setReady(true);
         loop.pass(9_000_000);
         assertEquals(List.of(), given.given);
-        rest.pull(false);
+        rest.setReady(false);
         loop.pass(11_000_000);
         assertTrue(carrier.started.get(0).givenUp);
         assertEquals(List.of("NOT_SENT"), policy.told);
--- a/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
+++ b/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
@@ -88,7 +88,7 @@
         }
 
         @Override
-        public void refuse(long retryAfter) {
+        public void reject(long retryAfter) {
             answer("refused");
         }
 
@@ -101,7 +101,7 @@
     /** Servers that answer after a time of their own; the answer waits in the socket until it is read. */
     private final class Servers implements AttemptTransport {
         @Override
-        public void listed(EndpointUpdate targets, long now) {}
+        public void updateEndpoints(EndpointUpdate targets, long now) {}
 
         @Override
         public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
@@ -115,7 +115,7 @@
             }));
             return new Attempt() {
                 @Override
-                public AttemptTransport.AttemptEffect giveUp() {
+                public AttemptTransport.AttemptEffect cancel() {
                     over[0] = true;
                     return AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
                 }
@@ -166,13 +166,13 @@
             JsqDasPolicy module = new JsqDasPolicy(boot().settings(), seed);
             Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), module, line -> {});
             dispatcher.attach(new Servers(), EndpointSource.NONE);
-            dispatcher.beat();
+            dispatcher.startStallDetection();
             List<EndpointUpdate.Endpoint> targets = new ArrayList<>();
             for (int i = 0; i < SERVERS; i++) {
                 targets.add(
                         new EndpointUpdate.Endpoint(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
             }
-            dispatcher.listed(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, targets));
+            dispatcher.updateEndpoints(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, targets));
             List<Asked> all = new ArrayList<>();
             int stallAt = random.nextInt(300);
             long[] stalled = new long[2];
@@ -225,6 +225,6 @@
                 DEADLINE,
                 -1,
                 false);
-        arrivals.add(new Arrival(loop.now(), () -> dispatcher.take(order, asked)));
+        arrivals.add(new Arrival(loop.now(), () -> dispatcher.dispatch(order, asked)));
     }
 }
--- a/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
+++ b/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
@@ -18,12 +18,12 @@
     }
 
     @Override
-    public void soon(Runnable task) {
-        after(0, task);
+    public void execute(Runnable task) {
+        schedule(0, task);
     }
 
     @Override
-    public Timer after(long delay, Runnable task) {
+    public Timer schedule(long delay, Runnable task) {
         Entry entry = new Entry(now + Math.max(0, delay), number++, task);
         entries.add(entry);
         return () -> entries.remove(entry);
--- a/src/test/java/loadbalancer/server/Http3DownstreamTest.java
+++ b/src/test/java/loadbalancer/server/Http3DownstreamTest.java
@@ -91,7 +91,7 @@
         Http3TestClient client = client();
         Http3TestClient.Got refused = client.book("r1");
         module.requests.take();
-        onLoop(() -> module.actions.refuse("1", 1_500_000));
+        onLoop(() -> module.actions.reject("1", 1_500_000));
         assertEquals("503 refused: trying again is harmless", refused.end());
         assertEquals("1.500", refused.headers.get("retry-after").toString());
         Http3TestClient.Got failed = client.book("r2");
--- a/src/test/java/loadbalancer/server/RaceConditionsTest.java
+++ b/src/test/java/loadbalancer/server/RaceConditionsTest.java
@@ -296,7 +296,7 @@
                 module.requests.poll(20, TimeUnit.SECONDS);
                 String number = Integer.toString(i + 1, Character.MAX_RADIX);
                 if (i % 2 == 0) {
-                    onLoop(() -> module.actions.refuse(number, 0));
+                    onLoop(() -> module.actions.reject(number, 0));
                     assertEquals(503, client.status());
                 }
             }
@@ -409,7 +409,7 @@
     void aConnectionThatHasJustBroughtAnAnswerIsNotUsedAtOnce() throws IOException, InterruptedException {
         start();
         AtomicInteger seen = new AtomicInteger();
-        module.onOutcome = () -> seen.set(module.actions.connected("s1") ? 1 : 2);
+        module.onOutcome = () -> seen.set(module.actions.isConnected("s1") ? 1 : 2);
         try (Client client = new Client(at)) {
             client.send(request("read", "r1"));
             ScriptedUpstream.Got first = upstream.next();
--- a/src/test/java/loadbalancer/server/ServerFixture.java
+++ b/src/test/java/loadbalancer/server/ServerFixture.java
@@ -39,13 +39,13 @@
         volatile Policy.Actions actions;
 
         @Override
-        public void retune(
+        public void reload(
                 long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out) {
             told.add("retuned " + formerClasses);
         }
 
         @Override
-        public void servers(long now, ListKind kind, List<Server> servers, Actions out) {
+        public void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out) {
             actions = out;
             told.add(kind + " "
                     + servers.stream().map(s -> s.id() + "=" + s.state()).toList());
@@ -96,7 +96,7 @@
         public void streamStarted(long now, String request, int attempt, Actions out) {}
 
         @Override
-        public void clientGone(long now, String request, Actions out) {
+        public void clientDisconnected(long now, String request, Actions out) {
             told.add("gone");
             if (cancels) {
                 out.cancel(request, 0);
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public void probed(long now, String server, Outcome outcome, long latency, Load load, Actions out) {
+        public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out) {
             told.add("probed " + outcome + " " + (load == null ? "-" : load.inFlight()));
         }
 
@@ -331,7 +331,7 @@
 
     boolean connected(String server) {
         CompletableFuture<Boolean> told = new CompletableFuture<>();
-        onLoop(() -> told.complete(module.actions.connected(server)));
+        onLoop(() -> told.complete(module.actions.isConnected(server)));
         return told.join();
     }
 
--- a/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
+++ b/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
@@ -126,7 +126,7 @@
             for (int i = 0; i < 200; i++) {
                 onLoop(() -> {
                     for (int line = 0; line < 20; line++) {
-                        module.actions.remark("a line that nobody reads");
+                        module.actions.log("a line that nobody reads");
                     }
                 });
                 client.send(SAFE);
--- a/src/test/java/loadbalancer/server/StallBeforeSendTest.java
+++ b/src/test/java/loadbalancer/server/StallBeforeSendTest.java
@@ -57,7 +57,7 @@
         private long holds = Long.MAX_VALUE; // where it is not over
 
         @Override
-        public boolean mayLieUnread() {
+        public boolean mayHaveUnread() {
             return false;
         }
 
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void afterNews(Runnable task) {
+        public void afterUpdates(Runnable task) {
             task.run();
         }
     }
@@ -87,18 +87,18 @@
         }
 
         @Override
-        public void to(Taker taker) {
+        public void subscribe(Taker taker) {
             assertTrue(!started, "it was handed over before");
             started = true;
-            taker.piece(BODY);
-            taker.ended();
+            taker.onData(BODY);
+            taker.onComplete();
         }
 
         @Override
-        public void pull(boolean room) {}
+        public void setReady(boolean room) {}
 
         @Override
-        public void drop() {}
+        public void cancel() {}
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -190,7 +190,7 @@
     }
 
     private void listed(long rev, Policy.State state, long when) {
-        upstreams.listed(
+        upstreams.updateEndpoints(
                 new EndpointUpdate(
                         rev,
                         true,
@@ -207,7 +207,7 @@
             rests.add(new Rest());
             upstreams.send(
                     "s1",
-                    upload ? order.passing(rests.get(rests.size() - 1), 2 * BODY.length) : order,
+                    upload ? order.withBodyStream(rests.get(rests.size() - 1), 2 * BODY.length) : order,
                     10_000_000,
                     before == 0 ? Long.MAX_VALUE : now() + before,
                     (outcome, answer, load) -> ends.add(outcome));
@@ -226,7 +226,7 @@
             assertEquals(Policy.Outcome.OK, end());
             boolean[] connected = new boolean[1];
             while (!connected[0]) {
-                onLoop(() -> connected[0] = upstreams.connected("s1"));
+                onLoop(() -> connected[0] = upstreams.isConnected("s1"));
             }
         }
     }
--- a/src/test/java/loadbalancer/server/StreamedBodiesTest.java
+++ b/src/test/java/loadbalancer/server/StreamedBodiesTest.java
@@ -165,7 +165,7 @@
         try (Client client = new Client(at).send(LONG + "Content-Length: 300000\r\n\r\n")) {
             assertEquals("2 k1 -1 false", module.requests.poll(20, TimeUnit.SECONDS));
             assertFalse(client.socket.isClosed());
-            onLoop(() -> module.actions.refuse("1", 0));
+            onLoop(() -> module.actions.reject("1", 0));
             assertEquals(503, client.status());
         }
         assertEquals(0, upstream.connections());
@@ -180,7 +180,7 @@
         try (Client client = new Client(at).send(LONG + "Content-Length: " + body.length + "\r\n\r\n")) {
             assertEquals("2 k1 -1 false", module.requests.poll(20, TimeUnit.SECONDS));
             client.socket.getOutputStream().write(body, 0, 100_000);
-            onLoop(() -> module.actions.refuse("1", 0));
+            onLoop(() -> module.actions.reject("1", 0));
             client.socket.getOutputStream().write(body, 100_000, body.length - 100_000);
             assertEquals(503, client.status());
         }
--- a/src/testbed/java/loadbalancer/testbed/Http3Clients.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Clients.java
@@ -137,7 +137,7 @@
         loop.execute(() -> {
             for (Connection c : connections) {
                 if (c != null && c.channel != null) {
-                    CodecErrors.end(c.channel, Http3ErrorCodes.NO_ERROR);
+                    CodecErrors.close(c.channel, Http3ErrorCodes.NO_ERROR);
                 }
             }
         });
--- a/src/testbed/java/loadbalancer/testbed/StandInFleet.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInFleet.java
@@ -99,8 +99,8 @@
     /** Plans all faults of a run whose load begins at {@code begin}. */
     void script(long begin) {
         for (Scenario.Fault fault : scenario.faults()) {
-            at(begin + fault.at(), () -> befall(fault, true));
-            at(begin + fault.at() + fault.lasting(), () -> befall(fault, false));
+            at(begin + fault.at(), () -> inject(fault, true));
+            at(begin + fault.at() + fault.lasting(), () -> inject(fault, false));
         }
     }
 
@@ -108,16 +108,16 @@
         loop.schedule(task, Math.max(0, when - clock.now()), TimeUnit.MICROSECONDS);
     }
 
-    private void befall(Scenario.Fault fault, boolean on) {
+    private void inject(Scenario.Fault fault, boolean on) {
         switch (fault.what()) {
             case DISCOVERY_SILENT -> discovery.silent(on);
             case WATCHES_CUT -> discovery.cut(on);
             case DISCOVERY_DOWN -> discovery.down(on);
-            default -> boxes.stream().filter(b -> fault.strikes(b.name())).forEach(b -> befall(fault, b, on));
+            default -> boxes.stream().filter(b -> fault.strikes(b.name())).forEach(b -> inject(fault, b, on));
         }
     }
 
-    private void befall(Scenario.Fault fault, StandInServer box, boolean on) {
+    private void inject(Scenario.Fault fault, StandInServer box, boolean on) {
         switch (fault.what()) {
             case STALL -> box.stall(on);
             case SLOW -> box.slow(on ? fault.amount() : 1);
