--- a/src/main/java/loadbalancer/settings/LoadReport.java
+++ b/src/main/java/loadbalancer/settings/LoadReport.java
@@ -5,72 +5,89 @@
 import java.util.Map;
 import loadbalancer.policy.Policy;
 
-/** The values of a server's load report, under the names of the wire and of the protocol on sockets. */
+/**
+ * Reads a server's load report, under the value names of the simulator's wire or of the {@code Srv-Load} header.
+ * Stateless; any thread may use it.
+ */
 public final class LoadReport {
-    private static final List<String> WIRE =
+    /** Value names on the simulator's wire; the position of a name is the index of its value. */
+    private static final List<String> SIMULATOR_NAMES =
             List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
-    private static final List<String> SOCKET = List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
-    private static final double VALUE_MOST = 1e9;
+    /** The names of the same values in the {@code Srv-Load} header. */
+    private static final List<String> HEADER_NAMES = List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
+
+    private static final String HEADER_PREFIX = "TEXT ";
+    private static final double MAX_VALUE = 1e9;
+    private static final double MICROS_PER_MILLI = 1000;
 
     private LoadReport() {}
 
-    private static double[] unknown() {
-        double[] values = new double[WIRE.size()];
+    private static double[] unknownValues() {
+        double[] values = new double[SIMULATOR_NAMES.size()];
         Arrays.fill(values, Double.NaN);
         return values;
     }
 
-    /** Whether a value of that name, in either form, is one that this program uses. */
+    /** Returns whether a value of that name, in either form, is one that the policy uses. */
     public static boolean knows(String name) {
-        return slot(name) >= 0;
+        return indexOf(name) >= 0;
     }
 
-    // The index of a value, or -1 for an unknown name.
-    private static int slot(String name) {
-        int slot = WIRE.indexOf(name);
-        return slot >= 0 ? slot : SOCKET.indexOf(name);
+    /** The index of a value, or -1 for an unknown name. */
+    private static int indexOf(String name) {
+        int index = SIMULATOR_NAMES.indexOf(name);
+        return index >= 0 ? index : HEADER_NAMES.indexOf(name);
     }
 
-    /** A report of these values, by name; the others are unknown (NaN). Names must be {@link #knows known}. */
-    public static Policy.Load of(Map<String, Double> named) {
-        double[] values = unknown();
-        named.forEach((name, value) -> values[slot(name)] = value);
+    /**
+     * Returns a report of these values; those not named are unknown (NaN).
+     *
+     * @param valuesByName values by name, as reported; every name must be {@link #knows known}
+     */
+    public static Policy.Load of(Map<String, Double> valuesByName) {
+        double[] values = unknownValues();
+        valuesByName.forEach((name, value) -> values[indexOf(name)] = value);
         return of(values);
     }
 
     private static Policy.Load of(double[] values) {
-        return new Policy.Load(values[0], values[1], values[2], values[3] * 1000, values[4], values[5]);
+        return new Policy.Load(values[0], values[1], values[2], values[3] * MICROS_PER_MILLI, values[4], values[5]);
     }
 
     /**
-     * Reads a report like {@code TEXT inflight=7, queue=2}. What can't be read, or meant, is passed over.
+     * Reads a report like {@code TEXT inflight=7, queue=2}. Malformed pairs, unknown names and values outside the
+     * range 0 to 10^9 are ignored.
      *
-     * @return null where there is no report, or none of its values is known
+     * @param text the header's value; null where the response has no such header
+     * @return null where there is no report, or no usable value in it
      */
     public static Policy.Load parse(String text) {
         if (text == null) {
             return null;
         }
-        double[] values = unknown();
-        boolean any = false;
-        String pairs = text.strip();
-        for (String pair : (pairs.startsWith("TEXT ") ? pairs.substring(5) : pairs).split(",")) {
-            int at = pair.indexOf('=');
-            int slot = at < 0 ? -1 : slot(pair.substring(0, at).strip());
-            if (slot >= 0) {
+        double[] values = unknownValues();
+        boolean anyKnown = false;
+        String report = text.strip();
+        String pairs = report.startsWith(HEADER_PREFIX) ? report.substring(HEADER_PREFIX.length()) : report;
+        for (String pair : pairs.split(",")) {
+            int separator = pair.indexOf('=');
+            int index =
+                    separator < 0 ? -1 : indexOf(pair.substring(0, separator).strip());
+            if (index >= 0) {
                 try {
-                    double value = Double.parseDouble(pair.substring(at + 1).strip());
-                    // Guards against figures that no upstream can mean: NaN and infinity are numbers too.
-                    if (value >= 0 && value <= VALUE_MOST) {
-                        values[slot] = value;
-                        any = true;
+                    double value =
+                            Double.parseDouble(pair.substring(separator + 1).strip());
+                    // NaN and infinity parse as numbers too; no server can mean them.
+                    if (value >= 0 && value <= MAX_VALUE) {
+                        values[index] = value;
+                        anyKnown = true;
                     }
                 } catch (NumberFormatException e) {
-                    continue; // one odd value does not spoil the others
+                    continue; // one malformed value does not invalidate the others
                 }
             }
         }
-        return any ? of(values) : null;
+        return anyKnown ? of(values) : null;
     }
 }
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -12,17 +12,30 @@
 import loadbalancer.policy.Policy.Settings;
 
 /**
- * Reads the settings of a balancer from path=value pairs, whether they come from the simulator's wire or from
- * the configuration of a real balancer; keys that it doesn't know are passed over.
+ * Reads the settings of a balancer from {@code path=value} pairs, whether they come from the simulator's wire or from
+ * the configuration of a balancer on sockets. Unknown paths are ignored; a value {@code -} counts as absent. Times are
+ * in µs. A reader is used by one thread and for one reading.
  */
 public final class SettingsReader {
+    private static final String ROOT = "BootInfo";
+    private static final String ABSENT = "-";
+
     private final Map<String, String> values;
-    private final BiFunction<String, String, ? extends RuntimeException> complaint;
-    private String place = "BootInfo"; // what is being read, for what its own class complains of
+    private final BiFunction<String, String, ? extends RuntimeException> errorFactory;
+
+    /** What is being read: where the classes of the policy reject a value, the error is reported there. */
+    private String currentPath = ROOT;
 
     /**
-     * What a balancer is started with: the module's settings, the order of values in a load report, the names
-     * that stand for the module's numbers, and after what time (µs) a server closes an idle connection.
+     * What a balancer is started with.
+     *
+     * @param settings the policy's settings
+     * @param loadFields names of the values of a load report, in their order on the simulator's wire
+     * @param classes names of the request classes, by the policy's number
+     * @param tenants names of the tenants, by the policy's number
+     * @param zones names of the zones, by the policy's number
+     * @param kinds names of the server models, by the policy's number
+     * @param idleClose after what time, in µs, a server closes an idle connection; 0 where that is not known
      */
     public record Boot(
             Settings settings,
@@ -34,215 +47,288 @@
             long idleClose) {}
 
     private SettingsReader(
-            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> errorFactory) {
         this.values = values;
-        this.complaint = complaint;
+        this.errorFactory = errorFactory;
     }
 
     /**
      * Reads {@code values}.
      *
-     * @param complaint makes the exception for a path and what is wrong there
+     * @param values settings by path
+     * @param errorFactory makes the exception for a path and what is wrong there; thrown for the first missing,
+     *     malformed or impossible setting
      */
     public static Boot read(
-            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> complaint) {
-        SettingsReader in = new SettingsReader(values, complaint);
+            Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> errorFactory) {
+        SettingsReader reader = new SettingsReader(values, errorFactory);
         try {
             return new Boot(
-                    in.settings(),
-                    in.list("Stats.Fields"),
-                    in.names("Classes"),
-                    in.names("Realms"),
-                    in.list("Areas"),
-                    in.list("Kinds"),
-                    in.whole("Limits.IdleClose", 0L));
+                    reader.settings(),
+                    reader.commaSeparated("Stats.Fields"),
+                    reader.names("Classes"),
+                    reader.names("Realms"),
+                    reader.commaSeparated("Areas"),
+                    reader.commaSeparated("Kinds"),
+                    reader.integer("Limits.IdleClose", 0));
         } catch (IllegalArgumentException e) {
-            throw complaint.apply(in.place, e.getMessage());
+            throw errorFactory.apply(reader.currentPath, e.getMessage());
         }
     }
 
-    /** The names of the simulator's wire: paths joined by dots, lists of plain values by commas. */
+    /**
+     * Adds the pairs of a tree of maps and lists under the names of the simulator's wire: paths joined by dots, lists
+     * of plain values by commas, lists of maps by position with a {@code .count} beside them. Nulls are left out.
+     *
+     * @param path path of {@code value}; empty for the root
+     * @param into receives the pairs
+     */
     public static void flatten(String path, Object value, Map<String, String> into) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path.isEmpty() ? k.toString() : path + "." + k, v, into));
+            map.forEach((key, child) -> flatten(path.isEmpty() ? key.toString() : path + "." + key, child, into));
         } else if (value instanceof List<?> list) {
-            if (list.stream().anyMatch(Map.class::isInstance)) {
-                into.put(path + ".count", Integer.toString(list.size()));
-                for (int i = 0; i < list.size(); i++) {
-                    flatten(path + "." + i, list.get(i), into);
-                }
-            } else {
-                into.put(path, list.stream().map(SettingsReader::toText).collect(Collectors.joining(",")));
-            }
+            flattenList(path, list, into);
         } else if (value != null) {
             into.put(path, toText(value));
         }
     }
 
-    /** A value as it stands on the wire, where spaces and commas within values are replaced. */
-    public static String toText(Object value) {
-        return String.valueOf(value).replace(' ', '_').replace(',', '_');
-    }
-
-    private List<String> list(String path) {
-        String value = text(path, "");
-        return value.isEmpty() ? List.of() : List.of(value.split(","));
+    private static void flattenList(String path, List<?> list, Map<String, String> into) {
+        if (list.stream().noneMatch(Map.class::isInstance)) {
+            into.put(path, list.stream().map(SettingsReader::toText).collect(Collectors.joining(",")));
+            return;
+        }
+        into.put(path + ".count", Integer.toString(list.size()));
+        for (int i = 0; i < list.size(); i++) {
+            flatten(path + "." + i, list.get(i), into);
+        }
     }
 
-    private List<String> names(String path) {
-        List<String> names = new ArrayList<>();
-        for (int i = 0; i < count(path, false); i++) {
-            names.add(text(path + "." + i + ".Name", ""));
-        }
-        return List.copyOf(names);
+    /** Returns a value as it stands on the wire, where spaces and commas within values are replaced. */
+    public static String toText(Object value) {
+        return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
+    // The order of reading decides which of several errors is reported.
     private Settings settings() {
-        int zones = text("Areas", "").split(",").length;
-        int kinds = text("Kinds", "").split(",").length;
-        List<Policy.RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < count("Classes", true); i++) {
-            String at = "Classes." + i + ".";
-            place = "Classes." + i;
-            classes.add(new Policy.RequestClass(
-                    word(Policy.Effect.class, at + "Idempotency", null),
-                    word(Policy.Scope.class, at + "DedupScope", "all"),
-                    whole(at + "KeyTtl", 0L),
-                    whole(at + "GoalTime", null),
-                    whole(at + "GiveUp", null),
-                    decimal(at + "AimStretch", 0.0),
-                    decimal(at + "Gain", 1.0),
-                    decimal(at + "LateShare", 0.0),
-                    flag(at + "Stream", false),
-                    flag(at + "InOrder", false),
-                    indexes(at + "AllowedIn", zones),
-                    indexes(at + "RunsOn", kinds)));
-        }
-        place = "BootInfo";
-        List<Policy.Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < count("Realms", false); i++) {
-            tenants.add(new Policy.Tenant(decimal("Realms." + i + ".AllowancePerS", null)));
-        }
-        boolean advice = flag("Limits.RetryAfter", false);
-        int tries = (int) Math.min(Integer.MAX_VALUE, whole("Limits.TryLimit", null));
-        Policy.Limits limits = new Policy.Limits(
-                tries,
-                flag("Limits.MayDuplicate", null),
-                flag("Limits.Cancel", null),
-                flag("Limits.Probes", null),
-                whole("Limits.DialTimeout", 0L),
-                advice ? whole("Limits.MaxRetryAfter", 0L) : 0L);
-        boolean ask = word(Policy.Discovery.class, "MembershipMode", null) == Policy.Discovery.ASK;
-        Policy.Bounds bounds = new Policy.Bounds(
-                whole("Rules.AnswerSlack", null),
-                whole("Rules.DrainGrace", null),
-                whole("Rules.AskWithin", ask ? null : 0L),
-                decimal("Rules.ColdFrom", null),
-                whole("Rules.RampTime", null),
-                decimal("Rules.OverloadFactor", null),
-                whole("Rules.Fall", null),
-                whole("Rules.OrderPause", 0L));
-        Policy.Goal goal = new Policy.Goal(
-                decimal("Blend.Whole", 1.0),
-                decimal("Blend.WorstWindow", 0.0),
-                decimal("Blend.WorstClass", 0.0),
-                decimal("Blend.WorstTenant", 0.0));
+        int zoneCount = text("Areas", "").split(",").length;
+        int modelCount = text("Kinds", "").split(",").length;
+        List<Policy.RequestClass> classes = requestClasses(zoneCount, modelCount);
+        List<Policy.Tenant> tenants = tenants();
+        Policy.Limits limits = limits();
+        Policy.Discovery discovery =
+                enumValue(Policy.Discovery.class, "MembershipMode", requiredText("MembershipMode"));
+        Policy.Bounds bounds = bounds(discovery);
+        Policy.Goal goal = goal();
         return new Settings(
-                (int) Math.min(Integer.MAX_VALUE, whole("Balancers", null)),
-                (int) whole("Rank", 0L),
-                zone(zones),
+                (int) Math.min(Integer.MAX_VALUE, requiredInteger("Balancers")),
+                (int) integer("Rank", 0),
+                zone(zoneCount),
                 List.copyOf(classes),
                 List.copyOf(tenants),
                 decimal("OverShareWorth", 1.0),
                 goal,
                 new Policy.Prices(decimal("Prices.CrossZone", 0.0), decimal("Prices.Handshake", 0.0)),
                 text("WorthBy", "request").equals("work"),
-                ask ? Policy.Discovery.ASK : Policy.Discovery.PUSH,
-                word(Policy.Reports.class, "Stats.How", "none"),
+                discovery,
+                enumValue(Policy.Reports.class, "Stats.How", text("Stats.How", "none")),
                 flag("Specifics.WarmKeys", false),
                 limits,
                 bounds,
-                whole("Quantum", null));
+                requiredInteger("Quantum"));
     }
 
-    private String text(String path, String otherwise) {
-        String value = values.get(path);
-        if (value != null && !value.equals("-")) {
-            return value;
+    private List<Policy.RequestClass> requestClasses(int zoneCount, int modelCount) {
+        List<Policy.RequestClass> classes = new ArrayList<>();
+        int count = count("Classes", requiredInteger("Classes.count"));
+        for (int i = 0; i < count; i++) {
+            currentPath = "Classes." + i;
+            classes.add(requestClass(currentPath + ".", zoneCount, modelCount));
+        }
+        currentPath = ROOT;
+        return classes;
+    }
+
+    private Policy.RequestClass requestClass(String prefix, int zoneCount, int modelCount) {
+        return new Policy.RequestClass(
+                enumValue(Policy.Effect.class, prefix + "Idempotency", requiredText(prefix + "Idempotency")),
+                enumValue(Policy.Scope.class, prefix + "DedupScope", text(prefix + "DedupScope", "all")),
+                integer(prefix + "KeyTtl", 0),
+                requiredInteger(prefix + "GoalTime"),
+                requiredInteger(prefix + "GiveUp"),
+                decimal(prefix + "AimStretch", 0.0),
+                decimal(prefix + "Gain", 1.0),
+                decimal(prefix + "LateShare", 0.0),
+                flag(prefix + "Stream", false),
+                flag(prefix + "InOrder", false),
+                indexes(prefix + "AllowedIn", zoneCount),
+                indexes(prefix + "RunsOn", modelCount));
+    }
+
+    private List<Policy.Tenant> tenants() {
+        List<Policy.Tenant> tenants = new ArrayList<>();
+        int count = count("Realms", integer("Realms.count", 0));
+        for (int i = 0; i < count; i++) {
+            tenants.add(new Policy.Tenant(requiredDecimal("Realms." + i + ".AllowancePerS")));
+        }
+        return tenants;
+    }
+
+    private Policy.Limits limits() {
+        boolean sendsRetryAfter = flag("Limits.RetryAfter", false);
+        int maxAttempts = (int) Math.min(Integer.MAX_VALUE, requiredInteger("Limits.TryLimit"));
+        return new Policy.Limits(
+                maxAttempts,
+                requiredFlag("Limits.MayDuplicate"),
+                requiredFlag("Limits.Cancel"),
+                requiredFlag("Limits.Probes"),
+                integer("Limits.DialTimeout", 0),
+                sendsRetryAfter ? integer("Limits.MaxRetryAfter", 0) : 0L);
+    }
+
+    private Policy.Bounds bounds(Policy.Discovery discovery) {
+        return new Policy.Bounds(
+                requiredInteger("Rules.AnswerSlack"),
+                requiredInteger("Rules.DrainGrace"),
+                discovery == Policy.Discovery.ASK ? requiredInteger("Rules.AskWithin") : integer("Rules.AskWithin", 0),
+                requiredDecimal("Rules.ColdFrom"),
+                requiredInteger("Rules.RampTime"),
+                requiredDecimal("Rules.OverloadFactor"),
+                requiredInteger("Rules.Fall"),
+                integer("Rules.OrderPause", 0));
+    }
+
+    private Policy.Goal goal() {
+        return new Policy.Goal(
+                decimal("Blend.Whole", 1.0),
+                decimal("Blend.WorstWindow", 0.0),
+                decimal("Blend.WorstClass", 0.0),
+                decimal("Blend.WorstTenant", 0.0));
+    }
+
+    private List<String> commaSeparated(String path) {
+        String value = text(path, "");
+        return value.isEmpty() ? List.of() : List.of(value.split(","));
+    }
+
+    private List<String> names(String path) {
+        List<String> names = new ArrayList<>();
+        int count = count(path, integer(path + ".count", 0));
+        for (int i = 0; i < count; i++) {
+            names.add(text(path + "." + i + ".Name", ""));
         }
-        if (otherwise == null) {
-            throw complaint.apply(path, "required setting is missing");
+        return List.copyOf(names);
+    }
+
+    /** The value of a setting, or null where it is absent. */
+    private String textOrNull(String path) {
+        String value = values.get(path);
+        return value == null || value.equals(ABSENT) ? null : value;
+    }
+
+    private String text(String path, String defaultValue) {
+        String value = textOrNull(path);
+        return value == null ? defaultValue : value;
+    }
+
+    private String requiredText(String path) {
+        String value = textOrNull(path);
+        if (value == null) {
+            throw errorFactory.apply(path, "required setting is missing");
         }
-        return otherwise;
+        return value;
     }
 
-    private long whole(String path, Long otherwise) {
-        String value = text(path, otherwise == null ? null : otherwise.toString());
+    private long integer(String path, long defaultValue) {
+        String value = textOrNull(path);
+        return value == null ? defaultValue : parseInteger(path, value);
+    }
+
+    private long requiredInteger(String path) {
+        return parseInteger(path, requiredText(path));
+    }
+
+    private long parseInteger(String path, String value) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw complaint.apply(path, "not a whole number: '" + value + "'");
+            throw errorFactory.apply(path, "not a whole number: '" + value + "'");
         }
     }
 
-    private double decimal(String path, Double otherwise) {
-        String value = text(path, otherwise == null ? null : otherwise.toString());
+    private double decimal(String path, double defaultValue) {
+        String value = textOrNull(path);
+        return value == null ? defaultValue : parseDecimal(path, value);
+    }
+
+    private double requiredDecimal(String path) {
+        return parseDecimal(path, requiredText(path));
+    }
+
+    private double parseDecimal(String path, String value) {
         try {
             double number = Double.parseDouble(value);
             if (Double.isFinite(number)) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            throw complaint.apply(path, "not a number: '" + value + "'");
+            throw errorFactory.apply(path, "not a number: '" + value + "'");
         }
-        throw complaint.apply(path, "not a finite number: '" + value + "'");
+        throw errorFactory.apply(path, "not a finite number: '" + value + "'");
+    }
+
+    private boolean flag(String path, boolean defaultValue) {
+        String value = textOrNull(path);
+        return value == null ? defaultValue : parseFlag(path, value);
+    }
+
+    private boolean requiredFlag(String path) {
+        return parseFlag(path, requiredText(path));
     }
 
-    private boolean flag(String path, Boolean otherwise) {
-        String value = text(path, otherwise == null ? null : otherwise.toString());
+    private boolean parseFlag(String path, String value) {
         return switch (value) {
             case "true", "1" -> true;
             case "false", "0" -> false;
-            default -> throw complaint.apply(path, "not true or false: '" + value + "'");
+            default -> throw errorFactory.apply(path, "not true or false: '" + value + "'");
         };
     }
 
-    private int count(String path, boolean required) {
-        long count = whole(path + ".count", required ? null : 0L);
+    /** Checks the number of entries under {@code path}: there can't be more of them than there are values. */
+    private int count(String path, long count) {
         if (count < 0 || count > values.size()) {
-            throw complaint.apply(path + ".count", "not a count of what follows: " + count);
+            throw errorFactory.apply(path + ".count", "not a count of what follows: " + count);
         }
         return (int) count;
     }
 
     /** The zone of this instance; it must be one of the named ones, where zones are named. */
-    private int zone(int zones) {
-        long zone = whole("Locality", 0L);
-        if (zone < 0 || zone >= zones && values.containsKey("Areas")) {
-            throw complaint.apply("Locality", "not between 0 and " + (zones - 1) + ": " + zone);
+    private int zone(int zoneCount) {
+        long zone = integer("Locality", 0);
+        if (zone < 0 || (zone >= zoneCount && values.containsKey("Areas"))) {
+            throw errorFactory.apply("Locality", "not between 0 and " + (zoneCount - 1) + ": " + zone);
         }
         return (int) zone;
     }
 
-    /** Positions in a list of {@code size} names; empty where the setting is not given. */
+    /** Positions in a list of {@code size} names; empty where the setting is absent. */
     private Set<Integer> indexes(String path, int size) {
-        Set<Integer> found = new TreeSet<>();
+        Set<Integer> indexes = new TreeSet<>();
         String value = text(path, "");
         for (String part : value.isEmpty() ? new String[0] : value.split(",", -1)) {
             if (!part.matches("\\d{1,9}") || Integer.parseInt(part) >= size) {
-                throw complaint.apply(path, "not between 0 and " + (size - 1) + ": '" + part + "'");
+                throw errorFactory.apply(path, "not between 0 and " + (size - 1) + ": '" + part + "'");
             }
-            found.add(Integer.valueOf(part));
+            indexes.add(Integer.valueOf(part));
         }
-        return found;
+        return indexes;
     }
 
-    private <E extends Enum<E>> E word(Class<E> type, String path, String otherwise) {
-        String value = text(path, otherwise);
+    private <E extends Enum<E>> E enumValue(Class<E> type, String path, String value) {
         try {
             return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw complaint.apply(path, "unknown word: '" + value + "'");
+            throw errorFactory.apply(path, "unknown word: '" + value + "'");
         }
     }
 }
--- a/src/main/java/loadbalancer/simulator/SimulatorMessage.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorMessage.java
@@ -2,118 +2,131 @@
 
 import java.util.Base64;
 
-/** One line of the wire: its name and its values, read with plain complaints about what is malformed. */
+/**
+ * One message of the wire: a line of tab-separated values, the name first. Fields are read by their index, from 1 on;
+ * the field's name is given for the error message. Every reading method throws {@link SimulatorProtocolException}
+ * where the field is missing or malformed; a field that is empty or {@code -} is absent.
+ */
 final class SimulatorMessage {
-    private final long line;
-    private final String[] parts;
+    private static final String ABSENT = "-";
 
-    SimulatorMessage(long line, String text) {
-        this.line = line;
-        this.parts = text.split("\t", -1);
+    private final long lineNumber;
+    private final String[] values;
+
+    SimulatorMessage(long lineNumber, String line) {
+        this.lineNumber = lineNumber;
+        this.values = line.split("\t", -1);
     }
 
     String name() {
-        return parts[0];
+        return values[0];
     }
 
-    int size() {
-        return parts.length - 1;
+    /** The number of fields behind the name. */
+    int fieldCount() {
+        return values.length - 1;
     }
 
-    SimulatorProtocolException bad(String field, String what) {
-        return new SimulatorProtocolException("line " + line + ": " + parts[0] + ": field " + field + ": " + what);
+    /** Makes the exception that names this line and the field; the caller throws it. */
+    SimulatorProtocolException malformed(String field, String problem) {
+        return new SimulatorProtocolException(
+                "line " + lineNumber + ": " + values[0] + ": field " + field + ": " + problem);
     }
 
-    /** Checks the number of values, so that a cut or joined line is noticed. */
-    SimulatorMessage expect(String... fields) {
-        if (size() < fields.length) {
-            throw bad(fields[size()], "is missing");
+    /** Checks that the message has exactly these fields, so that a cut or joined line is noticed. */
+    SimulatorMessage expectFields(String... fields) {
+        if (fieldCount() < fields.length) {
+            throw malformed(fields[fieldCount()], "is missing");
         }
-        if (size() > fields.length) {
-            throw bad(
+        if (fieldCount() > fields.length) {
+            throw malformed(
                     fields.length == 0 ? "1" : fields[fields.length - 1],
-                    "is followed by " + (size() - fields.length) + " more value(s) than the message has");
+                    "is followed by " + (fieldCount() - fields.length) + " more value(s) than the message has");
         }
         return this;
     }
 
-    String raw(int at, String field) {
-        if (at > size()) {
-            throw bad(field, "is missing");
+    /** The field as it stands there, absent or not. */
+    String raw(int index, String field) {
+        if (index > fieldCount()) {
+            throw malformed(field, "is missing");
         }
-        return parts[at];
+        return values[index];
     }
 
-    String text(int at, String field) {
-        String value = raw(at, field);
-        if (value.isEmpty() || value.equals("-")) {
-            throw bad(field, "is absent");
+    String text(int index, String field) {
+        String value = raw(index, field);
+        if (value.isEmpty() || value.equals(ABSENT)) {
+            throw malformed(field, "is absent");
         }
         return value;
     }
 
-    boolean absent(int at, String field) {
-        return raw(at, field).equals("-");
+    boolean isAbsent(int index, String field) {
+        return raw(index, field).equals(ABSENT);
     }
 
-    long number(int at, String field) {
-        String value = text(at, field);
+    long integer(int index, String field) {
+        String value = text(index, field);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw bad(field, "not a whole number: '" + value + "'");
+            throw malformed(field, "not a whole number: '" + value + "'");
         }
     }
 
-    long number(int at, String field, long whenAbsent) {
-        return absent(at, field) ? whenAbsent : number(at, field);
+    long integer(int index, String field, long defaultValue) {
+        return isAbsent(index, field) ? defaultValue : integer(index, field);
     }
 
-    int index(int at, String field, int size) {
-        long value = number(at, field);
+    /** A number from 0 to {@code size - 1}. */
+    int index(int index, String field, int size) {
+        long value = integer(index, field);
         if (value < 0 || value >= size) {
-            throw bad(field, "not between 0 and " + (size - 1) + ": " + value);
+            throw malformed(field, "not between 0 and " + (size - 1) + ": " + value);
         }
         return (int) value;
     }
 
-    /** An index that may be absent: -1 then. */
-    int index(int at, String field) {
-        return absent(at, field) ? -1 : index(at, field, Integer.MAX_VALUE);
+    /** A non-negative number, or -1 where it is absent. */
+    int indexOrMinusOne(int index, String field) {
+        return isAbsent(index, field) ? -1 : index(index, field, Integer.MAX_VALUE);
     }
 
-    double decimal(int at, String field) {
-        return decimal(text(at, field), field);
+    double decimal(int index, String field) {
+        return parseDecimal(text(index, field), field);
     }
 
-    double decimal(String value, String field) {
+    /** Reads a part of a field as a finite number. */
+    double parseDecimal(String value, String field) {
         try {
             double number = Double.parseDouble(value);
             if (Double.isFinite(number)) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            throw bad(field, "not a number: '" + value + "'");
+            throw malformed(field, "not a number: '" + value + "'");
         }
-        throw bad(field, "not a finite number: '" + value + "'");
+        throw malformed(field, "not a finite number: '" + value + "'");
     }
 
-    boolean flag(int at, String field) {
-        return switch (text(at, field)) {
+    boolean flag(int index, String field) {
+        return switch (text(index, field)) {
             case "1" -> true;
             case "0" -> false;
-            default -> throw bad(field, "not 0 or 1: '" + raw(at, field) + "'");
+            default -> throw malformed(field, "not 0 or 1: '" + raw(index, field) + "'");
         };
     }
 
-    byte[] bytes(int at, String field) {
-        if (absent(at, field)) {
+    /** Bytes in Base64; none where the field is absent. */
+    byte[] bytes(int index, String field) {
+        if (isAbsent(index, field)) {
             return new byte[0];
         }
         try {
-            return Base64.getDecoder().decode(raw(at, field));
+            return Base64.getDecoder().decode(raw(index, field));
         } catch (IllegalArgumentException e) {
-            throw bad(field, "not base64: '" + raw(at, field) + "'");
+            throw malformed(field, "not base64: '" + raw(index, field) + "'");
         }
     }
 }
--- a/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator;
 
-/** What is wrong with the input, in one line that names the place. */
+/** Thrown for malformed input; the message is one line that names the line number, the message and the field. */
 public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/simulator/SimulatorSettings.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSettings.java
@@ -4,20 +4,27 @@
 import java.util.Map;
 import loadbalancer.settings.SettingsReader;
 
-/** Turns the path=value pairs of an ENLIST line into what an instance is started with. */
+/** Turns the {@code path=value} fields of an ENLIST message into what an instance is started with. */
 final class SimulatorSettings {
+    private static final String FIELD = "BootInfo";
+
     private SimulatorSettings() {}
 
-    static SettingsReader.Boot read(SimulatorMessage frame, int firstPair) {
+    /**
+     * Reads all fields from {@code firstIndex} on.
+     *
+     * @throws SimulatorProtocolException for a field that is no pair, and for a missing or malformed setting
+     */
+    static SettingsReader.Boot read(SimulatorMessage message, int firstIndex) {
         Map<String, String> values = new HashMap<>();
-        for (int i = firstPair; i <= frame.size(); i++) {
-            String pair = frame.raw(i, "BootInfo");
-            int at = pair.indexOf('=');
-            if (at <= 0) {
-                throw frame.bad("BootInfo", "not path=value: '" + pair + "'");
+        for (int i = firstIndex; i <= message.fieldCount(); i++) {
+            String pair = message.raw(i, FIELD);
+            int separator = pair.indexOf('=');
+            if (separator <= 0) {
+                throw message.malformed(FIELD, "not path=value: '" + pair + "'");
             }
-            values.put(pair.substring(0, at), pair.substring(at + 1));
+            values.put(pair.substring(0, separator), pair.substring(separator + 1));
         }
-        return SettingsReader.read(values, frame::bad);
+        return SettingsReader.read(values, message::malformed);
     }
 }
