--- a/src/main/java/loadbalancer/config/SettingsReload.java
+++ b/src/main/java/loadbalancer/config/SettingsReload.java
@@ -10,106 +10,124 @@
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader.Boot;
 
-/** What may change in service, and how settings in use give way to other ones. Decides without I/O. */
+/** Decides which settings may change without a restart, and merges old and new ones. Stateless, no I/O. */
 public final class SettingsReload {
+    private static final String ANY_ENTRY = ".*.";
+
     private SettingsReload() {}
 
     /**
-     * The keys that a file holds, whatever it says there: those of things that stand in a list count where
-     * all of them have them.
+     * Returns the keys that a file holds, whatever their values. A key of list entries, written
+     * {@code Classes.*.Name}, counts where every entry of its list has it.
      *
-     * @param values by paths, joined by dots
+     * @param values settings by path, the parts joined by dots
      */
     static Set<String> keys(Map<String, String> values) {
         Set<String> keys = new TreeSet<>();
-        Map<String, Set<String>> lists = new TreeMap<>(); // the numbers in use under each list
-        Map<String, Set<String>> holders = new TreeMap<>(); // those that have such a key
+        Map<String, Set<String>> entriesByList = new TreeMap<>();
+        Map<String, Set<String>> entriesByKey = new TreeMap<>(); // those that have such a key
         for (String path : values.keySet()) {
             String[] parts = path.split("\\.", 3);
             if (parts.length == 3 && parts[1].matches("\\d+")) {
-                lists.computeIfAbsent(parts[0], k -> new HashSet<>()).add(parts[1]);
-                holders.computeIfAbsent(parts[0] + ".*." + parts[2], k -> new HashSet<>())
-                        .add(parts[1]);
+                String list = parts[0];
+                String entry = parts[1];
+                entriesByList.computeIfAbsent(list, key -> new HashSet<>()).add(entry);
+                entriesByKey
+                        .computeIfAbsent(list + ANY_ENTRY + parts[2], key -> new HashSet<>())
+                        .add(entry);
             } else {
                 keys.add(path);
             }
         }
-        holders.forEach((key, numbers) -> {
-            if (numbers.size()
-                    == lists.get(key.substring(0, key.indexOf(".*."))).size()) {
+        entriesByKey.forEach((key, entries) -> {
+            String list = key.substring(0, key.indexOf(ANY_ENTRY));
+            if (entries.size() == entriesByList.get(list).size()) {
                 keys.add(key);
             }
         });
         return keys;
     }
 
-    /** Why {@code fresh} can't take the place of {@code used} without a restart; null where it can. */
-    static String problem(Boot used, Boot fresh) {
-        Policy.Settings was = used.settings();
-        Policy.Settings is = fresh.settings();
-        if (new HashSet<>(fresh.classes()).size() < fresh.classes().size()) {
-            return "Classes: a name stands twice in " + fresh.classes();
+    /** Returns why {@code reloaded} can't replace {@code current} without a restart; null where it can. */
+    static String problem(Boot current, Boot reloaded) {
+        Policy.Settings before = current.settings();
+        Policy.Settings after = reloaded.settings();
+        if (hasDuplicates(reloaded.classes())) {
+            return "Classes: a name stands twice in " + reloaded.classes();
         }
-        if (fresh.classes().contains("")) {
+        if (reloaded.classes().contains("")) {
             return "Classes: one has no Name";
         }
-        if (new HashSet<>(fresh.tenants()).size() < fresh.tenants().size()) {
-            return "Realms: a name stands twice in " + fresh.tenants();
+        if (hasDuplicates(reloaded.tenants())) {
+            return "Realms: a name stands twice in " + reloaded.tenants();
         }
-        if (!fresh.zones().equals(used.zones()) || !fresh.kinds().equals(used.kinds())) {
+        if (!reloaded.zones().equals(current.zones()) || !reloaded.kinds().equals(current.kinds())) {
             return "other zones or kinds need a restart";
         }
-        if (is.balancers() != was.balancers() || is.rank() != was.rank() || is.zone() != was.zone()) {
+        if (after.balancers() != before.balancers() || after.rank() != before.rank() || after.zone() != before.zone()) {
             return "another place among the balancers needs a restart";
         }
-        if (is.discovery() != was.discovery() || is.reports() != was.reports()) {
+        if (after.discovery() != before.discovery() || after.reports() != before.reports()) {
             return "another way of learning lists or loads needs a restart";
         }
         return null;
     }
 
+    private static boolean hasDuplicates(List<String> names) {
+        return new HashSet<>(names).size() < names.size();
+    }
+
     /**
-     * {@code fresh}, and behind its classes those of {@code used} that it doesn't hold or holds with another
-     * effect: clients hear of the change later than the balancer does.
+     * Returns {@code reloaded} with those classes of {@code current} appended that it lacks, or has with another
+     * effect: clients learn of the change later than the balancer, and go on using the former classes.
      */
-    public static Boot withFormer(Boot used, Boot fresh) {
-        List<String> names = new ArrayList<>(fresh.classes());
-        List<Policy.RequestClass> classes = new ArrayList<>(fresh.settings().classes());
-        for (int i = 0; i < used.classes().size(); i++) {
-            String name = used.classes().get(i);
-            Policy.RequestClass kind = used.settings().classes().get(i);
-            boolean held = false;
-            for (int j = 0; j < names.size(); j++) {
-                held |= names.get(j).equals(name) && classes.get(j).effect() == kind.effect();
-            }
-            if (!held) {
+    public static Boot withFormer(Boot current, Boot reloaded) {
+        List<String> names = new ArrayList<>(reloaded.classes());
+        List<Policy.RequestClass> classes = new ArrayList<>(reloaded.settings().classes());
+        for (int i = 0; i < current.classes().size(); i++) {
+            String name = current.classes().get(i);
+            Policy.RequestClass former = current.settings().classes().get(i);
+            if (!contains(names, classes, name, former.effect())) {
                 names.add(name);
-                classes.add(kind);
+                classes.add(former);
             }
         }
-        Policy.Settings s = fresh.settings();
         return new Boot(
-                new Policy.Settings(
-                        s.balancers(),
-                        s.rank(),
-                        s.zone(),
-                        classes,
-                        s.tenants(),
-                        s.overShareWorth(),
-                        s.goal(),
-                        s.prices(),
-                        s.worthByWork(),
-                        s.discovery(),
-                        s.reports(),
-                        s.warmKeys(),
-                        s.limits(),
-                        s.bounds(),
-                        s.tick()),
-                fresh.loadFields(),
+                withClasses(reloaded.settings(), classes),
+                reloaded.loadFields(),
                 names,
-                fresh.tenants(),
-                fresh.zones(),
-                fresh.kinds(),
-                fresh.idleClose());
+                reloaded.tenants(),
+                reloaded.zones(),
+                reloaded.kinds(),
+                reloaded.idleClose());
+    }
+
+    private static boolean contains(
+            List<String> names, List<Policy.RequestClass> classes, String name, Policy.Effect effect) {
+        for (int i = 0; i < names.size(); i++) {
+            if (names.get(i).equals(name) && classes.get(i).effect() == effect) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static Policy.Settings withClasses(Policy.Settings settings, List<Policy.RequestClass> classes) {
+        return new Policy.Settings(
+                settings.balancers(),
+                settings.rank(),
+                settings.zone(),
+                classes,
+                settings.tenants(),
+                settings.overShareWorth(),
+                settings.goal(),
+                settings.prices(),
+                settings.worthByWork(),
+                settings.discovery(),
+                settings.reports(),
+                settings.warmKeys(),
+                settings.limits(),
+                settings.bounds(),
+                settings.tick());
     }
 }
