--- a/src/main/java/loadbalancer/config/toml/Problems.java
+++ b/src/main/java/loadbalancer/config/toml/Problems.java
@@ -4,52 +4,58 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** All that is wrong with a file, found in one reading, each with its line. */
+/** Collects all that is wrong with a file, each with its line, so that one reading reports every problem. */
 public final class Problems {
     private record Problem(int line, String text) {}
 
-    /** What is thrown where there is any: a line for each, in the order of the file. */
+    /** Thrown for a file with problems: one line for each, in the order of the file. */
     public static final class Bad extends Exception {
         private static final long serialVersionUID = 1L;
-        private final transient List<String> lines;
+        private final transient List<String> problems;
 
-        Bad(List<String> lines) {
-            super(String.join("\n", lines));
-            this.lines = List.copyOf(lines);
+        Bad(List<String> problems) {
+            super(String.join("\n", problems));
+            this.problems = List.copyOf(problems);
         }
 
-        /** {@code file:line: key: what was found and what is allowed}. */
+        /** Returns the problems, each as {@code file:line: key: what was found and what is allowed}. */
         public List<String> problems() {
-            return lines;
+            return problems;
         }
     }
 
     private final String file;
-    private final List<Problem> list = new ArrayList<>();
+    private final List<Problem> problems = new ArrayList<>();
 
+    /** No problems yet, of a file that messages call {@code file}. */
     public Problems(String file) {
         this.file = file;
     }
 
-    /** The file's name, as told. */
+    /** The file's name, as given to the constructor. */
     String file() {
         return file;
     }
 
     void add(int line, String text) {
-        list.add(new Problem(line, text));
+        problems.add(new Problem(line, text));
     }
 
+    /** Returns whether nothing has been found so far. */
     public boolean isEmpty() {
-        return list.isEmpty();
+        return problems.isEmpty();
     }
 
-    /** Throws what has been found, if anything has. */
+    /**
+     * Checks that nothing has been found.
+     *
+     * @throws Bad with everything that has been found
+     */
     public void check() throws Bad {
-        if (!list.isEmpty()) {
-            throw new Bad(list.stream()
+        if (!problems.isEmpty()) {
+            throw new Bad(problems.stream()
                     .sorted(Comparator.comparingInt(Problem::line))
-                    .map(p -> file + ":" + p.line() + ": " + p.text())
+                    .map(problem -> file + ":" + problem.line() + ": " + problem.text())
                     .toList());
         }
     }
