--- a/src/main/java/loadbalancer/logging/AsyncLogWriter.java
+++ b/src/main/java/loadbalancer/logging/AsyncLogWriter.java
@@ -2,63 +2,68 @@
 
 import java.io.PrintStream;
 import java.util.ArrayDeque;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
 /**
- * Takes lines from any thread at once and writes them on one of its own. Guards against a sink that blocks,
- * as a
- * pipe does that nobody reads: the event loop wrote its lines itself, and stood still with all its requests.
- * What
- * comes while the queue is full is counted, and the count is written when there is room again.
+ * Accepts lines from any thread and writes them on a thread of its own, so that a stream that blocks, such as a pipe
+ * that nobody reads, does not stall the event loop. While the queue is full, lines are dropped and counted; the count
+ * is written once the queue is empty.
  */
 public final class AsyncLogWriter implements Consumer<String> {
-    /** Lines that wait, at most. */
-    static final int MOST = 512;
+    /** Max. lines that wait to be written. */
+    static final int QUEUE_CAPACITY = 512;
 
     private final PrintStream out;
     private final String prefix;
-    private final ArrayDeque<String> waiting = new ArrayDeque<>();
+    private final ArrayDeque<String> queue = new ArrayDeque<>();
     private Thread writer;
     private boolean writing;
     private boolean closed;
     private long dropped;
 
-    /** Each line begins with {@code prefix}; the thread begins with the first line. */
+    /**
+     * A writer whose thread is started by the first line.
+     *
+     * @param out receives the lines
+     * @param prefix each line begins with it
+     */
     public AsyncLogWriter(PrintStream out, String prefix) {
         this.out = out;
         this.prefix = prefix;
     }
 
-    /** Never waits for the stream. */
+    /** Enqueues a line, or drops it where the queue is full or the writer closed. Never waits for the stream. */
     @Override
     public synchronized void accept(String line) {
         if (closed) {
             return;
         }
-        if (waiting.size() >= MOST) {
+        if (queue.size() >= QUEUE_CAPACITY) {
             dropped++;
             return;
         }
-        waiting.add(prefix + line);
+        queue.add(prefix + line);
         if (writer == null) {
-            writer = new Thread(this::write, "log");
+            writer = new Thread(this::writeLines, "log");
             writer.setDaemon(true);
             writer.start();
         }
         notifyAll();
     }
 
+    /** The next line to write; waits for one. Null where the writer is closed and all has been written. */
     private synchronized String next() throws InterruptedException {
         writing = false;
         notifyAll();
-        while (waiting.isEmpty() && dropped == 0) {
+        while (queue.isEmpty() && dropped == 0) {
             if (closed) {
                 return null;
             }
             wait();
         }
         writing = true;
-        String line = waiting.poll();
+        String line = queue.poll();
         if (line == null) {
             line = prefix + "log lines dropped: " + dropped;
             dropped = 0;
@@ -66,7 +71,7 @@
         return line;
     }
 
-    private void write() {
+    private void writeLines() {
         try {
             for (String line = next(); line != null; line = next()) {
                 out.println(line);
@@ -76,19 +81,28 @@
         }
     }
 
-    /** Takes no more, and waits until all is written, for {@code millis} at most: nobody may be reading. */
+    /**
+     * Accepts no more lines, and waits until all accepted ones are written, or the time is over: nobody may be reading.
+     * May be called more than once. An interrupt ends the wait and stays set.
+     *
+     * @param millis max. time to wait
+     */
     public synchronized void close(long millis) {
         closed = true;
         notifyAll();
-        long until = System.nanoTime() + millis * 1_000_000;
+        long deadlineNanos = System.nanoTime() + millis * TimeUnit.MILLISECONDS.toNanos(1);
+        long remainingMillis = millis;
         try {
-            for (long left = millis;
-                    (writing || !waiting.isEmpty() || dropped > 0) && left > 0;
-                    left = (until - System.nanoTime()) / 1_000_000) {
-                wait(left);
+            while (isBusy() && remainingMillis > 0) {
+                wait(remainingMillis);
+                remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
+
+    private boolean isBusy() {
+        return writing || !queue.isEmpty() || dropped > 0;
+    }
 }
--- a/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
+++ b/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
@@ -13,22 +13,22 @@
 import org.junit.jupiter.api.Timeout;
 
 class AsyncLogWriterTest {
-    /** A stream that takes nothing until it is opened, as a full pipe. */
-    static final class Pipe extends OutputStream {
-        final CountDownLatch open = new CountDownLatch(1);
-        final CountDownLatch tried = new CountDownLatch(1);
+    /** A stream that blocks until it is opened, as a full pipe does. */
+    static final class BlockedStream extends OutputStream {
+        final CountDownLatch opened = new CountDownLatch(1);
+        final CountDownLatch writeStarted = new CountDownLatch(1);
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
         @Override
-        public void write(int b) {
-            tried.countDown();
+        public void write(int value) {
+            writeStarted.countDown();
             try {
-                open.await();
+                opened.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             synchronized (bytes) {
-                bytes.write(b);
+                bytes.write(value);
             }
         }
 
@@ -41,31 +41,33 @@
 
     @Test
     @Timeout(30)
-    void aStreamThatBlocksHoldsNobodyUpAndWhatIsDroppedIsCounted() throws InterruptedException {
-        Pipe pipe = new Pipe();
-        AsyncLogWriter sink = new AsyncLogWriter(new PrintStream(pipe, true, StandardCharsets.UTF_8), "x: ");
-        sink.accept("0");
-        pipe.tried.await();
+    void acceptDoesNotBlockOnABlockedStreamAndCountsDroppedLines() throws InterruptedException {
+        BlockedStream stream = new BlockedStream();
+        AsyncLogWriter writer = new AsyncLogWriter(new PrintStream(stream, true, StandardCharsets.UTF_8), "x: ");
+        writer.accept("0");
+        stream.writeStarted.await();
         for (int i = 1; i <= 10_000; i++) {
-            sink.accept(Integer.toString(i));
+            writer.accept(Integer.toString(i));
         }
-        sink.close(10); // nobody reads: it is not waited for
-        pipe.open.countDown();
-        sink.close(20_000);
-        List<String> lines = pipe.lines();
-        assertEquals(AsyncLogWriter.MOST + 2, lines.size());
+        writer.close(10); // nobody reads: the wait ends without the lines
+        stream.opened.countDown();
+        writer.close(20_000);
+        List<String> lines = stream.lines();
+        assertEquals(AsyncLogWriter.QUEUE_CAPACITY + 2, lines.size());
         assertEquals("x: 0", lines.get(0));
-        assertEquals("x: " + AsyncLogWriter.MOST, lines.get(AsyncLogWriter.MOST));
-        assertEquals("x: log lines dropped: " + (10_000 - AsyncLogWriter.MOST), lines.get(AsyncLogWriter.MOST + 1));
+        assertEquals("x: " + AsyncLogWriter.QUEUE_CAPACITY, lines.get(AsyncLogWriter.QUEUE_CAPACITY));
+        assertEquals(
+                "x: log lines dropped: " + (10_000 - AsyncLogWriter.QUEUE_CAPACITY),
+                lines.get(AsyncLogWriter.QUEUE_CAPACITY + 1));
     }
 
     @Test
     @Timeout(30)
-    void theLastLinesAreOutWhenItIsClosed() {
+    void closeWritesAllAcceptedLinesAndRejectsLaterOnes() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        AsyncLogWriter sink = new AsyncLogWriter(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
-        sink.close(20_000);
-        sink.accept("late");
+        AsyncLogWriter writer = new AsyncLogWriter(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
+        writer.close(20_000);
+        writer.accept("late");
         AsyncLogWriter other = new AsyncLogWriter(new PrintStream(bytes, true, StandardCharsets.UTF_8), "");
         for (int i = 0; i < 100; i++) {
             other.accept("line " + i);
--- a/src/test/java/loadbalancer/logging/NettyLogBridgeTest.java
+++ b/src/test/java/loadbalancer/logging/NettyLogBridgeTest.java
@@ -13,17 +13,17 @@
 
 class NettyLogBridgeTest {
     @Test
-    void aWarningIsOneLineWithItsCauseAndNoStackTrace() {
-        InternalLoggerFactory before = InternalLoggerFactory.getDefaultFactory();
+    void warningIsOneLineWithItsCauseAndNoStackTrace() {
+        InternalLoggerFactory previous = InternalLoggerFactory.getDefaultFactory();
         List<String> lines = new CopyOnWriteArrayList<>();
         try {
             NettyLogBridge.install(lines::add);
             InternalLogger logger = InternalLoggerFactory.getInstance("io.netty.channel.Some");
             logger.warn("no {} for {}\nhere", "channel", 7, new IOException("Too many open files"));
             logger.warn("a moment later");
-            logger.debug("nobody asks");
+            logger.debug("below the level");
         } finally {
-            InternalLoggerFactory.setDefaultFactory(before);
+            InternalLoggerFactory.setDefaultFactory(previous);
         }
         assertEquals(
                 List.of("event=netty_warning logger=Some no channel for 7 here "
@@ -32,14 +32,14 @@
     }
 
     @Test
-    void whatIsHeldBackIsCountedInTheNextLine() {
-        NettyLogBridge.Limiter limiter = new NettyLogBridge.Limiter();
+    void suppressedMessagesAreCountedInTheNextLine() {
+        LogRateLimiter limiter = new LogRateLimiter();
         assertNotNull(limiter.line("warning", "A", "first", null, 0));
-        assertNull(limiter.line("warning", "A", "second", null, NettyLogBridge.EVERY - 1));
-        assertNotNull(limiter.line("error", "A", "another level", null, NettyLogBridge.EVERY - 1));
-        assertNull(limiter.line("warning", "A", "third", null, NettyLogBridge.EVERY - 1));
+        assertNull(limiter.line("warning", "A", "second", null, LogRateLimiter.INTERVAL_NANOS - 1));
+        assertNotNull(limiter.line("error", "A", "another level", null, LogRateLimiter.INTERVAL_NANOS - 1));
+        assertNull(limiter.line("warning", "A", "third", null, LogRateLimiter.INTERVAL_NANOS - 1));
         assertEquals(
                 "event=netty_warning logger=A fourth held_back=1",
-                limiter.line("warning", "A", "fourth", null, NettyLogBridge.EVERY));
+                limiter.line("warning", "A", "fourth", null, LogRateLimiter.INTERVAL_NANOS));
     }
 }
