--- a/src/test/java/loadbalancer/config/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/config/SettingsReloadTest.java
@@ -13,67 +13,48 @@
 import org.junit.jupiter.api.Test;
 
 class SettingsReloadTest {
+    /** What a balancer is started with, with classes given as name, effect, name, effect ... */
     private static SettingsReader.Boot boot(int balancers, String... namesAndEffects) {
-        Map<String, String> values = new HashMap<>(Map.of(
-                "Balancers",
-                Integer.toString(balancers),
-                "Limits.TryLimit",
-                "3",
-                "Limits.MayDuplicate",
-                "1",
-                "Limits.Cancel",
-                "1",
-                "Limits.Probes",
-                "0",
-                "MembershipMode",
-                "push",
-                "Quantum",
-                "1000"));
-        values.putAll(Map.of(
-                "Rules.AnswerSlack",
-                "1",
-                "Rules.DrainGrace",
-                "1",
-                "Rules.ColdFrom",
-                "0.5",
-                "Rules.RampTime",
-                "1",
-                "Rules.OverloadFactor",
-                "2",
-                "Rules.Fall",
-                "1"));
+        Map<String, String> values = new HashMap<>(Map.ofEntries(
+                Map.entry("Balancers", Integer.toString(balancers)),
+                Map.entry("Limits.TryLimit", "3"),
+                Map.entry("Limits.MayDuplicate", "1"),
+                Map.entry("Limits.Cancel", "1"),
+                Map.entry("Limits.Probes", "0"),
+                Map.entry("MembershipMode", "push"),
+                Map.entry("Quantum", "1000"),
+                Map.entry("Rules.AnswerSlack", "1"),
+                Map.entry("Rules.DrainGrace", "1"),
+                Map.entry("Rules.ColdFrom", "0.5"),
+                Map.entry("Rules.RampTime", "1"),
+                Map.entry("Rules.OverloadFactor", "2"),
+                Map.entry("Rules.Fall", "1")));
         values.put("Classes.count", Integer.toString(namesAndEffects.length / 2));
         for (int i = 0; i < namesAndEffects.length; i += 2) {
-            String at = "Classes." + i / 2 + ".";
-            values.put(at + "Name", namesAndEffects[i]);
-            values.put(at + "Idempotency", namesAndEffects[i + 1]);
-            values.put(at + "GoalTime", "1000");
-            values.put(at + "GiveUp", "2000");
+            String prefix = "Classes." + i / 2 + ".";
+            values.put(prefix + "Name", namesAndEffects[i]);
+            values.put(prefix + "Idempotency", namesAndEffects[i + 1]);
+            values.put(prefix + "GoalTime", "1000");
+            values.put(prefix + "GiveUp", "2000");
         }
         return SettingsReader.read(values, (path, what) -> new Config.Bad(path + ": " + what));
     }
 
     @Test
-    void keysOfAListCountWhereAllHaveThem() {
+    void keyOfListEntriesCountsOnlyWhereEveryEntryHasIt() {
         assertEquals(
                 Set.of("Quantum", "Classes.count", "Classes.*.Name", "Limits.Cancel"),
-                SettingsReload.keys(Map.of(
-                        "Quantum",
-                        "1",
-                        "Classes.count",
-                        "2",
-                        "Classes.0.Name",
-                        "a",
-                        "Classes.1.Name",
-                        "b",
-                        "Classes.1.KeyTtl",
-                        "5",
-                        "Limits.Cancel",
-                        "1")));
+                SettingsReload.keys(Map.ofEntries(
+                        Map.entry("Quantum", "1"),
+                        Map.entry("Classes.count", "2"),
+                        Map.entry("Classes.0.Name", "a"),
+                        Map.entry("Classes.1.Name", "b"),
+                        Map.entry("Classes.1.KeyTtl", "5"),
+                        Map.entry("Limits.Cancel", "1"))));
     }
 
     @Test
-    void whatServersAreNumberedByNeedsARestartAndNamesStandOnce() {
+    void otherBalancerCountNeedsARestartAndDuplicateNamesAreRejected() {
         assertNull(SettingsReload.problem(boot(2, "a", "safe"), boot(2, "b", "unsafe", "a", "keyed")));
         assertTrue(SettingsReload.problem(boot(2, "a", "safe"), boot(3, "a", "safe"))
                 .contains("restart"));
@@ -82,7 +63,7 @@
     }
 
     @Test
-    void whatWasDroppedOrHasAnotherEffectFollowsBehind() {
+    void droppedClassesAndThoseWithAnotherEffectAreAppended() {
         SettingsReader.Boot merged = SettingsReload.withFormer(
                 boot(2, "a", "safe", "b", "safe", "c", "keyed"), boot(2, "n", "unsafe", "b", "unsafe", "c", "keyed"));
         assertEquals(List.of("n", "b", "c", "a", "b"), merged.classes());
--- a/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -11,6 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
 import loadbalancer.config.Config;
 import loadbalancer.policy.Policy;
 import loadbalancer.server.Certificates;
@@ -29,9 +30,9 @@
     }
 
     @Test
-    void theDefaultsAreInOrderAndMeanWhatLeavingThemOutMeans() throws IOException, Problems.Bad {
+    void defaultFileEqualsAFileWithoutOptionalKeys() throws IOException, Problems.Bad {
         Config all = ConfigFile.read("f.toml", defaults());
-        Config least = ConfigFile.read("f.toml", """
+        Config minimal = ConfigFile.read("f.toml", """
             [[membership.server]]
             id = "box-1"
             address = "127.0.0.1:9001"
@@ -41,16 +42,16 @@
             aim = "200ms"
             deadline = "1s"
             """);
-        assertEquals(least.boot(), all.boot());
-        assertEquals(least.known(), all.known());
-        assertEquals(least.connections(), all.connections());
-        assertEquals(least.listen(), all.listen());
+        assertEquals(minimal.boot(), all.boot());
+        assertEquals(minimal.known(), all.known());
+        assertEquals(minimal.connections(), all.connections());
+        assertEquals(minimal.listen(), all.listen());
         assertEquals(Policy.Discovery.PUSH, all.boot().settings().discovery());
     }
 
-    /** Operators' files of 2 December 2026 go on meaning the same, whatever the code calls their settings. */
+    /** Operators' files of 2 December 2026 keep their meaning, whatever the code calls their settings. */
     @Test
-    void theRecordedFileIsReadAsItWas() throws IOException, Problems.Bad {
+    void recordedFileIsReadUnchanged() throws IOException, Problems.Bad {
         Config now = ConfigFile.read("f.toml", defaults());
         Config recorded = ConfigFile.read("f.toml", resource("recorded-default.toml"));
         assertEquals(now.boot(), recorded.boot());
@@ -70,23 +71,24 @@
         assertEquals("box-1", recorded.known().servers().get(0).id());
     }
 
-    /** Each setting that stands there as a comment may be used. */
+    /** Each setting that the default file shows in a comment is valid. */
     @Test
-    void whatIsCommentedOutIsInOrderToo(@TempDir Path folder) throws Exception {
-        X509Bundle made = Certificates.selfSigned();
-        Files.writeString(folder.resolve("cert.pem"), made.getCertificatePathPEM());
-        Files.writeString(folder.resolve("ca.pem"), made.getCertificatePathPEM());
-        Files.writeString(folder.resolve("key.pem"), made.getPrivateKeyPEM());
+    void commentedOutKeysAreValidAndShowTheDefaults(@TempDir Path folder) throws Exception {
+        X509Bundle certificate = Certificates.selfSigned();
+        Files.writeString(folder.resolve("cert.pem"), certificate.getCertificatePathPEM());
+        Files.writeString(folder.resolve("ca.pem"), certificate.getCertificatePathPEM());
+        Files.writeString(folder.resolve("key.pem"), certificate.getPrivateKeyPEM());
         String text = defaults()
                 .replace("source = \"static\" ", "source = \"discovery\" ")
                 .replaceAll("(?m)^# (?=[a-z\\[])", "")
                 .replaceAll("(?s)\\[\\[membership.server]].*?\\n\\n", "");
         String name = folder.resolve("f.toml").toString();
         Config config = ConfigFile.read(name, text);
-        String least =
+        String withoutOptionalKeys =
                 text.replaceAll("(?m)^(?!listen|certificate|key|trust|server-name)[a-z-]+ = .*$(?=[^\\[]*\\z)", "");
-        assertTrue(least.length() < text.length() - 500);
-        assertEquals(ConfigFile.read(name, least).http3(), config.http3(), "the defaults are as told");
+        assertTrue(withoutOptionalKeys.length() < text.length() - 500);
+        assertEquals(
+                ConfigFile.read(name, withoutOptionalKeys).http3(), config.http3(), "the defaults are as documented");
         assertEquals(8500, config.discovery().getPort());
         assertEquals(960, config.connections().most());
         assertEquals(List.of("acme"), config.boot().tenants());
@@ -94,7 +96,7 @@
     }
 
     @Test
-    void tenProblemsAreToldAtOnceInTheOrderOfTheFile() {
+    void allProblemsAreReportedAtOnceInTheOrderOfTheFile() {
         String text = """
             [node]
             listen = "localhost:80"
@@ -140,9 +142,9 @@
                         .problems());
     }
 
-    /** A comma in a zone's name would have made two zones of one, and bound servers to the wrong ones. */
+    /** A comma in a zone's name would make two zones of one, and put servers into the wrong ones. */
     @Test
-    void namesThatCouldBeReadAsListsAreProblems() {
+    void namesWithCommasOrSpacesAreRejected() {
         assertEquals(
                 List.of(
                         "f.toml:4: membership.server[0].zone: not a name without spaces and commas: 'a,b'",
@@ -163,7 +165,7 @@
     }
 
     @Test
-    void classesTenantsAndServersReachTheModel() throws Problems.Bad {
+    void classesTenantsAndServersReachTheConfiguration() throws Problems.Bad {
         Config config = ConfigFile.read("f.toml", """
             node = { zone = "b", seed = 7 }
             [membership]
@@ -197,7 +199,7 @@
         assertEquals(List.of("read", "stamp"), config.boot().classes());
         Policy.RequestClass stamp = config.boot().settings().classes().get(1);
         assertEquals(5_000_000, stamp.keyMemory());
-        assertEquals(java.util.Set.of(1), stamp.zones());
+        assertEquals(Set.of(1), stamp.zones());
         assertEquals(1, config.boot().settings().zone());
         assertEquals(
                 new Policy.Server("s1", Policy.State.UP, 0, 2.5, 4, 0, 1),
--- a/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: frames in, frames out, and plain complaints about what is malformed. */
+/** The wire: messages in, actions out, and errors that name the malformed field. */
 class SimulatorAdapterTest {
     private static final String SETTINGS = String.join(
             "\t",
@@ -46,8 +46,8 @@
                 + "SYNC\tPersisted\t1\t0\n";
     }
 
-    private static String inbound(String id) {
-        return "INBOUND\t" + id + "\t0\t-\t-\t600000\t-\t0\n";
+    private static String inbound(String request) {
+        return "INBOUND\t" + request + "\t0\t-\t-\t600000\t-\t0\n";
     }
 
     private static String run(String input) throws IOException {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void answersEveryBatchOnceAndNamesTheInstance() throws IOException {
+    void eachBatchIsAnsweredOnceAndNamesTheInstance() throws IOException {
         String out = run("TICK\t1000000\nGO\nTICK\t1000000\n" + enlist("balancer/0", SETTINGS) + inbound("a")
                 + "GO\nTICK\t1005000\nGO\n");
         List<String> lines = new ArrayList<>(List.of(out.split("\n")));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void listNumbersAreResolvedInTheOrderOfEvents() throws IOException {
+    void syncUsesTheLatestListOfItsBuffer() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "LIST\t0\t1\nITEM\t-\t10.0.0.9:80\tU\t1\t0\t0\t0\nSYNC\tComplete\t2\t0\n"
                 + inbound("a") + "GO\n");
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void anInstanceMayExitAndStartAgainInOneBatch() throws IOException {
+    void instanceMayExitAndRestartInOneBatch() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a")
                 + "GO\nTICK\t2\nAT\tbalancer/0\nEXIT\n" + enlist("balancer/0", SETTINGS)
                 + "RESPONSE\ta\t0\t10.0.0.1:80\t200\t1\t1\t4,2.5\n"
@@ -85,22 +85,22 @@
     }
 
     @Test
-    void oneProcessActsLikeSeveral() throws IOException {
-        String one = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b") + "GO\n";
-        String two = "TICK\t1\n" + enlist("balancer/1", SETTINGS) + inbound("c") + inbound("d") + "GO\n";
+    void instancesOfOneProcessActLikeSeparateProcesses() throws IOException {
+        String first = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b") + "GO\n";
+        String second = "TICK\t1\n" + enlist("balancer/1", SETTINGS) + inbound("c") + inbound("d") + "GO\n";
         String both = "TICK\t1\n" + enlist("balancer/0", SETTINGS) + inbound("a") + inbound("b")
                 + enlist("balancer/1", SETTINGS) + inbound("c") + inbound("d") + "GO\n";
-        assertEquals(run(one).replace("DONE\n", "") + run(two), run(both));
+        assertEquals(run(first).replace("DONE\n", "") + run(second), run(both));
     }
 
     @Test
-    void aFailureInTheModuleIsReported() throws IOException {
+    void policyFailureIsReportedAsBailOut() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SimulatorAdapter.Factory broken = (settings, seed) -> {
+        SimulatorAdapter.Factory failingFactory = (settings, seed) -> {
             throw new IllegalStateException("odd\tstate");
         };
         new SimulatorAdapter(
-                        broken,
+                        failingFactory,
                         new BufferedReader(new StringReader("TICK\t1\n" + enlist("balancer/0", SETTINGS) + "GO\n")),
                         out)
                 .run();
@@ -125,15 +125,15 @@
                 "TICK~1~LIST~0~1~ITEM~-~a:1~Q~1~0~0~0 | line 3: ITEM: field StageState: unknown word: 'Q'",
                 "TICK~1~LIST~0~1~ITEM~-~a:1~U~x~0~0~0 | line 3: ITEM: field Heft: not a number: 'x'",
             })
-    void malformedFramesAreNamed(String input, String complaint) {
+    void malformedMessageIsRejectedWithItsLineAndField(String input, String expectedError) {
         String text = input.strip();
         for (String word : List.of("GO", "AT", "DUE", "LIST", "ITEM")) {
             text = text.replace("~" + word, "\n" + word);
         }
-        String frames = text.replace('~', '\t') + "\n";
+        String messages = text.replace('~', '\t') + "\n";
         assertEquals(
-                complaint.strip(),
-                assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                expectedError.strip(),
+                assertThrows(SimulatorProtocolException.class, () -> run(messages))
                         .getMessage());
     }
 
@@ -152,12 +152,12 @@
                 "MAIL~0~%%% | Data: not base64: '%%%'",
                 "NONSENSE~1 | NONSENSE: unknown message",
             })
-    void malformedEventsAreNamed(String event, String complaint) {
-        String frames =
+    void malformedEventIsRejectedWithItsLineAndField(String event, String expectedError) {
+        String messages =
                 "TICK\t1\n" + enlist("balancer/0", SETTINGS) + event.strip().replace('~', '\t') + "\nGO\n";
-        String message = assertThrows(SimulatorProtocolException.class, () -> run(frames))
+        String message = assertThrows(SimulatorProtocolException.class, () -> run(messages))
                 .getMessage();
-        assertTrue(message.startsWith("line 8: ") && message.endsWith("field " + complaint.strip()), message);
+        assertTrue(message.startsWith("line 8: ") && message.endsWith("field " + expectedError.strip()), message);
     }
 
     @ParameterizedTest
@@ -169,16 +169,16 @@
         "MembershipMode=push",
         "Limits.TryLimit=3"
     })
-    void aMissingRequiredSettingIsNamed(String setting) {
-        String frames = "TICK\t1\n" + enlist("balancer/0", SETTINGS.replace(setting + "\t", "")) + "GO\n";
+    void missingRequiredSettingIsRejectedByName(String setting) {
+        String messages = "TICK\t1\n" + enlist("balancer/0", SETTINGS.replace(setting + "\t", "")) + "GO\n";
         assertEquals(
                 "line 3: ENLIST: field " + setting.substring(0, setting.indexOf('=')) + ": required setting is missing",
-                assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                assertThrows(SimulatorProtocolException.class, () -> run(messages))
                         .getMessage());
     }
 
     @Test
-    void eventsForIdsNoLongerHeldArePassedOver() throws IOException {
+    void eventsForUnknownRequestsAreIgnored() throws IOException {
         String out = run("TICK\t1\n" + enlist("balancer/0", SETTINGS)
                 + "RESPONSE\tz\t0\t10.0.0.1:80\t502\t1\t0\t-\nWITHDRAWN\tz\nACK_FIRST\tz\t0\t10.0.0.1:80\t5\n"
                 + "PROBE_RESULT\t10.0.0.1:80\t5\t200\t1,2\nMAIL\t1\tAAAA\nDUE\told\nGO\n");
@@ -197,22 +197,22 @@
                 "Prices.CrossZone=-1 | BootInfo: impossible crossZone: -1.0",
                 "Rules.OrderPause=-5 | BootInfo: impossible orderPause: -5",
             })
-    void impossiblePlacementAndOrderAreRefusedAtTheStart(String setting, String complaint) {
+    void impossiblePlacementOrOrderIsRejectedAtTheStart(String setting, String expectedError) {
         String settings = SETTINGS + "\tAreas=a,b\tKinds=k\t" + setting.strip();
-        String frames = "TICK\t1\n" + enlist("balancer/0", settings) + "GO\n";
+        String messages = "TICK\t1\n" + enlist("balancer/0", settings) + "GO\n";
         assertEquals(
-                "line 3: ENLIST: field " + complaint.strip(),
-                assertThrows(SimulatorProtocolException.class, () -> run(frames))
+                "line 3: ENLIST: field " + expectedError.strip(),
+                assertThrows(SimulatorProtocolException.class, () -> run(messages))
                         .getMessage());
     }
 
     @Test
-    void placementAndOrderReachTheModule() throws IOException {
+    void placementAndOrderReachThePolicy() throws IOException {
         String settings = SETTINGS + "\tAreas=a,b\tClasses.0.AllowedIn=1\tClasses.0.InOrder=true";
         String out = run("TICK\t1\n" + enlist("balancer/0", settings) + "LIST\t1\t1\n"
                 + "ITEM\t-\t10.0.0.7:80\tU\t1\t0\t0\t1\nSYNC\tPartial\t2\t1\n"
                 + "INBOUND\ta\t0\t-\tab\t600000\t-\t0\nINBOUND\tb\t0\t-\tab\t600000\t-\t0\nGO\n");
         assertTrue(out.contains("DELIVER\ta\t10.0.0.7:80"), out);
-        assertTrue(!out.contains("DELIVER\tb"), "b waits for its turn: " + out);
+        assertTrue(!out.contains("DELIVER\tb"), "b waits for the response to a: " + out);
     }
 }
