--- a/src/main/java/loadbalancer/config/toml/Table.java
+++ b/src/main/java/loadbalancer/config/toml/Table.java
@@ -240,7 +240,7 @@
         return new Tables(List.of(new Table(Toml.parse(""), childPath, line, problems)));
     }
 
-    /** Returns the tables {@code [[key]]}, of which there must be one at least. */
+    /** Returns the tables {@code [[key]]}, of which there must be at least one. */
     public Tables tables(String key) {
         Tables tables = optional(key);
         if (tables.tables().isEmpty() && !has(key)) {
--- a/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -19,6 +19,64 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ConfigFileTest {
+    private static final String FILE_WITH_PROBLEMS = """
+            [node]
+            listen = "localhost:80"
+            rank = 3
+            sede = 4
+            [membership]
+            source = "static"
+            [[membership.server]]
+            id = "a"
+            address = "127.0.0.1:99999"
+            wieght = 2
+            [[class]]
+            name = "read"
+            effect = "harmless"
+            aim = "200"
+            deadline = "1s"
+            [[class]]
+            name = "read"
+            effect = "keyed"
+            aim = "2s"
+            deadline = "1s"
+            zones = ["b"]
+            [limits]
+            connect = 5
+            client-floor = 0.9
+            """;
+
+    private static final String FULL_FILE = """
+            node = { zone = "b", seed = 7 }
+            [membership]
+            zones = ["a", "b"]
+            [[membership.server]]
+            id = "s1"
+            address = "127.0.0.1:9001"
+            zone = "b"
+            model = "big"
+            cell = 4
+            weight = 2.5
+            [[class]]
+            name = "read"
+            effect = "safe"
+            aim = "200ms"
+            deadline = "1s"
+            [[class]]
+            name = "stamp"
+            effect = "keyed"
+            window = "5s"
+            aim = "250ms"
+            deadline = "500ms"
+            worth = 9
+            late = 0.25
+            zones = ["b"]
+            models = ["big"]
+            [[tenant]]
+            name = "acme"
+            allowance = 20
+            """;
+
     private static String defaults() throws IOException {
         return resource("default.toml");
     }
@@ -97,32 +155,6 @@
 
     @Test
     void allProblemsAreReportedAtOnceInTheOrderOfTheFile() {
-        String text = """
-            [node]
-            listen = "localhost:80"
-            rank = 3
-            sede = 4
-            [membership]
-            source = "static"
-            [[membership.server]]
-            id = "a"
-            address = "127.0.0.1:99999"
-            wieght = 2
-            [[class]]
-            name = "read"
-            effect = "harmless"
-            aim = "200"
-            deadline = "1s"
-            [[class]]
-            name = "read"
-            effect = "keyed"
-            aim = "2s"
-            deadline = "1s"
-            zones = ["b"]
-            [limits]
-            connect = 5
-            client-floor = 0.9
-            """;
         assertEquals(
                 List.of(
                         "f.toml:1: node.rank: not below node.balancers, which is 1",
@@ -138,7 +170,7 @@
                         "f.toml:21: class[1].zones: not among [default]: [b]",
                         "f.toml:23: limits.connect: not a time like 250ms or 1.5s: '5'",
                         "f.toml:24: limits.client-floor: with the others of the table impossible upstreamFloor: 0.2"),
-                assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", text))
+                assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", FILE_WITH_PROBLEMS))
                         .problems());
     }
 
@@ -166,36 +198,7 @@
 
     @Test
     void classesTenantsAndServersReachTheConfiguration() throws Problems.Bad {
-        Config config = ConfigFile.read("f.toml", """
-            node = { zone = "b", seed = 7 }
-            [membership]
-            zones = ["a", "b"]
-            [[membership.server]]
-            id = "s1"
-            address = "127.0.0.1:9001"
-            zone = "b"
-            model = "big"
-            cell = 4
-            weight = 2.5
-            [[class]]
-            name = "read"
-            effect = "safe"
-            aim = "200ms"
-            deadline = "1s"
-            [[class]]
-            name = "stamp"
-            effect = "keyed"
-            window = "5s"
-            aim = "250ms"
-            deadline = "500ms"
-            worth = 9
-            late = 0.25
-            zones = ["b"]
-            models = ["big"]
-            [[tenant]]
-            name = "acme"
-            allowance = 20
-            """);
+        Config config = ConfigFile.read("f.toml", FULL_FILE);
         assertEquals(List.of("read", "stamp"), config.boot().classes());
         Policy.RequestClass stamp = config.boot().settings().classes().get(1);
         assertEquals(5_000_000, stamp.keyMemory());
