--- a/src/main/java/loadbalancer/config/Config.java
+++ b/src/main/java/loadbalancer/config/Config.java
@@ -85,7 +85,7 @@
 
     private boolean http3NeedsRestart(Config reloaded) {
         if (http3 == null || reloaded.http3 == null) {
-            return http3 != reloaded.http3;
+            return (http3 == null) != (reloaded.http3 == null);
         }
         return !http3.sameButIdentity(reloaded.http3);
     }
--- a/src/main/java/loadbalancer/config/DescriptorLimit.java
+++ b/src/main/java/loadbalancer/config/DescriptorLimit.java
@@ -24,7 +24,7 @@
         try {
             for (String line : Files.readAllLines(LIMITS_FILE)) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(LIMIT_NAME)) {
-                    long limit = Long.parseLong(line.trim().split("\\s+")[SOFT_LIMIT_COLUMN]);
+                    long limit = Long.parseLong(line.trim().split("\\s+", -1)[SOFT_LIMIT_COLUMN]);
                     return (int) Math.min(UNLIMITED, limit);
                 }
             }
--- a/src/main/java/loadbalancer/settings/LoadReport.java
+++ b/src/main/java/loadbalancer/settings/LoadReport.java
@@ -70,24 +70,28 @@
         boolean anyKnown = false;
         String report = text.strip();
         String pairs = report.startsWith(HEADER_PREFIX) ? report.substring(HEADER_PREFIX.length()) : report;
-        for (String pair : pairs.split(",")) {
+        for (String pair : pairs.split(",", -1)) {
             int separator = pair.indexOf('=');
             int index =
                     separator < 0 ? -1 : indexOf(pair.substring(0, separator).strip());
             if (index >= 0) {
-                try {
-                    double value =
-                            Double.parseDouble(pair.substring(separator + 1).strip());
-                    // NaN and infinity parse as numbers too; no server can mean them.
-                    if (value >= 0 && value <= MAX_VALUE) {
-                        values[index] = value;
-                        anyKnown = true;
-                    }
-                } catch (NumberFormatException e) {
-                    continue; // one malformed value does not invalidate the others
+                double value = parseValue(pair.substring(separator + 1).strip());
+                // NaN and infinity parse as numbers too; no server can mean them.
+                if (value >= 0 && value <= MAX_VALUE) {
+                    values[index] = value;
+                    anyKnown = true;
                 }
             }
         }
         return anyKnown ? of(values) : null;
     }
+
+    /** NaN for a malformed value, so that it does not invalidate the others. */
+    private static double parseValue(String text) {
+        try {
+            return Double.parseDouble(text);
+        } catch (NumberFormatException e) {
+            return Double.NaN;
+        }
+    }
 }
