--- a/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -11,6 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
 import loadbalancer.config.Config;
 import loadbalancer.policy.Policy;
 import loadbalancer.server.Certificates;
@@ -18,6 +19,64 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ConfigFileTest {
+    private static final String FILE_WITH_PROBLEMS = """
+            [node]
+            listen = "localhost:80"
+            rank = 3
+            sede = 4
+            [membership]
+            source = "static"
+            [[membership.server]]
+            id = "a"
+            address = "127.0.0.1:99999"
+            wieght = 2
+            [[class]]
+            name = "read"
+            effect = "harmless"
+            aim = "200"
+            deadline = "1s"
+            [[class]]
+            name = "read"
+            effect = "keyed"
+            aim = "2s"
+            deadline = "1s"
+            zones = ["b"]
+            [limits]
+            connect = 5
+            client-floor = 0.9
+            """;
+
+    private static final String FULL_FILE = """
+            node = { zone = "b", seed = 7 }
+            [membership]
+            zones = ["a", "b"]
+            [[membership.server]]
+            id = "s1"
+            address = "127.0.0.1:9001"
+            zone = "b"
+            model = "big"
+            cell = 4
+            weight = 2.5
+            [[class]]
+            name = "read"
+            effect = "safe"
+            aim = "200ms"
+            deadline = "1s"
+            [[class]]
+            name = "stamp"
+            effect = "keyed"
+            window = "5s"
+            aim = "250ms"
+            deadline = "500ms"
+            worth = 9
+            late = 0.25
+            zones = ["b"]
+            models = ["big"]
+            [[tenant]]
+            name = "acme"
+            allowance = 20
+            """;
+
     private static String defaults() throws IOException {
         return resource("default.toml");
     }
@@ -29,9 +88,9 @@
     }
 
     @Test
-    void theDefaultsAreInOrderAndMeanWhatLeavingThemOutMeans() throws IOException, Problems.Bad {
+    void defaultFileEqualsAFileWithoutOptionalKeys() throws IOException, Problems.Bad {
         Config all = ConfigFile.read("f.toml", defaults());
-        Config least = ConfigFile.read("f.toml", """
+        Config minimal = ConfigFile.read("f.toml", """
             [[membership.server]]
             id = "box-1"
             address = "127.0.0.1:9001"
@@ -41,16 +100,16 @@
             aim = "200ms"
             deadline = "1s"
             """);
-        assertEquals(least.boot(), all.boot());
-        assertEquals(least.known(), all.known());
-        assertEquals(least.connections(), all.connections());
-        assertEquals(least.listen(), all.listen());
+        assertEquals(minimal.boot(), all.boot());
+        assertEquals(minimal.known(), all.known());
+        assertEquals(minimal.connections(), all.connections());
+        assertEquals(minimal.listen(), all.listen());
         assertEquals(Policy.Discovery.PUSH, all.boot().settings().discovery());
     }
 
-    /** Operators' files of 2 December 2026 go on meaning the same, whatever the code calls their settings. */
+    /** Operators' files of 2 December 2026 keep their meaning, whatever the code calls their settings. */
     @Test
-    void theRecordedFileIsReadAsItWas() throws IOException, Problems.Bad {
+    void recordedFileIsReadUnchanged() throws IOException, Problems.Bad {
         Config now = ConfigFile.read("f.toml", defaults());
         Config recorded = ConfigFile.read("f.toml", resource("recorded-default.toml"));
         assertEquals(now.boot(), recorded.boot());
@@ -70,23 +129,24 @@
         assertEquals("box-1", recorded.known().servers().get(0).id());
     }
 
-    /** Each setting that stands there as a comment may be used. */
+    /** Each setting that the default file shows in a comment is valid. */
     @Test
-    void whatIsCommentedOutIsInOrderToo(@TempDir Path folder) throws Exception {
-        X509Bundle made = Certificates.selfSigned();
-        Files.writeString(folder.resolve("cert.pem"), made.getCertificatePathPEM());
-        Files.writeString(folder.resolve("ca.pem"), made.getCertificatePathPEM());
-        Files.writeString(folder.resolve("key.pem"), made.getPrivateKeyPEM());
+    void commentedOutKeysAreValidAndShowTheDefaults(@TempDir Path folder) throws Exception {
+        X509Bundle certificate = Certificates.selfSigned();
+        Files.writeString(folder.resolve("cert.pem"), certificate.getCertificatePathPEM());
+        Files.writeString(folder.resolve("ca.pem"), certificate.getCertificatePathPEM());
+        Files.writeString(folder.resolve("key.pem"), certificate.getPrivateKeyPEM());
         String text = defaults()
                 .replace("source = \"static\" ", "source = \"discovery\" ")
                 .replaceAll("(?m)^# (?=[a-z\\[])", "")
                 .replaceAll("(?s)\\[\\[membership.server]].*?\\n\\n", "");
         String name = folder.resolve("f.toml").toString();
         Config config = ConfigFile.read(name, text);
-        String least =
+        String withoutOptionalKeys =
                 text.replaceAll("(?m)^(?!listen|certificate|key|trust|server-name)[a-z-]+ = .*$(?=[^\\[]*\\z)", "");
-        assertTrue(least.length() < text.length() - 500);
-        assertEquals(ConfigFile.read(name, least).http3(), config.http3(), "the defaults are as told");
+        assertTrue(withoutOptionalKeys.length() < text.length() - 500);
+        assertEquals(
+                ConfigFile.read(name, withoutOptionalKeys).http3(), config.http3(), "the defaults are as documented");
         assertEquals(8500, config.discovery().getPort());
         assertEquals(960, config.connections().most());
         assertEquals(List.of("acme"), config.boot().tenants());
@@ -94,33 +154,7 @@
     }
 
     @Test
-    void tenProblemsAreToldAtOnceInTheOrderOfTheFile() {
-        String text = """
-            [node]
-            listen = "localhost:80"
-            rank = 3
-            sede = 4
-            [membership]
-            source = "static"
-            [[membership.server]]
-            id = "a"
-            address = "127.0.0.1:99999"
-            wieght = 2
-            [[class]]
-            name = "read"
-            effect = "harmless"
-            aim = "200"
-            deadline = "1s"
-            [[class]]
-            name = "read"
-            effect = "keyed"
-            aim = "2s"
-            deadline = "1s"
-            zones = ["b"]
-            [limits]
-            connect = 5
-            client-floor = 0.9
-            """;
+    void allProblemsAreReportedAtOnceInTheOrderOfTheFile() {
         assertEquals(
                 List.of(
                         "f.toml:1: node.rank: not below node.balancers, which is 1",
@@ -136,13 +170,13 @@
                         "f.toml:21: class[1].zones: not among [default]: [b]",
                         "f.toml:23: limits.connect: not a time like 250ms or 1.5s: '5'",
                         "f.toml:24: limits.client-floor: with the others of the table impossible upstreamFloor: 0.2"),
-                assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", text))
+                assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", FILE_WITH_PROBLEMS))
                         .problems());
     }
 
-    /** A comma in a zone's name would have made two zones of one, and bound servers to the wrong ones. */
+    /** A comma in a zone's name would make two zones of one, and put servers into the wrong ones. */
     @Test
-    void namesThatCouldBeReadAsListsAreProblems() {
+    void namesWithCommasOrSpacesAreRejected() {
         assertEquals(
                 List.of(
                         "f.toml:4: membership.server[0].zone: not a name without spaces and commas: 'a,b'",
@@ -163,41 +197,12 @@
     }
 
     @Test
-    void classesTenantsAndServersReachTheModel() throws Problems.Bad {
-        Config config = ConfigFile.read("f.toml", """
-            node = { zone = "b", seed = 7 }
-            [membership]
-            zones = ["a", "b"]
-            [[membership.server]]
-            id = "s1"
-            address = "127.0.0.1:9001"
-            zone = "b"
-            model = "big"
-            cell = 4
-            weight = 2.5
-            [[class]]
-            name = "read"
-            effect = "safe"
-            aim = "200ms"
-            deadline = "1s"
-            [[class]]
-            name = "stamp"
-            effect = "keyed"
-            window = "5s"
-            aim = "250ms"
-            deadline = "500ms"
-            worth = 9
-            late = 0.25
-            zones = ["b"]
-            models = ["big"]
-            [[tenant]]
-            name = "acme"
-            allowance = 20
-            """);
+    void classesTenantsAndServersReachTheConfiguration() throws Problems.Bad {
+        Config config = ConfigFile.read("f.toml", FULL_FILE);
         assertEquals(List.of("read", "stamp"), config.boot().classes());
         Policy.RequestClass stamp = config.boot().settings().classes().get(1);
         assertEquals(5_000_000, stamp.keyMemory());
-        assertEquals(java.util.Set.of(1), stamp.zones());
+        assertEquals(Set.of(1), stamp.zones());
         assertEquals(1, config.boot().settings().zone());
         assertEquals(
                 new Policy.Server("s1", Policy.State.UP, 0, 2.5, 4, 0, 1),
