--- a/src/main/java/loadbalancer/connections/CloseReason.java
+++ b/src/main/java/loadbalancer/connections/CloseReason.java
@@ -1,24 +1,24 @@
 package loadbalancer.connections;
 
-/** Why the budget ended a connection, in the order in which it prefers to. */
+/** Why the budget closed a connection, in the order in which it prefers to. */
 public enum CloseReason {
-    /** Its answer said that it would end: it was unlikely to be used again, or room was short. */
+    /** Its response announced the close: it was unlikely to be reused, or capacity was short. */
     ANSWERED("after their answer"),
-    /** It was at rest for as long as the pressure allows. */
+    /** It was idle for as long as the pressure allows. */
     RESTED("at rest for too long"),
-    /** It never asked for anything within the time for that. */
+    /** It sent no request within {@link ConnectionLimits#silentMost}. */
     SILENT("silent for too long"),
-    /** It had had its last answer and only lingered. */
+    /** Its last response had been sent, it only lingered, and capacity was needed. */
     LINGERING("lingering, for room"),
-    /** It had not asked within its fair time, and room was needed. */
+    /** It sent no request within its grace period, and capacity was needed. */
     SILENT_FOR_ROOM("silent, for room"),
-    /** It was at rest, and room was needed. */
+    /** It was idle after a response, and capacity was needed. */
     RESTING_FOR_ROOM("at rest, for room"),
-    /** An upstream's connection was idle, and room was needed. */
+    /** A connection to an upstream was idle, and capacity was needed. */
     IDLE_FOR_ROOM("idle to upstreams, for room"),
-    /** It had begun a request and not ended it within its fair time, and room was needed. */
+    /** Its request began to arrive {@link ConnectionLimits#askMost} ago or earlier, and capacity was needed. */
     SLOW_FOR_ROOM("sending slowly, for room"),
-    /** It had not asked yet, within its fair time, and an upstream's connection was needed. */
+    /** It was within its grace period, and capacity for a connection to an upstream was needed. */
     NEW_FOR_ROOM("new, for upstreams");
 
     private final String words;
@@ -27,7 +27,7 @@
         this.words = words;
     }
 
-    /** The words for the log. */
+    /** The reason as the log says it, behind a number of connections. */
     public String words() {
         return words;
     }
--- a/src/main/java/loadbalancer/connections/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/connections/ConnectionLimits.java
@@ -1,16 +1,18 @@
 package loadbalancer.connections;
 
 /**
- * What the budget keeps to. Times are in ns; shares are of {@code most}.
+ * The limits that the connection budget keeps to. Times are in ns; floors are shares of {@code most} between 0 and 1.
+ * The constructor throws IllegalArgumentException, naming the component, for a value out of range.
  *
- * @param most connections in all, on both sides
+ * @param most maximum of open connections, of clients and upstreams together
  * @param clientFloor the share that clients can always have
  * @param upstreamFloor the share that upstreams can always have
- * @param restLeast how long a client's connection may rest when room is short
- * @param restMost how long it may rest while room is ample
- * @param silentMost how long a connection may live without having asked anything
- * @param askLeast the least fair time to ask, within which none is ended for another client's sake
- * @param askMost the most of it: the fair time follows what clients take
+ * @param restLeast idle timeout of a client's connection when capacity is short
+ * @param restMost idle timeout of a client's connection while capacity is ample
+ * @param silentMost how long a client's connection may be open without a request
+ * @param askLeast minimum grace period for the first request, within which no client's connection is closed to admit
+ *     another client
+ * @param askMost maximum grace period; between the two it follows how long clients take
  */
 public record ConnectionLimits(
         int most,
@@ -21,11 +23,12 @@
         long silentMost,
         long askLeast,
         long askMost) {
-    private static final int RESERVE = 64; // for what is not counted: jars, selector, discovery
-    private static final long MS = 1_000_000;
+    private static final int RESERVED_DESCRIPTORS = 64; // not counted by the budget: jars, selector, discovery
+    private static final int MIN_CONNECTIONS = 2;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     public ConnectionLimits {
-        check(most >= 2, "most", most);
+        check(most >= MIN_CONNECTIONS, "most", most);
         check(clientFloor > 0 && clientFloor < 1, "clientFloor", clientFloor);
         check(upstreamFloor > 0 && clientFloor + upstreamFloor <= 1, "upstreamFloor", upstreamFloor);
         check(restLeast > 0, "restLeast", restLeast);
@@ -35,17 +38,17 @@
         check(askMost >= askLeast && askMost <= silentMost, "askMost", askMost);
     }
 
-    private static void check(boolean holds, String name, Object value) {
-        if (!holds) {
+    private static void check(boolean inRange, String name, Object value) {
+        if (!inRange) {
             throw new IllegalArgumentException("impossible " + name + ": " + value);
         }
     }
 
-    /** The same for half as many descriptors, where two processes share them. */
+    /** The same for half as many file descriptors, for a hot restart in which two processes share them. */
     public ConnectionLimits halved() {
-        int reserve = Math.min(RESERVE, most);
+        int reserved = Math.min(RESERVED_DESCRIPTORS, most);
         return new ConnectionLimits(
-                Math.max(2, (most + reserve) / 2 - reserve),
+                Math.max(MIN_CONNECTIONS, (most + reserved) / 2 - reserved),
                 clientFloor,
                 upstreamFloor,
                 restLeast,
@@ -55,16 +58,16 @@
                 askMost);
     }
 
-    /** The usual ones for a process that may hold so many descriptors. */
+    /** The defaults for a process that may hold so many file descriptors. */
     public static ConnectionLimits of(int descriptors) {
         return new ConnectionLimits(
-                Math.max(2, descriptors - Math.min(RESERVE, descriptors / 2)),
+                Math.max(MIN_CONNECTIONS, descriptors - Math.min(RESERVED_DESCRIPTORS, descriptors / 2)),
                 0.35,
                 0.2,
-                300 * MS,
-                5_000 * MS,
-                2_200 * MS,
-                60 * MS,
-                1_000 * MS);
+                300 * NANOS_PER_MILLI,
+                5_000 * NANOS_PER_MILLI,
+                2_200 * NANOS_PER_MILLI,
+                60 * NANOS_PER_MILLI,
+                1_000 * NANOS_PER_MILLI);
     }
 }
--- a/src/main/java/loadbalancer/connections/ConnectionMetrics.java
+++ b/src/main/java/loadbalancer/connections/ConnectionMetrics.java
@@ -1,109 +1,137 @@
 package loadbalancer.connections;
 
+import java.util.EnumMap;
 import java.util.Locale;
+import java.util.Map;
 
-/** What the budget has done, in counts, and the line that tells of a change of pressure. For one thread. */
+/**
+ * The budget's counts, the level of pressure, and the log line for a change of it. For one thread; times in ns of
+ * the budget's clock.
+ */
 final class ConnectionMetrics {
-    private static final double TIGHT_FROM = 0.5; // of the clients' room
+    private static final double TIGHT_FROM = 0.5; // of the clients' capacity
     private static final double SHORT_FROM = 0.95;
-    private static final double BACK = 0.1; // a level is left this much below where it begins
-    private static final long NEWS_EVERY = 5_000_000_000L;
+    private static final double HYSTERESIS = 0.1; // a level is left this far below where it begins
+    private static final long MIN_LOG_INTERVAL_NANOS = 5_000_000_000L;
 
-    private final long[] ends = new long[CloseReason.values().length];
-    private final long[] told = new long[CloseReason.values().length];
+    private static final class CloseCount {
+        long total;
+        long logged;
+    }
+
+    private final Map<CloseReason, CloseCount> closeCounts = new EnumMap<>(CloseReason.class);
     private Pressure pressure = Pressure.AMPLE;
-    private Pressure toldPressure = Pressure.AMPLE;
-    private long toldAt;
-    private boolean waiting;
+    private Pressure loggedPressure = Pressure.AMPLE;
+    private long loggedAt;
+    private boolean clientsWaiting;
     private long opened;
-    private long answers;
-    private long again;
+    private long responses;
+    private long reused;
 
     ConnectionMetrics(long now) {
-        toldAt = now - NEWS_EVERY;
+        loggedAt = now - MIN_LOG_INTERVAL_NANOS;
+        for (CloseReason reason : CloseReason.values()) {
+            closeCounts.put(reason, new CloseCount());
+        }
     }
 
-    void opened() {
+    void recordOpened() {
         opened++;
     }
 
-    void answered() {
-        answers++;
+    void recordResponse() {
+        responses++;
     }
 
-    void again() {
-        again++;
+    void recordReuse() {
+        reused++;
     }
 
-    void ended(CloseReason why) {
-        ends[why.ordinal()]++;
+    void recordClosed(CloseReason reason) {
+        closeCounts.get(reason).total++;
     }
 
-    long count(CloseReason why) {
-        return ends[why.ordinal()];
+    long closedCount(CloseReason reason) {
+        return closeCounts.get(reason).total;
     }
 
-    void waiting(boolean now) {
-        waiting = now;
+    /** Whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
+    void setClientsWaiting(boolean waiting) {
+        clientsWaiting = waiting;
     }
 
+    /** Forgets what {@link #summary} says of requests; the counts of closed connections stay. */
     void reset() {
         opened = 0;
-        answers = 0;
-        again = 0;
+        responses = 0;
+        reused = 0;
     }
 
-    /** The level for that share of the clients' room in use. */
-    Pressure pressure(double use) {
-        boolean isShort = waiting || use >= (pressure == Pressure.SHORT ? SHORT_FROM - BACK : SHORT_FROM);
-        boolean tight = use >= (pressure == Pressure.AMPLE ? TIGHT_FROM : TIGHT_FROM - BACK);
-        pressure = isShort ? Pressure.SHORT : tight ? Pressure.TIGHT : Pressure.AMPLE;
+    /** The level for that share of the clients' capacity in use. */
+    Pressure pressure(double utilization) {
+        double shortFrom = pressure == Pressure.SHORT ? SHORT_FROM - HYSTERESIS : SHORT_FROM;
+        double tightFrom = pressure == Pressure.AMPLE ? TIGHT_FROM : TIGHT_FROM - HYSTERESIS;
+        if (clientsWaiting || utilization >= shortFrom) {
+            pressure = Pressure.SHORT;
+        } else if (utilization >= tightFrom) {
+            pressure = Pressure.TIGHT;
+        } else {
+            pressure = Pressure.AMPLE;
+        }
         return pressure;
     }
 
-    /** A line where the pressure has changed and the last one is 5 s old; null otherwise. */
-    String news(double use, int clientsMost, ConnectionTable register, long now) {
-        Pressure present = pressure(use);
-        if (present == toldPressure || now - toldAt < NEWS_EVERY) {
+    /** A log line where the pressure has changed and the last such line is at least 5 s old; null otherwise. */
+    String pressureChange(double utilization, int maxClients, ConnectionTable table, long now) {
+        Pressure present = pressure(utilization);
+        if (present == loggedPressure || now - loggedAt < MIN_LOG_INTERVAL_NANOS) {
             return null;
         }
-        toldPressure = present;
-        toldAt = now;
+        loggedPressure = present;
+        loggedAt = now;
         StringBuilder line = new StringBuilder("connections ")
                 .append(present.name().toLowerCase(Locale.ROOT))
                 .append(": clients ")
-                .append(register.open(Direction.CLIENT))
+                .append(table.open(Direction.CLIENT))
                 .append(" of ")
-                .append(clientsMost)
+                .append(maxClients)
                 .append(" (")
-                .append(register.busy(Direction.CLIENT))
+                .append(table.busy(Direction.CLIENT))
                 .append(" busy, ")
-                .append(register.atRest())
+                .append(table.idleClientCount())
                 .append(" at rest, ")
-                .append(register.fresh.size() + register.silent.size())
+                .append(table.newConnections.size() + table.silent.size())
                 .append(" unasked), upstreams ")
-                .append(register.open(Direction.UPSTREAM))
+                .append(table.open(Direction.UPSTREAM))
                 .append(" (")
-                .append(register.busy(Direction.UPSTREAM))
+                .append(table.busy(Direction.UPSTREAM))
                 .append(" busy)");
-        String between = "; ended since the last such line: ";
-        for (CloseReason why : CloseReason.values()) {
-            long more = ends[why.ordinal()] - told[why.ordinal()];
-            told[why.ordinal()] = ends[why.ordinal()];
-            if (more > 0) {
-                line.append(between).append(more).append(' ').append(why.words());
-                between = ", ";
+        appendNewCloses(line);
+        return line.toString();
+    }
+
+    private void appendNewCloses(StringBuilder line) {
+        String separator = "; ended since the last such line: ";
+        for (Map.Entry<CloseReason, CloseCount> entry : closeCounts.entrySet()) {
+            CloseCount count = entry.getValue();
+            long unlogged = count.total - count.logged;
+            count.logged = count.total;
+            if (unlogged > 0) {
+                line.append(separator)
+                        .append(unlogged)
+                        .append(' ')
+                        .append(entry.getKey().words());
+                separator = ", ";
             }
         }
-        return line.toString();
     }
 
     String summary() {
-        long ours = 0;
-        for (long count : ends) {
-            ours += count;
+        long closed = 0;
+        for (CloseCount count : closeCounts.values()) {
+            closed += count.total;
         }
-        return opened + " connections taken, " + answers + " answers, " + again + " followed by another request, "
-                + ours + " connections ended by the budget";
+        return opened + " connections taken, " + responses + " answers, " + reused + " followed by another request, "
+                + closed + " connections ended by the budget";
     }
 }
--- a/src/main/java/loadbalancer/connections/ConnectionPermit.java
+++ b/src/main/java/loadbalancer/connections/ConnectionPermit.java
@@ -2,73 +2,85 @@
 
 /**
  * One connection's part of the budget: handed out by {@link ConnectionBudget#openClient} and
- * {@link ConnectionBudget#openUpstream}. It belongs to that budget's thread, and only the budget changes it.
+ * {@link ConnectionBudget#openUpstream}. It belongs to that budget's thread, and only the budget changes it. Times
+ * in ns of the budget's clock.
  */
 public final class ConnectionPermit {
-    /** The connection itself, to the budget. */
+    /** The owner of the connection itself. */
     @FunctionalInterface
     public interface Holder {
-        /** Ends the connection, at once; the budget's {@code closed} is told as at any end. */
+        /** Closes the connection at once; {@link ConnectionBudget#closed} is called for it as at any end. */
         void close();
     }
 
-    /** What a connection is at. */
+    /** What a connection is doing. */
     enum State {
+        /** A client's, without a request so far, within the grace period for it. */
         NEW,
+        /** A client's, without a request so far, past the grace period. */
         SILENT,
+        /** Part of a client's request has arrived. */
         RECEIVING,
+        /** A request is in flight. */
         BUSY,
-        RESTING,
+        /** Kept open after a response, for the next request. */
+        IDLE,
+        /** Its last response is being sent or read: no further request is accepted. */
         LINGERING,
-        GONE
+        CLOSED
     }
 
-    final Direction side;
-    final Peer peer; // null on the upstreams' side
+    private static final int PROVEN_MIN_REUSES = 2;
+
+    final Direction direction;
+    final Peer peer; // null for a connection to an upstream
     final int units;
     final Holder holder;
     final long openedAt;
-    final LinkedQueue.Place<ConnectionPermit> place = new LinkedQueue.Place<>(this); // in the line of its state
-    final LinkedQueue.Place<ConnectionPermit> peerPlace = new LinkedQueue.Place<>(this); // in its peer's line
-    final LinkedQueue.Place<ConnectionPermit> hopePlace =
-            new LinkedQueue.Place<>(this); // in the line of those that may soon be used
+    final LinkedQueue.Entry<ConnectionPermit> stateEntry = new LinkedQueue.Entry<>(this);
+    final LinkedQueue.Entry<ConnectionPermit> peerEntry = new LinkedQueue.Entry<>(this);
+    final LinkedQueue.Entry<ConnectionPermit> reuseExpectedEntry = new LinkedQueue.Entry<>(this);
     State state;
-    long since; // it is in this state, ns
-    int inFlight; // requests taken and not answered
-    int rests;
-    int reuses;
-    boolean asked;
+    long stateSince;
+    int requestsInFlight;
+    int idlePeriods;
+    int reuses; // idle periods that ended with another request
+    boolean hasRequested;
 
-    ConnectionPermit(Direction side, Peer peer, int units, Holder holder, long now) {
-        this.side = side;
+    ConnectionPermit(Direction direction, Peer peer, int units, Holder holder, long now) {
+        this.direction = direction;
         this.peer = peer;
         this.units = units;
         this.holder = holder;
         this.openedAt = now;
-        this.since = now;
+        this.stateSince = now;
     }
 
     Holder holder() {
         return holder;
     }
 
-    /** Whether its rests have mostly been followed by another request, and more than once. */
-    boolean proven() {
-        return reuses >= 2 && reuses * 4 >= rests * 3 - 3;
+    boolean isClient() {
+        return direction == Direction.CLIENT;
+    }
+
+    /** Whether it was reused more than once, and at three quarters of its idle periods or more, give or take one. */
+    boolean isProven() {
+        return reuses >= PROVEN_MIN_REUSES && reuses * 4 >= idlePeriods * 3 - 3;
     }
 
-    /** Whether nothing is being answered and nothing has begun to come in. */
+    /** Whether no request is in flight and none has begun to arrive. */
     public boolean isIdle() {
-        return state == State.NEW || state == State.SILENT || state == State.RESTING;
+        return state == State.NEW || state == State.SILENT || state == State.IDLE;
     }
 
-    /** Whether its last answer has been worded: nothing that comes in behind it is taken. */
+    /** Whether its last response has been written: no request that arrives after it is accepted. */
     public boolean isClosing() {
-        return state == State.LINGERING || state == State.GONE;
+        return state == State.LINGERING || state == State.CLOSED;
     }
 
     /** How long it has been in its present state, in ns. */
     public long since(long now) {
-        return now - since;
+        return now - stateSince;
     }
 }
--- a/src/main/java/loadbalancer/connections/ConnectionTable.java
+++ b/src/main/java/loadbalancer/connections/ConnectionTable.java
@@ -4,153 +4,161 @@
 import java.util.Map;
 
 /**
- * What is open, and what each connection is at: its lines and counts. Invariants: a connection stands in the
- * line of its state and no other, {@code BUSY} and {@code GONE} have none; the ladders count what the peers'
- * lines hold; {@code clients} and {@code upstreams} are the units of all that is not gone. For one thread;
- * times in ns.
+ * The open connections by state, and by client address. Invariants: a connection is in the queue of its state and in
+ * no other queue of a state, {@code BUSY} and {@code CLOSED} have none; the counters by peer equal the sizes of the
+ * peers' queues; the open counts are the units of all connections that are not closed. For one thread; times in ns.
  */
 final class ConnectionTable {
-    private static final int FORMER_MOST = 1_024; // peers that are remembered while they hold nothing
+    private static final int MAX_UNCONNECTED_PEERS = 1_024;
 
-    final LinkedQueue<ConnectionPermit> fresh = new LinkedQueue<>(); // have not asked, within their fair time
-    final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>(); // have not asked, past it
+    final LinkedQueue<ConnectionPermit> newConnections = new LinkedQueue<>();
+    final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>();
     final LinkedQueue<ConnectionPermit> receiving = new LinkedQueue<>();
-    final LinkedQueue<ConnectionPermit> resting = new LinkedQueue<>();
-    final LinkedQueue<ConnectionPermit> proven = new LinkedQueue<>(); // at rest, and used again and again so far
-    final LinkedQueue<ConnectionPermit> hoped = new LinkedQueue<>(); // at rest, and not yet for longer than most are
+    final LinkedQueue<ConnectionPermit> idleClients = new LinkedQueue<>(); // without the proven ones
+    final LinkedQueue<ConnectionPermit> provenIdleClients = new LinkedQueue<>(); // reused regularly so far
+    final LinkedQueue<ConnectionPermit> reuseExpected = new LinkedQueue<>(); // idle for less than reuse usually takes
     final LinkedQueue<ConnectionPermit> lingering = new LinkedQueue<>();
-    final LinkedQueue<ConnectionPermit> idle = new LinkedQueue<>(); // to upstreams
-    final FrequencyList<Peer> held = new FrequencyList<>();
-    final FrequencyList<Peer> silentOf = new FrequencyList<>();
-    final FrequencyList<Peer> restingOf = new FrequencyList<>();
+    final LinkedQueue<ConnectionPermit> idleUpstreams = new LinkedQueue<>();
+    final FrequencyList<Peer> openByPeer = new FrequencyList<>();
+    final FrequencyList<Peer> silentByPeer = new FrequencyList<>();
+    final FrequencyList<Peer> idleByPeer = new FrequencyList<>();
     private final Map<Object, Peer> peers = new HashMap<>();
-    private final LinkedQueue<Peer> former = new LinkedQueue<>(); // hold nothing, the longest ago first
-    private int clients;
-    private int upstreams;
-    private int clientsBusy;
-    private int upstreamsBusy;
-
-    int open(Direction side) {
-        return side == Direction.CLIENT ? clients : upstreams;
+    private final LinkedQueue<Peer> unconnectedPeers = new LinkedQueue<>(); // the one unconnected for longest first
+    private int openClients;
+    private int openUpstreams;
+    private int busyClients;
+    private int busyUpstreams;
+
+    /** The units of that side's open connections. */
+    int open(Direction direction) {
+        return direction == Direction.CLIENT ? openClients : openUpstreams;
     }
 
-    int busy(Direction side) {
-        return side == Direction.CLIENT ? clientsBusy : upstreamsBusy;
+    /** How many of that side's connections have a request in flight. */
+    int busy(Direction direction) {
+        return direction == Direction.CLIENT ? busyClients : busyUpstreams;
     }
 
-    /** How many of the clients' connections are at rest. */
-    int atRest() {
-        return resting.size() + proven.size();
+    /** How many of the clients' connections are idle after a response. */
+    int idleClientCount() {
+        return idleClients.size() + provenIdleClients.size();
     }
 
-    int peers() {
+    /** How many client addresses are remembered, connected or not. */
+    int peerCount() {
         return peers.size();
     }
 
-    ConnectionPermit client(Object address, int units, ConnectionPermit.Holder holder, long now) {
-        Peer peer = peers.computeIfAbsent(address, a -> new Peer(a, now));
-        ConnectionPermit lease = new ConnectionPermit(Direction.CLIENT, peer, units, holder, now);
-        clients += units;
-        held.up(peer.held);
-        peer.former.leave();
-        enter(lease, ConnectionPermit.State.NEW, now);
-        return lease;
+    /** Adds a client's connection, as {@code NEW}. */
+    ConnectionPermit addClient(Object address, int units, ConnectionPermit.Holder holder, long now) {
+        Peer peer = peers.computeIfAbsent(address, key -> new Peer(key, now));
+        ConnectionPermit permit = new ConnectionPermit(Direction.CLIENT, peer, units, holder, now);
+        openClients += units;
+        openByPeer.increment(peer.openCount);
+        peer.unconnectedEntry.remove();
+        enter(permit, ConnectionPermit.State.NEW, now);
+        return permit;
     }
 
-    ConnectionPermit upstream(ConnectionPermit.Holder holder, long now) {
-        ConnectionPermit lease = new ConnectionPermit(Direction.UPSTREAM, null, 1, holder, now);
-        upstreams++;
-        enter(lease, ConnectionPermit.State.BUSY, now);
-        return lease;
+    /** Adds a connection to an upstream, as {@code BUSY}. */
+    ConnectionPermit addUpstream(ConnectionPermit.Holder holder, long now) {
+        ConnectionPermit permit = new ConnectionPermit(Direction.UPSTREAM, null, 1, holder, now);
+        openUpstreams++;
+        enter(permit, ConnectionPermit.State.BUSY, now);
+        return permit;
     }
 
-    /** Takes a connection out of all counts; false if it is out already. */
-    boolean gone(ConnectionPermit lease, long now) {
-        if (lease.state == ConnectionPermit.State.GONE) {
-            return false;
+    /** Removes a connection from all queues and counts; does nothing for one that is closed already. */
+    void remove(ConnectionPermit permit, long now) {
+        if (permit.state == ConnectionPermit.State.CLOSED) {
+            return;
         }
-        enter(lease, ConnectionPermit.State.GONE, now);
-        if (lease.side == Direction.CLIENT) {
-            clients -= lease.units;
-            held.down(lease.peer.held);
-            if (lease.peer.held.value() == 0) {
-                former(lease.peer);
+        enter(permit, ConnectionPermit.State.CLOSED, now);
+        if (permit.isClient()) {
+            openClients -= permit.units;
+            openByPeer.decrement(permit.peer.openCount);
+            if (permit.peer.openCount.value() == 0) {
+                rememberUnconnected(permit.peer);
             }
         } else {
-            upstreams -= lease.units;
+            openUpstreams -= permit.units;
         }
-        return true;
     }
 
-    // Guards against a table that grows with every address that ever came.
-    private void former(Peer peer) {
-        former.join(peer.former);
-        if (former.size() > FORMER_MOST) {
-            Peer eldest = former.first();
-            eldest.former.leave();
+    // Bounds the map: without it every address that ever connected would stay in memory.
+    private void rememberUnconnected(Peer peer) {
+        unconnectedPeers.addLast(peer.unconnectedEntry);
+        if (unconnectedPeers.size() > MAX_UNCONNECTED_PEERS) {
+            Peer eldest = unconnectedPeers.first();
+            eldest.unconnectedEntry.remove();
             peers.remove(eldest.address);
         }
     }
 
-    /** Changes what a connection is at; throws IllegalStateException for one that is gone. */
-    void enter(ConnectionPermit lease, ConnectionPermit.State state, long now) {
-        ConnectionPermit.State from = lease.state;
+    /** Changes a connection's state; throws IllegalStateException for one that is closed. */
+    void enter(ConnectionPermit permit, ConnectionPermit.State state, long now) {
+        ConnectionPermit.State from = permit.state;
         if (from == state) {
             return;
         }
-        if (from == ConnectionPermit.State.GONE) {
+        if (from == ConnectionPermit.State.CLOSED) {
             throw new IllegalStateException(state + " after its end");
         }
-        leave(lease);
-        lease.state = state;
-        lease.since = now;
+        leaveState(permit);
+        permit.state = state;
+        permit.stateSince = now;
         switch (state) {
-            case NEW -> fresh.join(lease.place);
-            case RECEIVING -> receiving.join(lease.place);
-            case LINGERING -> lingering.join(lease.place);
-            case SILENT -> {
-                silent.join(lease.place);
-                lease.peer.silent.join(lease.peerPlace);
-                silentOf.up(lease.peer.silentCount);
-            }
-            case RESTING -> {
-                if (lease.side == Direction.CLIENT && lease.proven()) {
-                    proven.join(lease.place);
-                    hoped.join(lease.hopePlace);
-                } else if (lease.side == Direction.CLIENT) {
-                    resting.join(lease.place);
-                    hoped.join(lease.hopePlace);
-                    lease.peer.resting.join(lease.peerPlace);
-                    restingOf.up(lease.peer.restingCount);
-                } else {
-                    idle.join(lease.place);
-                }
-            }
-            case BUSY -> busy(lease, 1);
-            case GONE -> {}
+            case NEW -> newConnections.addLast(permit.stateEntry);
+            case RECEIVING -> receiving.addLast(permit.stateEntry);
+            case LINGERING -> lingering.addLast(permit.stateEntry);
+            case SILENT -> addSilent(permit);
+            case IDLE -> addIdle(permit);
+            case BUSY -> changeBusy(permit.direction, 1);
+            case CLOSED -> {}
             default -> throw new IllegalStateException("no such state: " + state);
         }
     }
 
-    private void leave(ConnectionPermit lease) {
-        boolean counted = lease.peerPlace.placed();
-        lease.place.leave();
-        lease.peerPlace.leave();
-        lease.hopePlace.leave();
-        if (lease.state == ConnectionPermit.State.BUSY) {
-            busy(lease, -1);
-        } else if (lease.state == ConnectionPermit.State.SILENT) {
-            silentOf.down(lease.peer.silentCount);
-        } else if (lease.state == ConnectionPermit.State.RESTING && counted) {
-            restingOf.down(lease.peer.restingCount);
+    private void addSilent(ConnectionPermit permit) {
+        silent.addLast(permit.stateEntry);
+        permit.peer.silentConnections.addLast(permit.peerEntry);
+        silentByPeer.increment(permit.peer.silentCount);
+    }
+
+    private void addIdle(ConnectionPermit permit) {
+        if (!permit.isClient()) {
+            idleUpstreams.addLast(permit.stateEntry);
+            return;
+        }
+        reuseExpected.addLast(permit.reuseExpectedEntry);
+        if (permit.isProven()) {
+            provenIdleClients.addLast(permit.stateEntry);
+        } else {
+            idleClients.addLast(permit.stateEntry);
+            permit.peer.idleConnections.addLast(permit.peerEntry);
+            idleByPeer.increment(permit.peer.idleCount);
+        }
+    }
+
+    private void leaveState(ConnectionPermit permit) {
+        boolean countedForPeer = permit.peerEntry.isQueued();
+        permit.stateEntry.remove();
+        permit.peerEntry.remove();
+        permit.reuseExpectedEntry.remove();
+        if (permit.state == ConnectionPermit.State.BUSY) {
+            changeBusy(permit.direction, -1);
+        } else if (permit.state == ConnectionPermit.State.SILENT) {
+            silentByPeer.decrement(permit.peer.silentCount);
+        } else if (permit.state == ConnectionPermit.State.IDLE && countedForPeer) {
+            idleByPeer.decrement(permit.peer.idleCount);
         }
     }
 
-    private void busy(ConnectionPermit lease, int change) {
-        if (lease.side == Direction.CLIENT) {
-            clientsBusy += change;
+    private void changeBusy(Direction direction, int change) {
+        if (direction == Direction.CLIENT) {
+            busyClients += change;
         } else {
-            upstreamsBusy += change;
+            busyUpstreams += change;
         }
     }
 }
--- a/src/main/java/loadbalancer/connections/DecayingPeak.java
+++ b/src/main/java/loadbalancer/connections/DecayingPeak.java
@@ -1,31 +1,37 @@
 package loadbalancer.connections;
 
-/** The most that was in use lately: it rises at once and fades towards what is in use now. Times in ns. */
+/**
+ * The recent maximum of a quantity: it rises at once with the quantity and decays exponentially towards its present
+ * value. For one thread; times in ns of one clock.
+ */
 final class DecayingPeak {
-    private static final double FADE = 15e9; // ns in which the distance falls e times
+    private static final double TIME_CONSTANT_NANOS = 15e9;
+
     private double peak;
-    private int present;
-    private long at;
+    private int current;
+    private long updatedAt;
 
     DecayingPeak(long now) {
-        this.at = now;
+        this.updatedAt = now;
     }
 
-    void set(int inUse, long now) {
-        fade(now);
-        present = inUse;
-        peak = Math.max(peak, inUse);
+    /** Sets the present value. */
+    void record(int value, long now) {
+        decay(now);
+        current = value;
+        peak = Math.max(peak, value);
     }
 
+    /** The recent maximum, never below the present value. */
     double peak(long now) {
-        fade(now);
+        decay(now);
         return peak;
     }
 
-    private void fade(long now) {
-        if (now > at) {
-            peak = present + (peak - present) * Math.exp((at - now) / FADE);
-            at = now;
+    private void decay(long now) {
+        if (now > updatedAt) {
+            peak = current + (peak - current) * Math.exp((updatedAt - now) / TIME_CONSTANT_NANOS);
+            updatedAt = now;
         }
     }
 }
--- a/src/main/java/loadbalancer/connections/Direction.java
+++ b/src/main/java/loadbalancer/connections/Direction.java
@@ -1,9 +1,14 @@
 package loadbalancer.connections;
 
-/** Which side of the balancer a connection is on. */
+/** Which side of the load balancer a connection is on. */
 public enum Direction {
-    /** From a client, or from a front or proxy that speaks for many. */
+    /** From a client, or from a proxy that forwards the requests of many clients. */
     CLIENT,
     /** To an upstream. */
-    UPSTREAM
+    UPSTREAM;
+
+    /** The opposite side. */
+    Direction other() {
+        return this == CLIENT ? UPSTREAM : CLIENT;
+    }
 }
--- a/src/main/java/loadbalancer/connections/FrequencyList.java
+++ b/src/main/java/loadbalancer/connections/FrequencyList.java
@@ -1,114 +1,118 @@
 package loadbalancer.connections;
 
 /**
- * Counts that go up and down by one, and whose is the highest, each in constant time. The counts stand on
- * rungs, one for each count in use, linked from the highest down, as in "An O(1) algorithm for implementing
- * the LFU cache eviction scheme" (Shah, Mitra, Matani, 2010), there by the least. Among equal counts the one
- * that came to it first is the highest. Invariants: counts fall strictly from rung to rung, no rung is empty,
- * and an item with count 0 stands on none. For one thread.
+ * Counters that change by one, and the item with the highest counter, each in constant time. Items with equal
+ * counters share a bucket, and the buckets are linked by value, as in "An O(1) algorithm for implementing the LFU
+ * cache eviction scheme" (Shah, Mitra, Matani, 2010), which evicts the lowest where this one finds the highest.
+ * Among items with the same counter, the one that reached it first is returned. Invariants: values fall strictly
+ * from bucket to bucket, no bucket is empty, and an item with counter 0 is in none. For one thread.
  */
 final class FrequencyList<T> {
-    /** An item's count. */
-    static final class Count<T> {
-        private final LinkedQueue.Place<Count<T>> place = new LinkedQueue.Place<>(this);
+    /** An item's counter. */
+    static final class Counter<T> {
+        private final LinkedQueue.Entry<Counter<T>> entry = new LinkedQueue.Entry<>(this);
         private final T item;
-        private Rung<T> rung;
+        private Bucket<T> bucket;
 
-        Count(T item) {
+        Counter(T item) {
             this.item = item;
         }
 
         int value() {
-            return rung == null ? 0 : rung.value;
+            return bucket == null ? 0 : bucket.value;
         }
     }
 
-    private static final class Rung<T> {
+    private static final class Bucket<T> {
         final int value;
-        final LinkedQueue<Count<T>> line = new LinkedQueue<>();
-        Rung<T> above;
-        Rung<T> below;
+        final LinkedQueue<Counter<T>> counters = new LinkedQueue<>();
+        Bucket<T> higher;
+        Bucket<T> lower;
 
-        Rung(int value) {
+        Bucket(int value) {
             this.value = value;
         }
     }
 
-    private Rung<T> top;
-    private Rung<T> bottom;
+    private Bucket<T> highest;
+    private Bucket<T> lowest;
 
-    /** Counts one more. */
-    void up(Count<T> count) {
-        Rung<T> from = count.rung;
-        Rung<T> above = from == null ? bottom : from.above;
-        int value = count.value() + 1;
-        if (above == null || above.value != value) {
-            above = insert(new Rung<>(value), above, from);
+    /** Adds one. */
+    void increment(Counter<T> counter) {
+        Bucket<T> from = counter.bucket;
+        Bucket<T> to = from == null ? lowest : from.higher;
+        int value = counter.value() + 1;
+        if (to == null || to.value != value) {
+            to = insertBetween(from, new Bucket<>(value), to);
         }
-        move(count, above);
+        move(counter, to);
     }
 
-    /** Counts one less; throws IllegalStateException at 0. */
-    void down(Count<T> count) {
-        Rung<T> from = count.rung;
+    /** Subtracts one; throws IllegalStateException at 0. */
+    void decrement(Counter<T> counter) {
+        Bucket<T> from = counter.bucket;
         if (from == null) {
             throw new IllegalStateException("below zero");
         }
         int value = from.value - 1;
-        Rung<T> below = from.below;
+        Bucket<T> to = from.lower;
         if (value == 0) {
-            below = null;
-        } else if (below == null || below.value != value) {
-            below = insert(new Rung<>(value), from, below);
+            to = null;
+        } else if (to == null || to.value != value) {
+            to = insertBetween(to, new Bucket<>(value), from);
         }
-        move(count, below);
+        move(counter, to);
     }
 
-    // Between two neighbours, either of which may be missing.
-    private Rung<T> insert(Rung<T> rung, Rung<T> above, Rung<T> below) {
-        rung.above = above;
-        rung.below = below;
-        if (above == null) {
-            top = rung;
+    // Either neighbour may be null, at the ends of the list.
+    private Bucket<T> insertBetween(Bucket<T> lower, Bucket<T> inserted, Bucket<T> higher) {
+        inserted.lower = lower;
+        inserted.higher = higher;
+        if (higher == null) {
+            highest = inserted;
         } else {
-            above.below = rung;
+            higher.lower = inserted;
         }
-        if (below == null) {
-            bottom = rung;
+        if (lower == null) {
+            lowest = inserted;
         } else {
-            below.above = rung;
+            lower.higher = inserted;
         }
-        return rung;
+        return inserted;
     }
 
-    private void move(Count<T> count, Rung<T> to) {
-        Rung<T> from = count.rung;
-        count.place.leave();
-        count.rung = to;
+    private void move(Counter<T> counter, Bucket<T> to) {
+        Bucket<T> from = counter.bucket;
+        counter.entry.remove();
+        counter.bucket = to;
         if (to != null) {
-            to.line.join(count.place);
+            to.counters.addLast(counter.entry);
         }
-        if (from != null && from.line.size() == 0) {
-            if (from.above == null) {
-                top = from.below;
-            } else {
-                from.above.below = from.below;
-            }
-            if (from.below == null) {
-                bottom = from.above;
-            } else {
-                from.below.above = from.above;
-            }
+        if (from != null && from.counters.isEmpty()) {
+            unlink(from);
         }
     }
 
-    /** Whose count is the highest; null where all are 0. */
-    T highest() {
-        return top == null ? null : top.line.first().item;
+    private void unlink(Bucket<T> bucket) {
+        if (bucket.higher == null) {
+            highest = bucket.lower;
+        } else {
+            bucket.higher.lower = bucket.lower;
+        }
+        if (bucket.lower == null) {
+            lowest = bucket.higher;
+        } else {
+            bucket.lower.higher = bucket.higher;
+        }
+    }
+
+    /** The item with the highest counter; null where all are 0. */
+    T itemWithMaxCount() {
+        return highest == null ? null : highest.counters.first().item;
     }
 
-    /** The highest count. */
-    int most() {
-        return top == null ? 0 : top.value;
+    /** The highest counter; 0 where all are 0. */
+    int maxCount() {
+        return highest == null ? 0 : highest.value;
     }
 }
--- a/src/main/java/loadbalancer/connections/IdleTimeout.java
+++ b/src/main/java/loadbalancer/connections/IdleTimeout.java
@@ -1,56 +1,68 @@
 package loadbalancer.connections;
 
 /**
- * How long idle connections to one upstream rest. One stays for longer: the next request will want it, and
- * a new handshake costs. Spare ones, which only requests at the same time had use for, go soon: an upstream
- * holds few, and those of 14 balancers that nobody uses keep out the requests of the others. Decides only:
- * no clock, no socket. Immutable. Times are in µs.
+ * How long idle connections to one upstream are kept. The one used last is kept for longer: the next request needs it,
+ * and a new handshake costs time. Spare ones, opened for requests that ran at the same time, are closed soon: an
+ * upstream accepts few connections, and unused ones of many load balancers would keep out the requests of others.
+ *
+ * <p>Decides only: no clock, no socket. Immutable. Times are in µs.
  */
 public final class IdleTimeout {
-    private static final double SHARE = 0.5; // of the time after which upstreams close an idle one
-    private static final long MOST = 6_000_000;
-    private static final long SPARE = 500_000;
-    private static final long SETTLES = 10_000;
+    private static final double SHARE_OF_UPSTREAM_TIMEOUT = 0.5;
+    private static final long MAX_IDLE_MICROS = 6_000_000;
+    private static final long MAX_SPARE_IDLE_MICROS = 500_000;
+    private static final long SETTLE_MICROS = 10_000;
+    private static final long MIN_CHECK_INTERVAL_MICROS = 10_000;
 
-    private final long most;
-    private final long settles;
+    private final long maxIdleMicros;
+    private final long settleMicros;
 
-    /** {@code closedAfter}: when upstreams close an idle connection themselves, 0 where that isn't known. */
+    /**
+     * The timeout for upstreams that close a connection themselves when it has been idle for so long.
+     *
+     * @param closedAfter the upstreams' own idle timeout in µs, 0 where it isn't known
+     */
     public IdleTimeout(long closedAfter) {
-        this(closedAfter, SETTLES);
+        this(closedAfter, SETTLE_MICROS);
     }
 
-    private IdleTimeout(long closedAfter, long settles) {
-        most = closedAfter > 0 ? (long) Math.min(MOST, closedAfter * SHARE) : MOST;
-        this.settles = Math.min(settles, most / 4);
+    private IdleTimeout(long closedAfterMicros, long settleMicros) {
+        maxIdleMicros = closedAfterMicros > 0
+                ? (long) Math.min(MAX_IDLE_MICROS, closedAfterMicros * SHARE_OF_UPSTREAM_TIMEOUT)
+                : MAX_IDLE_MICROS;
+        this.settleMicros = Math.min(settleMicros, maxIdleMicros / 4);
     }
 
-    /** The same where the other side is known to answer once, as a rehearsal's own is. */
+    /** The same for upstreams that never send a second response to one request, as those of the warm-up. */
     public static IdleTimeout trusting(long closedAfter) {
         return new IdleTimeout(closedAfter, 0);
     }
 
     /**
-     * Whether nothing more is to be feared on a connection idle for so long. Guards against a second answer
-     * that comes some milliseconds behind the first: on a connection in use again it was taken for that of
-     * the next request, for nothing in HTTP/1.1 tells them apart.
+     * Whether a connection idle for so long may take the next request as far as its last response is concerned. Guards
+     * against a superfluous second response that arrives some milliseconds after the first: on a connection in use it
+     * would be taken for the response to the next request, as nothing in HTTP/1.1 tells them apart.
      */
     public boolean settled(long idle) {
-        return idle >= settles;
+        return idle >= settleMicros;
     }
 
     /** Whether a connection idle for so long may still take a request. */
     public boolean usable(long idle) {
-        return idle < most;
+        return idle < maxIdleMicros;
     }
 
-    /** Whether it ends, where {@code others} that were used later are idle besides. */
+    /**
+     * Whether a connection idle for so long is to be closed.
+     *
+     * @param others how many idle connections to the same upstream were used later
+     */
     public boolean ends(long idle, int others) {
-        return !usable(idle) || others > 0 && idle >= SPARE;
+        return !usable(idle) || (others > 0 && idle >= MAX_SPARE_IDLE_MICROS);
     }
 
-    /** How often to look. */
+    /** The interval in µs at which to check {@link #ends}. */
     public long every() {
-        return Math.max(10_000, Math.min(SPARE / 2, most / 10));
+        return Math.max(MIN_CHECK_INTERVAL_MICROS, Math.min(MAX_SPARE_IDLE_MICROS / 2, maxIdleMicros / 10));
     }
 }
--- a/src/main/java/loadbalancer/connections/LinkedQueue.java
+++ b/src/main/java/loadbalancer/connections/LinkedQueue.java
@@ -1,75 +1,75 @@
 package loadbalancer.connections;
 
 /**
- * A line of waiting items: joined at its end, left from anywhere, each in constant time and with no search.
- * Invariants: {@code first} has no one before it, {@code last} no one behind it, and a place is in one line
- * at most. For one thread.
+ * A doubly linked queue whose entries are part of the queued items: adding at the end and removing from any position
+ * take constant time and allocate nothing. Invariants: the first entry has no previous one, the last entry has no
+ * next one, and an entry is in one queue at most. For one thread.
  */
 final class LinkedQueue<T> {
-    /** An item's place in a line; an item that stands in two lines has two. */
-    static final class Place<T> {
+    /** An item's link into a queue; an item that is in two queues at once has two. */
+    static final class Entry<T> {
         final T item;
-        private LinkedQueue<T> line;
-        private Place<T> before;
-        private Place<T> behind;
+        private LinkedQueue<T> queue;
+        private Entry<T> previous;
+        private Entry<T> next;
 
-        Place(T item) {
+        Entry(T item) {
             this.item = item;
         }
 
-        boolean placed() {
-            return line != null;
+        boolean isQueued() {
+            return queue != null;
         }
 
-        /** Leaves its line, if it is in one. */
-        void leave() {
-            if (line != null) {
-                line.remove(this);
+        /** Removes it from its queue, if it is in one. */
+        void remove() {
+            if (queue != null) {
+                queue.unlink(this);
             }
         }
     }
 
-    private Place<T> first;
-    private Place<T> last;
+    private Entry<T> first;
+    private Entry<T> last;
     private int size;
 
-    /** Joins at the end, and leaves any other line for that. */
-    void join(Place<T> place) {
-        place.leave();
-        place.line = this;
-        place.before = last;
+    /** Adds an entry at the end; it is removed from its former queue first, which may be this one. */
+    void addLast(Entry<T> entry) {
+        entry.remove();
+        entry.queue = this;
+        entry.previous = last;
         if (last == null) {
-            first = place;
+            first = entry;
         } else {
-            last.behind = place;
+            last.next = entry;
         }
-        last = place;
+        last = entry;
         size++;
     }
 
-    private void remove(Place<T> place) {
-        if (place.before == null) {
-            first = place.behind;
+    private void unlink(Entry<T> entry) {
+        if (entry.previous == null) {
+            first = entry.next;
         } else {
-            place.before.behind = place.behind;
+            entry.previous.next = entry.next;
         }
-        if (place.behind == null) {
-            last = place.before;
+        if (entry.next == null) {
+            last = entry.previous;
         } else {
-            place.behind.before = place.before;
+            entry.next.previous = entry.previous;
         }
-        place.line = null;
-        place.before = null;
-        place.behind = null;
+        entry.queue = null;
+        entry.previous = null;
+        entry.next = null;
         size--;
     }
 
-    /** Who has been in it for longest; null if none is. */
+    /** The item that was added first; null if the queue is empty. */
     T first() {
         return first == null ? null : first.item;
     }
 
-    /** Who joined last; null if none is in it. */
+    /** The item that was added last; null if the queue is empty. */
     T last() {
         return last == null ? null : last.item;
     }
@@ -77,4 +77,8 @@
     int size() {
         return size;
     }
+
+    boolean isEmpty() {
+        return size == 0;
+    }
 }
--- a/src/main/java/loadbalancer/connections/Peer.java
+++ b/src/main/java/loadbalancer/connections/Peer.java
@@ -1,19 +1,23 @@
 package loadbalancer.connections;
 
-/** One address on the clients' side: what it holds, and whether its connections are used again. */
+/**
+ * One client address: the connections it holds, and how often they are reused. The counters belong to the
+ * {@link ConnectionTable}, which changes them together with the queues. For one thread.
+ */
 final class Peer {
-    private static final double REMEMBERED = 32;
+    private static final double REMEMBERED_WEIGHT = 32;
+
     final Object address;
-    final FrequencyList.Count<Peer> held = new FrequencyList.Count<>(this);
-    final FrequencyList.Count<Peer> silentCount = new FrequencyList.Count<>(this);
-    final FrequencyList.Count<Peer> restingCount = new FrequencyList.Count<>(this);
-    final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>();
-    final LinkedQueue<ConnectionPermit> resting = new LinkedQueue<>();
-    final LinkedQueue.Place<Peer> former = new LinkedQueue.Place<>(this);
+    final FrequencyList.Counter<Peer> openCount = new FrequencyList.Counter<>(this);
+    final FrequencyList.Counter<Peer> silentCount = new FrequencyList.Counter<>(this);
+    final FrequencyList.Counter<Peer> idleCount = new FrequencyList.Counter<>(this);
+    final LinkedQueue<ConnectionPermit> silentConnections = new LinkedQueue<>();
+    final LinkedQueue<ConnectionPermit> idleConnections = new LinkedQueue<>(); // without the proven ones
+    final LinkedQueue.Entry<Peer> unconnectedEntry = new LinkedQueue.Entry<>(this);
     final ReuseEstimator reuse;
 
     Peer(Object address, long now) {
         this.address = address;
-        this.reuse = new ReuseEstimator(REMEMBERED, now);
+        this.reuse = new ReuseEstimator(REMEMBERED_WEIGHT, now);
     }
 }
--- a/src/main/java/loadbalancer/connections/Pressure.java
+++ b/src/main/java/loadbalancer/connections/Pressure.java
@@ -1,11 +1,11 @@
 package loadbalancer.connections;
 
-/** How much of the clients' room is in use. */
+/** How much of the clients' capacity is in use. */
 public enum Pressure {
-    /** Connections are kept as their clients like. */
+    /** Connections stay open for as long as their clients want. */
     AMPLE,
-    /** Connections that are unlikely to be used again end after their answer. */
+    /** Connections that are unlikely to be reused are closed after their response. */
     TIGHT,
-    /** Nearly all room is in use: connections end to make room, and new ones may have to wait. */
+    /** Nearly all capacity is in use: connections are closed to free some, and new ones may have to wait. */
     SHORT
 }
--- a/src/main/java/loadbalancer/connections/ReuseEstimator.java
+++ b/src/main/java/loadbalancer/connections/ReuseEstimator.java
@@ -1,45 +1,58 @@
 package loadbalancer.connections;
 
 /**
- * How likely a connection that rests is to be used again: a mean of what was seen lately, which fades towards
- * not knowing. Without the fading an estimate of 0 would stay: no connection is kept then, and nothing more
- * is seen. For one thread; times in ns.
+ * The probability that an idle connection is used for another request: a weighted mean of recent observations that
+ * decays towards the prior. Without the decay an estimate of 0 would be final: no connection would be kept open, so
+ * nothing more could be observed. Invariant: {@code 0 <= reusedWeight <= totalWeight <= maxWeight}. For one thread;
+ * times in ns of one clock.
  */
 final class ReuseEstimator {
-    /** What is assumed where nothing has been seen. */
+    /** The prior where nothing is known. */
     static final double UNKNOWN = 0.5;
 
-    private static final double FADE = 30e9; // ns in which what was seen counts e times less
-    private final double most; // observations that it remembers
-    private double seen;
-    private double used;
-    private long at;
+    private static final double TIME_CONSTANT_NANOS = 30e9;
 
-    ReuseEstimator(double most, long now) {
-        this.most = most;
-        this.at = now;
+    private final double maxWeight;
+    private double totalWeight;
+    private double reusedWeight;
+    private long updatedAt;
+
+    /** {@code maxWeight}: how much weight of observations it remembers; more of it displaces older ones. */
+    ReuseEstimator(double maxWeight, long now) {
+        this.maxWeight = maxWeight;
+        this.updatedAt = now;
+    }
+
+    /** An idle connection was used for another request. */
+    void recordReuse(double weight, long now) {
+        addWeight(weight, now);
+        reusedWeight += weight;
+    }
+
+    /** An idle connection was not reused, or there is a sign that it won't be. */
+    void recordNoReuse(double weight, long now) {
+        addWeight(weight, now);
     }
 
-    /** A rest has been followed by another request, or there is a sign that it won't be. */
-    void saw(boolean again, double weight, long now) {
-        fade(now);
-        double keep = seen + weight > most ? (most - weight) / seen : 1;
-        seen = seen * keep + weight;
-        used = used * keep + (again ? weight : 0);
+    private void addWeight(double weight, long now) {
+        decay(now);
+        double factor = totalWeight + weight > maxWeight ? (maxWeight - weight) / totalWeight : 1;
+        totalWeight = totalWeight * factor + weight;
+        reusedWeight *= factor;
     }
 
-    /** The share that was used again, as if {@code weight} further rests had had the share {@code prior}. */
-    double share(double prior, double weight, long now) {
-        fade(now);
-        return (used + prior * weight) / (seen + weight);
+    /** The probability of reuse, with the prior counted as observations of {@code priorWeight} together. */
+    double probability(double prior, double priorWeight, long now) {
+        decay(now);
+        return (reusedWeight + prior * priorWeight) / (totalWeight + priorWeight);
     }
 
-    private void fade(long now) {
-        if (now > at) {
-            double left = Math.exp((at - now) / FADE);
-            seen *= left;
-            used *= left;
-            at = now;
+    private void decay(long now) {
+        if (now > updatedAt) {
+            double factor = Math.exp((updatedAt - now) / TIME_CONSTANT_NANOS);
+            totalWeight *= factor;
+            reusedWeight *= factor;
+            updatedAt = now;
         }
     }
 }
--- a/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
+++ b/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
@@ -352,6 +352,6 @@
             ConnectionPermit lease = client("address" + i, "x");
             budget.closed(lease, now);
         }
-        assertEquals(1_024, budget.addresses());
+        assertEquals(1_024, budget.rememberedAddresses());
     }
 }
--- a/src/test/java/loadbalancer/connections/FrequencyListTest.java
+++ b/src/test/java/loadbalancer/connections/FrequencyListTest.java
@@ -18,19 +18,19 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void theHighestIsWhatACountFromScratchSays(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        FrequencyList<Integer> ladder = new FrequencyList<>();
-        List<FrequencyList.Count<Integer>> counts = new ArrayList<>();
+        FrequencyList<Integer> counters = new FrequencyList<>();
+        List<FrequencyList.Counter<Integer>> counts = new ArrayList<>();
         int[] naive = new int[30];
         for (int i = 0; i < naive.length; i++) {
-            counts.add(new FrequencyList.Count<>(i));
+            counts.add(new FrequencyList.Counter<>(i));
         }
         for (int step = 0; step < 20_000; step++) {
             int i = random.nextInt(naive.length);
             if (naive[i] > 0 && random.nextInt(100) < 48) {
-                ladder.down(counts.get(i));
+                counters.decrement(counts.get(i));
                 naive[i]--;
             } else {
-                ladder.up(counts.get(i));
+                counters.increment(counts.get(i));
                 naive[i]++;
             }
             int most = 0;
@@ -38,39 +38,39 @@
                 most = Math.max(most, n);
             }
             assertEquals(naive[i], counts.get(i).value());
-            assertEquals(most, ladder.most());
-            assertEquals(most, most == 0 ? 0 : naive[ladder.highest()]);
+            assertEquals(most, counters.maxCount());
+            assertEquals(most, most == 0 ? 0 : naive[counters.itemWithMaxCount()]);
         }
         for (int i = 0; i < naive.length; i++) {
             while (naive[i]-- > 0) {
-                ladder.down(counts.get(i));
+                counters.decrement(counts.get(i));
             }
         }
-        assertNull(ladder.highest());
-        assertThrows(IllegalStateException.class, () -> ladder.down(counts.get(0)));
+        assertNull(counters.itemWithMaxCount());
+        assertThrows(IllegalStateException.class, () -> counters.decrement(counts.get(0)));
     }
 
     @Test
     void aLineKeepsTheOrderInWhichItWasJoined() {
         SplittableRandom random = new SplittableRandom(7);
-        LinkedQueue<Integer> line = new LinkedQueue<>();
-        List<LinkedQueue.Place<Integer>> places = new ArrayList<>();
+        LinkedQueue<Integer> queue = new LinkedQueue<>();
+        List<LinkedQueue.Entry<Integer>> entries = new ArrayList<>();
         ArrayDeque<Integer> naive = new ArrayDeque<>();
         for (int i = 0; i < 20; i++) {
-            places.add(new LinkedQueue.Place<>(i));
+            entries.add(new LinkedQueue.Entry<>(i));
         }
         for (int step = 0; step < 20_000; step++) {
-            int i = random.nextInt(places.size());
+            int i = random.nextInt(entries.size());
             naive.remove(i);
             if (random.nextBoolean()) {
-                line.join(places.get(i));
+                queue.addLast(entries.get(i));
                 naive.addLast(i);
             } else {
-                places.get(i).leave();
+                entries.get(i).remove();
             }
-            assertEquals(naive.peekFirst(), line.first());
-            assertEquals(naive.peekLast(), line.last());
-            assertEquals(naive.size(), line.size());
+            assertEquals(naive.peekFirst(), queue.first());
+            assertEquals(naive.peekLast(), queue.last());
+            assertEquals(naive.size(), queue.size());
         }
     }
 }
