--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -1,92 +1,82 @@
 package loadbalancer.discovery;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.DecoderException;
-import io.netty.handler.codec.MessageToMessageDecoder;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.eventloop.ReadBeforeTimers;
 import loadbalancer.policy.Policy;
 import loadbalancer.policy.Policy.ListKind;
-import loadbalancer.proxy.Addresses;
 import loadbalancer.proxy.EndpointSource;
 import loadbalancer.proxy.EndpointUpdate;
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Asks discovery for the list and watches its changes: where discovery is asked, only as the module wishes;
- * where lists are pushed, always.
+ * Fetches the endpoint list from the discovery service and watches it. Where the service is polled, it does so as the
+ * policy requests; where lists are pushed by an agent, it always watches. Each request is a {@link DiscoveryCall};
+ * {@link VersionTracker} orders the lists, and {@link WatchTimeout} says when a watch is replaced.
+ *
+ * <p>Runs on the event loop. Nothing is thrown for faults of the service: they are logged, and reported to the listener
+ * where the policy waits for a response.
  */
 public final class DiscoveryClient implements EndpointSource {
-    private static final int LINE_MOST = 4 << 20;
-    private static final int CONNECT_MS = 2_000;
-    private static final int UNANSWERED_MOST = 3; // watches at once, where the next is begun beside
+    private static final int MAX_UNANSWERED_WATCHES = 3;
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Whom it tells. */
-    public interface News {
+    /** Is notified of lists. Runs on the event loop. */
+    @FunctionalInterface
+    public interface UpdateListener {
         /**
-         * A list or a change; FAILED and null where a call or the watch has failed.
+         * A list was received, or a fetch or watch has failed.
          *
-         * @param toldFor µs for which it may have counted as told
+         * @param kind what the list holds; FAILED if there is none
+         * @param update the list; null if there is none
+         * @param notifiedFor µs for which it may already have counted as notified
          */
-        void list(ListKind kind, EndpointUpdate targets, long toldFor);
+        void onUpdate(ListKind kind, EndpointUpdate update, long notifiedFor);
     }
 
     private final EventLoop loop;
-    private final Set<Call> calls = new LinkedHashSet<>(); // under way
-    private InetSocketAddress address;
     private final SettingsReader.Boot boot;
-    private final News news;
+    private final UpdateListener listener;
     private final Consumer<String> log;
     private final boolean pushed;
     private final VersionTracker versions;
-    private final WatchTimeout silence;
-    private Call watch; // the newest
-    private boolean wanted; // a watch, whether one is open or not
+    private final WatchTimeout timeout;
+    private final CallListener callListener = new CallListener();
+    private final Set<DiscoveryCall> openCalls = new LinkedHashSet<>();
+    private InetSocketAddress address;
+    private DiscoveryCall newestWatch; // null while none is open
+    private boolean watchRequested;
 
-    /** {@code rev}: the version of the list that is in use. */
+    /**
+     * A client that has sent nothing yet.
+     *
+     * @param address of the discovery service
+     * @param rev the version of the list that is in use
+     * @param log takes a line where the service sends what can't be used
+     */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             SettingsReader.Boot boot,
             long rev,
-            News news,
+            UpdateListener listener,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
         this.versions = new VersionTracker(rev);
-        this.news = news;
+        this.listener = listener;
         this.log = log;
-        this.pushed = boot.settings().discovery() == Policy.Discovery.PUSH;
         Policy.Settings settings = boot.settings();
-        this.silence = new WatchTimeout(pushed, settings.rank(), settings.balancers());
+        this.pushed = settings.discovery() == Policy.Discovery.PUSH;
+        this.timeout = new WatchTimeout(pushed, settings.rank(), settings.balancers());
     }
 
-    /** Begins to watch unasked where lists are pushed. */
+    /** Opens the watch where lists are pushed. */
     public void start() {
         if (pushed) {
             watch(true);
@@ -95,261 +85,208 @@
 
     @Override
     public void watch(boolean on) {
-        wanted = on;
-        List<Call> earlier = watches();
-        watch = on ? new Call("/api/targets?watch=1&from=" + versions.inUse(), true) : null;
-        earlier.forEach(Call::drop);
+        watchRequested = on;
+        List<DiscoveryCall> replaced = openWatches();
+        newestWatch = on ? newCall(DiscoveryCall.Kind.WATCH) : null;
+        replaced.forEach(this::cancel);
         if (on) {
-            watch.open();
+            open(newestWatch);
         }
     }
 
-    private List<Call> watches() {
-        return calls.stream().filter(c -> c.watching).toList();
-    }
-
-    // Beside those that have not answered: one of them may, and so may be the first to be heard again.
-    private void watchBeside() {
-        List<Call> waiting = watches();
-        waiting.stream()
-                .limit(Math.max(0, waiting.size() - UNANSWERED_MOST + 1))
-                .forEach(Call::drop);
-        watch = new Call("/api/targets?watch=1&from=" + versions.inUse(), true);
-        watch.open();
-    }
-
-    private static long millis() {
-        return System.nanoTime() / 1_000_000;
-    }
-
     @Override
     public void fetch() {
-        new Call("/api/targets", false).open();
+        open(newCall(DiscoveryCall.Kind.FETCH));
     }
 
     /**
-     * Goes on at another address: what is asked here is asked anew there, at once. The list stays in use
-     * meanwhile, and nobody is told of a failure, for none has happened. The whole list is asked for: another
-     * discovery may count its versions in another way.
+     * Continues at another discovery service: open requests are repeated there at once. The list stays in use
+     * meanwhile, and no failure is reported, as there was none. The watch starts with the complete list, as another
+     * service may have other versions.
      */
     public void moveTo(InetSocketAddress other) {
         if (other.equals(address)) {
             return;
         }
         address = other;
-        versions.forget();
-        for (Call call : List.copyOf(calls)) {
-            call.drop();
-            if (!call.watching) {
+        versions.reset();
+        for (DiscoveryCall call : List.copyOf(openCalls)) {
+            cancel(call);
+            if (!call.isWatch()) {
                 fetch();
             }
         }
-        if (wanted) {
+        if (watchRequested) {
             watch(true);
         }
     }
 
-    /** A call under way; the answer of a watch goes on until its connection ends. */
-    private final class Call extends SimpleChannelInboundHandler<ByteBuf> {
-        private final String uri;
-        private final boolean watching;
-        private Channel channel;
-        private final long asked = versions.inUse();
-        private final long begun = millis();
-        private long heardAt = begun;
-        private ReadBeforeTimers.Handle patience;
-        private boolean answered; // the module has had what its call was for
-        private boolean over;
+    // ---------------------------------------------------------------- calls
 
-        Call(String uri, boolean watching) {
-            this.uri = uri;
-            this.watching = watching;
+    private final class CallListener implements DiscoveryCall.Listener {
+        @Override
+        public void onReceived(DiscoveryCall call, String json) {
+            received(call, json);
         }
 
-        void open() {
-            calls.add(this);
-            heard();
-            ChannelFuture connected = new Bootstrap()
-                    .group(loop)
-                    .channel(NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel ch) {
-                            ch.pipeline()
-                                    .addLast(
-                                            new HttpClientCodec(),
-                                            new Bodies(),
-                                            new EndpointListDecoder(LINE_MOST),
-                                            Call.this);
-                        }
-                    })
-                    .connect(address);
-            channel = connected.channel();
-            channel.closeFuture().addListener(closed -> ended(false));
-            connected.addListener(done -> {
-                if (done.isSuccess()) {
-                    DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-                    ask.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
-                    channel.writeAndFlush(ask);
-                } else {
-                    ended(false);
-                }
-            });
+        @Override
+        public void onSilence(DiscoveryCall call) {
+            silent(call);
         }
 
-        /** Ends it, and nobody is told. */
-        void drop() {
-            over = true;
-            calls.remove(this);
-            if (watch == this) {
-                watch = null;
-            }
-            patience.cancel();
-            channel.close();
+        @Override
+        public void onDisconnect(DiscoveryCall call) {
+            ended(call, WatchTimeout.EndCause.DISCONNECT);
         }
+    }
 
-        // Guards against a discovery that is cut off: its connection stays open and silent.
-        private void heard() {
-            heardAt = millis();
-            if (patience != null) {
-                patience.cancel();
-            }
-            // What was said while this process stood still lies in the socket: it is read first.
-            patience = ReadBeforeTimers.after(loop, silence.most(answered), TimeUnit.MILLISECONDS, this::silent);
+    private DiscoveryCall newCall(DiscoveryCall.Kind kind) {
+        return new DiscoveryCall(kind, versions.inUse(), timeout, callListener, log);
+    }
+
+    private void open(DiscoveryCall call) {
+        openCalls.add(call);
+        call.open(loop, address);
+    }
+
+    private void cancel(DiscoveryCall call) {
+        openCalls.remove(call);
+        if (newestWatch == call) {
+            newestWatch = null;
         }
+        call.cancel();
+    }
 
-        private void silent() {
-            if (over) {
-                return;
-            }
-            if (watching && !answered && silence.patient(millis() - begun)) {
-                patience = ReadBeforeTimers.after(loop, silence.most(false), TimeUnit.MILLISECONDS, this::silent);
-                if (watch == this) {
-                    watchBeside();
-                }
-            } else {
-                ended(true);
+    private List<DiscoveryCall> openWatches() {
+        return openCalls.stream().filter(DiscoveryCall::isWatch).toList();
+    }
+
+    // ---------------------------------------------------------------- lists
+
+    private void received(DiscoveryCall call, String json) {
+        if (json.isEmpty()) {
+            if (call.isWatch() && !call.isAnswered()) {
+                accept(call, unchanged());
             }
+            return;
         }
+        EndpointUpdate update;
+        try {
+            update = EndpointUpdateReader.parse(json, boot);
+        } catch (IllegalArgumentException e) {
+            // A change may be lost with it: the next watch, from the version in use, brings it.
+            log.accept("discovery sent a list that can't be read: " + e.getMessage());
+            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            return;
+        }
+        accept(call, update);
+    }
 
-        @Override
-        protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            String text = line.toString(StandardCharsets.UTF_8).strip();
-            if (over) {
-                return;
-            }
-            heard();
-            EndpointUpdate targets;
-            if (text.isEmpty()) {
-                if (answered || !watching) {
-                    return; // nothing has changed
-                }
-                targets = new EndpointUpdate(versions.inUse(), false, List.of());
-            } else {
-                try {
-                    targets = EndpointUpdateReader.parse(text, boot);
-                } catch (IllegalArgumentException e) {
-                    // A change may be lost with it: the next watch, from the last good version, brings it.
-                    log.accept("discovery sent a list that can't be read: " + e.getMessage());
-                    ended(false);
-                    return;
-                }
-            }
-            VersionTracker.Verdict verdict = versions.judge(targets.rev(), targets.all(), asked, !answered);
-            if (verdict == VersionTracker.Verdict.CONFUSED) {
-                if (watch != this) { // one is under way that will say it
-                    ended(false);
-                    return;
-                }
-                log.accept("discovery went back from version " + versions.inUse() + " to " + targets.rev()
-                        + ": asking for the whole list");
-                versions.forget();
-                restart(silence.pause(millis(), true));
-                return;
-            }
-            boolean first = !answered;
-            answered = true;
-            heard();
-            long toldFor = 0;
-            if (watching && first) {
-                watch = this;
-                watches().stream().filter(c -> c != this).forEach(Call::drop);
-                toldFor = silence.toldFor(heardAt) * 1000;
-            }
-            if (verdict == VersionTracker.Verdict.OLD) { // the call has done what it was for; nothing is undone
-                targets = new EndpointUpdate(versions.inUse(), false, List.of());
-            }
-            news.list(targets.all() ? ListKind.COMPLETE : ListKind.PARTIAL, targets, toldFor);
-            if (!watching) {
-                drop();
-            }
+    private EndpointUpdate unchanged() {
+        return new EndpointUpdate(versions.inUse(), false, List.of());
+    }
+
+    private void accept(DiscoveryCall call, EndpointUpdate update) {
+        VersionTracker.Verdict verdict =
+                versions.judge(update.rev(), update.all(), call.versionAtRequest(), !call.isAnswered());
+        switch (verdict) {
+            case ACCEPT -> deliver(call, update);
+            case STALE -> deliver(call, unchanged()); // the call is answered, and the newer list stays in use
+            case OUT_OF_ORDER -> restartFromCompleteList(call, update.rev());
+            default -> throw new IllegalStateException("no such verdict: " + verdict);
         }
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (cause instanceof DecoderException) {
-                log.accept("discovery sent what is no list: " + cause.getMessage());
-            }
-            channel.close();
+    private void deliver(DiscoveryCall call, EndpointUpdate update) {
+        boolean firstOfWatch = call.isWatch() && !call.isAnswered();
+        call.markAnswered();
+        long notifiedForMicros = 0;
+        if (firstOfWatch) {
+            newestWatch = call;
+            openWatches().stream().filter(other -> other != call).forEach(this::cancel);
+            notifiedForMicros = timeout.takeNotifiedFor(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
         }
+        listener.onUpdate(update.all() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
+        if (!call.isWatch()) {
+            cancel(call);
+        }
+    }
 
-        private void ended(boolean silent) {
-            if (over) {
-                return;
-            }
-            boolean last = watch == this;
-            drop();
-            if (!last && watching) {
-                return; // another one is under way in its place
-            }
-            if (watching && answered) {
-                silence.broke(millis(), heardAt, silent);
-            }
-            long pause = watching ? silence.next(millis(), answered, silent) : WatchTimeout.TELL;
-            if (pause != WatchTimeout.TELL) {
-                restart(pause);
-            } else if (!pushed) {
-                news.list(ListKind.FAILED, null, 0);
-            }
+    private void restartFromCompleteList(DiscoveryCall call, long receivedVersion) {
+        if (newestWatch != call) { // the newest watch will bring the list
+            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            return;
         }
+        log.accept("discovery went back from version " + versions.inUse() + " to " + receivedVersion
+                + ": asking for the whole list");
+        versions.reset();
+        long delayMillis = timeout.restartDelay(DiscoveryCall.nowMillis(), true);
+        cancel(call);
+        scheduleWatch(delayMillis);
+    }
 
-        // Nobody is told: the list stays in use meanwhile.
-        private void restart(long pause) {
-            drop();
-            if (pause == 0) {
-                again();
-            } else {
-                loop.schedule(this::again, pause, TimeUnit.MILLISECONDS);
+    // ---------------------------------------------------------------- retries of the watch
+
+    private void silent(DiscoveryCall call) {
+        if (call.isWatch() && !call.isAnswered() && timeout.keepsUnansweredWatch(call.ageMillis())) {
+            call.extendSilence();
+            if (newestWatch == call) {
+                openAdditionalWatch();
             }
+        } else {
+            ended(call, WatchTimeout.EndCause.SILENCE);
+        }
+    }
+
+    // Unanswered watches stay open besides: any of them may be the first to get a response.
+    private void openAdditionalWatch() {
+        List<DiscoveryCall> unanswered = openWatches();
+        unanswered.stream()
+                .limit(Math.max(0, unanswered.size() - MAX_UNANSWERED_WATCHES + 1))
+                .forEach(this::cancel);
+        newestWatch = newCall(DiscoveryCall.Kind.WATCH);
+        open(newestWatch);
+    }
+
+    private void ended(DiscoveryCall call, WatchTimeout.EndCause cause) {
+        boolean newest = newestWatch == call;
+        cancel(call);
+        if (!call.isWatch()) {
+            reportFailure();
+            return;
         }
+        if (!newest) {
+            return; // another watch is open in its place
+        }
+        if (call.isAnswered()) {
+            timeout.watchEnded(DiscoveryCall.nowMillis(), call.lastReceivedAtMillis(), cause);
+        }
+        long delayMillis = timeout.nextWatchDelay(DiscoveryCall.nowMillis(), call.isAnswered(), cause);
+        if (delayMillis == WatchTimeout.REPORT_FAILURE) {
+            reportFailure();
+        } else {
+            scheduleWatch(delayMillis);
+        }
+    }
 
-        private void again() {
-            if (watch == null && wanted) {
-                watch(true);
-            }
+    private void reportFailure() {
+        if (!pushed) {
+            listener.onUpdate(ListKind.FAILED, null, 0);
         }
     }
 
-    /** Passes the body of a 200 answer on, and ends the call with it, or at once for any other. */
-    private static final class Bodies extends MessageToMessageDecoder<HttpObject> {
-        @Override
-        protected void decode(ChannelHandlerContext context, HttpObject part, List<Object> out) {
-            if (part instanceof HttpResponse answer
-                    && (answer.status().code() != 200 || !answer.decoderResult().isSuccess())) {
-                context.close();
-                return;
-            }
-            if (part instanceof HttpContent content && context.channel().isActive()) {
-                if (content.content().isReadable()) {
-                    out.add(content.content().retain());
-                }
-                if (part instanceof LastHttpContent) {
-                    // Later: what it brought is still to be read. A list that is not whole by then is none.
-                    context.channel().eventLoop().execute(context::close);
-                }
-            }
+    // The listener is not notified: the list stays in use meanwhile.
+    private void scheduleWatch(long delayMillis) {
+        if (delayMillis == 0) {
+            reopenWatch();
+        } else {
+            loop.schedule(this::reopenWatch, delayMillis, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void reopenWatch() {
+        if (newestWatch == null && watchRequested) {
+            watch(true);
         }
     }
 }
--- a/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
@@ -14,62 +14,72 @@
 import java.util.List;
 
 /**
- * Cuts what discovery says into values, each where its braces end: they may be spread over lines. An empty
- * buffer stands for empty lines behind the last one, by which a watch shows that it lives; whitespace within
- * a value shows nothing. What is no value, or breaks off, ends in an exception as soon as a line of it shows
- * that: the changes behind it would be taken for parts of it.
+ * Divides a response of the discovery service into JSON values, which may extend over several lines. An empty buffer
+ * stands for empty lines after a value, the heartbeat of a watch; whitespace within a value is no heartbeat. Malformed
+ * or truncated JSON ends in a {@link io.netty.handler.codec.DecoderException} with the line that shows it: otherwise
+ * the changes after it would be taken for parts of it.
  */
 final class EndpointListDecoder extends JsonObjectDecoder {
-    private static final JsonFactory FACTORY = new JsonFactory();
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
-    private JsonParser check; // of a value that is spread over lines
-    private int checked; // bytes of it
+    private JsonParser incompleteValueParser; // null unless a value extends over lines
+    private int checkedBytes; // of the incomplete value
 
-    EndpointListDecoder(int most) {
-        super(most);
+    /** {@code maxValueBytes}: longer values end in a {@link io.netty.handler.codec.TooLongFrameException}. */
+    EndpointListDecoder(int maxValueBytes) {
+        super(maxValueBytes);
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        boolean lines = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n') >= 0;
-        int before = out.size();
+        boolean hasLineEnd = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n') >= 0;
+        int decodedBefore = out.size();
         super.decode(context, in, out);
-        if (out.size() > before) {
-            check = null;
-            checked = 0;
-        } else if (lines && !in.isReadable()) {
+        if (out.size() > decodedBefore) {
+            incompleteValueParser = null;
+            checkedBytes = 0;
+        } else if (hasLineEnd && !in.isReadable()) {
             out.add(Unpooled.EMPTY_BUFFER);
         }
         if (in.isReadable()) {
-            checkLines(in);
+            checkCompleteLines(in);
         }
     }
 
-    // What has come of a value, up to its last line end.
-    private void checkLines(ByteBuf in) throws IOException {
-        byte[] fresh = ByteBufUtil.getBytes(in, in.readerIndex() + checked, in.readableBytes() - checked);
-        int end = fresh.length;
-        while (end > 0 && fresh[end - 1] != '\n') {
-            end--;
-        }
-        if (end == 0) {
+    // Checks what has arrived of a value, up to its last line end.
+    private void checkCompleteLines(ByteBuf in) throws IOException {
+        byte[] unchecked = ByteBufUtil.getBytes(in, in.readerIndex() + checkedBytes, in.readableBytes() - checkedBytes);
+        int length = lengthOfCompleteLines(unchecked);
+        if (length == 0) {
             return;
         }
-        for (int i = 0; i < end; i++) {
-            // The line before ended where this one does, or with what was checked last.
-            boolean empty = fresh[i] == '\n' && (i > 0 ? fresh[i - 1] == '\n' : checked > 0);
-            if (empty) {
-                throw new CorruptedFrameException("an empty line within a list");
-            }
-        }
-        if (check == null) {
-            check = FACTORY.createNonBlockingByteArrayParser();
+        rejectEmptyLines(unchecked, length);
+        if (incompleteValueParser == null) {
+            incompleteValueParser = JSON_FACTORY.createNonBlockingByteArrayParser();
         }
-        ((ByteArrayFeeder) check.getNonBlockingInputFeeder()).feedInput(fresh, 0, end);
-        checked += end;
-        JsonToken token = check.nextToken();
+        ((ByteArrayFeeder) incompleteValueParser.getNonBlockingInputFeeder()).feedInput(unchecked, 0, length);
+        checkedBytes += length;
+        JsonToken token = incompleteValueParser.nextToken();
         while (token != JsonToken.NOT_AVAILABLE && token != null) {
-            token = check.nextToken();
+            token = incompleteValueParser.nextToken();
+        }
+    }
+
+    private static int lengthOfCompleteLines(byte[] bytes) {
+        int length = bytes.length;
+        while (length > 0 && bytes[length - 1] != '\n') {
+            length--;
+        }
+        return length;
+    }
+
+    private void rejectEmptyLines(byte[] lines, int length) {
+        for (int i = 0; i < length; i++) {
+            // The previous line ended right before this byte, within these bytes or with the last checked one.
+            boolean atLineStart = i > 0 ? lines[i - 1] == '\n' : checkedBytes > 0;
+            if (lines[i] == '\n' && atLineStart) {
+                throw new CorruptedFrameException("an empty line within a list");
+            }
         }
     }
 }
--- a/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
@@ -13,62 +13,94 @@
 import loadbalancer.proxy.EndpointUpdate;
 import loadbalancer.settings.SettingsReader;
 
-/** Reads lists of upstreams in the form of the platform's discovery. */
+/**
+ * Reads endpoint lists in the JSON form of the platform's discovery service. Stateless; for any thread. All methods
+ * throw IllegalArgumentException, with a message for the log, for what is no such list.
+ */
 public final class EndpointUpdateReader {
-    private static final JsonFactory FACTORY = new JsonFactory();
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
+    private static final double DEFAULT_WEIGHT = 1;
+    private static final double NO_POD_GROUP = -1;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private EndpointUpdateReader() {}
 
+    /**
+     * Reads a list from JSON text.
+     *
+     * @param boot the settings that name the kinds and zones of servers
+     */
     public static EndpointUpdate parse(String json, SettingsReader.Boot boot) {
-        try (JsonParser parser = FACTORY.createParser(json)) {
+        try (JsonParser parser = JSON_FACTORY.createParser(json)) {
             Object value = JSON.std.anyFrom(parser);
             if (parser.nextToken() != null) {
-                throw new IllegalArgumentException("more than one value");
+                throw new InvalidEndpointListException("more than one value");
             }
             return of(value, boot);
         } catch (IOException e) {
-            throw new IllegalArgumentException("not JSON");
+            throw new InvalidEndpointListException("not JSON", e);
         }
     }
 
-    /** Throws IllegalArgumentException where it isn't such a list. */
+    /**
+     * Reads a list from JSON that has been parsed into maps, lists, strings and numbers.
+     *
+     * @param boot the settings that name the kinds and zones of servers
+     */
     public static EndpointUpdate of(Object json, SettingsReader.Boot boot) {
-        if (!(json instanceof Map<?, ?> map) || !(map.get("targets") instanceof List<?> entries)) {
-            throw new IllegalArgumentException("no list of targets");
+        if (!(json instanceof Map<?, ?> list) || !(list.get("targets") instanceof List<?> entries)) {
+            throw new InvalidEndpointListException("no list of targets");
         }
-        List<EndpointUpdate.Endpoint> list = new ArrayList<>();
+        List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
         for (Object entry : entries) {
-            if (!(entry instanceof Map<?, ?> e) || !(e.get("uid") instanceof String uid) || uid.isEmpty()) {
-                throw new IllegalArgumentException("a target without uid");
-            }
-            Policy.State state = switch (String.valueOf(e.get("state"))) {
-                case "in_service" -> Policy.State.UP;
-                case "terminating" -> Policy.State.DRAINING;
-                case "terminated" -> Policy.State.GONE;
-                default -> throw new IllegalArgumentException("unknown state: '" + e.get("state") + "'");
-            };
-            InetSocketAddress endpoint = state == Policy.State.GONE && e.get("endpoint") == null
-                    ? null
-                    : Addresses.parse(String.valueOf(e.get("endpoint")));
-            double weight = number(e.get("capacity_hint"), 1);
-            long startedAt = (long) (number(e.get("boot_ms"), 0) * 1000);
-            list.add(new EndpointUpdate.Endpoint(
-                    new Policy.Server(
-                            uid,
-                            state,
-                            startedAt,
-                            weight > 0 ? weight : 1,
-                            (int) number(e.get("pod_group"), -1),
-                            boot.kinds().indexOf(SettingsReader.toText(e.get("model"))),
-                            boot.zones().indexOf(SettingsReader.toText(e.get("az")))),
-                    endpoint,
-                    e.get("http3") instanceof String at ? Addresses.parse(at) : null));
+            endpoints.add(endpoint(entry, boot));
+        }
+        long version = (long) number(list.get("rev"), 0);
+        boolean complete = Boolean.TRUE.equals(list.get("all"));
+        return new EndpointUpdate(version, complete, List.copyOf(endpoints));
+    }
+
+    private static EndpointUpdate.Endpoint endpoint(Object json, SettingsReader.Boot boot) {
+        if (!(json instanceof Map<?, ?> entry) || !(entry.get("uid") instanceof String uid) || uid.isEmpty()) {
+            throw new InvalidEndpointListException("a target without uid");
+        }
+        Policy.State state = state(entry.get("state"));
+        Object endpoint = entry.get("endpoint");
+        InetSocketAddress address =
+                state == Policy.State.GONE && endpoint == null ? null : address(String.valueOf(endpoint));
+        double weight = number(entry.get("capacity_hint"), DEFAULT_WEIGHT);
+        Policy.Server server = new Policy.Server(
+                uid,
+                state,
+                (long) (number(entry.get("boot_ms"), 0) * MICROS_PER_MILLI),
+                weight > 0 ? weight : DEFAULT_WEIGHT,
+                (int) number(entry.get("pod_group"), NO_POD_GROUP),
+                boot.kinds().indexOf(SettingsReader.toText(entry.get("model"))),
+                boot.zones().indexOf(SettingsReader.toText(entry.get("az"))));
+        InetSocketAddress http3Address = entry.get("http3") instanceof String text ? address(text) : null;
+        return new EndpointUpdate.Endpoint(server, address, http3Address);
+    }
+
+    private static Policy.State state(Object json) {
+        return switch (String.valueOf(json)) {
+            case "in_service" -> Policy.State.UP;
+            case "terminating" -> Policy.State.DRAINING;
+            case "terminated" -> Policy.State.GONE;
+            default -> throw new InvalidEndpointListException("unknown state: '" + json + "'");
+        };
+    }
+
+    private static InetSocketAddress address(String text) {
+        try {
+            return Addresses.parse(text);
+        } catch (IllegalArgumentException e) {
+            throw new InvalidEndpointListException(e.getMessage(), e);
         }
-        return new EndpointUpdate(
-                (long) number(map.get("rev"), 0), Boolean.TRUE.equals(map.get("all")), List.copyOf(list));
     }
 
-    private static double number(Object value, double otherwise) {
-        return value instanceof Number n && Double.isFinite(n.doubleValue()) ? n.doubleValue() : otherwise;
+    private static double number(Object json, double defaultValue) {
+        return json instanceof Number number && Double.isFinite(number.doubleValue())
+                ? number.doubleValue()
+                : defaultValue;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/discovery/ResponseBodyDecoder.java
@@ -0,0 +1,35 @@
+package loadbalancer.discovery;
+
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.MessageToMessageDecoder;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.util.List;
+
+/** Passes on the body of a 200 response and closes the connection after it, or at once for any other response. */
+final class ResponseBodyDecoder extends MessageToMessageDecoder<HttpObject> {
+    @Override
+    protected void decode(ChannelHandlerContext context, HttpObject part, List<Object> out) {
+        if (part instanceof HttpResponse response && !isUsable(response)) {
+            context.close();
+            return;
+        }
+        if (part instanceof HttpContent content && context.channel().isActive()) {
+            if (content.content().isReadable()) {
+                out.add(content.content().retain());
+            }
+            if (part instanceof LastHttpContent) {
+                // Deferred, as its content has not been read yet. A list that is incomplete by then is dropped.
+                context.channel().eventLoop().execute(context::close);
+            }
+        }
+    }
+
+    private static boolean isUsable(HttpResponse response) {
+        return response.status().code() == HttpResponseStatus.OK.code()
+                && response.decoderResult().isSuccess();
+    }
+}
--- a/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
+++ b/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
@@ -5,39 +5,44 @@
 import loadbalancer.proxy.EndpointSource;
 import loadbalancer.proxy.EndpointUpdate;
 
-/** A list that stands in the configuration, as a source of upstreams. Does no I/O; runs on the event loop. */
+/** The endpoint list of the configuration as a source of upstreams. Does no I/O; runs on the event loop. */
 public final class StaticEndpointSource implements EndpointSource {
-    private final BiConsumer<ListKind, EndpointUpdate> news;
-    private EndpointUpdate list;
+    private final BiConsumer<ListKind, EndpointUpdate> listener;
+    private EndpointUpdate current;
 
-    public StaticEndpointSource(EndpointUpdate list, BiConsumer<ListKind, EndpointUpdate> news) {
-        this.list = list;
-        this.news = news;
+    /** {@code listener} is notified of the list and of each that replaces it, always as a complete one. */
+    public StaticEndpointSource(EndpointUpdate list, BiConsumer<ListKind, EndpointUpdate> listener) {
+        this.current = list;
+        this.listener = listener;
     }
 
-    /** Tells the list for the first time. */
+    /** Notifies the listener of the list for the first time. */
     public void start() {
-        news.accept(ListKind.COMPLETE, list);
+        notifyListener();
     }
 
-    /** Another list in its place: what it no longer names is drained, by the rules for any list. */
+    /** Replaces the list, where it differs: endpoints that are no longer listed are drained, as with any list. */
     public void replace(EndpointUpdate other) {
-        if (!other.list().equals(list.list())) {
-            list = new EndpointUpdate(list.rev() + 1, true, other.list());
-            news.accept(ListKind.COMPLETE, list);
+        if (!other.list().equals(current.list())) {
+            current = new EndpointUpdate(current.rev() + 1, true, other.list());
+            notifyListener();
         }
     }
 
-    /** Changes are told at once, whether asked for or not. */
+    /** Notifies the listener of the present list; later ones follow at once, whether watched or not. */
     @Override
     public void watch(boolean on) {
         if (on) {
-            news.accept(ListKind.COMPLETE, list);
+            notifyListener();
         }
     }
 
     @Override
     public void fetch() {
-        news.accept(ListKind.COMPLETE, list);
+        notifyListener();
+    }
+
+    private void notifyListener() {
+        listener.accept(ListKind.COMPLETE, current);
     }
 }
--- a/src/main/java/loadbalancer/discovery/VersionTracker.java
+++ b/src/main/java/loadbalancer/discovery/VersionTracker.java
@@ -1,55 +1,58 @@
 package loadbalancer.discovery;
 
 /**
- * Which lists of one discovery are news. Its calls overtake one another: a whole list that was asked for
- * before a change can come behind the watch's word of that change, and would undo it, a drain among others.
- * A discovery that has lost its memory counts from the beginning again, and has to be believed. Decides
- * without I/O; for one thread.
+ * Which lists of one discovery service are newer than the one in use. Responses overtake one another: a complete list
+ * that was requested before a change may arrive after the watch has reported that change, and would undo it, for
+ * example a drain. A discovery service that has lost its state starts to count from the beginning, and has to be
+ * believed. Decides without I/O; for one thread.
  */
 final class VersionTracker {
     /** What is to be done with a list. */
     enum Verdict {
-        /** It is news, or as good as what is in use. */
-        TAKE,
-        /** What is in use is newer. */
-        OLD,
-        /** What this call says can't be put in order with what is in use: all is to be asked for anew. */
-        CONFUSED
+        /** It is at least as new as the list in use, and takes its place. */
+        ACCEPT,
+        /** The list in use is newer: it stays. */
+        STALE,
+        /** It can't be ordered against the list in use: the complete list has to be requested. */
+        OUT_OF_ORDER
     }
 
-    private long rev;
+    private long version;
 
-    VersionTracker(long rev) {
-        this.rev = rev;
+    VersionTracker(long version) {
+        this.version = version;
     }
 
-    /** The version in use: what has changed since is wanted. */
+    /** The version of the list in use. */
     long inUse() {
-        return rev;
+        return version;
     }
 
-    /** Whatever comes next is believed: another discovery speaks, or this one is confused. */
-    void forget() {
-        rev = 0;
+    /** Accepts any next list: from another discovery service, or from one whose versions went back. */
+    void reset() {
+        version = 0;
     }
 
     /**
-     * Judges a list, which counts as in use where it is to be taken.
+     * Judges a list; one that is accepted is the list in use from here on.
      *
-     * @param version its own
-     * @param all it is whole
-     * @param asked the version in use when its call was made
-     * @param first it is the first that its call brings
+     * @param listVersion the list's version
+     * @param complete whether it is a complete list, not only changes
+     * @param versionAtRequest the version in use when the list was requested
+     * @param firstOfResponse whether it is the first list of its response
      */
-    Verdict judge(long version, boolean all, long asked, boolean first) {
-        if (version >= rev) {
-            rev = version;
-            return Verdict.TAKE;
+    Verdict judge(long listVersion, boolean complete, long versionAtRequest, boolean firstOfResponse) {
+        if (listVersion >= version) {
+            version = listVersion;
+            return Verdict.ACCEPT;
         }
-        if (first && all && version < asked) { // no answer to that call is older, unless it counts anew
-            rev = version;
-            return Verdict.TAKE;
+        if (!firstOfResponse || !complete) {
+            return Verdict.OUT_OF_ORDER;
         }
-        return first && all ? Verdict.OLD : Verdict.CONFUSED;
+        if (listVersion < versionAtRequest) { // a response is never that old, unless versions start anew
+            version = listVersion;
+            return Verdict.ACCEPT;
+        }
+        return Verdict.STALE;
     }
 }
--- a/src/main/java/loadbalancer/discovery/WatchTimeout.java
+++ b/src/main/java/loadbalancer/discovery/WatchTimeout.java
@@ -1,81 +1,103 @@
 package loadbalancer.discovery;
 
 /**
- * How long discovery is waited for, and since when its news may count as told. The clock is the platform's: a
- * watch holds a line every 2 s; what a silent one misses counts as told 6 s after it fell silent, whether it
- * arrived or not; where lists are pushed an agent on this machine answers at once, and what it has counts as
- * told whether a watch is open or not. Decides without I/O; times in ms of one clock.
+ * How long a silent discovery service is waited for, when a lost watch is replaced, and since when an update that
+ * arrives late may count as notified. The platform sets the times: a watch sends a line every 2 s; an update that a
+ * silent watch misses counts as notified 6 s after the last line, whether it arrived or not. Where lists are pushed,
+ * an agent on this machine responds at once, and its list counts as notified whether a watch is open or not. Decides
+ * without I/O; for one thread; times in ms of one clock.
  */
 final class WatchTimeout {
-    // Two lines are missing. The new watch has the rest of the 6 s to bring what the old one missed.
-    private static final long MISSING = 4_500;
-    private static final long UNANSWERED = 5_000; // a call that waits its turn at a discovery that is asked
-    private static final long AT_ONCE = 700; // an agent does not keep anybody waiting
-    private static final long TOLD = 6_000;
-    private static final long NOT_AGAIN = 1_000; // between watches that are begun anew at once
-    private static final long PAUSE = 500;
-    /** Of {@link #next}: it is told as a failure, and whoever asked decides when to ask again. */
-    static final long TELL = -1;
+    /** Why a call to the discovery service ended before it was complete. */
+    enum EndCause {
+        /** Nothing was received for {@link #maxSilence}. */
+        SILENCE,
+        /** The connection failed or was closed, or a list could not be used. */
+        DISCONNECT
+    }
+
+    /** Of {@link #nextWatchDelay}: reported as a failure, and the policy decides when to try again. */
+    static final long REPORT_FAILURE = -1;
 
-    private static final long SPREAD = 1_000; // over which all balancers begin anew at one discovery
+    // Two lines are missing. What is left of the 6 s is for the next watch to bring what this one missed.
+    private static final long MAX_SILENCE_MILLIS = 4_500;
+    private static final long MAX_RESPONSE_DELAY_MILLIS = 5_000; // may queue at a service that all balancers call
+    private static final long MAX_AGENT_RESPONSE_DELAY_MILLIS = 700;
+    private static final long MISSED_UPDATE_NOTIFIED_MILLIS = 6_000;
+    private static final long MIN_IMMEDIATE_RESTART_INTERVAL_MILLIS = 1_000;
+    private static final long RESTART_BACKOFF_MILLIS = 500;
+    private static final long RESTART_SPREAD_MILLIS = 1_000; // over which all balancers reconnect to one service
+
+    private static final long NEVER = Long.MIN_VALUE / 2;
+    private static final long NONE_MISSED = -1;
 
     private final boolean pushed;
-    private final long turn;
-    private long againAt = Long.MIN_VALUE / 2; // when one was begun anew at once last
-    private long blindSince = -1; // from when on something may have been told unheard
+    private final long restartOffset;
+    private long immediateRestartAt = NEVER;
+    private long missedNotifiedAt = NONE_MISSED; // the earliest time at which a missed update counted as notified
 
     /**
-     * One of a fleet's.
+     * The timeouts of one load balancer of a fleet.
      *
-     * @param pushed lists come from an agent on this machine
-     * @param rank its balancer's number among {@code balancers}, from 0: where one discovery is asked by all
-     *     and falls silent for all, they take turns
+     * @param pushed whether lists are pushed by an agent on this machine
+     * @param rank the number of this load balancer among {@code balancers}, from 0: where one service serves all and
+     *     falls silent for all, they reconnect one after the other
      */
     WatchTimeout(boolean pushed, int rank, int balancers) {
         this.pushed = pushed;
-        this.turn = pushed ? 0 : SPREAD * rank / balancers;
+        this.restartOffset = pushed ? 0 : RESTART_SPREAD_MILLIS * rank / balancers;
     }
 
-    /** How long a call may say nothing; {@code answered}: it has brought what it was made for. */
-    long most(boolean answered) {
-        return answered ? MISSING : pushed ? AT_ONCE : UNANSWERED;
+    /**
+     * How long nothing may be received on a call.
+     *
+     * @param answered whether it has brought a list
+     */
+    long maxSilence(boolean answered) {
+        if (answered) {
+            return MAX_SILENCE_MILLIS;
+        }
+        return pushed ? MAX_AGENT_RESPONSE_DELAY_MILLIS : MAX_RESPONSE_DELAY_MILLIS;
     }
 
-    /** Whether a call that has said nothing for so long stays open beside the next one. */
-    boolean patient(long age) {
-        return pushed && age < UNANSWERED;
+    /** Whether a watch without a response after so long stays open while another one is opened. */
+    boolean keepsUnansweredWatch(long ageMillis) {
+        return pushed && ageMillis < MAX_RESPONSE_DELAY_MILLIS;
     }
 
-    /** The watch has ended at {@code now}, of its silence or otherwise; heard last at {@code heard}. */
-    void broke(long now, long heard, boolean silent) {
-        if (blindSince < 0 && (pushed || silent)) {
-            blindSince = silent ? heard + TOLD : now;
+    /** A watch that had brought a list has ended; something was last received on it at {@code lastReceivedAt}. */
+    void watchEnded(long now, long lastReceivedAt, EndCause cause) {
+        boolean silent = cause == EndCause.SILENCE;
+        if (missedNotifiedAt < 0 && (pushed || silent)) {
+            missedNotifiedAt = silent ? lastReceivedAt + MISSED_UPDATE_NOTIFIED_MILLIS : now;
         }
     }
 
     /**
-     * A watch has ended: in how many ms the next one begins, or {@link #TELL}. A silent one that is asked for
-     * is no failure of its call, and there is a list to catch up with; where lists are pushed nobody asks.
+     * In how many ms the next watch begins after one has ended, or {@link #REPORT_FAILURE}. A watch that fell silent
+     * after a list is no failure of its request, and there are updates to catch up with; where lists are pushed the
+     * policy has requested nothing.
      *
-     * @param answered it had brought what it was made for
+     * @param answered whether the watch had brought a list
      */
-    long next(long now, boolean answered, boolean silent) {
-        return pushed || answered && silent ? pause(now, answered) : TELL;
+    long nextWatchDelay(long now, boolean answered, EndCause cause) {
+        boolean restarts = pushed || (answered && cause == EndCause.SILENCE);
+        return restarts ? restartDelay(now, answered) : REPORT_FAILURE;
     }
 
-    /** In how many ms a watch is begun anew, where one has ended that had been {@code answered}. */
-    long pause(long now, boolean answered) {
-        if (answered && now - againAt >= NOT_AGAIN) {
-            againAt = now;
-            return turn;
+    /** In how many ms a watch is replaced that had brought a list, or had not; at once only now and then. */
+    long restartDelay(long now, boolean answered) {
+        if (answered && now - immediateRestartAt >= MIN_IMMEDIATE_RESTART_INTERVAL_MILLIS) {
+            immediateRestartAt = now;
+            return restartOffset;
         }
-        return PAUSE;
+        return RESTART_BACKOFF_MILLIS;
     }
 
-    /** A watch has brought its first list: for how long that may have counted as told. */
-    long toldFor(long now) {
-        long since = blindSince;
-        blindSince = -1;
+    /** A watch has brought its first list: for how long it may have counted as notified. Later calls return 0. */
+    long takeNotifiedFor(long now) {
+        long since = missedNotifiedAt;
+        missedNotifiedAt = NONE_MISSED;
         return since < 0 ? 0 : Math.max(0, now - since);
     }
 }
--- a/src/test/java/loadbalancer/discovery/VersionTrackerTest.java
+++ b/src/test/java/loadbalancer/discovery/VersionTrackerTest.java
@@ -11,27 +11,27 @@
 
     @Test
     void aWholeListThatWasAskedForBeforeTheWatchBroughtAChangeUndoesNothing() {
-        assertEquals(Verdict.TAKE, versions.judge(43, false, 41, true));
-        assertEquals(Verdict.OLD, versions.judge(42, true, 41, true));
+        assertEquals(Verdict.ACCEPT, versions.judge(43, false, 41, true));
+        assertEquals(Verdict.STALE, versions.judge(42, true, 41, true));
         assertEquals(43, versions.inUse());
-        assertEquals(Verdict.TAKE, versions.judge(43, true, 41, true), "the same version says the same");
-        assertEquals(Verdict.TAKE, versions.judge(47, false, 41, false), "versions may be skipped");
+        assertEquals(Verdict.ACCEPT, versions.judge(43, true, 41, true), "the same version says the same");
+        assertEquals(Verdict.ACCEPT, versions.judge(47, false, 41, false), "versions may be skipped");
     }
 
     @Test
     void aDiscoveryThatCountsAnewIsBelieved() {
-        assertEquals(Verdict.TAKE, versions.judge(3, true, 41, true), "asked for at 41, it knows of 3");
+        assertEquals(Verdict.ACCEPT, versions.judge(3, true, 41, true), "asked for at 41, it knows of 3");
         assertEquals(3, versions.inUse());
-        assertEquals(Verdict.TAKE, versions.judge(4, false, 41, false));
+        assertEquals(Verdict.ACCEPT, versions.judge(4, false, 41, false));
     }
 
     @Test
     void whatCannotBePutInOrderIsAskedForAnew() {
-        assertEquals(Verdict.CONFUSED, versions.judge(40, false, 41, true));
-        assertEquals(Verdict.CONFUSED, versions.judge(40, false, 30, false), "a line that was said before");
-        assertEquals(Verdict.CONFUSED, versions.judge(2, true, 41, false), "whole, in the middle of a watch");
+        assertEquals(Verdict.OUT_OF_ORDER, versions.judge(40, false, 41, true));
+        assertEquals(Verdict.OUT_OF_ORDER, versions.judge(40, false, 30, false), "a line that was said before");
+        assertEquals(Verdict.OUT_OF_ORDER, versions.judge(2, true, 41, false), "whole, in the middle of a watch");
         assertEquals(41, versions.inUse(), "nothing is half applied");
-        versions.forget();
-        assertEquals(Verdict.TAKE, versions.judge(1, true, 0, true));
+        versions.reset();
+        assertEquals(Verdict.ACCEPT, versions.judge(1, true, 0, true));
     }
 }
