--- a/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
+++ b/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
@@ -9,19 +9,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.function.Executable;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
-/** The budget's decisions, with time as an argument. */
+/** The budget's decisions; time is an argument. */
 class ConnectionBudgetTest {
-    private static final long MS = 1_000_000;
-    private static final long S = 1_000 * MS;
+    private static final long MILLIS = 1_000_000;
+    private static final long SECONDS = 1_000 * MILLIS;
 
-    private long now = 5 * S;
-    private final List<String> ended = new ArrayList<>();
+    private long now = 5 * SECONDS;
+    private final List<String> closed = new ArrayList<>();
     private ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(256), now); // 192 in all
 
     private ConnectionPermit client(String address, String name) {
-        return budget.openClient(address, 1, () -> ended.add(name), now);
+        return budget.openClient(address, 1, () -> closed.add(name), now);
     }
 
     private List<ConnectionPermit> clients(String address, int count) {
@@ -33,14 +38,14 @@
     }
 
     private ConnectionPermit served(String address, String name) {
-        ConnectionPermit lease = client(address, name);
-        budget.requestReceived(lease, now);
-        assertTrue(budget.responseSent(lease, true, false, now));
-        return lease;
+        ConnectionPermit permit = client(address, name);
+        budget.requestReceived(permit, now);
+        assertTrue(budget.responseSent(permit, true, false, now));
+        return permit;
     }
 
     private ConnectionPermit upstream(String name) {
-        return budget.openUpstream(() -> ended.add(name), now);
+        return budget.openUpstream(() -> closed.add(name), now);
     }
 
     private void fillClients(String address) {
@@ -50,142 +55,143 @@
     }
 
     @Test
-    void whileRoomIsAmpleAllMayStay() {
+    void allConnectionsStayOpenWhileCapacityIsAmple() {
         for (int i = 0; i < 30; i++) {
             served("a", "a" + i);
         }
-        assertEquals(5 * S, budget.maxIdleTime(now), "none of its time to rest is taken away");
+        assertEquals(5 * SECONDS, budget.maxIdleTime(now), "the idle timeout is not shortened");
         assertEquals(Pressure.AMPLE, budget.pressure(now));
     }
 
-    /** Clients that ask once and keep their connection for 2 s, far beyond what the limit can turn over. */
+    /** Clients that send one request and keep their connection, at a rate far beyond what the limit can hold. */
     @Test
-    void whoAsksOnceIsEndedAtItsAnswerAndWhoAsksAgainStays() {
+    void singleRequestClientsAreClosedAfterTheResponseAndRegularOnesStayOpen() {
         List<ConnectionPermit> regular = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             regular.add(served("regular" + i, "regular"));
         }
         for (int round = 0; round < 3; round++) {
-            now += 100 * MS;
-            regular.forEach(l -> budget.requestReceived(l, now));
-            regular.forEach(l -> assertTrue(budget.responseSent(l, true, false, now)));
+            now += 100 * MILLIS;
+            regular.forEach(permit -> budget.requestReceived(permit, now));
+            regular.forEach(permit -> assertTrue(budget.responseSent(permit, true, false, now)));
         }
-        int kept = 0;
-        int ends = 0;
+        int keptOpen = 0;
+        int closedAfterResponse = 0;
         for (int i = 0; i < 2_000; i++) {
-            now += 5 * MS;
+            now += 5 * MILLIS;
             if (i % 5 == 0) {
-                ConnectionPermit again = regular.get(i / 5 % regular.size());
-                budget.requestReceived(again, now);
-                assertTrue(budget.responseSent(again, true, false, now), "a regular one, at " + i);
+                ConnectionPermit reused = regular.get(i / 5 % regular.size());
+                budget.requestReceived(reused, now);
+                assertTrue(budget.responseSent(reused, true, false, now), "a regular client, at " + i);
             }
             ConnectionPermit once = client("once" + i, "once");
-            now += MS;
+            now += MILLIS;
             budget.requestReceived(once, now);
             if (budget.responseSent(once, true, false, now)) {
-                kept++;
+                keptOpen++;
             } else {
-                ends++;
+                closedAfterResponse++;
                 budget.closed(once, now);
             }
             budget.closeExpired(now);
             assertTrue(
-                    budget.openConnections(Direction.CLIENT) < budget.maxClients(now) * 3 / 4, "room is left at " + i);
+                    budget.openConnections(Direction.CLIENT) < budget.maxClients(now) * 3 / 4,
+                    "capacity is left at " + i);
         }
-        assertTrue(ends > 200, "ended " + ends + ", kept " + kept);
-        assertFalse(ended.contains("regular"));
+        assertTrue(closedAfterResponse > 200, "closed " + closedAfterResponse + ", kept open " + keptOpen);
+        assertFalse(closed.contains("regular"));
     }
 
     @Test
-    void theSameClientsStayOnceTheCrowdHasGone() {
-        whoAsksOnceIsEndedAtItsAnswerAndWhoAsksAgainStays();
-        now += 120 * S;
+    void singleRequestClientsStayOpenOnceTheLoadHasFallen() {
+        singleRequestClientsAreClosedAfterTheResponseAndRegularOnesStayOpen();
+        now += 120 * SECONDS;
         budget.closeExpired(now);
-        assertEquals(5 * S, budget.maxIdleTime(now));
+        assertEquals(5 * SECONDS, budget.maxIdleTime(now));
         ConnectionPermit back = client("once1", "back");
         budget.requestReceived(back, now);
         assertTrue(budget.responseSent(back, true, false, now));
     }
 
-    /** From one address, as behind a front, all that is asked again stays. */
+    /** A proxy sends the requests of many clients from one address: its connections stay as long as they are reused. */
     @Test
-    void everythingFromOneAddressIsNotPunished() {
+    void reusedConnectionsOfOneAddressStayOpen() {
         List<ConnectionPermit> pool = new ArrayList<>();
-        for (int i = 0; i < 60; i++) { // a front opens another one where all are busy
+        for (int i = 0; i < 60; i++) { // a proxy opens another one where all are busy
             pool.add(client("front", "pool"));
             budget.requestReceived(pool.get(i), now);
         }
-        pool.forEach(l -> assertTrue(budget.responseSent(l, true, false, now)));
+        pool.forEach(permit -> assertTrue(budget.responseSent(permit, true, false, now)));
         for (int i = 0; i < 5_000; i++) {
-            now += MS;
-            ConnectionPermit lease = pool.get(i % pool.size());
-            budget.requestReceived(lease, now);
-            assertTrue(budget.responseSent(lease, true, false, now), "at " + i);
+            now += MILLIS;
+            ConnectionPermit permit = pool.get(i % pool.size());
+            budget.requestReceived(permit, now);
+            assertTrue(budget.responseSent(permit, true, false, now), "at " + i);
             budget.closeExpired(now);
         }
-        assertTrue(ended.isEmpty());
+        assertTrue(closed.isEmpty());
     }
 
     @Test
-    void silentOnesOfTheAddressThatHoldsMostGoFirstTheNewestFirst() {
+    void evictionClosesTheNewestSilentConnectionOfTheAddressThatHasTheMaximum() {
         client("usual", "usual");
         clients("crowd", 20);
         now += 2 * budget.requestGracePeriod();
         fillClients("later");
         assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
-        assertEquals(List.of("crowd19"), ended);
+        assertEquals(List.of("crowd19"), closed);
         assertEquals(1, budget.closedCount(CloseReason.SILENT_FOR_ROOM));
     }
 
     @Test
-    void newcomersHaveAFairTimeAndOthersWaitForThat() {
+    void newConnectionsAreNotEvictedWithinTheirGracePeriod() {
         ConnectionPermit resting = served("usual", "usual");
         fillClients("crowd");
-        assertFalse(budget.evictToAdmit(Direction.CLIENT, now), "all are new: the next one waits");
-        assertTrue(ended.isEmpty(), "and the one that was just served stays");
+        assertFalse(budget.evictToAdmit(Direction.CLIENT, now), "all are new: the next client waits");
+        assertTrue(closed.isEmpty(), "and the client that was just served stays");
         now += budget.requestGracePeriod();
         assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
-        assertEquals(List.of("crowd"), ended);
+        assertEquals(List.of("crowd"), closed);
         assertTrue(resting.isIdle());
     }
 
     @Test
-    void theFairTimeFollowsWhatClientsTake() {
+    void gracePeriodFollowsTheRequestDelayOfClients() {
         for (int i = 0; i < 200; i++) {
             ConnectionPermit quick = client("q", "q");
-            now += 2 * MS;
+            now += 2 * MILLIS;
             budget.requestReceived(quick, now);
             budget.responseSent(quick, true, false, now);
             budget.closed(quick, now);
         }
-        assertEquals(60 * MS, budget.requestGracePeriod(), "the least");
+        assertEquals(60 * MILLIS, budget.requestGracePeriod(), "the minimum");
         for (int i = 0; i < 200; i++) {
             ConnectionPermit slow = client("s", "s");
-            now += 100 * MS;
+            now += 100 * MILLIS;
             budget.requestReceived(slow, now);
             budget.responseSent(slow, true, false, now);
             budget.closed(slow, now);
         }
-        assertTrue(budget.requestGracePeriod() > 500 * MS, "fair: " + budget.requestGracePeriod());
+        assertTrue(budget.requestGracePeriod() > 500 * MILLIS, "grace period: " + budget.requestGracePeriod());
     }
 
     @Test
-    void whatRestsLongestOfTheAddressWithMostAtRestGoesNext() {
+    void evictionClosesTheLongestIdleConnectionOfTheAddressThatHasTheMaximum() {
         served("usual", "usual");
         for (int i = 0; i < 10; i++) {
             served("greedy", "greedy" + i);
         }
-        now += S;
-        for (ConnectionPermit lease = null; budget.admits(Direction.CLIENT, now); ) {
-            lease = client("busy", "busy");
-            budget.requestReceived(lease, now);
+        now += SECONDS;
+        for (ConnectionPermit permit = null; budget.admits(Direction.CLIENT, now); ) {
+            permit = client("busy", "busy");
+            budget.requestReceived(permit, now);
         }
         assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
-        assertEquals(List.of("greedy0"), ended);
+        assertEquals(List.of("greedy0"), closed);
     }
 
     @Test
-    void whoseTimeIsOverIsEndedOnce() {
+    void expiredConnectionsAreClosedOnce() {
         served("a", "rested");
         client("b", "silent");
         ConnectionPermit busy = client("c", "busy");
@@ -193,133 +199,135 @@
         ConnectionPermit last = client("d", "lingering");
         budget.requestReceived(last, now);
         assertFalse(budget.responseSent(last, false, false, now));
-        now += 6 * S;
+        now += 6 * SECONDS;
         budget.closeExpired(now);
         budget.closeExpired(now);
-        assertEquals(List.of("rested", "silent", "lingering"), ended);
+        assertEquals(List.of("rested", "silent", "lingering"), closed);
         assertEquals(1, budget.openConnections(Direction.CLIENT));
         budget.closed(busy, now);
         budget.closed(busy, now);
-        assertEquals(0, budget.openConnections(Direction.CLIENT), "told twice, counted once");
+        assertEquals(0, budget.openConnections(Direction.CLIENT), "closed twice, counted once");
     }
 
-    /** A last answer that is still on its way must not be cut off for a newcomer's sake. */
+    /** A last response that is still on its way must not be cut off for a new client. */
     @Test
-    void aLastAnswerHasTimeToBeReadBeforeItsConnectionGoesForRoom() {
+    void lingeringConnectionIsNotEvictedBeforeItsLastResponseCanBeRead() {
         ConnectionPermit last = client("slow", "slow");
         budget.requestReceived(last, now);
         budget.responseSent(last, false, false, now);
         fillClients("crowd");
-        now += 400 * MS;
+        now += 400 * MILLIS;
         budget.evictToAdmit(Direction.CLIENT, now);
-        assertFalse(ended.contains("slow"));
+        assertFalse(closed.contains("slow"));
         fillClients("crowd");
-        now += 200 * MS;
-        ended.clear();
+        now += 200 * MILLIS;
+        closed.clear();
         assertTrue(budget.evictToAdmit(Direction.CLIENT, now));
-        assertEquals(List.of("slow"), ended);
+        assertEquals(List.of("slow"), closed);
     }
 
-    /** A connection with more of its client's on it goes on, whatever the pressure. */
+    /** A connection on which more requests have arrived stays open, whatever the pressure. */
     @Test
-    void whatHasComeInIsNotLostAtTheEndOfAnAnswer() {
-        for (int i = 0; i < 500; i++) { // nobody asks twice, and room is dear
+    void connectionWithPipelinedRequestsStaysOpenAfterAResponse() {
+        for (int i = 0; i < 500; i++) { // no client sends a second request, and capacity is expensive
             ConnectionPermit once = client("once" + i, "once");
             budget.requestReceived(once, now);
-            budget.responseSent(once, true, false, now += MS);
+            budget.responseSent(once, true, false, now += MILLIS);
         }
         ConnectionPermit pipelining = client("p", "p");
         budget.requestReceived(pipelining, now);
         budget.requestReceived(pipelining, now);
-        assertTrue(budget.responseSent(pipelining, true, false, now), "one more has been taken");
-        assertTrue(budget.responseSent(pipelining, true, true, now), "part of another has come in");
+        assertTrue(budget.responseSent(pipelining, true, false, now), "another request is in flight");
+        assertTrue(budget.responseSent(pipelining, true, true, now), "part of another request has arrived");
         budget.requestReceived(pipelining, now);
-        assertFalse(budget.responseSent(pipelining, true, false, now), "at rest it would be too dear");
+        assertFalse(budget.responseSent(pipelining, true, false, now), "idle it would be too expensive");
         assertThrows(IllegalStateException.class, () -> budget.requestReceived(pipelining, now));
     }
 
-    /** A connection with many requests at once, as of HTTP/2, is busy until its last answer. */
+    /** A connection with many concurrent requests, as of HTTP/2, is busy until its last response. */
     @Test
-    void aConnectionWithManyRequestsRestsAfterTheLast() {
-        ConnectionPermit many = budget.openClient("proxy", 3, () -> ended.add("many"), now);
+    void multiplexedConnectionIsIdleAfterItsLastResponse() {
+        ConnectionPermit multiplexed = budget.openClient("proxy", 3, () -> closed.add("many"), now);
         for (int i = 0; i < 100; i++) {
-            budget.requestReceived(many, now);
+            budget.requestReceived(multiplexed, now);
         }
         assertEquals(3, budget.openConnections(Direction.CLIENT), "its units");
         for (int i = 0; i < 100; i++) {
-            assertFalse(many.isIdle());
-            assertTrue(budget.responseSent(many, true, false, now));
+            assertFalse(multiplexed.isIdle());
+            assertTrue(budget.responseSent(multiplexed, true, false, now));
         }
-        assertTrue(many.isIdle());
+        assertTrue(multiplexed.isIdle());
     }
 
     @Test
-    void clientsLeaveUpstreamsTheirFloorAndWhatTheyLatelyNeeded() {
+    void clientsLeaveTheFloorAndTheRecentDemandOfUpstreams() {
         fillClients("crowd");
-        assertEquals(154, budget.openConnections(Direction.CLIENT), "192 less the floor of a fifth");
+        assertEquals(154, budget.openConnections(Direction.CLIENT), "192 less the upstreams' floor of a fifth");
         for (int i = 0; i < 38; i++) {
             assertTrue(budget.evictToAdmit(Direction.UPSTREAM, now));
             upstream("up");
         }
-        assertTrue(ended.isEmpty(), "the floor is there for nothing");
-        assertTrue(budget.evictToAdmit(Direction.UPSTREAM, now), "beyond it a newcomer goes that has not asked");
+        assertTrue(closed.isEmpty(), "nothing is closed for connections within the floor");
+        assertTrue(
+                budget.evictToAdmit(Direction.UPSTREAM, now),
+                "above it a new client is closed that has sent no request");
         assertEquals(1, budget.closedCount(CloseReason.NEW_FOR_ROOM));
         upstream("up");
-        assertTrue(budget.maxClients(now) < 154, "clients have less while upstreams need more");
+        assertTrue(budget.maxClients(now) < 154, "clients may hold less while upstreams need more");
         assertFalse(budget.evictToAdmit(Direction.CLIENT, now));
     }
 
     @Test
-    void upstreamsLeaveClientsTheirFloorAndNothingBusyIsEnded() {
+    void upstreamsLeaveTheFloorOfClientsAndEvictNoBusyConnection() {
         int opened = 0;
         while (budget.evictToAdmit(Direction.UPSTREAM, now)) {
             upstream("up");
             opened++;
         }
-        assertEquals(125, opened, "192 less the floor of 0.35");
-        assertTrue(ended.isEmpty());
+        assertEquals(125, opened, "192 less the clients' floor of 0.35");
+        assertTrue(closed.isEmpty());
         fillClients("c");
         assertEquals(67, budget.openConnections(Direction.CLIENT));
-        assertFalse(budget.evictToAdmit(Direction.UPSTREAM, now), "no room: the request is not sent");
+        assertFalse(budget.evictToAdmit(Direction.UPSTREAM, now), "no capacity: the request is not sent");
     }
 
     @Test
-    void idleUpstreamsGoForClientsOnlyBeyondWhatIsNeeded() {
-        List<ConnectionPermit> ups = new ArrayList<>();
+    void idleUpstreamConnectionsAreEvictedForClientsOnlyAboveTheFloor() {
+        List<ConnectionPermit> upstreams = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            ups.add(upstream("up" + i));
+            upstreams.add(upstream("up" + i));
         }
-        ups.forEach(l -> budget.becameIdle(l, now));
-        now += 120 * S; // what was needed then counts no more
+        upstreams.forEach(permit -> budget.becameIdle(permit, now));
+        now += 120 * SECONDS; // by then the demand has decayed
         fillClients("c");
         assertEquals(92, budget.openConnections(Direction.CLIENT));
         while (budget.evictToAdmit(Direction.CLIENT, now) && budget.openConnections(Direction.CLIENT) < 154) {
-            ConnectionPermit lease = client("c", "c");
-            budget.requestReceived(lease, now);
+            ConnectionPermit permit = client("c", "c");
+            budget.requestReceived(permit, now);
         }
-        assertEquals("up0", ended.get(0), "the one that has been idle for longest");
+        assertEquals("up0", closed.get(0), "the longest idle one");
         assertEquals(62, budget.closedCount(CloseReason.IDLE_FOR_ROOM));
-        assertEquals(38, budget.openConnections(Direction.UPSTREAM), "their floor stays");
+        assertEquals(38, budget.openConnections(Direction.UPSTREAM), "their floor is kept");
     }
 
     @Test
-    void newsComesAtAChangeOfPressureAndNotOften() {
+    void pressureChangeIsLoggedAtMostOnceInFiveSeconds() {
         assertNull(budget.pressureChange(now));
         fillClients("crowd");
         String line = budget.pressureChange(now);
         assertNotNull(line);
         assertTrue(line.startsWith("connections short: clients 154 of 154 (0 busy, 0 at rest, 154 unasked)"), line);
-        now += 3 * S;
+        now += 3 * SECONDS;
         budget.closeExpired(now);
         assertNull(budget.pressureChange(now), "too soon");
-        now += 3 * S;
+        now += 3 * SECONDS;
         line = budget.pressureChange(now);
         assertTrue(line.startsWith("connections ample: clients 0 of 154"), line);
         assertTrue(line.endsWith("ended since the last such line: 154 silent for too long"), line);
     }
 
     @Test
-    void addressesOfOneNetworkCountAsOne() {
+    void ipv6AddressesOfOneNetworkHaveTheSameKey() {
         byte[] one = new byte[16];
         byte[] other = new byte[16];
         other[15] = 1;
@@ -330,27 +338,30 @@
                 .equals(ConnectionBudget.address(new byte[] {10, 0, 0, 2})));
     }
 
-    @Test
-    void impossibleLimitsAreNamed() {
-        assertEquals(
-                "impossible most: 1",
-                assertThrows(IllegalArgumentException.class, () -> new ConnectionLimits(1, 0.5, 0.5, 1, 1, 1, 1, 1))
-                        .getMessage());
-        assertEquals(
-                "impossible upstreamFloor: 0.6",
-                assertThrows(IllegalArgumentException.class, () -> new ConnectionLimits(9, 0.5, 0.6, 1, 1, 1, 1, 1))
-                        .getMessage());
+    static Stream<Arguments> limitsOutOfRange() {
+        return Stream.of(
+                limits("impossible most: 1", () -> new ConnectionLimits(1, 0.5, 0.5, 1, 1, 1, 1, 1)),
+                limits("impossible upstreamFloor: 0.6", () -> new ConnectionLimits(9, 0.5, 0.6, 1, 1, 1, 1, 1)),
+                limits("impossible askMost: 3", () -> new ConnectionLimits(9, 0.5, 0.5, 1, 1, 2, 1, 3)));
+    }
+
+    private static Arguments limits(String message, Executable construction) {
+        return Arguments.of(message, construction);
+    }
+
+    @ParameterizedTest
+    @MethodSource("limitsOutOfRange")
+    void limitOutOfRangeIsRejectedByName(String message, Executable construction) {
         assertEquals(
-                "impossible askMost: 3",
-                assertThrows(IllegalArgumentException.class, () -> new ConnectionLimits(9, 0.5, 0.5, 1, 1, 2, 1, 3))
-                        .getMessage());
+                message,
+                assertThrows(IllegalArgumentException.class, construction).getMessage());
     }
 
     @Test
-    void addressesThatHoldNothingAreForgottenAtLast() {
+    void addressesWithoutConnectionsAreForgottenBeyondALimit() {
         for (int i = 0; i < 5_000; i++) {
-            ConnectionPermit lease = client("address" + i, "x");
-            budget.closed(lease, now);
+            ConnectionPermit permit = client("address" + i, "x");
+            budget.closed(permit, now);
         }
         assertEquals(1_024, budget.rememberedAddresses());
     }
--- a/src/test/java/loadbalancer/connections/TurnoverTest.java
+++ b/src/test/java/loadbalancer/connections/TurnoverTest.java
@@ -11,131 +11,133 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests let in against the turnover that the limit allows, simulated: for keeping every connection, for
- * ending every one at its answer, and for the budget. Part of the clients ask once and keep their connection
- * for 2 s unused, and part ask again and again, 0.1 s apart.
+ * Simulates the share of accepted requests against the turnover of connections that the limit allows: for keeping
+ * every connection, for closing each after its response, and for the budget. Some clients send one request and keep
+ * their connection for 2 s unused, others send a request every 0.1 s.
  */
 class TurnoverTest {
-    private static final long MS = 1_000_000;
-    private static final long SECONDS = 20;
-    private static final int LIMIT = 128; // descriptors: 64 in all, 52 for clients
+    private static final long MILLIS = 1_000_000;
+    private static final long DURATION_SECONDS = 20;
+    private static final int DESCRIPTORS = 128; // 64 connections in all, 52 for clients
 
-    enum Way {
+    enum Strategy {
         KEEP,
         CLOSE,
         BUDGET
     }
 
-    private record Event(long at, Runnable what) {}
+    private record Event(long at, Runnable action) {}
 
-    /** What became of the requests. */
+    /** One simulation, and what it counts. */
     private static final class Run {
-        final Way way;
+        final Strategy strategy;
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
         final SplittableRandom random = new SplittableRandom(11);
-        final ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(LIMIT), 0);
+        final ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(DESCRIPTORS), 0);
         long now;
         int offered;
-        int letIn;
+        int accepted;
         int reused;
 
-        Run(Way way) {
-            this.way = way;
+        Run(Strategy strategy) {
+            this.strategy = strategy;
         }
 
-        void at(long when, Runnable what) {
-            events.add(new Event(when, what));
+        void at(long time, Runnable action) {
+            events.add(new Event(time, action));
         }
 
-        Run play(int onceASecond, int regulars) {
-            for (int i = 0; i < regulars; i++) {
-                Regular regular = new Regular("r" + i);
-                at((long) (random.nextDouble() * 100 * MS), regular::ask);
+        Run simulate(int singleRequestsPerSecond, int regularClients) {
+            for (int i = 0; i < regularClients; i++) {
+                RegularClient regular = new RegularClient("r" + i);
+                at((long) (random.nextDouble() * 100 * MILLIS), regular::sendRequest);
             }
-            if (onceASecond > 0) {
-                at(0, () -> once(onceASecond));
+            if (singleRequestsPerSecond > 0) {
+                at(0, () -> sendSingleRequest(singleRequestsPerSecond));
             }
-            at(0, this::look);
-            while (!events.isEmpty() && events.peek().at() < SECONDS * 1_000 * MS) {
+            at(0, this::closeExpired);
+            while (!events.isEmpty() && events.peek().at() < DURATION_SECONDS * 1_000 * MILLIS) {
                 Event next = events.poll();
                 now = next.at();
-                next.what().run();
+                next.action().run();
             }
             return this;
         }
 
-        private void look() {
-            if (way == Way.BUDGET) {
+        private void closeExpired() {
+            if (strategy == Strategy.BUDGET) {
                 budget.closeExpired(now);
             }
-            at(now + 200 * MS, this::look);
+            at(now + 200 * MILLIS, this::closeExpired);
         }
 
         private boolean admit() {
-            return way == Way.BUDGET
+            return strategy == Strategy.BUDGET
                     ? budget.evictToAdmit(Direction.CLIENT, now)
                     : budget.admits(Direction.CLIENT, now);
         }
 
-        private boolean stays(ConnectionPermit lease) {
-            return budget.responseSent(lease, way != Way.CLOSE, false, now);
+        private boolean staysOpen(ConnectionPermit permit) {
+            return budget.responseSent(permit, strategy != Strategy.CLOSE, false, now);
         }
 
-        // More of its client's is said to be there, so that it stays whatever the budget makes of it.
-        private void keep(ConnectionPermit lease) {
-            budget.responseSent(lease, true, true, now);
+        // Reported with part of another request, so that it stays open whatever the budget would decide.
+        private void keep(ConnectionPermit permit) {
+            budget.responseSent(permit, true, true, now);
         }
 
-        private void once(int rate) {
-            at(now + (long) (-Math.log(1 - random.nextDouble()) * 1_000 * MS / rate), () -> once(rate));
+        private void sendSingleRequest(int requestsPerSecond) {
+            at(
+                    now + (long) (-Math.log(1 - random.nextDouble()) * 1_000 * MILLIS / requestsPerSecond),
+                    () -> sendSingleRequest(requestsPerSecond));
             offered++;
             if (!admit()) {
                 return;
             }
-            letIn++;
-            ConnectionPermit lease = budget.openClient("once" + offered, 1, () -> {}, now);
-            budget.requestReceived(lease, now);
-            at(now + 10 * MS, () -> {
-                if (way == Way.KEEP) {
-                    keep(lease);
-                    at(now + 2_000 * MS, () -> budget.closed(lease, now));
-                } else if (stays(lease)) {
-                    at(now + 2_000 * MS, () -> budget.closed(lease, now));
+            accepted++;
+            ConnectionPermit permit = budget.openClient("once" + offered, 1, () -> {}, now);
+            budget.requestReceived(permit, now);
+            at(now + 10 * MILLIS, () -> {
+                if (strategy == Strategy.KEEP) {
+                    keep(permit);
+                    at(now + 2_000 * MILLIS, () -> budget.closed(permit, now));
+                } else if (staysOpen(permit)) {
+                    at(now + 2_000 * MILLIS, () -> budget.closed(permit, now));
                 } else {
-                    budget.closed(lease, now);
+                    budget.closed(permit, now);
                 }
             });
         }
 
-        /** A client that asks every 0.1 s, on the connection that it has. */
-        private final class Regular {
+        /** A client that sends a request every 0.1 s, on the connection that it has. */
+        private final class RegularClient {
             private final String address;
-            private ConnectionPermit lease;
+            private ConnectionPermit permit;
 
-            Regular(String address) {
+            RegularClient(String address) {
                 this.address = address;
             }
 
-            void ask() {
-                at(now + 100 * MS, this::ask);
+            void sendRequest() {
+                at(now + 100 * MILLIS, this::sendRequest);
                 offered++;
-                boolean kept = lease != null && (way == Way.KEEP || lease.isIdle());
-                if (!kept && !admit()) {
+                boolean reusesConnection = permit != null && (strategy == Strategy.KEEP || permit.isIdle());
+                if (!reusesConnection && !admit()) {
                     return;
                 }
-                letIn++;
-                reused += kept ? 1 : 0;
-                if (!kept) {
-                    lease = budget.openClient(address, 1, () -> {}, now);
+                accepted++;
+                reused += reusesConnection ? 1 : 0;
+                if (!reusesConnection) {
+                    permit = budget.openClient(address, 1, () -> {}, now);
                 }
-                ConnectionPermit mine = lease;
-                budget.requestReceived(mine, now);
-                at(now + 10 * MS, () -> {
-                    if (way == Way.KEEP) {
-                        keep(mine);
-                    } else if (!stays(mine)) {
-                        budget.closed(mine, now);
-                        lease = null;
+                ConnectionPermit current = permit;
+                budget.requestReceived(current, now);
+                at(now + 10 * MILLIS, () -> {
+                    if (strategy == Strategy.KEEP) {
+                        keep(current);
+                    } else if (!staysOpen(current)) {
+                        budget.closed(current, now);
+                        permit = null;
                     }
                 });
             }
@@ -143,31 +145,35 @@
     }
 
     @Test
-    void requestsLetInAgainstTurnover() {
+    void budgetAcceptsNearlyAllRequestsWhereKeepingAllConnectionsDoesNot() {
         List<String> table = new ArrayList<>();
-        double worst = 1;
-        double keepAtFive = 1;
+        double minBudgetShare = 1;
+        double keepShareAtFive = 1;
         for (int times : new int[] {0, 1, 2, 5, 10}) {
             StringBuilder row = new StringBuilder();
             row.append(String.format(Locale.ROOT, "%2d times the turnover:", times));
-            for (Way way : Way.values()) {
-                Run run = new Run(way).play(times * 21, 10); // 42 connections of 2 s: 21 a second
-                double share = (double) run.letIn / run.offered;
+            for (Strategy strategy : Strategy.values()) {
+                Run run = new Run(strategy).simulate(times * 21, 10); // 42 connections of 2 s: 21 a second
+                double share = (double) run.accepted / run.offered;
                 row.append(String.format(
-                        Locale.ROOT, "  %s let in %.3f, reused %.2f", way, share, (double) run.reused / run.letIn));
-                worst = way == Way.BUDGET ? Math.min(worst, share) : worst;
-                keepAtFive = way == Way.KEEP && times == 5 ? share : keepAtFive;
-                if (way == Way.BUDGET && times == 0) {
-                    assertTrue(run.reused > run.letIn * 0.98, "nothing is gained by ending: " + row);
+                        Locale.ROOT,
+                        "  %s accepted %.3f, reused %.2f",
+                        strategy,
+                        share,
+                        (double) run.reused / run.accepted));
+                minBudgetShare = strategy == Strategy.BUDGET ? Math.min(minBudgetShare, share) : minBudgetShare;
+                keepShareAtFive = strategy == Strategy.KEEP && times == 5 ? share : keepShareAtFive;
+                if (strategy == Strategy.BUDGET && times == 0) {
+                    assertTrue(run.reused > run.accepted * 0.98, "nothing is gained by closing: " + row);
                 }
-                if (way == Way.CLOSE) {
+                if (strategy == Strategy.CLOSE) {
                     assertEquals(0, run.reused);
                 }
             }
             table.add(row.toString());
         }
         table.forEach(System.out::println);
-        assertTrue(worst > 0.99, "the budget lets all in: " + table);
-        assertTrue(keepAtFive < 0.7, "where keeping does not: " + table);
+        assertTrue(minBudgetShare > 0.99, "the budget accepts nearly all: " + table);
+        assertTrue(keepShareAtFive < 0.7, "keeping all connections does not: " + table);
     }
 }
--- a/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Values end where their braces do, however the bytes come. */
+/** Values end where their braces do, however the bytes are split. */
 class EndpointListDecoderTest {
     private static final String PLAIN = "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a}{\\\"\"}]}";
     private static final String INDENTED = "  {\r\n  \"rev\": 2,\r\n\t\"all\": false,\n  \"targets\": ["
@@ -24,47 +24,47 @@
 
     private final EmbeddedChannel channel = new EmbeddedChannel(new EndpointListDecoder(1 << 20));
 
-    private void say(String text) {
+    private void receive(String text) {
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    // Values without their whitespace; an empty text for a sign of life.
-    private List<String> heard() {
-        List<String> heard = new ArrayList<>();
+    // Values without their whitespace; an empty text for a heartbeat.
+    private List<String> decoded() {
+        List<String> values = new ArrayList<>();
         for (ByteBuf next = channel.readInbound(); next != null; next = channel.readInbound()) {
-            heard.add(next.toString(StandardCharsets.UTF_8).replaceAll("\\s", ""));
+            values.add(next.toString(StandardCharsets.UTF_8).replaceAll("\\s", ""));
             next.release();
         }
-        return heard;
+        return values;
     }
 
     @Test
-    void atEachCutOfTheBytesTheSameValuesComeOut() {
+    void valuesAreTheSameWhereverTheBytesAreSplit() {
         String all = PLAIN + "\n" + INDENTED + "\n" + PLAIN;
-        List<String> wanted = List.of(PLAIN, INDENTED.replaceAll("\\s", ""), PLAIN);
+        List<String> expected = List.of(PLAIN, INDENTED.replaceAll("\\s", ""), PLAIN);
         for (int cut = 0; cut <= all.length(); cut++) {
-            say(all.substring(0, cut));
-            say(all.substring(cut));
-            List<String> heard = heard();
-            heard.removeIf(String::isEmpty);
-            assertEquals(wanted, heard, "cut at " + cut);
+            receive(all.substring(0, cut));
+            receive(all.substring(cut));
+            List<String> values = decoded();
+            values.removeIf(String::isEmpty);
+            assertEquals(expected, values, "cut at " + cut);
         }
         for (int i = 0; i < all.length(); i++) {
-            say(all.substring(i, i + 1));
+            receive(all.substring(i, i + 1));
         }
-        List<String> heard = heard();
-        heard.removeIf(String::isEmpty);
-        assertEquals(wanted, heard);
+        List<String> values = decoded();
+        values.removeIf(String::isEmpty);
+        assertEquals(expected, values);
     }
 
     @Test
-    void anEmptyLineIsASignOfLifeAndADripWithinAValueIsNone() {
-        say("\n");
-        assertEquals(List.of(""), heard());
-        say(INDENTED.substring(0, INDENTED.indexOf("\"all\"")));
-        say("\n");
-        say("    ");
-        assertTrue(heard().isEmpty());
+    void emptyLineIsAHeartbeatAndWhitespaceWithinAValueIsNot() {
+        receive("\n");
+        assertEquals(List.of(""), decoded());
+        receive(INDENTED.substring(0, INDENTED.indexOf("\"all\"")));
+        receive("\n");
+        receive("    ");
+        assertTrue(decoded().isEmpty());
     }
 
     @ParameterizedTest
@@ -77,7 +77,7 @@
                 "{\n\"rev\":44,\"targets\":[\n\n",
                 "{\"rev\":44,\"targets\":[\n{\"uid\":1,}\n"
             })
-    void whatIsNoValueOrBreaksOffIsToldWithItsLine(String text) {
-        assertThrows(DecoderException.class, () -> say(text));
+    void malformedOrTruncatedValueIsRejectedAtItsLineEnd(String text) {
+        assertThrows(DecoderException.class, () -> receive(text));
     }
 }
--- a/src/test/java/loadbalancer/server/ConnectionBudgetOverSocketsTest.java
+++ b/src/test/java/loadbalancer/server/ConnectionBudgetOverSocketsTest.java
@@ -17,53 +17,57 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What clients see of the budget of connections, over sockets: 32 in all where 64 descriptors are told. */
+/** What clients see of the connection budget, over sockets: 32 connections in all with a limit of 64 descriptors. */
 class ConnectionBudgetOverSocketsTest extends ServerFixture {
     private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    private final List<Client> open = new ArrayList<>();
+    private final List<Client> openClients = new ArrayList<>();
 
     @AfterEach
     void closeAll() throws IOException {
-        for (Client client : open) {
+        for (Client client : openClients) {
             client.close();
         }
     }
 
     private Client client() throws IOException {
         Client client = new Client(at);
-        open.add(client);
+        openClients.add(client);
         return client;
     }
 
-    private static boolean ends(String head) {
+    private static boolean announcesClose(String head) {
         return head.toLowerCase(Locale.ROOT).contains("connection: close");
     }
 
-    // Clients that ask once and keep their connection: room gets dear.
-    private void crowd() throws IOException {
-        for (int i = 0; i < 60; i++) {
+    // Clients that send one request and keep their connection, which makes capacity expensive.
+    private void openSingleRequestClients() throws IOException {
+        openSingleRequestClients(60);
+    }
+
+    private void openSingleRequestClients(int count) throws IOException {
+        for (int i = 0; i < count; i++) {
             assertTrue(client().send(READY).answer().startsWith("HTTP/1.1 200"));
         }
     }
 
     @Test
-    void aCrowdThatKeepsItsConnectionsShutsNobodyOut() throws IOException, InterruptedException {
+    void clientsThatKeepTheirConnectionsLockNobodyOut() throws IOException, InterruptedException {
         start(Map.of(), 64);
-        int told = 0;
-        for (int i = 0; i < 300; i++) { // 9 times the limit, none of them closed by the clients
+        int announced = 0;
+        for (int i = 0; i < 300; i++) { // 9 times the limit; the clients close none of them
             Client once = client();
             String head = once.send(SAFE.replace("r1", "c" + i)).answerAfter(upstream);
             assertTrue(head.startsWith("HTTP/1.1 200"), i + ": " + head);
-            told += ends(head) ? 1 : 0;
+            announced += announcesClose(head) ? 1 : 0;
         }
-        assertTrue(told > 100, "the ends are announced: " + told);
+        assertTrue(announced > 100, "closes are announced: " + announced);
     }
 
     @Test
-    void aFloodOfReadinessCallsLeavesRoomForRequests() throws IOException, InterruptedException {
+    void manyReadinessRequestsLeaveCapacityForOthers() throws IOException, InterruptedException {
         start(Map.of(), 64);
         for (int i = 0; i < 50; i++) {
-            crowdOf(5);
+            openSingleRequestClients(5);
             Client usual = client();
             assertTrue(usual.send(SAFE.replace("r1", "u" + i))
                     .answerAfter(upstream)
@@ -71,125 +75,120 @@
         }
     }
 
-    private void crowdOf(int count) throws IOException {
-        for (int i = 0; i < count; i++) {
-            assertTrue(client().send(READY).answer().startsWith("HTTP/1.1 200"));
-        }
-    }
-
-    /** The loop stands still with no room left while all that it keeps ask again, and others come anew. */
+    /** The event loop stalls at the limit, while all kept connections send a request and new clients connect. */
     @Test
     @Timeout(120)
-    void behindAStandstillNoRequestOfAKeptConnectionIsCutOff() throws IOException, InterruptedException {
+    void requestOnAKeptConnectionIsAnsweredAfterAnEventLoopStall() throws IOException, InterruptedException {
         start(Map.of(), 20);
-        CountDownLatch goesOn = new CountDownLatch(1);
-        List<Client> kept = fill(0);
-        block(goesOn);
-        kept.removeIf(ConnectionBudgetOverSocketsTest::hasEnded); // of a rest that was over before, on a slow machine
-        assertFalse(kept.isEmpty(), "some are kept");
+        CountDownLatch stallEnds = new CountDownLatch(1);
+        List<Client> keptClients = fill(0);
+        block(stallEnds);
+        // Those whose idle timeout passed before, on a slow machine.
+        keptClients.removeIf(ConnectionBudgetOverSocketsTest::isClosed);
+        assertFalse(keptClients.isEmpty(), "some are kept");
         for (int i = 0; i < 32; i++) {
-            client().send(READY); // the machine accepts them
+            client().send(READY); // accepted by the kernel
         }
-        for (Client client : kept) {
+        for (Client client : keptClients) {
             client.send(READY);
         }
         TimeUnit.MILLISECONDS.sleep(400); // the time itself is what has to pass
-        goesOn.countDown();
-        for (Client client : kept) {
+        stallEnds.countDown();
+        for (Client client : keptClients) {
             client.socket.setSoTimeout(20_000);
             String head = client.answer();
-            assertTrue(head != null && head.startsWith("HTTP/1.1 200"), kept.size() + " kept: " + head);
+            assertTrue(head != null && head.startsWith("HTTP/1.1 200"), keptClients.size() + " kept: " + head);
         }
     }
 
-    // As many as stay, and requests that are held: one comer more, and no room is left.
-    private List<Client> fill(int tries) throws IOException, InterruptedException {
-        List<Client> kept = new ArrayList<>();
+    // Opens as many connections as stay open, and three with pending requests: one more client reaches the limit.
+    private List<Client> fill(int attempts) throws IOException, InterruptedException {
+        List<Client> keptClients = new ArrayList<>();
         Client next = client();
-        while (!ends(next.send(READY).answer())) {
-            kept.add(next);
+        while (!announcesClose(next.send(READY).answer())) {
+            keptClients.add(next);
             next = client();
         }
         next.close();
-        for (int i = 0; i < 3 && tries == 0; i++) {
+        for (int i = 0; i < 3 && attempts == 0; i++) {
             client().send(SAFE.replace("r1", "h" + i));
             upstream.next();
         }
-        kept.removeIf(ConnectionBudgetOverSocketsTest::hasEnded);
-        return kept.isEmpty() && tries < 20 ? fill(tries + 1) : kept;
+        keptClients.removeIf(ConnectionBudgetOverSocketsTest::isClosed);
+        return keptClients.isEmpty() && attempts < 20 ? fill(attempts + 1) : keptClients;
     }
 
-    private static boolean hasEnded(Client client) {
+    private static boolean isClosed(Client client) {
         try {
             client.socket.setSoTimeout(1);
             return client.in.read() < 0;
         } catch (SocketTimeoutException e) {
-            return false; // nothing came
+            return false; // nothing was sent
         } catch (IOException e) {
             return true;
         }
     }
 
-    /** What has been read is answered, also where its connection would end; the end is told with the last. */
+    /** All requests that were read are answered, and the close is announced with the last response. */
     @Test
-    void requestsSentAheadAreAnsweredBeforeTheirConnectionEnds() throws IOException, InterruptedException {
+    void pipelinedRequestsAreAnsweredBeforeTheirConnectionIsClosed() throws IOException, InterruptedException {
         start(Map.of(), 64);
-        crowd();
-        boolean ended = false;
-        for (int i = 0; i < 20 && !ended; i++) {
-            Client ahead = client();
-            ahead.send(READY + SAFE.replace("r1", "a" + i) + READY);
-            assertFalse(ends(ahead.answer()), "two more have come");
-            assertFalse(ends(ahead.answerAfter(upstream)), "one more has come");
-            ended = ends(ahead.answer());
-        }
-        assertTrue(ended, "and then the connection is too dear");
+        openSingleRequestClients();
+        boolean closeAnnounced = false;
+        for (int i = 0; i < 20 && !closeAnnounced; i++) {
+            Client pipelining = client();
+            pipelining.send(READY + SAFE.replace("r1", "a" + i) + READY);
+            assertFalse(announcesClose(pipelining.answer()), "two more are pending");
+            assertFalse(announcesClose(pipelining.answerAfter(upstream)), "one more is pending");
+            closeAnnounced = announcesClose(pipelining.answer());
+        }
+        assertTrue(closeAnnounced, "with nothing pending the connection is too expensive");
     }
 
-    /** A request that crosses the end is not read: its client sees the end, and upstreams never see it. */
+    /** A request that crosses an announced close is not read: its client sees the close, upstreams see nothing. */
     @Test
-    void aRequestThatCrossesTheEndIsNeitherReadNorDoesItSpoilTheAnswer() throws IOException, InterruptedException {
+    void requestSentAfterTheLastResponseIsNotReadAndResetsNothing() throws IOException, InterruptedException {
         start(Map.of(), 64);
-        crowd();
+        openSingleRequestClients();
         Client crossing = null;
         for (int i = 0; i < 20 && crossing == null; i++) {
             Client next = client();
             next.send(SAFE.replace("r1", "x" + i));
             ScriptedUpstream.Got got = upstream.next();
-            got.answer(200, "", "whole");
+            got.answer(200, "", "complete");
             String head = next.answer();
-            crossing = ends(head) ? next : null;
+            crossing = announcesClose(head) ? next : null;
         }
-        assertEquals("whole", new String(crossing.body));
+        assertEquals("complete", new String(crossing.body));
         crossing.send(SAFE.replace("r1", "late"));
-        assertNull(crossing.answer(), "the end of the connection, and no reset");
+        assertNull(crossing.answer(), "end of stream, and no reset");
         assertTrue(upstream.isEmpty());
     }
 
-    /** No connection left for the upstreams' side: an answer at once, and no blame on the upstream. */
+    /** No connection is left for upstreams: the attempt ends at once, and does not count against the upstream. */
     @Test
-    void withNoRoomForAnUpstreamsConnectionTheRequestIsAnsweredAtOnce() throws IOException, InterruptedException {
+    void requestWithoutCapacityForAnUpstreamConnectionFailsAtOnceAsNotSent() throws IOException, InterruptedException {
         start(Map.of(), 8); // 4 in all: 1 for clients, 3 for upstreams at most
-        List<Client> busy = new ArrayList<>();
-        List<ScriptedUpstream.Got> held = new ArrayList<>();
+        List<Client> busyClients = new ArrayList<>();
+        List<ScriptedUpstream.Got> pending = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             Client client = client().send(SAFE.replace("r1", "b" + i));
-            busy.add(client);
-            held.add(upstream.next());
+            busyClients.add(client);
+            pending.add(upstream.next());
         }
         onLoop(() -> {
             module.actions.probe("s1");
             module.actions.probe("s1");
             module.actions.probe("s1");
         });
-        List<String> told = new ArrayList<>();
+        List<String> probes = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            told.add(module.next());
+            probes.add(module.next());
         }
-        assertTrue(told.contains("probed NOT_SENT -"), told.toString());
+        assertTrue(probes.contains("probed NOT_SENT -"), probes.toString());
         for (int i = 0; i < 2; i++) {
-            held.get(i).answer(200, "", "ok");
-            assertEquals(200, busy.get(i).status());
+            pending.get(i).answer(200, "", "ok");
+            assertEquals(200, busyClients.get(i).status());
         }
     }
 }
--- a/src/test/java/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/server/DiscoveryClientTest.java
@@ -9,16 +9,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How the list is asked for and watched. */
+/** How the endpoint list is fetched and watched, over sockets. */
 class DiscoveryClientTest extends ServerFixture {
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+    private void startPushed() throws IOException, InterruptedException {
+        pushed = true;
+        start();
+    }
+
     @Test
-    void theListIsWatchedAsTheModuleAsksAndSplitLinesAreRead() throws IOException, InterruptedException {
+    void listIsWatchedAndFetchedAsThePolicyRequests() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         ScriptedUpstream.Got watch = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=41 HTTP/1.1", watch.line());
         String first = list(43, true, "in_service");
-        watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch.raw(RESPONSE_HEAD);
         watch.raw(chunk(first.substring(0, 30)));
         watch.raw(chunk(first.substring(30)));
         assertEquals("COMPLETE [s1=UP]", module.next());
@@ -40,20 +47,13 @@
         assertEquals("FAILED []", module.next());
     }
 
-    private static final String BEGUN = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-    private void startPushed() throws IOException, InterruptedException {
-        pushed = true;
-        start();
-    }
-
     @Test
-    void listsMayComeIndentedOnWatchesAndOnCalls() throws IOException, InterruptedException {
+    void indentedListsAreReadFromWatchesAndFetches() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         ScriptedUpstream.Got watch = discovery.next();
         String first = list(43, true, "in_service").replace(",", ",\n    ").replace("{", "{\n  ");
-        watch.raw(BEGUN + chunk(first.substring(0, 40)) + chunk(first.substring(40)));
+        watch.raw(RESPONSE_HEAD + chunk(first.substring(0, 40)) + chunk(first.substring(40)));
         assertEquals("COMPLETE [s1=UP]", module.next());
         watch.raw(chunk("\n") + chunk(list(44, false, "terminating").replace(",", "\r\n,")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
@@ -63,81 +63,81 @@
     }
 
     @Test
-    void aWholeListThatIsOlderThanTheWatchsWordDoesNotUndoADrain() throws IOException, InterruptedException {
+    void completeListOlderThanAWatchedChangeDoesNotUndoADrain() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         ScriptedUpstream.Got watch = discovery.next();
-        watch.raw(BEGUN + chunk(list(43, true, "in_service")));
+        watch.raw(RESPONSE_HEAD + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         onLoop(() -> module.actions.fetchList());
         ScriptedUpstream.Got fetch = discovery.next();
         watch.raw(chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         fetch.answer(200, "", list(43, true, "in_service"));
-        assertEquals("PARTIAL []", module.next(), "the call is answered, and says nothing new");
+        assertEquals("PARTIAL []", module.next(), "the fetch is answered, and changes nothing");
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(200, "", list(45, true, "in_service"));
         assertEquals("COMPLETE [s1=UP]", module.next());
     }
 
     @Test
-    void aWatchThatGoesBackIsBegunAnewFromTheBeginning() throws IOException, InterruptedException {
+    void watchWhoseVersionsGoBackIsReplacedByOneFromVersionZero() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         ScriptedUpstream.Got watch = discovery.next();
-        watch.raw(BEGUN + chunk(list(43, true, "in_service")) + chunk(list(44, false, "terminating")));
+        watch.raw(RESPONSE_HEAD + chunk(list(43, true, "in_service")) + chunk(list(44, false, "terminating")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
         watch.raw(chunk(list(43, false, "in_service")));
         ScriptedUpstream.Got next = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=0 HTTP/1.1", next.line());
         assertTrue(watch.closedByPeer());
-        next.raw(BEGUN + chunk(list(7, true, "terminating")));
+        next.raw(RESPONSE_HEAD + chunk(list(7, true, "terminating")));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
         next.raw(chunk(list(8, false, "in_service")));
         assertEquals("PARTIAL [s1=UP]", module.next());
     }
 
-    /** Asked again at once the first time only: not in a tight loop that neither side gets out of. */
+    /** Only the first replacement is immediate: otherwise both sides would be caught in a tight loop. */
     @Test
-    void aWatchThatGoesBackAgainAndAgainIsBegunAnewWithAPauseBetween() throws IOException, InterruptedException {
+    void watchWhoseVersionsKeepGoingBackIsReplacedWithBackoff() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        String confused = chunk(list(43, true, "in_service")) + chunk(list(42, false, "in_service"));
-        discovery.next().raw(BEGUN + confused);
+        String goingBack = chunk(list(43, true, "in_service")) + chunk(list(42, false, "in_service"));
+        discovery.next().raw(RESPONSE_HEAD + goingBack);
         assertEquals("COMPLETE [s1=UP]", module.next());
         ScriptedUpstream.Got second = discovery.next();
         long since = System.nanoTime();
-        second.raw(BEGUN + confused);
+        second.raw(RESPONSE_HEAD + goingBack);
         assertEquals("COMPLETE [s1=UP]", module.next());
         discovery.next();
         long pause = (System.nanoTime() - since) / 1_000_000;
-        assertTrue(pause >= 400, "begun anew after " + pause + " ms");
+        assertTrue(pause >= 400, "replaced after " + pause + " ms");
     }
 
-    /** Cut within a line: what was whole counts, and the rest is asked for from there. */
+    /** Lists that were received completely count, and the next watch goes on from there. */
     @Test
-    void aWatchThatIsResetWithinALineIsBegunAnewFromTheLastWholeList() throws IOException, InterruptedException {
+    void watchResetWithinAListContinuesFromTheLastCompletelyReadOne() throws IOException, InterruptedException {
         startPushed();
         ScriptedUpstream.Got watch = discovery.next();
-        watch.raw(BEGUN + chunk(list(43, true, "in_service")));
+        watch.raw(RESPONSE_HEAD + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         watch.raw(chunk(list(44, false, "terminating").substring(0, 60)));
         watch.reset();
         ScriptedUpstream.Got next = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=43 HTTP/1.1", next.line());
-        next.raw(BEGUN + chunk(list(44, false, "terminating")));
+        next.raw(RESPONSE_HEAD + chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next());
     }
 
-    /** It drips within a list and never ends it: no sign of life. */
+    /** Whitespace within a list is no heartbeat. */
     @Test
     @Timeout(60)
-    void aWatchThatDripsWithoutEndingAListIsSilent() throws IOException, InterruptedException {
+    void watchThatSendsOnlyWhitespaceWithinAListCountsAsSilent() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
         ScriptedUpstream.Got watch = discovery.next();
-        watch.raw(BEGUN + chunk(list(43, true, "in_service")));
+        watch.raw(RESPONSE_HEAD + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         watch.raw(chunk("{\n\"rev\":"));
         while (discovery.isEmpty()) {
@@ -153,71 +153,71 @@
         }
         ScriptedUpstream.Got next = discovery.next();
         assertEquals("GET /api/targets?watch=1&from=43 HTTP/1.1", next.line());
-        next.raw(BEGUN + chunk(list(44, false, "terminating")));
+        next.raw(RESPONSE_HEAD + chunk(list(44, false, "terminating")));
         assertEquals("PARTIAL [s1=DRAINING]", module.next(), "and no failure before it");
     }
 
-    /** What an agent has at its return counts at once: it is asked again while it says nothing. */
+    /** What an agent has at its return counts as notified at once: watches are opened while it is silent. */
     @Test
     @Timeout(60)
-    void anAgentThatSaysNothingIsAskedBesideAndWhicheverCallAnswersCounts() throws IOException, InterruptedException {
+    void additionalWatchIsOpenedAtASilentAgentAndTheFirstResponseCounts() throws IOException, InterruptedException {
         startPushed();
         ScriptedUpstream.Got first = discovery.next();
         ScriptedUpstream.Got second = discovery.next();
-        first.raw(BEGUN + chunk(list(43, true, "terminating")));
+        first.raw(RESPONSE_HEAD + chunk(list(43, true, "terminating")));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
-        assertTrue(second.closedByPeer(), "one watch is enough");
+        assertTrue(second.closedByPeer(), "one watch is left");
         first.raw(chunk(list(44, false, "in_service")));
         assertEquals("PARTIAL [s1=UP]", module.next());
     }
 
     @Test
     @Timeout(60)
-    void atMostThreeCallsWaitForASilentAgent() throws IOException, InterruptedException {
+    void atMostThreeUnansweredWatchesAreOpenAtASilentAgent() throws IOException, InterruptedException {
         startPushed();
         ScriptedUpstream.Got first = discovery.next();
         discovery.next();
         discovery.next();
         ScriptedUpstream.Got fourth = discovery.next();
         assertTrue(first.closedByPeer());
-        fourth.raw(BEGUN + chunk(list(43, true, "in_service")));
+        fourth.raw(RESPONSE_HEAD + chunk(list(43, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
     }
 
-    /** A new configuration names another discovery: watched at once, and the old one's end is no failure. */
+    /** A reload names another discovery service: it is watched at once; the end of the former watch is no failure. */
     @Test
-    void aNewConfigurationMovesTheWatchAndKeepsTheListAndTheRequests() throws IOException, InterruptedException {
+    void configurationReloadMovesTheWatchAndKeepsTheListAndTheRequests() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.watch(true));
-        ScriptedUpstream.Got old = discovery.next();
-        old.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(42, true, "in_service")));
+        ScriptedUpstream.Got former = discovery.next();
+        former.raw(RESPONSE_HEAD + chunk(list(42, true, "in_service")));
         assertEquals("COMPLETE [s1=UP]", module.next());
         try (ScriptedUpstream second = new ScriptedUpstream();
                 ScriptedUpstream third = new ScriptedUpstream();
                 Client client = new Client(at)) {
             client.send(SAFE);
-            ScriptedUpstream.Got held = upstream.next();
+            ScriptedUpstream.Got pending = upstream.next();
             node.reload(() -> {
                 throw new Config.Bad("no good");
             });
             node.reload(() -> config(second.address()));
-            node.reload(() -> config(second.address())); // said twice, moved once
-            assertTrue(old.closedByPeer());
+            node.reload(() -> config(second.address())); // configured twice, moved once
+            assertTrue(former.closedByPeer());
             ScriptedUpstream.Got watch = second.next();
             assertEquals("GET /api/targets?watch=1&from=0 HTTP/1.1", watch.line());
-            held.answer(200, "", "ok");
+            pending.answer(200, "", "ok");
             assertEquals("OK closed", module.next()); // and no FAILED before it
             assertEquals(200, client.status());
-            client.send(SAFE); // by the old list, meanwhile
+            client.send(SAFE); // by the former list, meanwhile
             upstream.next().answer(200, "", "ok");
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
-            watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(7, true, "terminating")));
+            watch.raw(RESPONSE_HEAD + chunk(list(7, true, "terminating")));
             assertEquals("COMPLETE [s1=DRAINING]", module.next());
             node.reload(() -> config(third.address()));
             assertTrue(watch.closedByPeer());
             third.next().socket().close();
-            assertEquals("FAILED []", module.next()); // the new one's end is one
+            assertEquals("FAILED []", module.next()); // the end of the new watch is a failure
             assertTrue(second.isEmpty());
         }
         synchronized (log) {
