--- a/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -29,167 +29,189 @@
 import loadbalancer.proxy.UpstreamResponse;
 
 /**
- * Reads the answers on one connection to an upstream, one for each request, and trusts nothing that comes:
- * an answer that can't be read for certain is none, and what nobody asked for spoils the connection.
+ * Reads the responses on one connection to an upstream, one for each request, and trusts nothing: a response
+ * that can't be read for certain is malformed, and bytes that no request asked for end the connection. On its
+ * event loop.
  */
 final class ResponseDecoder extends SimpleChannelInboundHandler<HttpObject> {
-    private static final int HEAD_MOST = 8 * 1024;
-    private static final int PIECE = 32 * 1024; // bytes that are handed on at once
-    private static final int HINTS_MOST = 8; // 1xx answers ahead of one
+    private static final int MAX_HEAD_BYTES = 8 * 1024;
+    private static final int MAX_PIECE_BYTES = 32 * 1024; // handed on at once
+    private static final int MAX_INFORMATIONAL = 8; // 1xx responses ahead of the final one
 
-    /** Whom it tells, once for each request. */
-    interface Taker {
-        /** {@code usable}: the connection may carry another request. */
-        void answered(UpstreamResponse answer, boolean usable);
+    /** Is notified of the response to each request, and of what becomes of the connection. */
+    interface Listener {
+        /** A response is complete; {@code reusable}: the connection may carry another request. */
+        void onResponse(UpstreamResponse response, boolean reusable);
 
-        /** Whether a long answer may be passed on as it comes. */
-        boolean passes();
+        /** Whether a long response may be forwarded as it comes in. */
+        boolean mayStream();
 
-        /** A long answer has begun. */
-        void began(UpstreamResponse answer);
+        /** The head and the first bytes of a long response have come; the rest follows as its body stream. */
+        void onStreamStarted(UpstreamResponse response);
 
-        /** It has ended, whole; {@code usable}: the connection may carry another request. */
-        void passed(boolean usable);
+        /** A long response is complete; {@code reusable}: the connection may carry another request. */
+        void onStreamComplete(boolean reusable);
 
-        /** The connection takes bytes again, or takes none for now. */
-        void writable(boolean now);
+        /** Whether the connection takes more bytes to send has changed. */
+        void onWritabilityChanged(boolean writable);
 
-        /** Nothing more can be read here. */
-        void spoilt();
+        /** Nothing more can be read here: the connection is of no further use. */
+        void onMalformed();
     }
 
-    private final Taker taker;
-    private final Decoder decoder = new Decoder();
-    private boolean expecting; // a request has been sent whose answer hasn't been told
-    private boolean spoilt;
+    private final Listener listener;
+    private final MessageDecoder messageDecoder = new MessageDecoder();
+    private boolean responseExpected; // a request is being sent or has been, and its response is not complete
+    private boolean malformed;
     private HttpResponse head;
     private byte[] body;
-    private int length;
-    private boolean passed; // whole, told at the end of the read
-    private boolean toEnd; // the present answer ends with the connection
-    private int hints;
-    private boolean hint; // within a 1xx answer
-    private UpstreamResponse whole; // told at the end of the read
-    private Rest rest; // of a long answer that is passed on
+    private int bodyLength;
+    private boolean endsWithConnection; // no length and no coding delimits the present response
+    private int informationalCount;
+    private boolean withinInformational;
+    private UpstreamResponse completeResponse; // its listener is notified at the end of the read
+    private ResponseStream stream; // of a long response; null for all others
+    private boolean streamComplete; // its listener is notified at the end of the read
     private Channel channel;
 
-    ResponseDecoder(Taker taker) {
-        this.taker = taker;
+    ResponseDecoder(Listener listener) {
+        this.listener = listener;
     }
 
-    ChannelHandler decoder() {
-        return decoder;
+    /** The handler that stands right before this one in the pipeline and parses the messages. */
+    ChannelHandler messageDecoder() {
+        return messageDecoder;
     }
 
     /** A request is about to be sent. */
-    void expect() {
-        expecting = true;
-        hints = 0;
+    void expectResponse() {
+        responseExpected = true;
+        informationalCount = 0;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (spoilt) {
+        if (malformed) {
             return;
         }
-        if (whole != null || rest != null && rest.ended || !part.decoderResult().isSuccess()) {
-            spoil(); // a second answer, or one that can't be read
+        boolean complete = completeResponse != null || stream != null && stream.ended;
+        if (complete || !part.decoderResult().isSuccess()) {
+            rejectMalformed(); // a second response, or one that can't be read
             return;
         }
-        if (part instanceof HttpResponse answer) {
-            begin(answer);
+        if (part instanceof HttpResponse response) {
+            startResponse(response);
         }
-        if (!spoilt && part instanceof HttpContent content) {
-            boolean last = part instanceof LastHttpContent;
-            if (hint) {
-                hint = !last; // the answer itself is still to come
-            } else if (rest != null) {
-                rest.more(content.content(), last);
-            } else if (add(content.content()) && last && rest != null) {
-                rest.more(Unpooled.EMPTY_BUFFER, true);
-            } else if (!spoilt && rest == null && last) {
-                whole = new UpstreamResponse(
-                        head.status().code(),
-                        new Http1HeaderFields(head.headers()),
-                        body.length == length ? body : Arrays.copyOf(body, length));
-            }
+        if (!malformed && part instanceof HttpContent content) {
+            readContent(content.content(), part instanceof LastHttpContent);
         }
     }
 
-    private void begin(HttpResponse answer) {
-        if (answer.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            hint = true;
-            if (++hints > HINTS_MOST || answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-                spoil();
-            }
+    private void readContent(ByteBuf content, boolean last) {
+        if (withinInformational) {
+            withinInformational = !last; // the final response is still to come
+            return;
+        }
+        if (stream != null) {
+            stream.add(content, last);
+            return;
+        }
+        boolean added = aggregate(content);
+        if (!last) {
+            return;
+        }
+        if (added && stream != null) {
+            stream.add(Unpooled.EMPTY_BUFFER, true);
+        } else if (!malformed && stream == null) {
+            completeResponse = new UpstreamResponse(
+                    head.status().code(),
+                    new Http1HeaderFields(head.headers()),
+                    body.length == bodyLength ? body : Arrays.copyOf(body, bodyLength));
+        }
+    }
+
+    private void startResponse(HttpResponse response) {
+        if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+            startInformational(response);
             return;
         }
-        head = answer;
+        head = response;
         body = new byte[0];
-        length = 0;
-        List<String> codings = answer.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        bodyLength = 0;
+        List<String> codings = response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
-        // With neither length nor coding it ends with its connection (RFC 9112, section 6.3, rule 8): whole
-        // if that ends in order, and none if it is reset.
-        boolean ends = codings.isEmpty() || chunked;
-        toEnd = codings.isEmpty() && !HttpUtil.isContentLengthSet(answer);
-        long told = HttpUtil.getContentLength(answer, -1L);
-        if (!ends || told > (passes() ? ProxyRequest.LENGTH_MOST : ProxyRequest.BODY_MOST)) {
-            spoil();
-        } else if (told > ProxyRequest.BODY_MOST) {
-            pass(told);
+        // With neither length nor coding it ends with its connection (RFC 9112, section 6.3, rule 8): complete
+        // if that is closed in order, and malformed if it is reset.
+        boolean delimited = codings.isEmpty() || chunked;
+        endsWithConnection = codings.isEmpty() && !HttpUtil.isContentLengthSet(response);
+        long contentLength = HttpUtil.getContentLength(response, -1L);
+        if (!delimited || contentLength > (mayStream() ? ProxyRequest.LENGTH_MOST : ProxyRequest.BODY_MOST)) {
+            rejectMalformed();
+        } else if (contentLength > ProxyRequest.BODY_MOST) {
+            startStream(contentLength);
+        }
+    }
+
+    private void startInformational(HttpResponse response) {
+        withinInformational = true;
+        informationalCount++;
+        if (informationalCount > MAX_INFORMATIONAL
+                || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
+            rejectMalformed();
         }
     }
 
-    // Guards against answers that say or bring more than is ever held: no memory grows by them.
-    private boolean add(ByteBuf more) {
-        int bytes = more.readableBytes();
-        if (length + bytes > ProxyRequest.BODY_MOST) {
-            if (!passes()) {
-                spoil();
+    // Guards against responses that announce or bring more than is ever held: no memory grows by them.
+    // Returns false where the response is malformed for that.
+    private boolean aggregate(ByteBuf content) {
+        int count = content.readableBytes();
+        if (bodyLength + count > ProxyRequest.BODY_MOST) {
+            if (!mayStream()) {
+                rejectMalformed();
                 return false;
             }
-            pass(-1);
-            rest.more(more, false);
+            startStream(-1);
+            stream.add(content, false);
             return true;
         }
-        if (length == 0) {
-            body = ByteBufUtil.getBytes(more);
-        } else if (bytes > 0) {
-            if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
+        if (bodyLength == 0) {
+            body = ByteBufUtil.getBytes(content);
+        } else if (count > 0) {
+            if (bodyLength + count > body.length) {
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (bodyLength + count)));
             }
-            more.readBytes(body, length, bytes);
+            content.readBytes(body, bodyLength, count);
         }
-        length += bytes;
+        bodyLength += count;
         return true;
     }
 
-    private boolean passes() {
-        return head.status().equals(HttpResponseStatus.OK) && taker.passes();
+    private boolean mayStream() {
+        return head.status().equals(HttpResponseStatus.OK) && listener.mayStream();
     }
 
-    private void pass(long told) {
-        rest = new Rest();
-        byte[] held = Arrays.copyOf(body, length);
+    // contentLength: -1 where the response announces none
+    private void startStream(long contentLength) {
+        stream = new ResponseStream();
+        byte[] firstBytes = Arrays.copyOf(body, bodyLength);
         body = null;
-        taker.began(
-                new UpstreamResponse(head.status().code(), new Http1HeaderFields(head.headers()), held, rest, told));
+        listener.onStreamStarted(new UpstreamResponse(
+                head.status().code(), new Http1HeaderFields(head.headers()), firstBytes, stream, contentLength));
     }
 
-    /** The connection has ended; what is under way breaks off. */
-    void ended() {
-        if (rest != null && !rest.ended && rest.started()) {
-            rest.ended = true;
-            rest.taker().onError();
+    /** The connection has been closed; a response that is under way breaks off. */
+    void onConnectionClosed() {
+        if (stream != null && !stream.ended && stream.started()) {
+            stream.ended = true;
+            stream.taker().onError();
         }
     }
 
-    /** What follows of a long answer. */
-    private final class Rest extends BodyReader {
+    /** The rest of a long response. */
+    private final class ResponseStream extends BodyReader {
         private boolean ended;
 
-        Rest() {
+        ResponseStream() {
             super(channel);
         }
 
@@ -197,21 +219,21 @@
         public void cancel() {
             if (!ended) {
                 ended = true;
-                spoilt = true;
-                taker.spoilt();
+                malformed = true;
+                listener.onMalformed();
             }
         }
 
-        private void more(ByteBuf bytes, boolean last) {
-            if (taker() == null || spoilt) {
-                return; // nobody took it: dropped
+        private void add(ByteBuf content, boolean last) {
+            if (taker() == null || malformed) {
+                return; // nobody has subscribed: dropped
             }
-            if (bytes.isReadable()) {
-                taker().onData(ByteBufUtil.getBytes(bytes));
+            if (content.isReadable()) {
+                taker().onData(ByteBufUtil.getBytes(content));
             }
             if (last && !ended) {
                 ended = true;
-                passed = true;
+                streamComplete = true;
                 taker().onComplete();
             }
         }
@@ -225,12 +247,12 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        taker.writable(context.channel().isWritable());
+        listener.onWritabilityChanged(context.channel().isWritable());
         context.fireChannelWritabilityChanged();
     }
 
-    // The upstream has ended its sending in order; the decoder has had this before, and what ends with the
-    // connection is whole by now. A reset comes as an exception.
+    // The upstream has closed its sending side in order; the message decoder has handled this event before, and
+    // what ends with the connection is complete by now. A reset comes as an exception.
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
@@ -241,60 +263,65 @@
         }
     }
 
-    // Only at the end of a read is it known whether anything came behind the answer. Guards against a second
-    // copy right behind: with the connection in use again at once, it was taken for the next one's answer.
+    // Only at the end of a read is it known whether anything came behind the response. Guards against a second
+    // copy right behind it: with the connection in use at once, that was taken for the next request's response.
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (passed) {
-            passed = false;
-            rest = null;
-            expecting = false;
+        if (streamComplete) {
+            streamComplete = false;
+            stream = null;
+            responseExpected = false;
             channel.config().setAutoRead(true);
-            taker.passed(!spoilt && !toEnd && !decoder.leftOver() && HttpUtil.isKeepAlive(head));
-        } else if (whole != null) {
-            UpstreamResponse told = whole;
-            whole = null;
-            expecting = false;
-            taker.answered(told, !spoilt && !toEnd && !decoder.leftOver() && HttpUtil.isKeepAlive(head));
+            listener.onStreamComplete(isReusable());
+        } else if (completeResponse != null) {
+            UpstreamResponse response = completeResponse;
+            completeResponse = null;
+            responseExpected = false;
+            listener.onResponse(response, isReusable());
         }
         context.fireChannelReadComplete();
     }
 
-    private void spoil() {
-        spoilt = true;
+    private boolean isReusable() {
+        return !malformed && !endsWithConnection && !messageDecoder.hasUnparsedBytes() && HttpUtil.isKeepAlive(head);
+    }
+
+    private void rejectMalformed() {
+        malformed = true;
         body = null;
-        if (whole == null && !passed) {
-            taker.spoilt();
+        if (completeResponse == null && !streamComplete) {
+            listener.onMalformed();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        spoil();
+        rejectMalformed();
     }
 
-    private final class Decoder extends HttpResponseDecoder {
-        Decoder() {
-            super(new HttpDecoderConfig().setMaxHeaderSize(HEAD_MOST).setMaxChunkSize(PIECE));
+    /** Netty's decoder, made stricter where it accepts messages that can be read in two ways. */
+    private final class MessageDecoder extends HttpResponseDecoder {
+        MessageDecoder() {
+            super(new HttpDecoderConfig().setMaxHeaderSize(MAX_HEAD_BYTES).setMaxChunkSize(MAX_PIECE_BYTES));
         }
 
-        boolean leftOver() {
+        boolean hasUnparsedBytes() {
             return actualReadableBytes() > 0;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object part) throws Exception {
-            if (spoilt || !expecting) {
-                ReferenceCountUtil.release(part); // nobody asked
-                if (!spoilt) {
-                    spoil();
+            if (malformed || !responseExpected) {
+                ReferenceCountUtil.release(part); // no request asked for it
+                if (!malformed) {
+                    rejectMalformed();
                 }
                 return;
             }
             super.channelRead(context, part);
         }
 
-        // By itself the decoder drops the length and goes on.
+        // By itself the decoder drops the length and continues (RFC 9112, section 6.1).
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
             throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
--- /dev/null
+++ b/src/main/java/loadbalancer/upstream/http1/StreamedRequestBody.java
@@ -0,0 +1,69 @@
+package loadbalancer.upstream.http1;
+
+import io.netty.channel.ChannelFuture;
+import loadbalancer.http1.BodyWriter;
+import loadbalancer.proxy.BodyStream;
+
+/**
+ * Writes the rest of a streamed request body to an upstream. The last piece is held back until the client is
+ * known to be there still: a request whose client disconnects before never runs. On the event loop.
+ */
+final class StreamedRequestBody implements BodyStream.Taker {
+    private final Http1UpstreamConnection connection;
+    private final Http1Attempt attempt;
+    private final BodyWriter writer;
+    private long remainingBytes; // Long.MAX_VALUE where the length is not known
+    private byte[] lastPiece;
+    private ChannelFuture lastWrite; // of the piece before the last one; null where there is none
+
+    StreamedRequestBody(Http1UpstreamConnection connection, Http1Attempt attempt, BodyWriter writer) {
+        this.connection = connection;
+        this.attempt = attempt;
+        this.writer = writer;
+        long length = attempt.request().length();
+        remainingBytes =
+                length < 0 ? Long.MAX_VALUE : length - attempt.request().body().length;
+    }
+
+    @Override
+    public void onData(byte[] bytes) {
+        remainingBytes -= bytes.length;
+        if (remainingBytes <= 0) {
+            lastPiece = bytes;
+            return;
+        }
+        lastWrite = writer.write(bytes);
+        if (!writer.room()) {
+            attempt.request().rest().setReady(false);
+        }
+    }
+
+    @Override
+    public void onComplete() {
+        if (lastWrite == null) {
+            connection.executeLater(this::finish);
+        } else {
+            lastWrite.addListener(done -> connection.executeLater(this::finish));
+        }
+    }
+
+    private void finish() {
+        if (!connection.carries(attempt)) {
+            return;
+        }
+        long untilMicros = attempt.listener().awaitedUntil();
+        if (!connection.carries(attempt)) { // withdrawn: its client has disconnected
+            return;
+        }
+        if (lastPiece != null) {
+            writer.write(lastPiece);
+        }
+        connection.limitNextWrite(untilMicros, attempt);
+        connection.sentWhen(writer.end(), attempt);
+    }
+
+    @Override
+    public void onError() {
+        connection.abortUpload(attempt);
+    }
+}
--- a/src/main/java/loadbalancer/upstream/http1/TimedChannel.java
+++ b/src/main/java/loadbalancer/upstream/http1/TimedChannel.java
@@ -6,42 +6,42 @@
 import loadbalancer.proxy.Clock;
 
 /**
- * A connection whose next bytes leave before a time or not at all: looked at right before the system call,
- * since a process may be stopped anywhere between a decision and that. On its event loop.
+ * A connection whose next bytes leave before a given time or not at all. The clock is read right before the
+ * system call, since a process may be stopped anywhere between a decision and that call. On its event loop.
  */
 final class TimedChannel extends NioSocketChannel {
-    private final Clock clock;
     private static final Runnable NOTHING = () -> {};
 
-    private long until = Long.MAX_VALUE;
-    private Runnable late = NOTHING;
+    private final Clock clock;
+    private long untilMicros = Long.MAX_VALUE;
+    private Runnable onLateWrite = NOTHING;
 
     TimedChannel(Clock clock) {
         this.clock = clock;
     }
 
     /**
-     * For the next write, in µs of the clock: from then on it fails, and the connection is closed.
+     * Limits the next write only: from {@code micros} of the clock on it fails, and the connection is closed.
      *
-     * @param heldUp runs where the write left, and that time was over when the system call had returned
+     * @param late runs where the bytes left, but that time was over when the system call had returned
      */
-    void within(long time, Runnable heldUp) {
-        until = time;
-        late = heldUp;
+    void limitNextWrite(long micros, Runnable late) {
+        untilMicros = micros;
+        onLateWrite = late;
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-        long time = until;
-        Runnable told = late;
-        until = Long.MAX_VALUE; // what has begun goes on
-        late = NOTHING;
-        if (clock.now() >= time) {
+        long limitMicros = untilMicros;
+        Runnable late = onLateWrite;
+        untilMicros = Long.MAX_VALUE; // what has begun continues
+        onLateWrite = NOTHING;
+        if (clock.now() >= limitMicros) {
             throw new IOException("too late to be begun");
         }
         super.doWrite(out);
-        if (clock.now() >= time) {
-            told.run();
+        if (clock.now() >= limitMicros) {
+            late.run();
         }
     }
 }
--- a/src/test/java/loadbalancer/upstream/http1/AttemptOutcomeRulesTest.java
+++ b/src/test/java/loadbalancer/upstream/http1/AttemptOutcomeRulesTest.java
@@ -6,20 +6,23 @@
 import loadbalancer.policy.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
+/** What the end of an attempt over HTTP/1.1 proves. */
 class AttemptOutcomeRulesTest {
     @Test
-    void onlyWhatWasWrittenWholeMayHaveRunAndOnlyThenCanItHaveBeenServed() {
-        assertTrue(AttemptOutcomeRules.broken(false).neverRan());
-        assertFalse(AttemptOutcomeRules.broken(true).neverRan());
+    void onlyARequestThatWasSentCompletelyMayHaveRunOrBeenServed() {
+        assertTrue(AttemptOutcomeRules.onConnectionLost(false).neverRan());
+        assertFalse(AttemptOutcomeRules.onConnectionLost(true).neverRan());
         assertTrue(AttemptOutcomeRules.isForged(Outcome.OK, false));
         assertFalse(AttemptOutcomeRules.isForged(Outcome.OK, true));
-        assertFalse(AttemptOutcomeRules.isForged(Outcome.FULL, false), "an early refusal is one");
+        assertFalse(AttemptOutcomeRules.isForged(Outcome.FULL, false), "an early refusal is a response");
     }
 
     @Test
-    void whatAnUpstreamEndsAtRestIsGoneOverAndWhatItMayHaveSeenIsNot() {
-        assertTrue(AttemptOutcomeRules.goesOver(true, false));
-        assertFalse(AttemptOutcomeRules.goesOver(true, true), "it may have some of it");
-        assertFalse(AttemptOutcomeRules.goesOver(false, false), "it has never stood: that upstream does not answer");
+    void anAttemptMovesFromAClosedIdleConnectionUnlessItHasStarted() {
+        assertTrue(AttemptOutcomeRules.mayMoveToAnotherConnection(true, false));
+        assertFalse(AttemptOutcomeRules.mayMoveToAnotherConnection(true, true), "the upstream may have some of it");
+        assertFalse(
+                AttemptOutcomeRules.mayMoveToAnotherConnection(false, false),
+                "it never opened: that upstream does not answer");
     }
 }
