--- a/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
@@ -3,27 +3,16 @@
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http3.DefaultHttp3DataFrame;
 import io.netty.handler.codec.http3.DefaultHttp3HeadersFrame;
-import io.netty.handler.codec.http3.Http3DataFrame;
 import io.netty.handler.codec.http3.Http3Headers;
-import io.netty.handler.codec.http3.Http3HeadersFrame;
-import io.netty.handler.codec.http3.Http3RequestStreamInboundHandler;
-import io.netty.handler.codec.quic.QuicException;
 import io.netty.handler.codec.quic.QuicStreamChannel;
-import io.netty.util.ReferenceCountUtil;
-import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.http3.AttemptOutcomes;
 import loadbalancer.http3.AttemptOutcomes.How;
-import loadbalancer.http3.HeaderValidator;
 import loadbalancer.http3.Http3ConnectionPlan;
 import loadbalancer.http3.Http3ErrorCodes;
-import loadbalancer.http3.MalformedMessageException;
-import loadbalancer.http3.MessageState;
-import loadbalancer.http3.codec.AggregatedBody;
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.FinalFrame;
 import loadbalancer.http3.codec.Http3HeaderFields;
@@ -35,117 +24,153 @@
 import loadbalancer.proxy.SendGuard;
 import loadbalancer.proxy.SendPermit;
 import loadbalancer.proxy.UpstreamResponse;
-import loadbalancer.settings.LoadReport;
+import loadbalancer.upstream.HealthCheck;
 
-/** One attempt on a stream of its own, and how it ends. On the event loop. */
+/**
+ * One attempt on a request stream of its own. It notifies its listener of its end once, unless it is cancelled
+ * or withdrawn before. On the event loop.
+ */
 final class Http3Attempt implements AttemptTransport.Attempt {
-    private final Http3AttemptTransport owner;
-    private final Http3Upstream box;
-    private final ProxyRequest order;
-    private final long waitMillis; // 0: not told to the upstream
-    private final long before; // µs: from then on it is not begun
+    private static final long NO_CODE = -1;
+    private static final long NO_DEADLINE_HEADER = 0;
+
+    private final Http3AttemptTransport transport;
+    private final Http3Upstream upstream;
+    private final ProxyRequest request;
+    private final long waitMillis; // 0: the upstream is sent no deadline
+    private final long startBeforeMicros; // from then on it may not start
     private final AttemptTransport.Listener listener;
-    private final MessageState state = new MessageState(ProxyRequest.BODY_MOST);
     private Http3UpstreamConnection connection;
-    private QuicStreamChannel stream;
-    private Future<?> timer;
-    private boolean given; // the request's last byte is with the QUIC stack
+    private QuicStreamChannel stream; // null before its first byte
+    private Future<?> timeout;
+    private boolean requestSent; // its last byte has been handed to the QUIC stack
     private boolean ended;
-    private Http3Headers headers;
-    private int status;
-    private final AggregatedBody body = new AggregatedBody();
 
-    Http3Attempt(
-            Http3AttemptTransport owner,
-            Http3Upstream box,
-            ProxyRequest order,
+    private Http3Attempt(
+            Http3AttemptTransport transport,
+            Http3Upstream upstream,
+            ProxyRequest request,
             long waitMillis,
-            long before,
+            long startBeforeMicros,
             AttemptTransport.Listener listener) {
-        this.before = before;
-        this.owner = owner;
-        this.box = box;
-        this.order = order;
+        this.transport = transport;
+        this.upstream = upstream;
+        this.request = request;
         this.waitMillis = waitMillis;
+        this.startBeforeMicros = startBeforeMicros;
         this.listener = listener;
     }
 
-    void on(Http3UpstreamConnection channel) {
-        connection = channel;
+    /** An attempt of a client's request; {@code waitMillis} is at least 1. */
+    static Http3Attempt ofRequest(
+            Http3AttemptTransport transport,
+            Http3Upstream upstream,
+            ProxyRequest request,
+            long waitMillis,
+            long startBeforeMicros,
+            AttemptTransport.Listener listener) {
+        return new Http3Attempt(transport, upstream, request, waitMillis, startBeforeMicros, listener);
+    }
+
+    /** A health check, which has no deadline of a client. */
+    static Http3Attempt ofHealthCheck(
+            Http3AttemptTransport transport,
+            Http3Upstream upstream,
+            ProxyRequest request,
+            AttemptTransport.Listener listener) {
+        return new Http3Attempt(transport, upstream, request, NO_DEADLINE_HEADER, Long.MAX_VALUE, listener);
+    }
+
+    /** It waits for this connection, or is being sent on it. */
+    void assignTo(Http3UpstreamConnection carrier) {
+        connection = carrier;
     }
 
-    void giveUpAfter(long micros) {
-        timer = owner.loop.schedule(
+    /** Gives up after that time: as timed out where the request has been sent, as not connected otherwise. */
+    void timeoutAfter(long micros) {
+        timeout = transport.loop.schedule(
                 () -> {
                     if (!ended) {
-                        boolean asked = cancel() == AttemptEffect.MAY_HAVE_RUN;
-                        listener.ended(asked ? Policy.Outcome.TIMEOUT : Policy.Outcome.CONNECT_FAILED, null, null);
+                        boolean sent = cancel() == AttemptEffect.MAY_HAVE_RUN;
+                        listener.ended(sent ? Policy.Outcome.TIMEOUT : Policy.Outcome.CONNECT_FAILED, null, null);
                     }
                 },
                 micros,
                 TimeUnit.MICROSECONDS);
     }
 
-    boolean isOpen() {
+    /** Whether it has a stream, on which some of the request has been written. */
+    boolean hasStream() {
         return stream != null;
     }
 
-    boolean beyond(Http3ConnectionPlan.PlannedConnection link) {
-        return stream != null && link.beyond(stream.streamId());
+    /** Whether the peer's GOAWAY promises that the stream has not been processed (RFC 9114, section 5.2). */
+    boolean isBeyondGoAway(Http3ConnectionPlan.PlannedConnection planned) {
+        return stream != null && planned.beyond(stream.streamId());
     }
 
-    boolean isOver() {
+    boolean hasEnded() {
         return ended;
     }
 
-    /** The look before its first byte; its client may have closed, and then it is over. */
-    SendPermit permit(long stopAt) {
-        long awaitedUntil = ended ? SendGuard.NOBODY : listener.awaitedUntil();
-        return SendGuard.decide(owner.clock.now(), awaitedUntil, before, stopAt, false, owner.news.graceHolds());
+    /** Decides right before the first byte; its client may turn out to be disconnected, and then it has ended. */
+    SendPermit decide(long stopAtMicros) {
+        long awaitedUntilMicros = ended ? SendGuard.NOBODY : listener.awaitedUntil();
+        return SendGuard.decide(
+                transport.clock.now(),
+                awaitedUntilMicros,
+                startBeforeMicros,
+                stopAtMicros,
+                false,
+                transport.updates.graceHolds());
     }
 
-    void opened(QuicStreamChannel on, SendPermit permit) {
-        if (ended) { // given up meanwhile
-            CodecErrors.reset(on, Http3ErrorCodes.REQUEST_CANCELLED);
+    /** Sends the request on its stream, unless the permit has expired since it was granted. */
+    void send(QuicStreamChannel opened, SendPermit permit) {
+        if (ended) { // cancelled meanwhile
+            CodecErrors.reset(opened, Http3ErrorCodes.REQUEST_CANCELLED);
             return;
         }
-        if (owner.clock.now() >= permit.until()) {
-            CodecErrors.reset(on, Http3ErrorCodes.REQUEST_CANCELLED);
-            end(Policy.Outcome.NOT_SENT, null, null);
+        if (transport.clock.now() >= permit.until()) {
+            CodecErrors.reset(opened, Http3ErrorCodes.REQUEST_CANCELLED);
+            end(Policy.Outcome.NOT_SENT);
             return;
         }
-        stream = on;
-        on.closeFuture().addListener(closed -> ended(How.CONNECTION_LOST, -1));
-        Http3Headers out = Http3HeaderFields.request(order, Addresses.text(box.endpoint()), waitMillis);
-        FinalFrame end = new FinalFrame();
-        on.pipeline().addFirst(end);
-        end.last();
-        ChannelFuture last = on.write(new DefaultHttp3HeadersFrame(out));
-        if (order.body().length > 0) {
-            last = on.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(order.body())));
+        stream = opened;
+        opened.closeFuture().addListener(closed -> fail(How.CONNECTION_LOST, NO_CODE));
+        Http3Headers headers = Http3HeaderFields.request(request, Addresses.text(upstream.endpoint()), waitMillis);
+        FinalFrame finalFrame = new FinalFrame();
+        opened.pipeline().addFirst(finalFrame);
+        finalFrame.last();
+        ChannelFuture lastWrite = opened.write(new DefaultHttp3HeadersFrame(headers));
+        if (request.body().length > 0) {
+            lastWrite = opened.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(request.body())));
         }
         // From here on the upstream may have all of it, and may begin with it.
-        last.addListener(done -> {
-            given |= done.isSuccess();
-            if (!done.isSuccess()) { // told at once, not when its time is up
-                ended(How.STREAM_RESET, -1);
+        lastWrite.addListener(done -> {
+            requestSent |= done.isSuccess();
+            if (!done.isSuccess()) { // at once, not when its time is up
+                fail(How.STREAM_RESET, NO_CODE);
             }
         });
-        on.flush();
+        opened.flush();
     }
 
-    /** Stops waiting and tells nobody; the upstream is asked to stop as well (RFC 9114, section 4.1.1). */
+    /**
+     * Stops waiting without notifying the listener; the upstream is asked to stop as well (RFC 9114, section
+     * 4.1.1).
+     */
     @Override
     public AttemptEffect cancel() {
         if (ended) {
             return AttemptEffect.NEVER_RAN;
         }
-        AttemptEffect fate = given ? AttemptEffect.MAY_HAVE_RUN : AttemptEffect.NEVER_RAN;
-        over();
+        AttemptEffect effect = requestSent ? AttemptEffect.MAY_HAVE_RUN : AttemptEffect.NEVER_RAN;
+        markEnded();
         if (stream != null) {
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
-        return fate;
+        return effect;
     }
 
     @Override
@@ -157,118 +182,49 @@
         return true;
     }
 
-    private void over() {
+    private void markEnded() {
         ended = true;
-        if (timer != null) {
-            timer.cancel(false);
+        if (timeout != null) {
+            timeout.cancel(false);
         }
         if (connection != null) {
-            connection.released(this);
+            connection.release(this);
         }
     }
 
-    /** It has ended without an answer. */
-    void ended(How how, long code) {
+    /** Ends without a response; {@code code} is the peer's, -1 where it sent none. */
+    void fail(How how, long code) {
         if (!ended) {
-            Policy.Outcome outcome = AttemptOutcomes.outcome(how, given, code);
-            end(outcome, null, null);
+            end(AttemptOutcomes.outcome(how, requestSent, code));
             if (stream != null) {
                 CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
             }
         }
     }
 
-    void end(Policy.Outcome outcome, UpstreamResponse answer, Policy.Load load) {
-        if (!ended) {
-            over();
-            listener.ended(outcome, answer, load);
+    /** Ends with a complete response. */
+    void complete(UpstreamResponse response) {
+        boolean healthCheck = waitMillis == NO_DEADLINE_HEADER;
+        end(response.outcome(), response, HealthCheck.reportedLoad(response, healthCheck));
+        if (!requestSent) { // an early response: the rest of the request is not sent any more
+            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
-    ChannelHandler reader() {
-        return new Reader();
+    /** Ends without a response, and with no stream to reset. */
+    void end(Policy.Outcome outcome) {
+        end(outcome, null, null);
     }
 
-    private void answered() {
-        byte[] all = body.all();
-        UpstreamResponse answer = new UpstreamResponse(status, new Http3HeaderFields(headers), all);
-        String report = answer.fields().get("Srv-Load");
-        if (report == null && waitMillis == 0) {
-            report = new String(all, StandardCharsets.UTF_8); // of a probe
-        }
-        end(answer.outcome(), answer, LoadReport.parse(report));
-        if (!given) { // an early answer: the rest is not sent any more
-            CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
+    private void end(Policy.Outcome outcome, UpstreamResponse response, Policy.Load load) {
+        if (!ended) {
+            markEnded();
+            listener.ended(outcome, response, load);
         }
     }
 
-    /** Reads the answer: heads of the 1xx kind are passed over, trailers too. */
-    private final class Reader extends Http3RequestStreamInboundHandler {
-        @Override
-        protected void channelRead(ChannelHandlerContext context, Http3HeadersFrame frame) {
-            if (ended) {
-                return;
-            }
-            try {
-                if (!state.headless()) {
-                    HeaderValidator.trailers(frame.headers());
-                    state.trailers();
-                    return;
-                }
-                HeaderValidator.Status head = HeaderValidator.response(frame.headers());
-                if (head.status() >= 200) {
-                    headers = frame.headers();
-                    status = head.status();
-                    state.head(head.length());
-                    if (state.announcesTooMuch()) {
-                        ended(How.TOO_LONG, -1);
-                    }
-                }
-            } catch (MalformedMessageException e) {
-                ended(How.BAD_ANSWER, -1);
-            }
-        }
-
-        @Override
-        protected void channelRead(ChannelHandlerContext context, Http3DataFrame frame) {
-            try {
-                if (ended) {
-                    return;
-                }
-                if (!state.data(frame.content().readableBytes())) {
-                    ended(How.TOO_LONG, -1);
-                    return;
-                }
-                body.add(frame.content());
-            } catch (MalformedMessageException e) {
-                ended(How.BAD_ANSWER, -1);
-            } finally {
-                ReferenceCountUtil.release(frame);
-            }
-        }
-
-        @Override
-        protected void channelInputClosed(ChannelHandlerContext context) {
-            if (ended) {
-                return;
-            }
-            try {
-                state.end();
-                answered();
-            } catch (MalformedMessageException e) {
-                ended(How.BAD_ANSWER, -1);
-            }
-        }
-
-        @Override
-        protected void handleQuicException(ChannelHandlerContext context, QuicException cause) {
-            ended(How.STREAM_RESET, CodecErrors.code(cause));
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            long code = CodecErrors.code(cause);
-            ended(code >= 0 ? How.STREAM_RESET : How.BAD_ANSWER, code);
-        }
+    /** The handler of its stream, which reads the response. */
+    ChannelHandler responseDecoder() {
+        return new Http3ResponseDecoder(this);
     }
 }
--- a/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
@@ -1,6 +1,7 @@
 package loadbalancer.upstream.http3;
 
 import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
@@ -29,20 +30,25 @@
 import loadbalancer.proxy.Clock;
 import loadbalancer.proxy.DrainGrace;
 import loadbalancer.proxy.EndpointUpdate;
-import loadbalancer.proxy.HeaderFields;
 import loadbalancer.proxy.PendingUpdates;
 import loadbalancer.proxy.ProxyRequest;
 import loadbalancer.settings.SettingsReader;
+import loadbalancer.upstream.HealthCheck;
 
 /**
- * Attempts over HTTP/3 to those upstreams that speak it, over another carrier to all others and where HTTP/3
- * fails for a while: a request that may have run on one is never carried by the other as the same attempt.
- * One UDP socket for all upstreams. On the event loop.
+ * Attempts over HTTP/3 to those upstreams that speak it, and over another transport to all others and while
+ * HTTP/3 fails: a request that may have run over one is never sent over the fallback as the same attempt. One
+ * UDP socket for all upstreams of an address family. On the event loop.
  */
 public final class Http3AttemptTransport implements AttemptTransport {
     /**
-     * {@code trust}: who signs their certificates; {@code serverName}: null where these name addresses;
-     * {@code named}: whether they are held to it; {@code idle} in ms.
+     * What holds for all connections.
+     *
+     * @param plan how many connections and streams there may be to one upstream
+     * @param trust the certificates of those who sign the upstreams'
+     * @param serverName the name in the upstreams' certificates; null where they name addresses
+     * @param idle the idle timeout of a connection, in ms (RFC 9000, section 10.1)
+     * @param named whether the name in a certificate is verified
      */
     public record Limits(
             Http3ConnectionPlan.Limits plan,
@@ -51,45 +57,49 @@
             long idle,
             boolean named) {}
 
-    private static final long LOOK_MS = 250; // between looks for connections at rest
-    private static final long FAREWELL_MS = 100; // for the last packets to leave
-    private static final long CONNECT = 1_000_000; // µs, where the settings give no limit
-    private static final long WINDOW = 16L * ProxyRequest.BODY_MOST;
-    private static final int CONTROL_STREAMS = 3;
-    private static final int CONTROL_WINDOW = 4 * 1024;
-    private static final int DATAGRAM = 1_350;
     static final AttributeKey<InetSocketAddress> PEER = AttributeKey.valueOf("loadbalancer.http3.peer");
 
+    private static final long SWEEP_MILLIS = 250; // between two looks for idle connections
+    private static final long CLOSE_MILLIS = 100; // for the last packets to leave
+    private static final long DEFAULT_CONNECT_MICROS = 1_000_000; // where the settings give no limit
+    private static final long CONNECTION_WINDOW_BYTES = 16L * ProxyRequest.BODY_MOST;
+    private static final int MAX_UNIDIRECTIONAL_STREAMS = 3; // control and the two of QPACK (RFC 9114, section 6.2)
+    private static final int UNIDIRECTIONAL_WINDOW_BYTES = 4 * 1024;
+    private static final int MAX_DATAGRAM_BYTES = 1_350;
+
     final EventLoop loop;
     final Clock clock;
-    final PendingUpdates news;
+    final PendingUpdates updates;
     final Limits limits;
-    private final AttemptTransport other;
+    private final AttemptTransport fallback;
     private final SettingsReader.Boot boot;
     private final Consumer<String> log;
-    private final Map<String, Http3Upstream> boxes = new HashMap<>();
+    private final Map<String, Http3Upstream> upstreams = new HashMap<>();
     private final QuicSslContext context;
     private final Future<?> sweep;
-    private ChannelFuture socket4;
-    private ChannelFuture socket6;
+    private ChannelFuture ipv4Socket;
+    private ChannelFuture ipv6Socket;
 
     /**
-     * {@code news}: of the list, which comes before what is begun; {@code other} carries what HTTP/3 doesn't,
-     * null: nothing does; {@code log} must not block.
+     * Opens no socket yet.
+     *
+     * @param updates of the endpoint list, which are read before an attempt starts
+     * @param fallback the transport of all that HTTP/3 doesn't carry; null: there is none
+     * @param log takes lines for the operators, and must not block
      */
     public Http3AttemptTransport(
             EventLoop loop,
             SettingsReader.Boot boot,
             Clock clock,
-            PendingUpdates news,
-            AttemptTransport other,
+            PendingUpdates updates,
+            AttemptTransport fallback,
             Limits limits,
             Consumer<String> log) {
         this.loop = loop;
-        this.news = news;
+        this.updates = updates;
         this.boot = boot;
         this.clock = clock;
-        this.other = other;
+        this.fallback = fallback;
         this.limits = limits;
         this.log = log;
         context = QuicSslContextBuilder.forClient()
@@ -98,176 +108,190 @@
                 .applicationProtocols(Http3.supportedApplicationProtocols())
                 .earlyData(false)
                 .build();
-        sweep = loop.scheduleWithFixedDelay(this::closeOld, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        sweep = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     long connectMicros() {
         long limit = boot.settings().limits().connectTimeout();
-        return limit > 0 ? limit : CONNECT;
+        return limit > 0 ? limit : DEFAULT_CONNECT_MICROS;
     }
 
     void log(String line) {
         log.accept(line);
     }
 
-    // One socket for all upstreams of a family of addresses, opened with the first use.
+    /** The socket of all upstreams of the address family of {@code to}; opened with the first use. */
     ChannelFuture socket(InetSocketAddress to) {
-        boolean six = to.getAddress() instanceof Inet6Address;
-        ChannelFuture bound = six ? socket6 : socket4;
+        boolean ipv6 = to.getAddress() instanceof Inet6Address;
+        ChannelFuture bound = ipv6 ? ipv6Socket : ipv4Socket;
         if (bound != null && bound.channel().isOpen()) {
             return bound;
         }
         ChannelHandler codec = Http3.newQuicClientCodecBuilder()
                 .sslEngineProvider(connection -> engine(connection.attr(PEER).get(), connection.alloc()))
                 .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
-                .maxSendUdpPayloadSize(DATAGRAM)
-                .maxRecvUdpPayloadSize(DATAGRAM)
-                .initialMaxData(WINDOW)
+                .maxSendUdpPayloadSize(MAX_DATAGRAM_BYTES)
+                .maxRecvUdpPayloadSize(MAX_DATAGRAM_BYTES)
+                .initialMaxData(CONNECTION_WINDOW_BYTES)
                 .initialMaxStreamDataBidirectionalLocal(ProxyRequest.BODY_MOST)
-                .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
-                .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
+                .initialMaxStreamDataUnidirectional(UNIDIRECTIONAL_WINDOW_BYTES)
+                .initialMaxStreamsUnidirectional(MAX_UNIDIRECTIONAL_STREAMS)
                 .initialMaxStreamsBidirectional(0)
                 .build();
         bound = new Bootstrap()
                 .group(loop)
                 .channelFactory(
-                        () -> new NioDatagramChannel(six ? SocketProtocolFamily.INET6 : SocketProtocolFamily.INET))
+                        () -> new NioDatagramChannel(ipv6 ? SocketProtocolFamily.INET6 : SocketProtocolFamily.INET))
                 .handler(codec)
-                .bind(new InetSocketAddress(six ? "::" : "0.0.0.0", 0));
-        if (six) {
-            socket6 = bound;
+                .bind(new InetSocketAddress(ipv6 ? "::" : "0.0.0.0", 0));
+        if (ipv6) {
+            ipv6Socket = bound;
         } else {
-            socket4 = bound;
+            ipv4Socket = bound;
         }
         return bound;
     }
 
-    private QuicSslEngine engine(InetSocketAddress peer, io.netty.buffer.ByteBufAllocator alloc) {
+    private QuicSslEngine engine(InetSocketAddress peer, ByteBufAllocator allocator) {
         String name = limits.serverName() == null ? peer.getAddress().getHostAddress() : limits.serverName();
-        return context.newEngine(alloc, name, peer.getPort());
+        return context.newEngine(allocator, name, peer.getPort());
     }
 
-    // ---------------------------------------------------------------- the list
+    // ---------------------------------------------------------------- the endpoint list
 
     @Override
-    public void updateEndpoints(EndpointUpdate targets, long now) {
-        if (other != null) {
-            other.updateEndpoints(targets, now);
+    public void updateEndpoints(EndpointUpdate update, long nowMicros) {
+        if (fallback != null) {
+            fallback.updateEndpoints(update, nowMicros);
+        }
+        Set<String> listed = new HashSet<>();
+        for (EndpointUpdate.Endpoint entry : update.list()) {
+            listed.add(entry.server().id());
+            updateEndpoint(entry, nowMicros);
+        }
+        if (update.all()) {
+            upstreams.values().stream()
+                    .filter(upstream -> !listed.contains(upstream.id()))
+                    .forEach(upstream -> drain(upstream, nowMicros));
+        }
+    }
+
+    private void updateEndpoint(EndpointUpdate.Endpoint entry, long nowMicros) {
+        String id = entry.server().id();
+        Http3Upstream upstream = upstreams.get(id);
+        if (upstream != null && !upstream.endpoint().equals(entry.http3())) {
+            upstream.retire();
+            upstreams.remove(id);
+            upstream = null;
+        }
+        if (upstream == null && entry.http3() != null) {
+            upstream = new Http3Upstream(this, id, entry.http3(), new Http3ConnectionPlan(limits.plan()));
+            upstreams.put(id, upstream);
         }
-        Set<String> named = new HashSet<>();
-        for (EndpointUpdate.Endpoint t : targets.list()) {
-            String id = t.server().id();
-            named.add(id);
-            Http3Upstream box = boxes.get(id);
-            if (box != null && !box.endpoint().equals(t.http3())) {
-                box.retire();
-                boxes.remove(id);
-                box = null;
-            }
-            if (box == null && t.http3() != null) {
-                box = new Http3Upstream(this, id, t.http3(), new Http3ConnectionPlan(limits.plan()));
-                boxes.put(id, box);
-            }
-            if (box != null && t.server().state() == State.UP) {
-                box.stopAt(DrainGrace.NEVER);
-            } else if (box != null) {
-                stop(box, now);
-            }
+        if (upstream == null) {
+            return;
         }
-        if (targets.all()) {
-            boxes.values().stream().filter(b -> !named.contains(b.id())).forEach(b -> stop(b, now));
+        if (entry.server().state() == State.UP) {
+            upstream.stopAt(DrainGrace.NEVER);
+        } else {
+            drain(upstream, nowMicros);
         }
     }
 
-    private void stop(Http3Upstream box, long now) {
-        box.stopAt(DrainGrace.stopAt(box.stopAt(), now, boot.settings().bounds().drainGrace()));
+    private void drain(Http3Upstream upstream, long nowMicros) {
+        long graceMicros = boot.settings().bounds().drainGrace();
+        upstream.stopAt(DrainGrace.stopAt(upstream.stopAtMicros(), nowMicros, graceMicros));
     }
 
-    // ---------------------------------------------------------------- attempts and probes
+    // ---------------------------------------------------------------- attempts and health checks
 
     @Override
-    public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
-        Http3Upstream box = boxes.get(server);
-        if (box == null || order.rest() != null && other != null) { // uploads go over HTTP/1.1
-            return other.send(server, order, wait, before, listener);
+    public Attempt send(
+            String server, ProxyRequest request, long waitMicros, long startBeforeMicros, Listener listener) {
+        Http3Upstream upstream = upstreams.get(server);
+        boolean streamedBody = request.rest() != null; // goes over HTTP/1.1
+        if (upstream == null || streamedBody && fallback != null) {
+            return fallback.send(server, request, waitMicros, startBeforeMicros, listener);
         }
-        Http3ConnectionPlan.Choice choice = clock.now() >= box.stopAt() ? null : box.choose();
-        if (choice != null && choice.way() == Http3ConnectionPlan.Way.HTTP1 && other != null) {
-            return other.send(server, order, wait, before, listener);
+        Http3ConnectionPlan.Choice choice = choose(upstream);
+        boolean http3Fails = choice != null && choice.way() == Http3ConnectionPlan.Way.HTTP1;
+        if (http3Fails && fallback != null) {
+            return fallback.send(server, request, waitMicros, startBeforeMicros, listener);
         }
-        Http3Attempt call = new Http3Attempt(this, box, order, Math.max(1, wait / 1000), before, listener);
-        if (choice == null || choice.way() == Http3ConnectionPlan.Way.HTTP1 || order.rest() != null) {
-            call.end(Outcome.NOT_SENT, null, null);
+        Http3Attempt attempt = Http3Attempt.ofRequest(
+                this, upstream, request, Math.max(1, waitMicros / 1000), startBeforeMicros, listener);
+        if (choice == null || http3Fails || streamedBody) {
+            attempt.end(Outcome.NOT_SENT);
         } else {
-            box.carry(choice, call);
+            upstream.start(choice, attempt);
         }
-        return call;
+        return attempt;
+    }
+
+    // Null where the grace of its drain is over.
+    private Http3ConnectionPlan.Choice choose(Http3Upstream upstream) {
+        return clock.now() >= upstream.stopAtMicros() ? null : upstream.choose();
     }
 
     @Override
     public boolean isConnected(String server) {
-        Http3Upstream box = boxes.get(server);
-        if (box != null && !box.plan().isFailing()) {
-            return box.plan().isConnected();
+        Http3Upstream upstream = upstreams.get(server);
+        if (upstream != null && !upstream.plan().isFailing()) {
+            return upstream.plan().isConnected();
         }
-        return other != null && other.isConnected(server);
+        return fallback != null && fallback.isConnected(server);
     }
 
     /** Gives up after the time that a connection may take. */
     @Override
-    public void probe(String server, boolean report, Listener listener) {
-        Http3Upstream box = boxes.get(server);
-        Http3ConnectionPlan.Choice choice = box == null || clock.now() >= box.stopAt() ? null : box.choose();
+    public void probe(String server, boolean withLoadReport, Listener listener) {
+        Http3Upstream upstream = upstreams.get(server);
+        Http3ConnectionPlan.Choice choice = upstream == null ? null : choose(upstream);
         if (choice == null || choice.way() == Http3ConnectionPlan.Way.HTTP1) {
-            other.probe(server, report, listener);
+            fallback.probe(server, withLoadReport, listener);
             return;
         }
-        ProxyRequest order = new ProxyRequest(
-                "",
-                "GET",
-                report ? "/-/load" : "/-/healthy",
-                HeaderFields.NONE,
-                new byte[0],
-                -1,
-                0,
-                null,
-                0,
-                -1,
-                false);
-        Http3Attempt call = new Http3Attempt(this, box, order, 0, Long.MAX_VALUE, listener);
-        call.giveUpAfter(connectMicros());
-        box.carry(choice, call);
+        Http3Attempt attempt =
+                Http3Attempt.ofHealthCheck(this, upstream, HealthCheck.request(withLoadReport), listener);
+        attempt.timeoutAfter(connectMicros());
+        upstream.start(choice, attempt);
     }
 
     @Override
     public void closeIdle(String server) {
-        other.closeIdle(server);
-        Http3Upstream box = boxes.get(server);
-        if (box != null) {
-            box.closeIdle(clock.now());
+        fallback.closeIdle(server);
+        Http3Upstream upstream = upstreams.get(server);
+        if (upstream != null) {
+            upstream.closeIdleSince(clock.now());
         }
     }
 
-    private void closeOld() {
-        long now = clock.now();
-        boxes.values().removeIf(b -> b.stopAt() < now - DrainGrace.FORGET && b.isEmpty());
-        // Well before the upstream's own idle time-out: a request on a dying connection may have run.
-        boxes.values().forEach(b -> b.closeIdle(now - limits.idle() * 1000 / 2));
+    private void sweep() {
+        long nowMicros = clock.now();
+        upstreams
+                .values()
+                .removeIf(upstream -> upstream.stopAtMicros() < nowMicros - DrainGrace.FORGET && upstream.isEmpty());
+        // Well before the upstream's own idle timeout: a request on a connection that is being closed may have run.
+        long idleSinceMicros = nowMicros - limits.idle() * 1000 / 2;
+        upstreams.values().forEach(upstream -> upstream.closeIdleSince(idleSinceMicros));
     }
 
-    /** Ends all connections, whatever they hold, and then their sockets. */
+    /** Closes all connections, whatever they carry, and then their sockets. */
     public void end() {
         sweep.cancel(false);
-        boxes.values().forEach(Http3Upstream::end);
+        upstreams.values().forEach(Http3Upstream::close);
         loop.schedule(
                 () -> {
-                    for (ChannelFuture socket : new ChannelFuture[] {socket4, socket6}) {
-                        if (socket != null) {
-                            socket.channel().close();
-                        }
-                    }
+                    closeSocket(ipv4Socket);
+                    closeSocket(ipv6Socket);
                 },
-                FAREWELL_MS,
+                CLOSE_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
+
+    private static void closeSocket(ChannelFuture socket) {
+        if (socket != null) {
+            socket.channel().close();
+        }
+    }
 }
--- a/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
@@ -5,20 +5,24 @@
 import java.util.List;
 import java.util.Map;
 import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3ConnectionPlan.PlannedConnection;
 import loadbalancer.policy.Policy.Outcome;
 import loadbalancer.proxy.DrainGrace;
 
-/** An upstream that speaks HTTP/3 and the connections to it, as its {@link Http3ConnectionPlan} has them. */
+/**
+ * An upstream that speaks HTTP/3 and the connections to it, as its {@link Http3ConnectionPlan} wants them. On
+ * the event loop.
+ */
 final class Http3Upstream {
-    private final Http3AttemptTransport owner;
+    private final Http3AttemptTransport transport;
     private final String id;
     private final InetSocketAddress endpoint;
     private final Http3ConnectionPlan plan;
-    private final Map<Http3ConnectionPlan.PlannedConnection, Http3UpstreamConnection> channels = new HashMap<>();
-    private long stopAt = DrainGrace.NEVER; // when the grace of its drain is over
+    private final Map<PlannedConnection, Http3UpstreamConnection> connections = new HashMap<>();
+    private long stopAtMicros = DrainGrace.NEVER;
 
-    Http3Upstream(Http3AttemptTransport owner, String id, InetSocketAddress endpoint, Http3ConnectionPlan plan) {
-        this.owner = owner;
+    Http3Upstream(Http3AttemptTransport transport, String id, InetSocketAddress endpoint, Http3ConnectionPlan plan) {
+        this.transport = transport;
         this.id = id;
         this.endpoint = endpoint;
         this.plan = plan;
@@ -32,77 +36,81 @@
         return endpoint;
     }
 
-    Http3AttemptTransport owner() {
-        return owner;
+    Http3AttemptTransport transport() {
+        return transport;
     }
 
     Http3ConnectionPlan plan() {
         return plan;
     }
 
-    long stopAt() {
-        return stopAt;
+    /** From then on no attempt starts: the grace of its drain is over. {@link DrainGrace#NEVER} while it serves. */
+    long stopAtMicros() {
+        return stopAtMicros;
     }
 
-    void stopAt(long at) {
-        stopAt = at;
+    void stopAt(long micros) {
+        stopAtMicros = micros;
     }
 
     boolean isEmpty() {
-        return channels.isEmpty();
+        return connections.isEmpty();
     }
 
+    /** Chooses how the next attempt is sent, and dials where the plan wants another connection. */
     Http3ConnectionPlan.Choice choose() {
-        channels.values().forEach(Http3UpstreamConnection::tellAllowed);
-        Http3ConnectionPlan.Choice choice = plan.choose(owner.clock.now());
+        connections.values().forEach(Http3UpstreamConnection::updateStreamLimit);
+        Http3ConnectionPlan.Choice choice = plan.choose(transport.clock.now());
         if (choice.dial()) {
-            Http3UpstreamConnection channel = new Http3UpstreamConnection(this, choice.link());
-            channels.put(choice.link(), channel);
-            channel.dial();
+            Http3UpstreamConnection connection = new Http3UpstreamConnection(this, choice.link());
+            connections.put(choice.link(), connection);
+            connection.dial();
         }
         return choice;
     }
 
-    void carry(Http3ConnectionPlan.Choice choice, Http3Attempt call) {
+    /** Starts an attempt as chosen, or ends it where that can't be. */
+    void start(Http3ConnectionPlan.Choice choice, Http3Attempt attempt) {
         if (choice.way() == Http3ConnectionPlan.Way.NONE) {
-            call.end(Outcome.NOT_SENT, null, null);
+            attempt.end(Outcome.NOT_SENT);
             return;
         }
-        Http3UpstreamConnection channel = channels.get(choice.link());
-        if (channel == null) { // its dial has failed within the call
-            call.end(Outcome.CONNECT_FAILED, null, null);
+        Http3UpstreamConnection connection = connections.get(choice.link());
+        if (connection == null) { // its dial has failed at once
+            attempt.end(Outcome.CONNECT_FAILED);
         } else {
-            channel.carry(call);
+            connection.start(attempt);
         }
     }
 
-    void closed(Http3ConnectionPlan.PlannedConnection link) {
-        boolean before = plan.isFailing();
-        plan.closed(link, owner.clock.now());
-        channels.remove(link);
-        if (plan.isFailing() && !before) {
-            owner.log("http3 to " + id + " failed: HTTP/1.1 stands in");
+    void onClosed(PlannedConnection planned) {
+        boolean failingBefore = plan.isFailing();
+        plan.closed(planned, transport.clock.now());
+        connections.remove(planned);
+        if (plan.isFailing() && !failingBefore) {
+            transport.log("http3 to " + id + " failed: HTTP/1.1 stands in");
         }
     }
 
-    void closeIdle(long since) {
-        for (Map.Entry<Http3ConnectionPlan.PlannedConnection, Http3UpstreamConnection> e :
-                List.copyOf(channels.entrySet())) {
-            if (e.getKey().idleSince(since)) {
-                plan.retire(e.getKey());
-                e.getValue().end();
+    /** Closes the connections that have had no stream since that time. */
+    void closeIdleSince(long micros) {
+        for (Map.Entry<PlannedConnection, Http3UpstreamConnection> entry : List.copyOf(connections.entrySet())) {
+            if (entry.getKey().idleSince(micros)) {
+                plan.retire(entry.getKey());
+                entry.getValue().close();
             }
         }
     }
 
-    /** Takes nothing new; what it holds goes on. */
+    /** No attempt starts here from now on; those under way continue. */
     void retire() {
-        stopAt = Long.MIN_VALUE;
+        stopAtMicros = Long.MIN_VALUE;
         plan.connections().forEach(plan::retire);
-        closeIdle(Long.MAX_VALUE);
+        closeIdleSince(Long.MAX_VALUE);
     }
 
-    void end() {
-        List.copyOf(channels.values()).forEach(Http3UpstreamConnection::end);
+    /** Closes all connections, whatever they carry. */
+    void close() {
+        List.copyOf(connections.values()).forEach(Http3UpstreamConnection::close);
     }
 }
--- a/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
@@ -21,42 +21,55 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.http3.AttemptOutcomes.How;
-import loadbalancer.http3.Http3ConnectionPlan;
+import loadbalancer.http3.Http3ConnectionPlan.PlannedConnection;
 import loadbalancer.http3.Http3ErrorCodes;
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.UnhandledExceptionHandler;
 import loadbalancer.proxy.SendPermit;
 
-/** One QUIC connection to an upstream: its handshake, its streams, its end. On the event loop. */
+/** One QUIC connection to an upstream: its handshake, its request streams, its end. On the event loop. */
 final class Http3UpstreamConnection {
-    private final Http3Upstream box;
-    private final Http3ConnectionPlan.PlannedConnection link;
-    private final Set<Http3Attempt> calls = new LinkedHashSet<>();
-    private final ArrayDeque<Http3Attempt> waiting = new ArrayDeque<>(); // for the handshake
+    /** What the connection is at; whether it takes new streams its {@link PlannedConnection} knows. */
+    private enum State {
+        /** The handshake is under way. */
+        CONNECTING,
+        /** The handshake is done. */
+        CONNECTED,
+        /** Closed, by whichever side, or never connected. */
+        CLOSED
+    }
+
+    private static final long NO_CODE = -1;
+
+    private final Http3Upstream upstream;
+    private final PlannedConnection planned;
+    private final Set<Http3Attempt> attempts = new LinkedHashSet<>();
+    private final ArrayDeque<Http3Attempt> waitingForHandshake = new ArrayDeque<>();
     private QuicChannel channel;
-    private Future<?> patience;
-    private boolean connected;
-    private boolean over;
+    private Future<?> handshakeTimeout;
+    private State state = State.CONNECTING;
 
-    Http3UpstreamConnection(Http3Upstream box, Http3ConnectionPlan.PlannedConnection link) {
-        this.box = box;
-        this.link = link;
+    Http3UpstreamConnection(Http3Upstream upstream, PlannedConnection planned) {
+        this.upstream = upstream;
+        this.planned = planned;
     }
 
-    /** Begins the handshake; what waits for it when its time is over has not been sent. */
+    // ---------------------------------------------------------------- the handshake
+
+    /** Begins the handshake; the attempts that still wait for it when its time is over have not been sent. */
     void dial() {
-        Http3AttemptTransport owner = box.owner();
-        patience = owner.loop.schedule(
+        Http3AttemptTransport transport = upstream.transport();
+        handshakeTimeout = transport.loop.schedule(
                 () -> {
                     CodecErrors.close(channel, Http3ErrorCodes.NO_ERROR);
-                    lost();
+                    onClosed();
                 },
-                owner.connectMicros(),
+                transport.connectMicros(),
                 TimeUnit.MICROSECONDS);
-        owner.socket(box.endpoint()).addListener((ChannelFuture bound) -> {
+        transport.socket(upstream.endpoint()).addListener((ChannelFuture bound) -> {
             if (!bound.isSuccess()) {
-                lost();
-            } else if (!over) {
+                onClosed();
+            } else if (state != State.CLOSED) {
                 connect(bound.channel());
             }
         });
@@ -64,161 +77,176 @@
 
     private void connect(Channel socket) {
         QuicChannel.newBootstrap(socket)
-                .attr(Http3AttemptTransport.PEER, box.endpoint())
+                .attr(Http3AttemptTransport.PEER, upstream.endpoint())
                 .handler(new ChannelInitializer<QuicChannel>() {
                     @Override
                     protected void initChannel(QuicChannel quic) {
-                        channel = quic;
-                        quic.closeFuture().addListener(closed -> lost());
-                        quic.pipeline()
-                                .addLast(
-                                        new Streams(),
-                                        new Http3ClientConnectionHandler(
-                                                new Control(), null, null, CodecErrors.settings(), true),
-                                        new UnhandledExceptionHandler());
+                        initialize(quic);
                     }
                 })
-                .remoteAddress(box.endpoint())
+                .remoteAddress(upstream.endpoint())
                 .connect()
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        lost();
-                    } else if (over) {
+                        onClosed();
+                    } else if (state == State.CLOSED) {
                         CodecErrors.close(channel, Http3ErrorCodes.NO_ERROR);
                     } else {
-                        connected = true;
-                        upIfSo();
+                        state = State.CONNECTED;
+                        openIfStreamsAllowed();
                     }
                 });
     }
 
-    // Not before the codec has asked the stack how many streams there may be: else it counts down from 0,
-    // asks anew only when it meets 0, and so never again.
-    private void upIfSo() {
-        if (!connected || link.up() || over || left() <= 0) {
+    private void initialize(QuicChannel quic) {
+        channel = quic;
+        quic.closeFuture().addListener(closed -> onClosed());
+        quic.pipeline()
+                .addLast(
+                        new StreamLimitHandler(),
+                        new Http3ClientConnectionHandler(
+                                new ControlStreamHandler(), null, null, CodecErrors.settings(), true),
+                        new UnhandledExceptionHandler());
+    }
+
+    // Not before the codec has asked the QUIC stack how many streams are allowed: else it counts down from 0,
+    // asks again only when it reaches 0, and so never.
+    private void openIfStreamsAllowed() {
+        if (state != State.CONNECTED || planned.up() || allowedStreams() <= 0) {
             return;
         }
-        patience.cancel(false);
-        box.plan().up(link, left(), box.owner().clock.now());
-        for (Http3Attempt call = waiting.poll(); call != null; call = waiting.poll()) {
-            open(call);
+        handshakeTimeout.cancel(false);
+        upstream.plan().up(planned, allowedStreams(), upstream.transport().clock.now());
+        for (Http3Attempt attempt = waitingForHandshake.poll(); attempt != null; attempt = waitingForHandshake.poll()) {
+            startAfterUpdates(attempt);
         }
     }
 
-    private long left() {
+    private long allowedStreams() {
         return channel.peerAllowedStreams(QuicStreamType.BIDIRECTIONAL);
     }
 
-    void tellAllowed() {
-        if (link.up()) {
-            box.plan().allowed(link, left());
+    /** Updates the plan with the number of streams that the peer allows now. */
+    void updateStreamLimit() {
+        if (planned.up()) {
+            upstream.plan().allowed(planned, allowedStreams());
         }
     }
 
-    void carry(Http3Attempt call) {
-        calls.add(call);
-        call.on(this);
-        if (link.up()) {
-            open(call);
+    // ---------------------------------------------------------------- attempts
+
+    /** Starts an attempt now, or once the handshake is done. */
+    void start(Http3Attempt attempt) {
+        attempts.add(attempt);
+        attempt.assignTo(this);
+        if (planned.up()) {
+            startAfterUpdates(attempt);
         } else {
-            waiting.add(call);
+            waitingForHandshake.add(attempt);
         }
     }
 
-    // Never from within a read of a client's connection, and behind news of the list that may lie unread.
-    private void open(Http3Attempt call) {
-        Http3AttemptTransport owner = box.owner();
-        owner.loop.execute(() -> owner.news.afterUpdates(() -> begin(call)));
+    // Never from within a read of a client's connection, and behind updates of the endpoint list that may lie
+    // unread.
+    private void startAfterUpdates(Http3Attempt attempt) {
+        Http3AttemptTransport transport = upstream.transport();
+        transport.loop.execute(() -> transport.updates.afterUpdates(() -> openStream(attempt)));
     }
 
-    private void begin(Http3Attempt call) {
-        SendPermit permit = call.permit(box.stopAt());
-        if (call.isOver()) {
+    private void openStream(Http3Attempt attempt) {
+        SendPermit permit = attempt.decide(upstream.stopAtMicros());
+        if (attempt.hasEnded()) {
             return;
         }
         if (!permit.granted()) {
-            call.end(permit.refusal(), null, null);
+            attempt.end(permit.refusal());
             return;
         }
         // More may have waited than the peer allows. The codec's own refusal would use up the stream's
         // number, which counts at the peer.
-        if (left() <= 0) {
-            call.ended(How.NO_STREAM, -1);
+        if (allowedStreams() <= 0) {
+            attempt.fail(How.NO_STREAM, NO_CODE);
             return;
         }
-        Http3.newRequestStream(channel, call.reader()).addListener(done -> {
+        Http3.newRequestStream(channel, attempt.responseDecoder()).addListener(done -> {
             if (done.isSuccess()) {
-                call.opened((QuicStreamChannel) done.getNow(), permit);
+                attempt.send((QuicStreamChannel) done.getNow(), permit);
             } else {
-                call.ended(How.NO_STREAM, -1);
+                attempt.fail(How.NO_STREAM, NO_CODE);
             }
         });
     }
 
-    /** The call is over, one way or another. */
-    void released(Http3Attempt call) {
-        if (calls.remove(call)) {
-            waiting.remove(call);
-            box.plan().released(link, box.owner().clock.now());
-            if (link.idleSince(Long.MIN_VALUE)) { // nothing is left on one that is going
-                end();
-            }
+    /** The attempt has ended, one way or another. */
+    void release(Http3Attempt attempt) {
+        if (attempts.remove(attempt)) {
+            waitingForHandshake.remove(attempt);
+            upstream.plan().released(planned, upstream.transport().clock.now());
+            closeIfDrained();
+        }
+    }
+
+    // ---------------------------------------------------------------- the end
+
+    // Of a connection that takes no new streams: nothing is left on it.
+    private void closeIfDrained() {
+        if (planned.idleSince(Long.MIN_VALUE)) {
+            close();
         }
     }
 
-    private void goAway(long id) {
-        if (!box.plan().goAway(link, id)) {
+    private void onGoAway(long id) {
+        if (!upstream.plan().goAway(planned, id)) {
             CodecErrors.close(channel, Http3ErrorCodes.ID_ERROR);
             return;
         }
-        for (Http3Attempt call : new ArrayList<>(calls)) {
-            if (call.beyond(link)) {
-                call.ended(How.BEYOND_GOAWAY, -1);
+        for (Http3Attempt attempt : new ArrayList<>(attempts)) {
+            if (attempt.isBeyondGoAway(planned)) {
+                attempt.fail(How.BEYOND_GOAWAY, NO_CODE);
             }
         }
-        if (link.idleSince(Long.MIN_VALUE)) {
-            end();
-        }
+        closeIfDrained();
     }
 
-    // What became of each call is told once; those that wait have not been sent.
-    private void lost() {
-        if (over) {
+    // Each attempt ends once; those that wait have not been sent.
+    private void onClosed() {
+        if (state == State.CLOSED) {
             return;
         }
-        over = true;
-        patience.cancel(false);
-        box.closed(link);
-        for (Http3Attempt call : List.copyOf(calls)) {
-            call.ended(call.isOpen() ? How.CONNECTION_LOST : How.NOT_CONNECTED, -1);
+        state = State.CLOSED;
+        handshakeTimeout.cancel(false);
+        upstream.onClosed(planned);
+        for (Http3Attempt attempt : List.copyOf(attempts)) {
+            attempt.fail(attempt.hasStream() ? How.CONNECTION_LOST : How.NOT_CONNECTED, NO_CODE);
         }
     }
 
-    void end() {
+    /** Closes the connection, whatever it carries. */
+    void close() {
         if (channel == null) {
-            lost();
+            onClosed();
         } else {
             CodecErrors.close(channel, Http3ErrorCodes.NO_ERROR);
         }
     }
 
-    /** What the peer allows changes as streams end (MAX_STREAMS, RFC 9000, section 19.11). */
-    private final class Streams extends ChannelInboundHandlerAdapter {
+    /** The peer allows more streams as others end (MAX_STREAMS, RFC 9000, section 19.11). */
+    private final class StreamLimitHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof QuicStreamLimitChangedEvent) {
-                upIfSo();
+                openIfStreamsAllowed();
             }
             context.fireUserEventTriggered(event);
         }
     }
 
-    /** The peer's control stream (RFC 9114, section 6.2.1). */
-    private final class Control extends ChannelInboundHandlerAdapter {
+    /** Reads the peer's control stream (RFC 9114, section 6.2.1). */
+    private final class ControlStreamHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object frame) {
-            if (frame instanceof Http3GoAwayFrame going) {
-                goAway(going.id());
+            if (frame instanceof Http3GoAwayFrame goAway) {
+                onGoAway(goAway.id());
             }
             ReferenceCountUtil.release(frame);
         }
