--- a/src/main/java/loadbalancer/http1/BodyReader.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -3,39 +3,43 @@
 import io.netty.channel.Channel;
 import loadbalancer.proxy.BodyStream;
 
-/** A long body as it is read off a connection; it has one taker, once. On the event loop. */
+/**
+ * A long body as it is read off a connection, for one subscriber. While the subscriber is not ready, reads of
+ * the connection stop. On the event loop.
+ */
 public abstract class BodyReader implements BodyStream {
     private final Channel channel;
-    private Taker taker;
+    private Taker subscriber;
 
+    /** A body that is read off {@code channel}. */
     protected BodyReader(Channel channel) {
         this.channel = channel;
     }
 
-    /** Who takes it; null before it has one. */
+    /** Whom the body is handed to; null before it has a subscriber. */
     public final Taker taker() {
-        return taker;
+        return subscriber;
     }
 
     @Override
     public final boolean started() {
-        return taker != null;
+        return subscriber != null;
     }
 
     @Override
-    public final void subscribe(Taker to) {
-        if (taker != null) {
+    public final void subscribe(Taker taker) {
+        if (subscriber != null) {
             throw new IllegalStateException("taken before");
         }
-        taker = to;
+        subscriber = taker;
         begin();
     }
 
-    /** It has its taker. */
+    /** Called once it has its subscriber. */
     protected void begin() {}
 
     @Override
-    public final void setReady(boolean room) {
-        channel.config().setAutoRead(room);
+    public final void setReady(boolean ready) {
+        channel.config().setAutoRead(ready);
     }
 }
--- a/src/main/java/loadbalancer/http1/BodyWriter.java
+++ b/src/main/java/loadbalancer/http1/BodyWriter.java
@@ -8,37 +8,44 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** Writes a long message to a connection, within a bounded window. On the event loop. */
+/**
+ * Writes a long message to a connection, within a bounded window: its caller stops while {@link #room} is
+ * false. On the event loop.
+ */
 public final class BodyWriter {
-    private static final WriteBufferWaterMark WINDOW = new WriteBufferWaterMark(32 << 10, 64 << 10);
+    private static final int LOW_WATER_MARK_BYTES = 32 << 10;
+    private static final int HIGH_WATER_MARK_BYTES = 64 << 10;
+    private static final WriteBufferWaterMark WINDOW =
+            new WriteBufferWaterMark(LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES);
 
     private final Channel channel;
-    private boolean flushing;
-    private long written;
+    private boolean flushScheduled;
+    private long writtenBytes;
 
+    /** A writer to {@code channel}, whose write window it sets. */
     public BodyWriter(Channel channel) {
         this.channel = channel;
         channel.config().setWriteBufferWaterMark(WINDOW);
     }
 
-    /** The head, and what is there of the body. */
-    public void begin(HttpMessage head, byte[] body) {
+    /** Writes the head, and the first bytes of the body. */
+    public void begin(HttpMessage head, byte[] firstBytes) {
         channel.write(head);
-        write(body);
+        write(firstBytes);
     }
 
-    /** A piece, which is flushed with all others that come in the same turn of the loop. */
+    /** Writes a piece, which is flushed with all others of the same pass of the event loop. */
     public ChannelFuture write(byte[] piece) {
-        written += piece.length;
-        ChannelFuture left = channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(piece)));
-        if (!flushing) {
-            flushing = true;
+        writtenBytes += piece.length;
+        ChannelFuture written = channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(piece)));
+        if (!flushScheduled) {
+            flushScheduled = true;
             channel.eventLoop().execute(() -> {
-                flushing = false;
+                flushScheduled = false;
                 channel.flush();
             });
         }
-        return left;
+        return written;
     }
 
     /** Whether more may be written now. */
@@ -46,13 +53,13 @@
         return channel.isWritable();
     }
 
-    /** The last byte. */
+    /** Writes the end of the message, and flushes it. */
     public ChannelFuture end() {
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** Something that changes whenever bytes come in here or leave. */
+    /** A number that changes whenever bytes are written here or leave for the network. */
     public long progress() {
-        return written - channel.bytesBeforeWritable();
+        return writtenBytes - channel.bytesBeforeWritable();
     }
 }
--- a/src/main/java/loadbalancer/http1/Http1HeaderFields.java
+++ b/src/main/java/loadbalancer/http1/Http1HeaderFields.java
@@ -12,11 +12,12 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * The fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1 they
- * go on as they are: {@link #of} hands them out, and translates only what came by another protocol.
+ * The header fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1
+ * they are forwarded as they are: {@link #of} hands them out, and translates only what came by another protocol.
+ * On the event loop.
  */
 public final class Http1HeaderFields implements HeaderFields {
-    // Not strings: these keep the hash that each look-up takes.
+    // Not strings: these cache the hash that each look-up needs.
     private static final AsciiString[] HOP_BY_HOP = Stream.of(
                     "connection",
                     "keep-alive",
@@ -34,22 +35,23 @@
             .toArray(AsciiString[]::new);
 
     private final HttpHeaders headers;
-    private boolean hostless; // no Host came: each carrier names its own
+    private boolean withoutHost; // the client sent no Host: each upstream is named in its place
 
+    /** The fields in {@code headers}, which are not copied. */
     public Http1HeaderFields(HttpHeaders headers) {
         this.headers = headers;
     }
 
     /**
-     * What a carrier over HTTP/1.1 writes for such fields: not a copy where they came by HTTP/1.1, so that
-     * a carrier sets its own connection's fields anew for each attempt, and writes them out before the next.
+     * The headers that are written for such fields over HTTP/1.1. Not a copy where they came by HTTP/1.1: each
+     * attempt sets the fields of its own connection anew, and is encoded before the next one.
      *
-     * @param host the upstream, for a request that names no host
+     * @param host the Host of a request that names none: the upstream
      */
     public static HttpHeaders of(HeaderFields fields, String host) {
         if (fields instanceof Http1HeaderFields own) {
-            own.hostless = own.hostless || !own.headers.contains(HttpHeaderNames.HOST);
-            if (own.hostless) {
+            own.withoutHost = own.withoutHost || !own.headers.contains(HttpHeaderNames.HOST);
+            if (own.withoutHost) {
                 own.headers.set(HttpHeaderNames.HOST, host);
             }
             return own.headers;
@@ -62,12 +64,16 @@
         return headers;
     }
 
-    /** Takes those away that belong to one connection only (RFC 9110, section 7.6.1), and the deadline. */
+    /**
+     * Removes the fields that belong to one connection only (RFC 9110, section 7.6.1), and the deadline.
+     *
+     * @return this
+     */
     public Http1HeaderFields endToEnd() {
         List<String> connection = headers.getAll(HttpHeaderNames.CONNECTION);
         if (!connection.isEmpty()) {
             connection.stream()
-                    .flatMap(v -> Stream.of(v.toLowerCase(Locale.ROOT).split("\\s*,\\s*")))
+                    .flatMap(value -> Stream.of(value.toLowerCase(Locale.ROOT).split("\\s*,\\s*")))
                     .filter(name -> !name.isEmpty())
                     .forEach(headers::remove);
         }
@@ -93,7 +99,7 @@
     }
 
     @Override
-    public void each(BiConsumer<String, String> to) {
-        headers.forEach(header -> to.accept(header.getKey(), header.getValue()));
+    public void each(BiConsumer<String, String> consumer) {
+        headers.forEach(header -> consumer.accept(header.getKey(), header.getValue()));
     }
 }
--- a/src/main/java/loadbalancer/http3/AttemptOutcomes.java
+++ b/src/main/java/loadbalancer/http3/AttemptOutcomes.java
@@ -8,43 +8,45 @@
  * has been acknowledged, guarantees nothing.
  */
 public final class AttemptOutcomes {
-    /** How an attempt that has brought no whole answer ended. */
+    /** How an attempt ended that has brought no complete response. */
     public enum How {
-        /** No connection came about: no handshake, or not in time. Requests are never sent as early data. */
+        /** No connection was established, or not in time. Requests are never sent as early data. */
         NOT_CONNECTED,
-        /** No stream could be opened on a connection: the peer's limit, or the connection is going. */
+        /** No stream could be opened on a connection: the peer's limit, or the connection is shutting down. */
         NO_STREAM,
         /** A GOAWAY with an id that is not above this stream's (RFC 9114, section 5.2). */
         BEYOND_GOAWAY,
         /** The peer reset the stream, or asked us to stop sending, with a code. */
         STREAM_RESET,
-        /** The connection has ended: closed by the peer, an error, or its idle time-out. */
+        /** The connection has ended: closed by the peer, an error, or its idle timeout. */
         CONNECTION_LOST,
-        /** What came is no answer as the protocol wants it. */
+        /** The response is malformed (RFC 9114, section 4.1.2). */
         BAD_ANSWER,
-        /** The answer is longer than is held. */
+        /** The response is longer than is held. */
         TOO_LONG
     }
 
     private AttemptOutcomes() {}
 
     /**
-     * @param given whether the last byte of the request has been handed to the QUIC stack: from then on it
-     *     may reach the upstream, whatever is heard of it
+     * The outcome of an attempt without a complete response.
+     *
+     * @param requestSent whether the last byte of the request has been handed to the QUIC stack: from then on
+     *     it may reach the upstream, whether or not that is acknowledged
      * @param code the peer's, for {@link How#STREAM_RESET}; any other value otherwise
      */
-    public static Outcome outcome(How how, boolean given, long code) {
+    public static Outcome outcome(How how, boolean requestSent, long code) {
         return switch (how) {
             case NOT_CONNECTED -> Outcome.CONNECT_FAILED;
             case NO_STREAM, BEYOND_GOAWAY -> Outcome.NOT_SENT;
-            // Section 4.1.1: the server has not processed any of it. What a server says so has been turned
-            // away by it, as with Srv-Declined.
+            // RFC 9114, section 4.1.1: the server has not processed any of it. It has rejected the request, as
+            // with Srv-Declined.
             case STREAM_RESET ->
                 code == Http3ErrorCodes.REQUEST_REJECTED
                         ? Outcome.FULL
-                        : given ? Outcome.RESET : Outcome.CONNECT_FAILED;
-            case CONNECTION_LOST -> given ? Outcome.RESET : Outcome.CONNECT_FAILED;
-            case BAD_ANSWER, TOO_LONG -> given ? Outcome.RESET : Outcome.CONNECT_FAILED;
+                        : requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            case CONNECTION_LOST -> requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            case BAD_ANSWER, TOO_LONG -> requestSent ? Outcome.RESET : Outcome.CONNECT_FAILED;
         };
     }
 }
--- a/src/main/java/loadbalancer/http3/HeaderValidator.java
+++ b/src/main/java/loadbalancer/http3/HeaderValidator.java
@@ -4,80 +4,82 @@
 import java.util.Set;
 
 /**
- * What the head of an HTTP/3 message must be like (RFC 9114, sections 4.2 and 4.3). Decides without I/O, for
- * requests of clients and answers of upstreams alike; what a request asks for is the core's to check.
+ * Validates the field sections of HTTP/3 messages (RFC 9114, sections 4.2 and 4.3), for requests of clients and
+ * responses of upstreams alike. Decides without I/O; what a request asks for is checked by
+ * {@code RequestValidator}. All methods are without state.
  */
 public final class HeaderValidator {
     /** Bytes of a field section, counted as the settings count them: 32 more for each field (4.2.2). */
     public static final long SECTION_MOST = 8 * 1024;
 
-    private static final int PER_FIELD = 32;
-    private static final Set<String> OF_CONNECTIONS =
+    private static final int FIELD_OVERHEAD_BYTES = 32;
+    private static final Set<String> CONNECTION_FIELDS =
             Set.of("connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade");
-    private static final long LENGTH_MOST = 1L << 50;
+    private static final Set<String> REQUEST_PSEUDO_HEADERS = Set.of(":method", ":scheme", ":authority", ":path");
+    private static final Set<String> RESPONSE_PSEUDO_HEADERS = Set.of(":status");
+    private static final int PSEUDO_HEADERS = 5; // of requests and responses
+    private static final long MAX_CONTENT_LENGTH = 1L << 50;
 
-    /** A request's head; {@code length} is -1 where it announces none; {@code authority} may be null. */
+    /** A request's head; {@code length} is its Content-Length or -1; {@code authority} may be null. */
     public record Head(String method, String scheme, String authority, String path, long length) {}
 
-    /** An answer's head; {@code length} is -1 where it announces none. */
+    /** A response's head; {@code length} is its Content-Length or -1. */
     public record Status(int status, long length) {}
 
-    // What stands in any head, as far as it has been read.
-    private static final class Reader {
-        private final Set<String> pseudo;
-        private final String[] values = new String[5];
-        private boolean plain; // a field that is no pseudo-header has been read
+    /** Reads one field section, field by field. */
+    private static final class SectionReader {
+        private final Set<String> allowedPseudoHeaders;
+        private final String[] values = new String[PSEUDO_HEADERS];
+        private boolean regularFieldSeen; // no pseudo-header may follow
         private String host;
         private long length = -1;
-        private long size;
 
-        Reader(Set<String> pseudo) {
-            this.pseudo = pseudo;
+        SectionReader(Set<String> allowedPseudoHeaders) {
+            this.allowedPseudoHeaders = allowedPseudoHeaders;
         }
 
         void read(CharSequence rawName, CharSequence rawValue) throws MalformedMessageException {
             String name = rawName.toString();
             String value = rawValue.toString();
-            size += name.length() + value.length() + PER_FIELD;
-            text(name, value);
+            checkText(name, value);
             if (name.charAt(0) == ':') {
-                pseudo(name, value);
+                readPseudoHeader(name, value);
                 return;
             }
-            plain = true;
-            if (OF_CONNECTIONS.contains(name) || name.equals("te") && !value.equals("trailers")) {
-                throw bad("a field of connections: " + name);
+            regularFieldSeen = true;
+            if (CONNECTION_FIELDS.contains(name) || name.equals("te") && !value.equals("trailers")) {
+                throw malformed("a field of connections: " + name);
             }
             if (name.equals("host")) {
                 if (host != null && !host.equals(value)) {
-                    throw bad("two hosts");
+                    throw malformed("two hosts");
                 }
                 host = value;
             } else if (name.equals("content-length")) {
-                length(value);
+                readContentLength(value);
             }
         }
 
-        private void pseudo(String name, String value) throws MalformedMessageException {
-            if (plain) {
-                throw bad("a pseudo-header behind fields");
+        private void readPseudoHeader(String name, String value) throws MalformedMessageException {
+            if (regularFieldSeen) {
+                throw malformed("a pseudo-header behind fields");
             }
-            if (!pseudo.contains(name)) {
-                throw bad("unknown pseudo-header");
+            if (!allowedPseudoHeaders.contains(name)) {
+                throw malformed("unknown pseudo-header");
             }
-            int at = slot(name);
-            if (values[at] != null) {
-                throw bad("a pseudo-header twice: " + name);
+            int slot = slot(name);
+            if (values[slot] != null) {
+                throw malformed("a pseudo-header twice: " + name);
             }
-            values[at] = value;
+            values[slot] = value;
         }
 
         // One length only: two equal ones are read as one by some, and as an error by others.
-        private void length(String value) throws MalformedMessageException {
+        private void readContentLength(String value) throws MalformedMessageException {
             boolean digits =
                     !value.isEmpty() && value.length() <= 16 && value.chars().allMatch(c -> c >= '0' && c <= '9');
-            if (length >= 0 || !digits || Long.parseLong(value) > LENGTH_MOST) {
-                throw bad("bad content-length");
+            if (length >= 0 || !digits || Long.parseLong(value) > MAX_CONTENT_LENGTH) {
+                throw malformed("bad content-length");
             }
             length = Long.parseLong(value);
         }
@@ -99,100 +101,105 @@
         };
     }
 
-    private static final Set<String> OF_REQUESTS = Set.of(":method", ":scheme", ":authority", ":path");
-    private static final Set<String> OF_ANSWERS = Set.of(":status");
-
-    /** Reads a request's head, in the order in which its fields came. */
+    /** Validates a request's head, in the order in which its fields came. */
     public static Head request(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
             throws MalformedMessageException {
-        Reader r = new Reader(OF_REQUESTS);
+        SectionReader section = new SectionReader(REQUEST_PSEUDO_HEADERS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
-            r.read(field.getKey(), field.getValue());
-        }
-        String method = r.value(":method");
-        String scheme = r.value(":scheme");
-        String authority = r.value(":authority");
-        String path = r.value(":path");
-        if (method == null || method.isEmpty() || !token(method)) {
-            throw bad("no or bad :method");
+            section.read(field.getKey(), field.getValue());
+        }
+        String method = section.value(":method");
+        String scheme = section.value(":scheme");
+        String authority = section.value(":authority");
+        String path = section.value(":path");
+        checkRequest(method, scheme, authority, path, section.host);
+        return new Head(method, scheme, authority == null ? section.host : authority, path, section.length);
+    }
+
+    // RFC 9114, section 4.3.1; for CONNECT section 4.4.
+    private static void checkRequest(String method, String scheme, String authority, String path, String host)
+            throws MalformedMessageException {
+        if (method == null || method.isEmpty() || !isToken(method)) {
+            throw malformed("no or bad :method");
         }
         if (method.equals("CONNECT")) {
             if (scheme != null || path != null || authority == null || authority.isEmpty()) {
-                throw bad("CONNECT names its authority alone"); // section 4.4
+                throw malformed("CONNECT names its authority alone"); // section 4.4
             }
         } else if (scheme == null || !scheme.equals("https") && !scheme.equals("http")) {
-            throw bad("no or unknown :scheme");
+            throw malformed("no or unknown :scheme");
         } else if (path == null || !path.startsWith("/") && !(path.equals("*") && method.equals("OPTIONS"))) {
-            throw bad("no or bad :path");
-        } else if (authority == null && r.host == null
+            throw malformed("no or bad :path");
+        } else if (authority == null && host == null
                 || authority != null && authority.isEmpty()
-                || r.host != null && r.host.isEmpty()) {
-            throw bad("no authority");
-        } else if (authority != null && r.host != null && !authority.equals(r.host)) {
-            throw bad("authority and host differ");
+                || host != null && host.isEmpty()) {
+            throw malformed("no authority");
+        } else if (authority != null && host != null && !authority.equals(host)) {
+            throw malformed("authority and host differ");
         }
         if (authority != null && authority.indexOf('@') >= 0) {
-            throw bad("an authority with userinfo"); // section 4.3.1
+            throw malformed("an authority with userinfo"); // section 4.3.1
         }
-        return new Head(method, scheme, authority == null ? r.host : authority, path, r.length);
     }
 
-    /** Reads an answer's head. */
+    /** Validates a response's head. */
     public static Status response(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
             throws MalformedMessageException {
-        Reader r = new Reader(OF_ANSWERS);
+        SectionReader section = new SectionReader(RESPONSE_PSEUDO_HEADERS);
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
-            r.read(field.getKey(), field.getValue());
+            section.read(field.getKey(), field.getValue());
         }
-        String status = r.value(":status");
+        String status = section.value(":status");
         if (status == null || !status.matches("[1-5][0-9][0-9]") || status.equals("101")) {
-            throw bad("no or bad :status"); // 101: section 4.5
+            throw malformed("no or bad :status"); // 101: section 4.5
         }
-        return new Status(Integer.parseInt(status), r.length);
+        return new Status(Integer.parseInt(status), section.length);
     }
 
-    /** Reads trailers, which name no pseudo-headers (section 4.3). */
+    /** Validates trailers, which name no pseudo-headers (section 4.3). */
     public static void trailers(Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields)
             throws MalformedMessageException {
-        Reader r = new Reader(Set.of());
+        SectionReader section = new SectionReader(Set.of());
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
-            r.read(field.getKey(), field.getValue());
+            section.read(field.getKey(), field.getValue());
         }
-        if (r.length >= 0) {
-            throw bad("a content-length in trailers");
+        if (section.length >= 0) {
+            throw malformed("a content-length in trailers");
         }
     }
 
-    /** Whether a field section is longer than is taken; its request gets a 431. */
+    /** Whether a field section is longer than is accepted; its request gets a 431. */
     public static boolean tooLong(
             Iterable<? extends Map.Entry<? extends CharSequence, ? extends CharSequence>> fields) {
         long size = 0;
         for (Map.Entry<? extends CharSequence, ? extends CharSequence> field : fields) {
-            size += field.getKey().length() + field.getValue().length() + PER_FIELD;
+            size += field.getKey().length() + field.getValue().length() + FIELD_OVERHEAD_BYTES;
         }
         return size > SECTION_MOST;
     }
 
-    private static void text(String name, String value) throws MalformedMessageException {
-        String rest = name.startsWith(":") ? name.substring(1) : name;
-        if (rest.isEmpty() || !token(rest) || rest.chars().anyMatch(c -> c >= 'A' && c <= 'Z')) {
-            throw bad("a bad field name"); // section 4.2
+    private static void checkText(String name, String value) throws MalformedMessageException {
+        String withoutColon = name.startsWith(":") ? name.substring(1) : name;
+        if (withoutColon.isEmpty()
+                || !isToken(withoutColon)
+                || withoutColon.chars().anyMatch(c -> c >= 'A' && c <= 'Z')) {
+            throw malformed("a bad field name"); // section 4.2
         }
-        boolean bad = value.chars().anyMatch(c -> c == 0 || c == '\r' || c == '\n' || c > 255);
-        if (bad || !value.isEmpty() && (blank(value.charAt(0)) || blank(value.charAt(value.length() - 1)))) {
-            throw bad("a bad value of " + name); // section 10.3
+        boolean invalid = value.chars().anyMatch(c -> c == 0 || c == '\r' || c == '\n' || c > 255);
+        if (invalid || !value.isEmpty() && (isBlank(value.charAt(0)) || isBlank(value.charAt(value.length() - 1)))) {
+            throw malformed("a bad value of " + name); // section 10.3
         }
     }
 
-    private static boolean blank(char c) {
+    private static boolean isBlank(char c) {
         return c == ' ' || c == '\t';
     }
 
-    private static boolean token(String text) {
+    private static boolean isToken(String text) {
         return text.chars().allMatch(c -> c > ' ' && c < 127 && "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0);
     }
 
-    private static MalformedMessageException bad(String why) {
-        return new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, why);
+    private static MalformedMessageException malformed(String reason) {
+        return new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, reason);
     }
 }
--- a/src/main/java/loadbalancer/http3/Http3ConnectionLimiter.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionLimiter.java
@@ -5,35 +5,44 @@
 import java.util.Map;
 
 /**
- * The QUIC connections of clients, as far as their number and the memory that they hold go: whether another
- * one is let in, whether it must prove its address first, who goes for room. Decides without I/O; time in ns.
+ * Limits the QUIC connections of clients by number and by the memory that they hold: whether another one is
+ * accepted, whether it must validate its address first (RFC 9000, section 8.1), and which one is closed to make
+ * capacity. Decides without I/O; time in ns; for one thread.
  */
 public final class Http3ConnectionLimiter {
     /**
-     * What is borne. {@code rest}: ns that one may be at rest while others want in; {@code handshake}: ns
-     * that one may take until it is established.
+     * What is accepted.
+     *
+     * @param connections at once
+     * @param perAddress connections at once from one address
+     * @param handshakes at once
+     * @param unread bytes of responses that the clients have not read, over all connections
+     * @param rest ns that a connection may be idle while others want to connect
+     * @param handshake ns that a handshake may take
      */
     public record Limits(int connections, int perAddress, int handshakes, long unread, long rest, long handshake) {}
 
-    /** One connection. */
+    /** One connection; only the limiter changes it. */
     public static final class TrackedConnection {
         private final Object address;
         private final Runnable closer;
         private boolean established;
         private int streams;
-        private long unread;
-        private long since; // at rest or begun
+        private long unreadBytes;
+        private long sinceNanos; // it has been idle, or when its handshake began
 
         private TrackedConnection(Object address, Runnable closer, long now) {
             this.address = address;
             this.closer = closer;
-            this.since = now;
+            this.sinceNanos = now;
         }
 
+        /** Open streams. */
         public int streams() {
             return streams;
         }
 
+        /** Whether its handshake is done. */
         public boolean established() {
             return established;
         }
@@ -41,137 +50,150 @@
 
     private final Limits limits;
     private final LinkedHashSet<TrackedConnection> all = new LinkedHashSet<>();
-    private final LinkedHashSet<TrackedConnection> young = new LinkedHashSet<>(); // handshakes, the oldest first
-    private final LinkedHashSet<TrackedConnection> resting = new LinkedHashSet<>(); // the longest at rest first
+    private final LinkedHashSet<TrackedConnection> handshaking = new LinkedHashSet<>(); // the oldest first
+    private final LinkedHashSet<TrackedConnection> idle = new LinkedHashSet<>(); // the longest idle first
     private final Map<Object, Integer> byAddress = new HashMap<>();
-    private long unread;
-    private long turnedAway;
-    private long gone; // ended for room or for memory
+    private long unreadBytes;
+    private long rejectedCount;
+    private long evictedCount; // for capacity or for memory
 
+    /** A limiter without connections. */
     public Http3ConnectionLimiter(Limits limits) {
         this.limits = limits;
     }
 
     /**
-     * Whether a newcomer must prove its address before state is kept: many handshakes are under way, or the
-     * room is nearly taken. RFC 9000, section 8.1.
+     * Whether a client must validate its address before state is kept for it (RFC 9000, section 8.1): many
+     * handshakes are under way, or the capacity is nearly used up.
      */
     public boolean mustProve() {
-        return young.size() >= limits.handshakes() / 2 || all.size() >= limits.connections() * 3 / 4;
+        return handshaking.size() >= limits.handshakes() / 2 || all.size() >= limits.connections() * 3 / 4;
     }
 
     /**
-     * Lets another one in, and ends the one longest at rest for it where there is no room; null where it is
-     * turned away. {@code closer} is called at most once, not from within {@link #closed}.
+     * Accepts another connection, and closes the one that has been idle for longest where there is no capacity.
+     *
+     * @param address of the client
+     * @param closer closes the connection; called at most once, not from within {@link #closed}
+     * @param now in ns
+     * @return null where the connection is rejected
      */
     public TrackedConnection open(Object address, Runnable closer, long now) {
-        boolean crowd = byAddress.getOrDefault(address, 0) >= limits.perAddress();
-        if (crowd || young.size() >= limits.handshakes() || all.size() >= limits.connections() && !room(now)) {
-            turnedAway++;
+        boolean addressAtLimit = byAddress.getOrDefault(address, 0) >= limits.perAddress();
+        boolean handshakesAtLimit = handshaking.size() >= limits.handshakes();
+        if (addressAtLimit || handshakesAtLimit || all.size() >= limits.connections() && !evictIdle(now)) {
+            rejectedCount++;
             return null;
         }
-        TrackedConnection s = new TrackedConnection(address, closer, now);
-        all.add(s);
+        TrackedConnection connection = new TrackedConnection(address, closer, now);
+        all.add(connection);
         byAddress.merge(address, 1, Integer::sum);
-        young.add(s);
-        return s;
+        handshaking.add(connection);
+        return connection;
     }
 
-    /** Ends handshakes that take too long: with forged addresses they would keep others out until idle. */
+    /** Closes handshakes that take too long: with forged addresses they would keep others out until idle. */
     public void endOverdue(long now) {
-        while (!young.isEmpty()) {
-            TrackedConnection oldest = young.iterator().next();
-            if (now - oldest.since < limits.handshake()) {
+        while (!handshaking.isEmpty()) {
+            TrackedConnection oldest = handshaking.iterator().next();
+            if (now - oldest.sinceNanos < limits.handshake()) {
                 return;
             }
-            end(oldest);
+            evict(oldest);
         }
     }
 
-    private boolean room(long now) {
-        for (TrackedConnection s : resting) {
-            if (now - s.since >= limits.rest()) {
-                end(s);
-                return true;
-            }
-            break; // those behind it rest for less long
+    private boolean evictIdle(long now) {
+        if (idle.isEmpty()) {
+            return false;
+        }
+        TrackedConnection longestIdle = idle.iterator().next();
+        if (now - longestIdle.sinceNanos < limits.rest()) {
+            return false;
         }
-        return false;
+        evict(longestIdle);
+        return true;
     }
 
-    private void end(TrackedConnection s) {
-        gone++;
-        closed(s);
-        s.closer.run();
+    private void evict(TrackedConnection connection) {
+        evictedCount++;
+        closed(connection);
+        connection.closer.run();
     }
 
     /** Its handshake is done. */
-    public void established(TrackedConnection s, long now) {
-        if (all.contains(s) && !s.established) {
-            s.established = true;
-            young.remove(s);
-            rest(s, now);
+    public void established(TrackedConnection connection, long now) {
+        if (all.contains(connection) && !connection.established) {
+            connection.established = true;
+            handshaking.remove(connection);
+            becomeIdle(connection, now);
         }
     }
 
-    private void rest(TrackedConnection s, long now) {
-        s.since = now;
-        if (s.streams == 0 && s.established) {
-            resting.remove(s);
-            resting.add(s);
+    private void becomeIdle(TrackedConnection connection, long now) {
+        connection.sinceNanos = now;
+        if (connection.streams == 0 && connection.established) {
+            idle.remove(connection);
+            idle.add(connection);
         }
     }
 
-    public void streamOpened(TrackedConnection s) {
-        s.streams++;
-        resting.remove(s);
+    /** A stream has been opened. */
+    public void streamOpened(TrackedConnection connection) {
+        connection.streams++;
+        idle.remove(connection);
     }
 
-    public void streamClosed(TrackedConnection s, long now) {
-        s.streams--;
-        if (s.streams == 0 && all.contains(s)) {
-            rest(s, now);
+    /** A stream has been closed. */
+    public void streamClosed(TrackedConnection connection, long now) {
+        connection.streams--;
+        if (connection.streams == 0 && all.contains(connection)) {
+            becomeIdle(connection, now);
         }
     }
 
-    /** It has that many bytes more of answers that its client hasn't taken; 0 or less: they have left. */
-    public void unread(TrackedConnection s, long bytes) {
-        if (!all.contains(s)) {
+    /** That many more bytes of responses wait for the client to read them; less than 0: it has read them. */
+    public void unread(TrackedConnection connection, long bytes) {
+        if (!all.contains(connection)) {
             return;
         }
-        s.unread += bytes;
-        unread += bytes;
-        while (unread > limits.unread()) {
-            TrackedConnection most = s;
+        connection.unreadBytes += bytes;
+        unreadBytes += bytes;
+        while (unreadBytes > limits.unread()) {
+            TrackedConnection largest = connection;
             for (TrackedConnection other : all) {
-                most = other.unread > most.unread ? other : most;
+                largest = other.unreadBytes > largest.unreadBytes ? other : largest;
             }
-            if (most.unread <= 0) {
+            if (largest.unreadBytes <= 0) {
                 return;
             }
-            end(most);
+            evict(largest);
         }
     }
 
-    /** It is closed; harmless when told twice. */
-    public void closed(TrackedConnection s) {
-        if (all.remove(s)) {
-            resting.remove(s);
-            young.remove(s);
-            unread -= s.unread;
-            byAddress.computeIfPresent(s.address, (a, n) -> n > 1 ? n - 1 : null);
+    /** The connection has been closed; may be called twice. */
+    public void closed(TrackedConnection connection) {
+        if (all.remove(connection)) {
+            idle.remove(connection);
+            handshaking.remove(connection);
+            unreadBytes -= connection.unreadBytes;
+            byAddress.computeIfPresent(connection.address, (address, count) -> count > 1 ? count - 1 : null);
         }
     }
 
+    /** Open connections. */
     public int open() {
         return all.size();
     }
 
+    /** Handshakes under way. */
     public int handshakes() {
-        return young.size();
+        return handshaking.size();
     }
 
+    /** One line for the operators. */
     public String summary() {
-        return "http3: " + all.size() + " connections, " + turnedAway + " turned away, " + gone + " ended for room";
+        return "http3: " + all.size() + " connections, " + rejectedCount + " turned away, " + evictedCount
+                + " ended for room";
     }
 }
--- a/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
@@ -4,124 +4,142 @@
 import java.util.List;
 
 /**
- * Which of an upstream's HTTP/3 connections carries the next request, when another one is begun, and when
- * HTTP/1.1 takes over for a while. It never chooses an upstream, and holds nothing back: a request waits only
- * for a handshake that is under way. Decides without I/O; time in µs.
+ * Which of an upstream's HTTP/3 connections carries the next request, when another one is dialled, and when
+ * HTTP/1.1 is used in its place. It never chooses an upstream, and queues nothing: a request waits only for a
+ * handshake that is under way. Decides without I/O; time in µs; for one thread.
  */
 public final class Http3ConnectionPlan {
-    /** {@code connections}: at once for one upstream; {@code streams}: at once on one, whatever it allows. */
+    /**
+     * Limits for one upstream.
+     *
+     * @param connections at once
+     * @param streams at once on one connection, even if the peer allows more
+     * @param backOffFirst µs without HTTP/3 after the first failed handshake; doubled with each further one
+     * @param backOffMost the maximum of that
+     */
     public record Limits(int connections, int streams, long backOffFirst, long backOffMost) {}
 
-    /** How a request goes on. */
+    /** How a request is sent. */
     public enum Way {
         /** On {@link Choice#link} now. */
         STREAM,
         /** On {@link Choice#link} once its handshake is done. */
         WAIT,
-        /** Over HTTP/1.1: HTTP/3 has failed there lately. */
+        /** Over HTTP/1.1: the last handshake of HTTP/3 there failed. */
         HTTP1,
         /** Not at all: every connection is at its limit. */
         NONE
     }
 
-    /** {@code dial}: {@link #link} is new, and its handshake is to be begun. */
+    /** {@code dial}: {@link #link} is new, and the caller has to begin its handshake. */
     public record Choice(Way way, PlannedConnection link, boolean dial) {}
 
     /** One connection to the upstream. */
     public static final class PlannedConnection {
         private enum State {
+            /** Its handshake is under way. */
             DIALLING,
+            /** It takes new streams. */
             UP,
-            GOING,
+            /** It takes no new streams, and is closed once it has none. */
+            DRAINING,
+            /** It is closed. */
             CLOSED
         }
 
         private State state = State.DIALLING;
-        private int open; // streams, and requests that wait for the handshake
-        private long allowed = Long.MAX_VALUE; // streams that the peer lets us open from here on
-        private long goAway = Long.MAX_VALUE;
-        private long restsSince;
+        private int openStreams; // with the requests that wait for the handshake
+        private long allowedStreams = Long.MAX_VALUE; // that the peer lets us open from here on
+        private long goAwayId = Long.MAX_VALUE;
+        private long idleSinceMicros;
 
         private PlannedConnection(long now) {
-            restsSince = now;
+            idleSinceMicros = now;
         }
 
+        /** Whether its handshake is done and it takes new streams. */
         public boolean up() {
             return state == State.UP;
         }
 
+        /** Whether it is closed. */
         public boolean closed() {
             return state == State.CLOSED;
         }
 
-        /** Whether it has no stream, and gets no more or has had none since {@code time}. */
+        /** Whether it has no stream, and takes no new ones or has had none since {@code time}. */
         public boolean idleSince(long time) {
-            return open == 0 && (state == State.GOING || state == State.UP && restsSince <= time);
+            return openStreams == 0 && (state == State.DRAINING || state == State.UP && idleSinceMicros <= time);
         }
 
         /** Whether the peer has promised not to have processed the stream (RFC 9114, section 5.2). */
         public boolean beyond(long stream) {
-            return stream >= goAway;
+            return stream >= goAwayId;
         }
     }
 
+    private static final int MAX_DOUBLINGS = 20;
+
     private final Limits limits;
     private final List<PlannedConnection> links = new ArrayList<>(2);
-    private int failures;
-    private long backAt = Long.MIN_VALUE; // before it HTTP/3 isn't tried
-    private boolean trial; // one handshake tries whether it works again
+    private int failures; // handshakes that failed since the last one that succeeded
+    private long retryAtMicros = Long.MIN_VALUE; // no handshake is tried before
+    private boolean trial; // one handshake tries whether HTTP/3 works by now
 
+    /** A plan without connections. */
     public Http3ConnectionPlan(Limits limits) {
         this.limits = limits;
     }
 
-    /** For one request; a stream or a place at a handshake counts as taken from here on. */
+    /** Chooses for one request; a stream, or a place at a handshake, counts as taken from here on. */
     public Choice choose(long now) {
         PlannedConnection best = null;
-        PlannedConnection coming = null;
+        PlannedConnection dialling = null;
         for (PlannedConnection link : links) {
-            if (hasRoom(link) && (best == null || link.open < best.open)) {
+            if (hasFreeStream(link) && (best == null || link.openStreams < best.openStreams)) {
                 best = link;
             } else if (link.state == PlannedConnection.State.DIALLING) {
-                coming = link;
+                dialling = link;
             }
         }
         if (best != null) {
-            best.open++;
-            best.allowed--;
+            best.openStreams++;
+            best.allowedStreams--;
             return new Choice(Way.STREAM, best, false);
         }
         if (failures > 0) {
             // No request waits for a trial: one that fails would cost it its time.
-            boolean begin = now >= backAt && !trial;
-            trial |= begin;
-            return new Choice(Way.HTTP1, begin ? dial(now) : null, begin);
+            boolean dial = now >= retryAtMicros && !trial;
+            trial |= dial;
+            return new Choice(Way.HTTP1, dial ? dial(now) : null, dial);
         }
-        if (coming != null && coming.open < limits.streams()) {
-            coming.open++;
-            return new Choice(Way.WAIT, coming, false);
+        if (dialling != null && dialling.openStreams < limits.streams()) {
+            dialling.openStreams++;
+            return new Choice(Way.WAIT, dialling, false);
         }
-        if (live() < limits.connections()) {
+        if (countNotDraining() < limits.connections()) {
             PlannedConnection link = dial(now);
-            link.open++;
+            link.openStreams++;
             return new Choice(Way.WAIT, link, true);
         }
         return new Choice(Way.NONE, null, false);
     }
 
-    /** Whether a request that came now would find a stream on a connection that stands. Changes nothing. */
+    /** Whether the next request would find a free stream on a connection that is up. Changes nothing. */
     public boolean isConnected() {
-        return links.stream().anyMatch(this::hasRoom);
+        return links.stream().anyMatch(this::hasFreeStream);
     }
 
-    private boolean hasRoom(PlannedConnection link) {
-        return link.state == PlannedConnection.State.UP && link.open < limits.streams() && link.allowed > 0;
+    private boolean hasFreeStream(PlannedConnection link) {
+        return link.state == PlannedConnection.State.UP
+                && link.openStreams < limits.streams()
+                && link.allowedStreams > 0;
     }
 
-    // Those on their way out still hold what they hold, but must not keep the upstream without a new one.
-    private int live() {
+    // Draining connections still carry streams, but must not keep the upstream without a new connection.
+    private int countNotDraining() {
         return (int) links.stream()
-                .filter(l -> l.state != PlannedConnection.State.GOING)
+                .filter(link -> link.state != PlannedConnection.State.DRAINING)
                 .count();
     }
 
@@ -135,8 +153,8 @@
     public void up(PlannedConnection link, long allowed, long now) {
         if (link.state == PlannedConnection.State.DIALLING) {
             link.state = PlannedConnection.State.UP;
-            link.allowed = allowed - link.open;
-            link.restsSince = now;
+            link.allowedStreams = allowed - link.openStreams;
+            link.idleSinceMicros = now;
             failures = 0;
             trial = false;
         }
@@ -144,56 +162,58 @@
 
     /** The peer allows so many streams more from here on. */
     public void allowed(PlannedConnection link, long more) {
-        link.allowed = more;
+        link.allowedStreams = more;
     }
 
     /** A stream has ended, or a request no longer waits for the handshake. */
     public void released(PlannedConnection link, long now) {
-        link.open--;
-        link.restsSince = now;
+        link.openStreams--;
+        link.idleSinceMicros = now;
     }
 
     /**
-     * The peer is going (GOAWAY): nothing new goes there, and streams from {@code id} on have not run. An id
-     * may only come down; returns false where it rises, an error of the connection (RFC 9114, section 5.2).
+     * The peer shuts down (GOAWAY): the connection takes no new streams, and streams from {@code id} on have
+     * not run. Returns false where the id is higher than before, an error of the connection (RFC 9114, section
+     * 5.2).
      */
     public boolean goAway(PlannedConnection link, long id) {
-        if (id > link.goAway) {
+        if (id > link.goAwayId) {
             return false;
         }
-        link.goAway = id;
+        link.goAwayId = id;
         if (link.state != PlannedConnection.State.CLOSED) {
-            link.state = PlannedConnection.State.GOING;
+            link.state = PlannedConnection.State.DRAINING;
         }
         return true;
     }
 
-    /** Nothing new goes there, and it is to be closed once it is empty. */
+    /** The connection takes no new streams, and is to be closed once it has none. */
     public void retire(PlannedConnection link) {
         if (link.state == PlannedConnection.State.UP) {
-            link.state = PlannedConnection.State.GOING;
+            link.state = PlannedConnection.State.DRAINING;
         }
     }
 
-    /** It is closed, whoever did it. Without a handshake HTTP/3 is left alone, longer each time. */
+    /** The connection is closed, by either side. After a failed handshake HTTP/3 is backed off from. */
     public void closed(PlannedConnection link, long now) {
         if (!links.remove(link)) {
             return;
         }
         if (link.state == PlannedConnection.State.DIALLING) {
-            long wait = limits.backOffFirst() << Math.min(20, failures);
+            long backOffMicros = limits.backOffFirst() << Math.min(MAX_DOUBLINGS, failures);
             failures++;
             trial = false;
-            backAt = now + Math.min(limits.backOffMost(), wait);
+            retryAtMicros = now + Math.min(limits.backOffMost(), backOffMicros);
         }
         link.state = PlannedConnection.State.CLOSED;
     }
 
-    /** Whether HTTP/1.1 stands in for the time being. */
+    /** Whether HTTP/1.1 is used in place of HTTP/3 for the time being. */
     public boolean isFailing() {
         return failures > 0;
     }
 
+    /** The connections that are not closed; a copy. */
     public List<PlannedConnection> connections() {
         return List.copyOf(links);
     }
--- a/src/main/java/loadbalancer/http3/MessageState.java
+++ b/src/main/java/loadbalancer/http3/MessageState.java
@@ -1,77 +1,79 @@
 package loadbalancer.http3;
 
 /**
- * How far a message on a stream has come in: head, data, trailers, end (RFC 9114, section 4.1), its data
- * against the length that its head announced and against what is held at most. Decides without I/O.
+ * How far a message on a stream has been received: head, data, trailers, end (RFC 9114, section 4.1). Checks
+ * its data against the length that its head announced, and against a maximum. Decides without I/O.
  */
 public final class MessageState {
-    private enum At {
-        BEFORE,
+    private enum Position {
+        BEFORE_HEAD,
         DATA,
         TRAILERS,
         END
     }
 
-    private final long most;
-    private At at = At.BEFORE;
-    private long announced = -1;
-    private long come;
+    private final long maxBytes;
+    private Position position = Position.BEFORE_HEAD;
+    private long announcedBytes = -1;
+    private long receivedBytes;
 
-    /** {@code most}: bytes of data that are taken. */
-    public MessageState(long most) {
-        this.most = most;
+    /** {@code maxBytes}: of data that are accepted. */
+    public MessageState(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Whether the next field section is a head, not trailers. */
     public boolean headless() {
-        return at == At.BEFORE;
+        return position == Position.BEFORE_HEAD;
     }
 
-    /** A head; {@code length} is -1 where it announces none. */
+    /** A head has been read; {@code length} is -1 where it announces none. */
     public void head(long length) throws MalformedMessageException {
-        if (at != At.BEFORE) {
+        if (position != Position.BEFORE_HEAD) {
             throw new MalformedMessageException(Http3ErrorCodes.FRAME_UNEXPECTED, "a second head");
         }
-        at = At.DATA;
-        announced = length;
+        position = Position.DATA;
+        announcedBytes = length;
     }
 
-    /** Whether more is announced than is taken. */
+    /** Whether more is announced than is accepted. */
     public boolean announcesTooMuch() {
-        return announced > most;
+        return announcedBytes > maxBytes;
     }
 
-    /** Data; returns whether it is still within what is taken. */
+    /** Data has been read; returns whether it is within what is accepted. */
     public boolean data(long bytes) throws MalformedMessageException {
-        if (at != At.DATA) {
+        if (position != Position.DATA) {
             throw new MalformedMessageException(Http3ErrorCodes.FRAME_UNEXPECTED, "data where none may stand");
         }
-        come += bytes;
-        if (announced >= 0 && come > announced) {
+        receivedBytes += bytes;
+        if (announcedBytes >= 0 && receivedBytes > announcedBytes) {
             throw new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, "more data than announced");
         }
-        return come <= most;
+        return receivedBytes <= maxBytes;
     }
 
+    /** Trailers have been read. */
     public void trailers() throws MalformedMessageException {
-        if (at != At.DATA) {
+        if (position != Position.DATA) {
             throw new MalformedMessageException(Http3ErrorCodes.FRAME_UNEXPECTED, "trailers where none may stand");
         }
-        at = At.TRAILERS;
+        position = Position.TRAILERS;
     }
 
-    /** The end of the stream. */
+    /** The stream has ended. */
     public void end() throws MalformedMessageException {
-        if (at == At.BEFORE) {
+        if (position == Position.BEFORE_HEAD) {
             throw new MalformedMessageException(Http3ErrorCodes.REQUEST_INCOMPLETE, "an end before the head");
         }
-        if (announced >= 0 && come != announced) {
+        if (announcedBytes >= 0 && receivedBytes != announcedBytes) {
             throw new MalformedMessageException(Http3ErrorCodes.MESSAGE_ERROR, "less data than announced");
         }
-        at = At.END;
+        position = Position.END;
     }
 
+    /** Whether the message is complete. */
     public boolean isComplete() {
-        return at == At.END;
+        return position == Position.END;
     }
 }
--- a/src/main/java/loadbalancer/http3/RapidResetGuard.java
+++ b/src/main/java/loadbalancer/http3/RapidResetGuard.java
@@ -1,34 +1,43 @@
 package loadbalancer.http3;
 
 /**
- * Whether a connection opens streams only to end them (known as rapid reset): each stream that its client
- * ends before our answer costs one, each answer that it takes gives a half back, and time gives some. A
- * client that gives up on slow answers is far from it. Decides without I/O; time in ns.
+ * Detects a connection that opens streams only to reset them (rapid reset, CVE-2023-44487), with a token
+ * bucket: each stream that its client resets before our response takes a token, each response that it accepts
+ * gives half a token back, and time gives some. A client that cancels slow requests stays far within it.
+ * Decides without I/O; time in ns; for one thread.
  */
 public final class RapidResetGuard {
-    private static final double PER_ANSWER = 0.5;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double TOKENS_PER_RESPONSE = 0.5;
 
     private final double burst;
     private final double perSecond;
-    private double left;
-    private long since;
+    private double tokens;
+    private long refilledAtNanos;
 
-    /** {@code burst}: streams ended at once that are borne; {@code perSecond}: in the long run. */
+    /**
+     * A full bucket.
+     *
+     * @param burst resets that are tolerated at once
+     * @param perSecond resets that are tolerated in the long run
+     * @param now in ns
+     */
     public RapidResetGuard(double burst, double perSecond, long now) {
         this.burst = burst;
         this.perSecond = perSecond;
-        this.left = burst;
-        this.since = now;
+        this.tokens = burst;
+        this.refilledAtNanos = now;
     }
 
-    /** A stream was ended by its client; returns whether the connection is still borne. */
+    /** The client has reset a stream; returns whether the connection is still tolerated. */
     public boolean ended(long now) {
-        left = Math.min(burst, left + Math.max(0, now - since) / 1e9 * perSecond) - 1;
-        since = now;
-        return left >= 0;
+        tokens = Math.min(burst, tokens + Math.max(0, now - refilledAtNanos) / NANOS_PER_SECOND * perSecond) - 1;
+        refilledAtNanos = now;
+        return tokens >= 0;
     }
 
+    /** The client has accepted a response. */
     public void answered() {
-        left = Math.min(burst, left + PER_ANSWER);
+        tokens = Math.min(burst, tokens + TOKENS_PER_RESPONSE);
     }
 }
--- a/src/main/java/loadbalancer/http3/RetryTokens.java
+++ b/src/main/java/loadbalancer/http3/RetryTokens.java
@@ -9,57 +9,76 @@
 
 /**
  * The tokens of Retry packets (RFC 9000, section 8.1.2): they prove that a client receives at the address
- * that it sends from, before any state is kept for it. A token holds its time, a MAC (HMAC-SHA256) over all
- * the rest and the address, and last the connection id that the client began with. Does no I/O; time in ns,
- * of one clock; for one thread.
+ * that it sends from, before any state is kept for it. A token holds the time of its issue, a truncated MAC
+ * (HMAC-SHA256) over all the rest and the address, and last the connection id that the client began with. Does
+ * no I/O; time in ns, of one clock; for one thread.
  */
 public final class RetryTokens {
     /** Where in a token the connection id begins. */
     public static final int ID = Long.BYTES + 16;
+
     /** Bytes of the longest token. */
     public static final int MOST = Long.BYTES + 20 + 16;
 
-    private static final int MAC = 16; // of 32: enough against guesses that live 10 s
-    private static final long LIFE = 10_000_000_000L;
-    private static final long AHEAD = 1_000_000_000L;
+    private static final int MAC_BYTES = 16; // of 32: enough against guesses, as a token is valid for 10 s only
+    private static final long LIFETIME_NANOS = 10_000_000_000L;
+    private static final long MAX_AHEAD_NANOS = 1_000_000_000L;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
 
     private final Mac mac;
 
-    /** @param key at least 16 random bytes, for one process */
+    /**
+     * Tokens of one process.
+     *
+     * @param key at least 16 random bytes
+     */
     public RetryTokens(byte[] key) {
         try {
-            mac = Mac.getInstance("HmacSHA256");
-            mac.init(new SecretKeySpec(key, "HmacSHA256"));
+            mac = Mac.getInstance(MAC_ALGORITHM);
+            mac.init(new SecretKeySpec(key, MAC_ALGORITHM));
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException("no HmacSHA256", e);
         }
     }
 
-    /** A token for a client at an address that begins with this connection id (of 20 bytes at most). */
+    /**
+     * Writes a token.
+     *
+     * @param id the connection id that the client began with, of 20 bytes at most
+     * @param address of the client
+     * @param now in ns
+     */
     public byte[] write(byte[] id, byte[] address, long now) {
-        byte[] sum = sum(now, id, address);
+        byte[] code = authenticationCode(now, id, address);
         return ByteBuffer.allocate(ID + id.length)
                 .putLong(now)
-                .put(sum, 0, MAC)
+                .put(code, 0, MAC_BYTES)
                 .put(id)
                 .array();
     }
 
-    /** The connection id that the client began with; null where the token isn't one of ours for it now. */
+    /**
+     * Reads a token.
+     *
+     * @param address of the client that sent it
+     * @param now in ns
+     * @return the connection id that the client began with; null where the token is not valid for it now
+     */
     public byte[] read(byte[] token, byte[] address, long now) {
-        if (token.length < Long.BYTES + MAC || token.length > MOST) {
+        if (token.length < Long.BYTES + MAC_BYTES || token.length > MOST) {
             return null;
         }
-        long at = ByteBuffer.wrap(token).getLong();
-        byte[] told = Arrays.copyOfRange(token, Long.BYTES, ID);
+        long issuedAt = ByteBuffer.wrap(token).getLong();
+        byte[] received = Arrays.copyOfRange(token, Long.BYTES, ID);
         byte[] id = Arrays.copyOfRange(token, ID, token.length);
-        boolean ours = MessageDigest.isEqual(told, Arrays.copyOf(sum(at, id, address), MAC));
-        return ours && now - at <= LIFE && at - now <= AHEAD ? id : null;
+        byte[] expected = Arrays.copyOf(authenticationCode(issuedAt, id, address), MAC_BYTES);
+        boolean ours = MessageDigest.isEqual(received, expected);
+        return ours && now - issuedAt <= LIFETIME_NANOS && issuedAt - now <= MAX_AHEAD_NANOS ? id : null;
     }
 
-    private byte[] sum(long at, byte[] id, byte[] address) {
+    private byte[] authenticationCode(long issuedAt, byte[] id, byte[] address) {
         mac.update(ByteBuffer.allocate(Long.BYTES + 2)
-                .putLong(at)
+                .putLong(issuedAt)
                 .put((byte) id.length)
                 .put((byte) address.length)
                 .array());
--- a/src/main/java/loadbalancer/http3/codec/AggregatedBody.java
+++ b/src/main/java/loadbalancer/http3/codec/AggregatedBody.java
@@ -4,36 +4,37 @@
 import java.util.Arrays;
 import loadbalancer.proxy.ProxyRequest;
 
-/** The data of a message as they come in, copied off the codec's buffers. For the event loop's thread. */
+/** The body of a message as it comes in, copied off the codec's buffers. On the event loop. */
 public final class AggregatedBody {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
-    private byte[] bytes = NOTHING;
+    private byte[] bytes = EMPTY;
     private int length;
 
-    /** Takes all that is left to read; its caller has seen that it stays within {@link ProxyRequest#BODY_MOST}. */
-    public void add(ByteBuf more) {
-        int count = more.readableBytes();
+    /** Adds all readable bytes; the caller has checked that the body stays within {@link ProxyRequest#BODY_MOST}. */
+    public void add(ByteBuf data) {
+        int count = data.readableBytes();
         if (length + count > bytes.length) {
             bytes = Arrays.copyOf(
                     bytes, length == 0 ? count : (int) Math.min(ProxyRequest.BODY_MOST, 2L * (length + count)));
         }
-        more.readBytes(bytes, length, count);
+        data.readBytes(bytes, length, count);
         length += count;
     }
 
+    /** Bytes so far. */
     public int length() {
         return length;
     }
 
-    /** What has come; not to be changed. */
+    /** The bytes so far; not to be changed. */
     public byte[] all() {
         return bytes.length == length ? bytes : Arrays.copyOf(bytes, length);
     }
 
-    /** Keeps nothing. */
+    /** Drops the bytes. */
     public void release() {
-        bytes = NOTHING;
+        bytes = EMPTY;
         length = 0;
     }
 }
--- a/src/main/java/loadbalancer/http3/codec/FinalFrame.java
+++ b/src/main/java/loadbalancer/http3/codec/FinalFrame.java
@@ -8,55 +8,55 @@
 import io.netty.handler.codec.quic.DefaultQuicStreamFrame;
 
 /**
- * Ends a stream with its last bytes, in one frame. An end on its own that is lost did not come
- * again: 5 of 60 answers had no end on a path that loses 5 %. It could also overtake bytes that wait for the
- * congestion window. Stands between the codec and the stream; on the event loop.
+ * Ends a stream with its last bytes, in one frame. The QUIC stack did not retransmit a lost end that was sent
+ * on its own: 5 of 60 responses had no end on a path that loses 5 %. Such an end could also overtake bytes that
+ * wait for the congestion window. Stands between the codec and the stream; on the event loop.
  */
 public final class FinalFrame extends ChannelOutboundHandlerAdapter {
     private boolean last;
-    private CompositeByteBuf held;
-    private ChannelPromise promise;
+    private CompositeByteBuf pending; // until the next flush
+    private ChannelPromise pendingWritten;
 
-    /** What is written from here on to the next flush is all that is left, and ends the stream. */
+    /** All that is written from here on until the next flush is the rest of the message, and ends the stream. */
     public void last() {
         last = true;
     }
 
     @Override
-    public void write(ChannelHandlerContext context, Object part, ChannelPromise done) {
+    public void write(ChannelHandlerContext context, Object part, ChannelPromise promise) {
         if (!last || !(part instanceof ByteBuf bytes)) {
-            context.write(part, done);
+            context.write(part, promise);
             return;
         }
-        if (held == null) {
-            held = context.alloc().compositeBuffer();
-            promise = context.newPromise();
+        if (pending == null) {
+            pending = context.alloc().compositeBuffer();
+            pendingWritten = context.newPromise();
         }
-        held.addComponent(true, bytes);
-        promise.addListener(ended -> {
-            if (ended.isSuccess()) {
-                done.trySuccess();
+        pending.addComponent(true, bytes);
+        pendingWritten.addListener(written -> {
+            if (written.isSuccess()) {
+                promise.trySuccess();
             } else {
-                done.tryFailure(ended.cause());
+                promise.tryFailure(written.cause());
             }
         });
     }
 
     @Override
     public void flush(ChannelHandlerContext context) {
-        if (held != null) {
-            CompositeByteBuf all = held;
-            held = null;
-            context.write(new DefaultQuicStreamFrame(all, true), promise);
+        if (pending != null) {
+            CompositeByteBuf rest = pending;
+            pending = null;
+            context.write(new DefaultQuicStreamFrame(rest, true), pendingWritten);
         }
         context.flush();
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext context) {
-        if (held != null) {
-            held.release();
-            held = null;
+        if (pending != null) {
+            pending.release();
+            pending = null;
         }
     }
 }
--- a/src/main/java/loadbalancer/http3/codec/Http3HeaderFields.java
+++ b/src/main/java/loadbalancer/http3/codec/Http3HeaderFields.java
@@ -12,13 +12,13 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * The fields of an HTTP/3 message, as its codec holds them. Between two sides that both speak HTTP/3 they go
- * on as they are, and only what came by another protocol is translated. For the event loop's thread.
+ * The header fields of an HTTP/3 message, as its codec holds them. Between two sides that both speak HTTP/3
+ * they are forwarded as they are, and only what came by another protocol is translated. On the event loop.
  */
 public final class Http3HeaderFields implements HeaderFields {
     private static final String DEADLINE = ProxyRequest.DEADLINE.toLowerCase(Locale.ROOT);
-    // Of one connection or one hop; the carrier sets its own length and deadline.
-    private static final Set<String> OF_ONE_HOP = Set.of(
+    // Fields of one connection or one hop; each attempt sets its own length and deadline.
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "te",
             "trailer",
             "expect",
@@ -34,26 +34,31 @@
 
     private final Http3Headers headers;
 
+    /** The fields in {@code headers}, which are not copied. */
     public Http3HeaderFields(Http3Headers headers) {
         this.headers = headers;
     }
 
-    /** Takes away what belongs to one hop only (RFC 9110, section 7.6.1), and the deadline. */
+    /**
+     * Removes the fields that belong to one hop only (RFC 9110, section 7.6.1), and the deadline.
+     *
+     * @return this
+     */
     public Http3HeaderFields endToEnd() {
-        OF_ONE_HOP.forEach(headers::remove);
+        HOP_BY_HOP.forEach(headers::remove);
         return this;
     }
 
     /**
-     * What a carrier over HTTP/3 writes for a request: not a copy where it came by HTTP/3; its pseudo-headers
-     * are set anew for each attempt, before it is written.
+     * The headers that are written for a request over HTTP/3. Not a copy where it came by HTTP/3: its
+     * pseudo-headers are set anew for each attempt, before it is written.
      *
-     * @param authority for a request that names none
-     * @param wait in ms; 0: not told
+     * @param authority that of a request which names none
+     * @param waitMillis the deadline that the upstream is sent; 0: none
      */
-    public static Http3Headers request(ProxyRequest order, String authority, long wait) {
+    public static Http3Headers request(ProxyRequest request, String authority, long waitMillis) {
         Http3Headers headers;
-        if (order.fields() instanceof Http3HeaderFields own) {
+        if (request.fields() instanceof Http3HeaderFields own) {
             headers = own.headers;
             if (headers.authority() == null) {
                 CharSequence host = headers.get("host");
@@ -61,22 +66,25 @@
             }
         } else {
             headers = new DefaultHttp3Headers();
-            headers.method(order.method()).scheme("https").authority(authority).path(order.uri());
-            order.fields().each((name, value) -> {
+            headers.method(request.method())
+                    .scheme("https")
+                    .authority(authority)
+                    .path(request.uri());
+            request.fields().each((name, value) -> {
                 String lower = name.toLowerCase(Locale.ROOT);
                 if (lower.equals("host")) {
                     headers.authority(value);
-                } else if (!OF_ONE_HOP.contains(lower)) {
+                } else if (!HOP_BY_HOP.contains(lower)) {
                     headers.add(lower, value.strip());
                 }
             });
         }
-        headers.method(order.method()).scheme("https").path(order.uri());
-        if (wait > 0) {
-            headers.set(DEADLINE, Long.toString(wait));
+        headers.method(request.method()).scheme("https").path(request.uri());
+        if (waitMillis > 0) {
+            headers.set(DEADLINE, Long.toString(waitMillis));
         }
-        if (order.body().length > 0 || !order.method().equals("GET")) {
-            headers.set("content-length", Integer.toString(order.body().length));
+        if (request.body().length > 0 || !request.method().equals("GET")) {
+            headers.set("content-length", Integer.toString(request.body().length));
         }
         return headers;
     }
@@ -94,16 +102,16 @@
     @Override
     public List<String> all(String name) {
         List<String> all = new ArrayList<>();
-        headers.getAll(name.toLowerCase(Locale.ROOT)).forEach(v -> all.add(v.toString()));
+        headers.getAll(name.toLowerCase(Locale.ROOT)).forEach(value -> all.add(value.toString()));
         return all;
     }
 
-    /** As another protocol has them: the host first, and crumbs of cookies as one (RFC 9114, 4.2.1). */
+    /** As another protocol has them: the host first, and the pieces of a cookie as one (RFC 9114, section 4.2.1). */
     @Override
-    public void each(BiConsumer<String, String> to) {
+    public void each(BiConsumer<String, String> consumer) {
         CharSequence authority = headers.authority();
         if (authority != null) {
-            to.accept("host", authority.toString());
+            consumer.accept("host", authority.toString());
         }
         StringBuilder cookie = new StringBuilder();
         for (Map.Entry<CharSequence, CharSequence> field : headers) {
@@ -111,11 +119,11 @@
             if (name.equals("cookie")) {
                 cookie.append(cookie.length() == 0 ? "" : "; ").append(field.getValue());
             } else if (!name.startsWith(":") && !(name.equals("host") && authority != null)) {
-                to.accept(name, field.getValue().toString());
+                consumer.accept(name, field.getValue().toString());
             }
         }
         if (cookie.length() > 0) {
-            to.accept("cookie", cookie.toString());
+            consumer.accept("cookie", cookie.toString());
         }
     }
 }
--- a/src/main/java/loadbalancer/http3/codec/UnhandledExceptionHandler.java
+++ b/src/main/java/loadbalancer/http3/codec/UnhandledExceptionHandler.java
@@ -4,8 +4,9 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Stands last in a connection's pipeline: an error that nobody has taken is the end of that connection, which
- * the QUIC stack sees to. The codec's own default would write each one to standard error on the event loop.
+ * Stands last in a connection's pipeline and drops the errors that no other handler has taken: each ends its
+ * connection, which the QUIC stack sees to. By default Netty would write them to standard error on the event
+ * loop.
  */
 public final class UnhandledExceptionHandler extends ChannelInboundHandlerAdapter {
     @Override
