--- a/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -11,9 +11,10 @@
 import loadbalancer.proxy.HeaderFields;
 import org.junit.jupiter.api.Test;
 
+/** Hop-by-hop fields, the Host of a request without one, and fields of another protocol. */
 class Http1HeaderFieldsTest {
     @Test
-    void whatBelongsToOneConnectionGoesNoFurtherAndTheRestIsNotCopied() {
+    void hopByHopFieldsAreRemovedAndTheOthersAreNotCopied() {
         HttpHeaders headers = new DefaultHttpHeaders()
                 .add("Connection", "Keep-Alive, X-Own")
                 .add("keep-alive", "5")
@@ -32,14 +33,14 @@
 
     /** The first attempt's host stayed in the fields, and would have gone to the second one's server. */
     @Test
-    void aRequestWithoutAHostIsGivenThatOfEachAttempt() {
+    void aRequestWithoutAHostGetsThatOfEachAttempt() {
         Http1HeaderFields fields = new Http1HeaderFields(new DefaultHttpHeaders());
         assertEquals("a:1", Http1HeaderFields.of(fields, "a:1").get("Host"));
         assertEquals("b:2", Http1HeaderFields.of(fields, "b:2").get("Host"));
     }
 
     @Test
-    void whatCameByAnotherProtocolIsTranslated() {
+    void fieldsOfAnotherProtocolAreTranslated() {
         HeaderFields other = new HeaderFields() {
             @Override
             public String get(String name) {
--- a/src/test/java/loadbalancer/http3/AttemptOutcomesTest.java
+++ b/src/test/java/loadbalancer/http3/AttemptOutcomesTest.java
@@ -28,15 +28,15 @@
         "BAD_ANSWER, true, -1, RESET",
         "TOO_LONG, true, -1, RESET"
     })
-    void whatAnEndingProves(How how, boolean given, String code, Outcome outcome) {
-        assertEquals(outcome, AttemptOutcomes.outcome(how, given, Long.decode(code)));
+    void theEndOfAnAttemptHasTheOutcomeOfTheTable(How how, boolean requestSent, String code, Outcome outcome) {
+        assertEquals(outcome, AttemptOutcomes.outcome(how, requestSent, Long.decode(code)));
     }
 
     @ParameterizedTest
     @EnumSource(
             value = How.class,
             names = {"STREAM_RESET", "CONNECTION_LOST", "BAD_ANSWER", "TOO_LONG"})
-    void onceGivenOnlyASpecificationProvesThatNothingRan(How how) {
+    void aSentRequestMayHaveRunUnlessTheSpecificationSaysOtherwise(How how) {
         for (long code = -1; code < 0x400; code++) {
             if (code != Http3ErrorCodes.REQUEST_REJECTED) {
                 assertFalse(AttemptOutcomes.outcome(how, true, code).neverRan(), how + " " + code);
--- a/src/test/java/loadbalancer/http3/HeaderValidatorTest.java
+++ b/src/test/java/loadbalancer/http3/HeaderValidatorTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Field sections as RFC 9114, sections 4.2 and 4.3, wants them, and the order of the frames of a message. */
 class HeaderValidatorTest {
     private static final String GOOD = ":method=GET|:scheme=https|:authority=a.test|:path=/x?y=1";
 
@@ -25,7 +26,7 @@
     }
 
     @Test
-    void aHeadIsRead() throws MalformedMessageException {
+    void validHeadsAreRead() throws MalformedMessageException {
         assertEquals(
                 new HeaderValidator.Head("GET", "https", "a.test", "/x?y=1", 7),
                 HeaderValidator.request(fields(GOOD + "|content-length=7|te=trailers|host=a.test")));
@@ -82,10 +83,10 @@
                 ":method=G ET|:scheme=https|:authority=a.test|:path=/",
                 ":method=GET|:scheme=https|:authority=me@a.test|:path=/"
             })
-    void aBadHeadIsAnErrorOfTheMessage(String text) {
-        MalformedMessageException why =
+    void anInvalidRequestHeadIsAMessageError(String text) {
+        MalformedMessageException thrown =
                 assertThrows(MalformedMessageException.class, () -> HeaderValidator.request(fields(text)));
-        assertEquals(Http3ErrorCodes.MESSAGE_ERROR, why.code());
+        assertEquals(Http3ErrorCodes.MESSAGE_ERROR, thrown.code());
     }
 
     @ParameterizedTest
@@ -101,7 +102,7 @@
                 ":status=200|connection=close",
                 "x=1|:status=200"
             })
-    void aBadAnswerIsNone(String text) {
+    void anInvalidResponseHeadIsMalformed(String text) {
         assertThrows(MalformedMessageException.class, () -> HeaderValidator.response(fields(text)));
     }
 
@@ -113,14 +114,14 @@
     }
 
     @Test
-    void aSectionIsMeasuredAsTheSettingsMeasureIt() {
+    void aFieldSectionIsMeasuredWithTheOverheadOfEachField() {
         long one = "x".length() + 32;
         assertFalse(HeaderValidator.tooLong(fields("x=" + "y".repeat((int) (HeaderValidator.SECTION_MOST - one)))));
         assertTrue(HeaderValidator.tooLong(fields("x=" + "y".repeat((int) (HeaderValidator.SECTION_MOST - one + 1)))));
     }
 
     @Test
-    void aMessageKeepsItsOrderAndItsLength() throws MalformedMessageException {
+    void aMessageKeepsTheOrderOfItsFramesAndItsLength() throws MalformedMessageException {
         MessageState state = new MessageState(10);
         assertEquals(
                 Http3ErrorCodes.REQUEST_INCOMPLETE,
--- a/src/test/java/loadbalancer/http3/Http3ConnectionLimiterTest.java
+++ b/src/test/java/loadbalancer/http3/Http3ConnectionLimiterTest.java
@@ -12,89 +12,89 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Who is let in, who goes, who proves an address, and who ends streams too often. */
+/** Accepted, rejected and evicted connections, address validation, retry tokens and rapid resets. */
 class Http3ConnectionLimiterTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-    private final Http3ConnectionLimiter sessions =
+    private final Http3ConnectionLimiter limiter =
             new Http3ConnectionLimiter(new Http3ConnectionLimiter.Limits(4, 3, 4, 1_000, SECOND, 3 * SECOND));
     private final List<String> ended = new ArrayList<>();
 
-    private Http3ConnectionLimiter.TrackedConnection in(String name, Object address, long now) {
-        Http3ConnectionLimiter.TrackedConnection s = sessions.open(address, () -> ended.add(name), now);
-        if (s != null) {
-            sessions.established(s, now);
+    private Http3ConnectionLimiter.TrackedConnection connect(String name, Object address, long now) {
+        Http3ConnectionLimiter.TrackedConnection connection = limiter.open(address, () -> ended.add(name), now);
+        if (connection != null) {
+            limiter.established(connection, now);
         }
-        return s;
+        return connection;
     }
 
     @Test
-    void oneLongAtRestMakesRoomAndNobodyWithARequest() {
-        Http3ConnectionLimiter.TrackedConnection busy = in("busy", "a", 0);
-        sessions.streamOpened(busy);
-        in("old", "a", 1);
-        in("young", "b", 2);
-        in("other", "b", 3);
-        assertNull(in("early", "c", SECOND), "none has rested long enough");
-        assertNotNull(in("late", "c", SECOND + 1));
+    void aLongIdleConnectionIsEvictedAndNoneWithARequest() {
+        Http3ConnectionLimiter.TrackedConnection busy = connect("busy", "a", 0);
+        limiter.streamOpened(busy);
+        connect("old", "a", 1);
+        connect("young", "b", 2);
+        connect("other", "b", 3);
+        assertNull(connect("early", "c", SECOND), "none has been idle for long enough");
+        assertNotNull(connect("late", "c", SECOND + 1));
         assertEquals(List.of("old"), ended);
-        assertEquals(4, sessions.open());
+        assertEquals(4, limiter.open());
     }
 
     @Test
-    void oneAddressTakesItsPartOnly() {
+    void connectionsOfOneAddressAreLimited() {
         for (int i = 0; i < 3; i++) {
-            assertNotNull(in("a" + i, "a", 0));
+            assertNotNull(connect("a" + i, "a", 0));
         }
-        assertNull(in("more", "a", 0));
-        assertNotNull(in("b", "b", 0));
+        assertNull(connect("more", "a", 0));
+        assertNotNull(connect("b", "b", 0));
     }
 
     @Test
-    void halfTheHandshakesMakeNewcomersProveTheirAddressAndAllOfThemShutTheDoor() {
-        List<Http3ConnectionLimiter.TrackedConnection> half = new ArrayList<>();
-        half.add(sessions.open("a", () -> {}, 0));
-        assertFalse(sessions.mustProve());
-        half.add(sessions.open("b", () -> {}, 0));
-        assertTrue(sessions.mustProve());
-        half.add(sessions.open("c", () -> {}, 0));
-        half.add(sessions.open("d", () -> {}, 0));
-        assertNull(sessions.open("e", () -> {}, 0));
-        half.forEach(sessions::closed);
-        half.forEach(sessions::closed);
-        assertEquals(0, sessions.handshakes());
-        assertEquals(0, sessions.open());
-        assertFalse(sessions.mustProve());
+    void manyHandshakesRequireAddressValidationAndTheMaximumRejects() {
+        List<Http3ConnectionLimiter.TrackedConnection> handshakes = new ArrayList<>();
+        handshakes.add(limiter.open("a", () -> {}, 0));
+        assertFalse(limiter.mustProve());
+        handshakes.add(limiter.open("b", () -> {}, 0));
+        assertTrue(limiter.mustProve());
+        handshakes.add(limiter.open("c", () -> {}, 0));
+        handshakes.add(limiter.open("d", () -> {}, 0));
+        assertNull(limiter.open("e", () -> {}, 0));
+        handshakes.forEach(limiter::closed);
+        handshakes.forEach(limiter::closed);
+        assertEquals(0, limiter.handshakes());
+        assertEquals(0, limiter.open());
+        assertFalse(limiter.mustProve());
     }
 
     @Test
-    void handshakesThatTakeTooLongMakeRoom() {
+    void overdueHandshakesAreClosed() {
         for (int i = 0; i < 4; i++) {
             String name = "h" + i;
-            sessions.open(name, () -> ended.add(name), i * SECOND);
+            limiter.open(name, () -> ended.add(name), i * SECOND);
         }
-        assertNull(sessions.open("late", () -> {}, 3 * SECOND));
-        sessions.endOverdue(4 * SECOND);
+        assertNull(limiter.open("late", () -> {}, 3 * SECOND));
+        limiter.endOverdue(4 * SECOND);
         assertEquals(List.of("h0", "h1"), ended);
-        assertEquals(2, sessions.handshakes());
-        assertNotNull(sessions.open("late", () -> {}, 4 * SECOND));
+        assertEquals(2, limiter.handshakes());
+        assertNotNull(limiter.open("late", () -> {}, 4 * SECOND));
     }
 
     @Test
-    void whoLeavesMostUnreadGoesWhereMemoryIsShort() {
-        Http3ConnectionLimiter.TrackedConnection slow = in("slow", "a", 0);
-        Http3ConnectionLimiter.TrackedConnection good = in("good", "b", 0);
-        sessions.unread(slow, 700);
-        sessions.unread(good, 300);
+    void theConnectionWithTheMostUnreadBytesIsEvictedForMemory() {
+        Http3ConnectionLimiter.TrackedConnection slow = connect("slow", "a", 0);
+        Http3ConnectionLimiter.TrackedConnection good = connect("good", "b", 0);
+        limiter.unread(slow, 700);
+        limiter.unread(good, 300);
         assertEquals(List.of(), ended);
-        sessions.unread(good, 1);
+        limiter.unread(good, 1);
         assertEquals(List.of("slow"), ended);
-        sessions.unread(slow, -700); // what it held went with it
-        sessions.unread(good, 699);
+        limiter.unread(slow, -700); // ignored: the connection is closed
+        limiter.unread(good, 699);
         assertEquals(List.of("slow"), ended);
     }
 
     @Test
-    void tokensHoldForTheirAddressAndTimeOnly() {
+    void retryTokensAreValidForTheirAddressAndTimeOnly() {
         RetryTokens tokens = new RetryTokens(new byte[32]);
         byte[] id = {1, 2, 3, 4, 5, 6, 7, 8};
         byte[] address = {127, 0, 0, 1, 1, 1};
@@ -107,25 +107,25 @@
         other[0] = 1;
         assertNull(new RetryTokens(other).read(token, address, 2 * SECOND));
         for (int i = 0; i < token.length; i++) {
-            byte[] bent = token.clone();
-            bent[i] ^= 1;
-            assertNull(tokens.read(bent, address, 2 * SECOND), "byte " + i);
+            byte[] altered = token.clone();
+            altered[i] ^= 1;
+            assertNull(tokens.read(altered, address, 2 * SECOND), "byte " + i);
         }
     }
 
     @Test
-    void streamsEndedByTheHundredAreNotBorneAndImpatientClientsAre() {
+    void rapidResetsAreDetectedAndOccasionalCancellationsAreNot() {
         RapidResetGuard guard = new RapidResetGuard(100, 20, 0);
-        int borne = 0;
+        int tolerated = 0;
         while (guard.ended(0)) {
-            borne++;
+            tolerated++;
         }
-        assertEquals(100, borne);
-        RapidResetGuard patient = new RapidResetGuard(100, 20, 0);
-        for (int i = 0; i < 10_000; i++) { // a third of 30 requests a second given up
-            patient.answered();
-            patient.answered();
-            assertTrue(patient.ended(i * SECOND / 10));
+        assertEquals(100, tolerated);
+        RapidResetGuard cancelling = new RapidResetGuard(100, 20, 0);
+        for (int i = 0; i < 10_000; i++) { // a third of 30 requests a second is cancelled
+            cancelling.answered();
+            cancelling.answered();
+            assertTrue(cancelling.ended(i * SECOND / 10));
         }
     }
 }
--- a/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
+++ b/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
@@ -16,6 +16,7 @@
 import loadbalancer.http3.Http3ConnectionPlan.Way;
 import org.junit.jupiter.api.Test;
 
+/** Which connection carries a request, the limits, and the backoff to HTTP/1.1. */
 class Http3ConnectionPlanTest {
     private static final Http3ConnectionPlan.Limits LIMITS = new Http3ConnectionPlan.Limits(2, 10, 1_000, 8_000);
     private final Http3ConnectionPlan plan = new Http3ConnectionPlan(LIMITS);
@@ -29,7 +30,7 @@
     }
 
     @Test
-    void isConnectedWhileAStreamIsLeftOnAConnectionThatStands() {
+    void isConnectedWhileAnOpenConnectionHasAFreeStream() {
         assertFalse(plan.isConnected());
         Choice first = plan.choose(0);
         assertFalse(plan.isConnected(), "its handshake is under way");
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void requestsWaitForOneHandshake() {
+    void requestsShareOneHandshake() {
         Choice first = plan.choose(0);
         Choice second = plan.choose(0);
         assertEquals(Way.WAIT, first.way());
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void aPeersLimitIsNotExceededAndAnotherConnectionBegun() {
+    void thePeersStreamLimitIsKeptAndAnotherConnectionDialled() {
         Http3ConnectionPlan.PlannedConnection link = up(2);
         plan.allowed(link, 2);
         assertSame(link, plan.choose(0).link());
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void aConnectionThatGoesTakesNothingNewAndKeepsNoPlace() {
+    void aDrainingConnectionTakesNoNewStreamsAndDoesNotCount() {
         Http3ConnectionPlan.PlannedConnection link = up(100);
         plan.choose(0);
         assertTrue(plan.goAway(link, 8));
@@ -90,7 +91,7 @@
     }
 
     @Test
-    void http1StandsInLongerWithEachFailureAndNoRequestWaitsForATrial() {
+    void failedHandshakesBackOffToHttp1AndNoRequestWaitsForATrial() {
         Choice first = plan.choose(0);
         plan.closed(first.link(), 0);
         assertEquals(Way.HTTP1, plan.choose(999).way());
@@ -101,12 +102,12 @@
         assertFalse(plan.choose(1_000).dial(), "one trial at a time");
         plan.closed(trial.link(), 1_500);
         assertFalse(plan.choose(3_499).dial());
-        Choice again = plan.choose(3_500);
-        assertTrue(again.dial());
-        plan.up(again.link(), 100, 3_600);
+        Choice retry = plan.choose(3_500);
+        assertTrue(retry.dial());
+        plan.up(retry.link(), 100, 3_600);
         assertFalse(plan.isFailing());
         assertEquals(Way.STREAM, plan.choose(3_600).way());
-        plan.closed(again.link(), 4_000);
+        plan.closed(retry.link(), 4_000);
         assertFalse(plan.isFailing(), "a connection that worked and ended is no failed handshake");
         assertEquals(Way.WAIT, plan.choose(4_000).way());
     }
--- a/src/test/java/loadbalancer/http3/TlsIdentityTest.java
+++ b/src/test/java/loadbalancer/http3/TlsIdentityTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Certificates and keys, as a configuration names them. */
+/** Certificates and keys in PEM, and the part of the configuration that names them. */
 class TlsIdentityTest {
     private static final String REST = """
         [[membership.server]]
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void bothKindsOfKeysAreRead() throws Exception {
+    void ellipticCurveAndRsaKeysAreRead() throws Exception {
         for (var algorithm : new CertificateBuilder.Algorithm[] {
             CertificateBuilder.Algorithm.ecp256, CertificateBuilder.Algorithm.rsa2048
         }) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatDoesNotFitTogetherIsTold() throws Exception {
+    void aKeyOfAnotherCertificateIsRejectedWithTheReason() throws Exception {
         X509Bundle one = made(CertificateBuilder.Algorithm.ecp256);
         X509Bundle two = made(CertificateBuilder.Algorithm.ecp256);
         X509Bundle rsa = made(CertificateBuilder.Algorithm.rsa2048);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void theTableIsReadWithItsFiles() throws Exception {
+    void theHttp3TableIsReadWithItsFiles() throws Exception {
         X509Bundle made = made(CertificateBuilder.Algorithm.ecp256);
         Files.writeString(folder.resolve("cert.pem"), made.getCertificatePathPEM());
         Files.writeString(folder.resolve("key.pem"), made.getPrivateKeyPEM());
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void everyProblemOfTheTableIsNamedWithItsLine() throws Exception {
+    void everyProblemOfTheHttp3TableIsReportedWithItsLine() throws Exception {
         X509Bundle one = made(CertificateBuilder.Algorithm.ecp256);
         Files.writeString(folder.resolve("cert.pem"), one.getCertificatePathPEM());
         Files.writeString(
--- a/src/test/java/loadbalancer/server/ChunkSizesTest.java
+++ b/src/test/java/loadbalancer/server/ChunkSizesTest.java
@@ -43,13 +43,13 @@
                 "5 5",
                 "5g",
             })
-    void aSizeThatDoesNotFitIsRefusedAndEndsItsConnection(String size) throws IOException, InterruptedException {
+    void anInvalidSizeIsRejectedAndClosesItsConnection(String size) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(HEAD + size + "\r\nabcde\r\n0\r\n\r\n" + post("book", "Req-Deadline-Ms: 900\r\n", ""));
             int status = client.status();
             assertTrue(status >= 400 && status < 500 && status != 429, "status " + status);
-            assertNull(client.answer(), "one answer, and the end");
+            assertNull(client.answer(), "one response, and the connection is closed");
         }
         assertTrue(module.requests.isEmpty());
         assertEquals(0, upstream.connections());
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"5", "05", "00000000000000005"})
-    void zerosAheadOfASizeChangeNothing(String size) throws IOException, InterruptedException {
+    void leadingZerosAreAccepted(String size) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(HEAD + size + "\r\nabcde\r\n0\r\n\r\n");
@@ -70,12 +70,12 @@
 
     /** A trailer is no place for a length, a coding or an id: what came ahead of the body holds. */
     @Test
-    void trailersMoveNoEndAndGoNoFurther() throws IOException, InterruptedException {
+    void trailersChangeNoFramingAndAreNotForwarded() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(HEAD + "5\r\nabcde\r\n0\r\nContent-Length: 100000005\r\nTransfer-Encoding: gzip\r\n"
                     + "Req-Id: other\r\n\r\n");
-            // Refused or read without them; never passed on.
+            // The trailers are dropped, never forwarded.
             ScriptedUpstream.Got got = upstream.next();
             assertArrayEquals("abcde".getBytes(StandardCharsets.US_ASCII), got.body());
             assertEquals("5", got.header("Content-Length"));
@@ -97,7 +97,7 @@
                 "10000000000000002",
                 "00000000000100000002"
             })
-    void anUpstreamsAnswerWithSuchASizeIsNone(String size) throws IOException, InterruptedException {
+    void aResponseWithAnInvalidSizeIsMalformed(String size) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
--- a/src/test/java/loadbalancer/server/Http1ConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/server/Http1ConnectionPoolTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to upstreams: their rest, their drains and their probes. */
+/** Connections to upstreams: idle timeouts, drains and health checks. */
 class Http1ConnectionPoolTest extends ServerFixture {
     @Test
     void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws IOException, InterruptedException {
@@ -29,7 +29,7 @@
 
     @Test
     @Timeout(60)
-    void ofTwoIdleConnectionsToOneUpstreamTheSpareOneGoesSoon() throws IOException, InterruptedException {
+    void theSpareOneOfTwoIdleConnectionsIsClosedSoon() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 600_000_000), 1024);
         try (Client first = new Client(at);
                 Client second = new Client(at)) {
@@ -42,10 +42,10 @@
             assertEquals(200, first.status());
             kept.answer(200, "", "ok");
             assertEquals(200, second.status());
-            assertTrue(spare.closedByPeer(), "nobody has use for it, and the upstream holds few");
+            assertTrue(spare.closedByPeer(), "a spare connection is closed, as the upstream accepts few");
             first.send(SAFE.replace("r1", "r3"));
             ScriptedUpstream.Got next = upstream.next();
-            assertEquals(kept.connection(), next.connection(), "the other one is used again");
+            assertEquals(kept.connection(), next.connection(), "the other one is reused");
             next.answer(200, "", "ok");
             assertEquals(200, first.status());
         }
@@ -53,7 +53,7 @@
 
     @Test
     @Timeout(60)
-    void theModuleCanAskWhetherAHandshakeIsNeeded() throws IOException, InterruptedException {
+    void thePoolSaysWhetherAReusableConnectionExists() throws IOException, InterruptedException {
         start(Map.of("IdleClose", 600_000_000), 1024);
         assertFalse(connected("s1"), "none yet");
         try (Client client = new Client(at)) {
@@ -69,59 +69,59 @@
 
     @Test
     @Timeout(60)
-    void nothingIsSentToAnUpstreamThatHasGone() throws IOException, InterruptedException {
+    void nothingIsSentToARemovedUpstream() throws IOException, InterruptedException {
         start(Map.of(), 1024);
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
         assertEquals("COMPLETE []", module.next());
-        // The grace is over at last; the module of this test goes on sending all the same.
+        // Sends until the drain grace is over: the policy of this test keeps choosing the removed upstream.
         try (Client client = new Client(at)) {
-            String told = "OK closed";
-            while (told.startsWith("OK")) {
+            String outcome = "OK closed";
+            while (outcome.startsWith("OK")) {
                 client.send(SAFE);
-                told = module.told.poll(10, TimeUnit.MILLISECONDS);
-                while (told == null) {
+                outcome = module.told.poll(10, TimeUnit.MILLISECONDS);
+                while (outcome == null) {
                     if (!upstream.isEmpty()) {
                         upstream.next().answer(200, "", "ok");
                     }
-                    told = module.told.poll(10, TimeUnit.MILLISECONDS);
+                    outcome = module.told.poll(10, TimeUnit.MILLISECONDS);
                 }
                 client.status();
             }
-            if (told.equals("CONNECT_FAILED")) { // the grace ended while that one's connection came up
+            if (outcome.equals("CONNECT_FAILED")) { // the grace ended while that one's connection came up
                 client.send(SAFE);
-                told = module.next();
+                outcome = module.next();
                 client.status();
             }
-            assertEquals("NOT_SENT", told);
+            assertEquals("NOT_SENT", outcome);
             assertTrue(upstream.isEmpty());
         }
     }
 
     @Test
     @Timeout(60)
-    void anAttemptThatStillWaitsForItsConnectionIsNotSentAfterTheGrace() throws IOException, InterruptedException {
+    void anAttemptThatWaitsForItsConnectionIsNotSentAfterTheDrainGrace() throws IOException, InterruptedException {
         List<Client> clients = new ArrayList<>();
-        try (UnacceptingListener held = new UnacceptingListener()) {
-            endpoint = held.address();
+        try (UnacceptingListener listener = new UnacceptingListener()) {
+            endpoint = listener.address();
             start(Map.of("DialTimeout", 30_000_000), 1024);
             clients.add(new Client(at).send(SAFE.replace("r1", "r0")));
             assertEquals("0 k1 700 true", module.requests.poll(20, TimeUnit.SECONDS));
             onLoop(() -> module.actions.fetchList());
             discovery.next().answer(200, "", "{\"rev\":50,\"all\":true,\"targets\":[]}");
             assertEquals("COMPLETE []", module.next());
-            String told = null;
-            while (told == null) { // until new attempts show that the grace is over
+            String outcome = null;
+            while (outcome == null) { // until new attempts show that the grace is over
                 clients.add(new Client(at).send(SAFE.replace("r1", "r" + clients.size())));
-                told = module.told.poll(100, TimeUnit.MILLISECONDS);
+                outcome = module.told.poll(100, TimeUnit.MILLISECONDS);
             }
-            assertEquals("NOT_SENT", told);
-            held.release();
+            assertEquals("NOT_SENT", outcome);
+            listener.release();
             for (int i = 1; i < clients.size(); i++) {
-                assertEquals("CONNECT_FAILED", module.next(), "it never ran, and another may take it");
+                assertEquals("CONNECT_FAILED", module.next(), "it never ran, and may be retried elsewhere");
             }
             for (int i = 1; i < clients.size(); i++) {
-                assertEquals(-1, held.next().getInputStream().read(), "nothing was written");
+                assertEquals(-1, listener.next().getInputStream().read(), "nothing was written");
             }
         } finally {
             for (Client client : clients) {
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void probesTellTheLoad() throws IOException, InterruptedException {
+    void healthChecksReportTheLoad() throws IOException, InterruptedException {
         start();
         onLoop(() -> module.actions.probe("s1"));
         ScriptedUpstream.Got got = upstream.next();
--- a/src/test/java/loadbalancer/server/ResponseDecoderTest.java
+++ b/src/test/java/loadbalancer/server/ResponseDecoderTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What upstreams may answer, spoilt or with more than belongs to it. */
+/** Malformed responses of upstreams, and bytes behind a response. */
 class ResponseDecoderTest extends ServerFixture {
-    /** The request has run, perhaps; the client gets a failure, and the connection is of no further use. */
+    /** The request may have run: the client gets a failure, and the connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -28,7 +28,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on",
                 "HTTP/1.1 101 Switching Protocols\r\n\r\n",
             })
-    void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws IOException, InterruptedException {
+    void aMalformedResponseIsAFailedAttemptThatMayHaveRun(String answer) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
@@ -47,7 +47,7 @@
     /** RFC 9112, section 6.3, rule 8: it ends with the connection, in order; a reset cuts it short. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAnswerWithoutALengthIsWholeWhereItsConnectionEndsInOrder(boolean inOrder)
+    void aResponseWithoutALengthIsCompleteWhereItsConnectionClosesInOrder(boolean inOrder)
             throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
@@ -73,7 +73,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", "X-Pad: pppppppppppppppp\r\n"})
-    void whatDoesNotEndIsCutOff(String endless) throws IOException, InterruptedException {
+    void endlessHeadsAndInformationalResponsesAreCutOff(String endless) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
@@ -84,10 +84,10 @@
         }
     }
 
-    /** The copy came in one read with the answer, and the next request was served with it. */
+    /** A second copy of a response in the same read was once taken for the response of the next request. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst", "HTTP/1.1 20", "\u0007noise"})
-    void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws IOException, InterruptedException {
+    void bytesBehindAResponseAreNotTheNextResponse(String behind) throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE + SAFE.replace("r1", "r2"));
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void noiseOnAConnectionAtRestEndsIt() throws IOException, InterruptedException {
+    void unexpectedBytesCloseAnIdleConnection() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void hintsAheadAndOddReportsSpoilNothing() throws IOException, InterruptedException {
+    void informationalResponsesAndUnreadableLoadReportsAreHarmless() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(SAFE);
--- a/src/test/java/loadbalancer/server/UnacceptingListener.java
+++ b/src/test/java/loadbalancer/server/UnacceptingListener.java
@@ -21,19 +21,23 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An upstream whose connections come up only once the test says so: its queue of waiting ones is full. */
+/** An upstream that accepts no connection until the test says so: its accept queue is full. */
 final class UnacceptingListener implements Closeable {
+    private static final int MAX_QUEUE_FILLERS = 50;
+    private static final int FULL_AFTER_MILLIS = 300;
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+
     private final ServerSocket server;
-    private final List<Socket> fillers = new ArrayList<>();
-    private final Set<Integer> ports = new HashSet<>();
-    private final List<Socket> taken = new ArrayList<>();
+    private final List<Socket> queueFillers = new ArrayList<>();
+    private final Set<Integer> fillerPorts = new HashSet<>();
+    private final List<Socket> handedOut = new ArrayList<>();
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
 
     UnacceptingListener() throws IOException {
         server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         while (fill()) {
-            if (fillers.size() > 50) {
-                throw new IOException("the queue never fills");
+            if (queueFillers.size() > MAX_QUEUE_FILLERS) {
+                throw new IOException("the accept queue never fills");
             }
         }
     }
@@ -41,9 +45,10 @@
     private boolean fill() throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()), 300);
-            fillers.add(socket);
-            ports.add(socket.getLocalPort());
+            socket.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()), FULL_AFTER_MILLIS);
+            queueFillers.add(socket);
+            fillerPorts.add(socket.getLocalPort());
             return true;
         } catch (SocketTimeoutException e) {
             socket.close();
@@ -55,14 +60,14 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** From here on connections come up. */
+    /** Accepts connections from here on. */
     void release() {
         Thread accepting = new Thread(() -> {
             try {
                 while (true) {
                     Socket socket = server.accept();
-                    if (!ports.contains(socket.getPort())) {
-                        socket.setSoTimeout(20_000);
+                    if (!fillerPorts.contains(socket.getPort())) {
+                        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
                         accepted.add(socket);
                     }
                 }
@@ -75,9 +80,9 @@
     }
 
     /**
-     * Answers each request on the connections that come up from here on.
+     * Accepts connections from here on, and answers each request on them.
      *
-     * @return the heads that came: it ends when the last of those connections has ended, and this is closed
+     * @return the heads of the requests; completes once this is closed and the last connection has ended
      */
     Future<List<String>> answer(String response) {
         release();
@@ -112,23 +117,23 @@
         }
     }
 
-    /** The next connection that is not the test's own. */
+    /** The next accepted connection, those that filled the queue left out. */
     Socket next() throws InterruptedException {
         Socket socket = accepted.poll(20, TimeUnit.SECONDS);
         if (socket == null) {
             throw new AssertionError("no connection came up");
         }
-        taken.add(socket);
+        handedOut.add(socket);
         return socket;
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket socket : fillers) {
+        for (Socket socket : queueFillers) {
             socket.close();
         }
-        for (Socket socket : taken) {
+        for (Socket socket : handedOut) {
             socket.close();
         }
     }
