--- a/src/main/java/loadbalancer/http3/HeaderValidator.java
+++ b/src/main/java/loadbalancer/http3/HeaderValidator.java
@@ -47,7 +47,7 @@
                 return;
             }
             regularFieldSeen = true;
-            if (CONNECTION_FIELDS.contains(name) || name.equals("te") && !value.equals("trailers")) {
+            if (CONNECTION_FIELDS.contains(name) || (name.equals("te") && !value.equals("trailers"))) {
                 throw malformed("a field of connections: " + name);
             }
             if (name.equals("host")) {
@@ -126,13 +126,13 @@
             if (scheme != null || path != null || authority == null || authority.isEmpty()) {
                 throw malformed("CONNECT names its authority alone"); // section 4.4
             }
-        } else if (scheme == null || !scheme.equals("https") && !scheme.equals("http")) {
+        } else if (scheme == null || (!scheme.equals("https") && !scheme.equals("http"))) {
             throw malformed("no or unknown :scheme");
-        } else if (path == null || !path.startsWith("/") && !(path.equals("*") && method.equals("OPTIONS"))) {
+        } else if (path == null || (!path.startsWith("/") && !(path.equals("*") && method.equals("OPTIONS")))) {
             throw malformed("no or bad :path");
-        } else if (authority == null && host == null
-                || authority != null && authority.isEmpty()
-                || host != null && host.isEmpty()) {
+        } else if ((authority == null && host == null)
+                || (authority != null && authority.isEmpty())
+                || (host != null && host.isEmpty())) {
             throw malformed("no authority");
         } else if (authority != null && host != null && !authority.equals(host)) {
             throw malformed("authority and host differ");
@@ -186,7 +186,7 @@
             throw malformed("a bad field name"); // section 4.2
         }
         boolean invalid = value.chars().anyMatch(c -> c == 0 || c == '\r' || c == '\n' || c > 255);
-        if (invalid || !value.isEmpty() && (isBlank(value.charAt(0)) || isBlank(value.charAt(value.length() - 1)))) {
+        if (invalid || (!value.isEmpty() && (isBlank(value.charAt(0)) || isBlank(value.charAt(value.length() - 1))))) {
             throw malformed("a bad value of " + name); // section 10.3
         }
     }
--- a/src/main/java/loadbalancer/http3/Http3ConnectionLimiter.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionLimiter.java
@@ -81,7 +81,7 @@
     public TrackedConnection open(Object address, Runnable closer, long now) {
         boolean addressAtLimit = byAddress.getOrDefault(address, 0) >= limits.perAddress();
         boolean handshakesAtLimit = handshaking.size() >= limits.handshakes();
-        if (addressAtLimit || handshakesAtLimit || all.size() >= limits.connections() && !evictIdle(now)) {
+        if (addressAtLimit || handshakesAtLimit || (all.size() >= limits.connections() && !evictIdle(now))) {
             rejectedCount++;
             return null;
         }
--- a/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
+++ b/src/main/java/loadbalancer/http3/Http3ConnectionPlan.java
@@ -69,7 +69,7 @@
 
         /** Whether it has no stream, and takes no new ones or has had none since {@code time}. */
         public boolean idleSince(long time) {
-            return openStreams == 0 && (state == State.DRAINING || state == State.UP && idleSinceMicros <= time);
+            return openStreams == 0 && (state == State.DRAINING || (state == State.UP && idleSinceMicros <= time));
         }
 
         /** Whether the peer has promised not to have processed the stream (RFC 9114, section 5.2). */
@@ -81,7 +81,7 @@
     private static final int MAX_DOUBLINGS = 20;
 
     private final Limits limits;
-    private final List<PlannedConnection> links = new ArrayList<>(2);
+    private final List<PlannedConnection> connections = new ArrayList<>(2);
     private int failures; // handshakes that failed since the last one that succeeded
     private long retryAtMicros = Long.MIN_VALUE; // no handshake is tried before
     private boolean trial; // one handshake tries whether HTTP/3 works by now
@@ -95,11 +95,11 @@
     public Choice choose(long now) {
         PlannedConnection best = null;
         PlannedConnection dialling = null;
-        for (PlannedConnection link : links) {
-            if (hasFreeStream(link) && (best == null || link.openStreams < best.openStreams)) {
-                best = link;
-            } else if (link.state == PlannedConnection.State.DIALLING) {
-                dialling = link;
+        for (PlannedConnection connection : connections) {
+            if (hasFreeStream(connection) && (best == null || connection.openStreams < best.openStreams)) {
+                best = connection;
+            } else if (connection.state == PlannedConnection.State.DIALLING) {
+                dialling = connection;
             }
         }
         if (best != null) {
@@ -118,57 +118,57 @@
             return new Choice(Way.WAIT, dialling, false);
         }
         if (countNotDraining() < limits.connections()) {
-            PlannedConnection link = dial(now);
-            link.openStreams++;
-            return new Choice(Way.WAIT, link, true);
+            PlannedConnection connection = dial(now);
+            connection.openStreams++;
+            return new Choice(Way.WAIT, connection, true);
         }
         return new Choice(Way.NONE, null, false);
     }
 
     /** Whether the next request would find a free stream on a connection that is up. Changes nothing. */
     public boolean isConnected() {
-        return links.stream().anyMatch(this::hasFreeStream);
+        return connections.stream().anyMatch(this::hasFreeStream);
     }
 
-    private boolean hasFreeStream(PlannedConnection link) {
-        return link.state == PlannedConnection.State.UP
-                && link.openStreams < limits.streams()
-                && link.allowedStreams > 0;
+    private boolean hasFreeStream(PlannedConnection connection) {
+        return connection.state == PlannedConnection.State.UP
+                && connection.openStreams < limits.streams()
+                && connection.allowedStreams > 0;
     }
 
     // Draining connections still carry streams, but must not keep the upstream without a new connection.
     private int countNotDraining() {
-        return (int) links.stream()
-                .filter(link -> link.state != PlannedConnection.State.DRAINING)
+        return (int) connections.stream()
+                .filter(connection -> connection.state != PlannedConnection.State.DRAINING)
                 .count();
     }
 
     private PlannedConnection dial(long now) {
-        PlannedConnection link = new PlannedConnection(now);
-        links.add(link);
-        return link;
+        PlannedConnection connection = new PlannedConnection(now);
+        connections.add(connection);
+        return connection;
     }
 
     /** Its handshake is done; {@code allowed}: streams that the peer lets us open, waiting ones included. */
-    public void up(PlannedConnection link, long allowed, long now) {
-        if (link.state == PlannedConnection.State.DIALLING) {
-            link.state = PlannedConnection.State.UP;
-            link.allowedStreams = allowed - link.openStreams;
-            link.idleSinceMicros = now;
+    public void up(PlannedConnection connection, long allowed, long now) {
+        if (connection.state == PlannedConnection.State.DIALLING) {
+            connection.state = PlannedConnection.State.UP;
+            connection.allowedStreams = allowed - connection.openStreams;
+            connection.idleSinceMicros = now;
             failures = 0;
             trial = false;
         }
     }
 
     /** The peer allows so many streams more from here on. */
-    public void allowed(PlannedConnection link, long more) {
-        link.allowedStreams = more;
+    public void allowed(PlannedConnection connection, long more) {
+        connection.allowedStreams = more;
     }
 
     /** A stream has ended, or a request no longer waits for the handshake. */
-    public void released(PlannedConnection link, long now) {
-        link.openStreams--;
-        link.idleSinceMicros = now;
+    public void released(PlannedConnection connection, long now) {
+        connection.openStreams--;
+        connection.idleSinceMicros = now;
     }
 
     /**
@@ -176,36 +176,36 @@
      * not run. Returns false where the id is higher than before, an error of the connection (RFC 9114, section
      * 5.2).
      */
-    public boolean goAway(PlannedConnection link, long id) {
-        if (id > link.goAwayId) {
+    public boolean goAway(PlannedConnection connection, long id) {
+        if (id > connection.goAwayId) {
             return false;
         }
-        link.goAwayId = id;
-        if (link.state != PlannedConnection.State.CLOSED) {
-            link.state = PlannedConnection.State.DRAINING;
+        connection.goAwayId = id;
+        if (connection.state != PlannedConnection.State.CLOSED) {
+            connection.state = PlannedConnection.State.DRAINING;
         }
         return true;
     }
 
     /** The connection takes no new streams, and is to be closed once it has none. */
-    public void retire(PlannedConnection link) {
-        if (link.state == PlannedConnection.State.UP) {
-            link.state = PlannedConnection.State.DRAINING;
+    public void retire(PlannedConnection connection) {
+        if (connection.state == PlannedConnection.State.UP) {
+            connection.state = PlannedConnection.State.DRAINING;
         }
     }
 
     /** The connection is closed, by either side. After a failed handshake HTTP/3 is backed off from. */
-    public void closed(PlannedConnection link, long now) {
-        if (!links.remove(link)) {
+    public void closed(PlannedConnection connection, long now) {
+        if (!connections.remove(connection)) {
             return;
         }
-        if (link.state == PlannedConnection.State.DIALLING) {
+        if (connection.state == PlannedConnection.State.DIALLING) {
             long backOffMicros = limits.backOffFirst() << Math.min(MAX_DOUBLINGS, failures);
             failures++;
             trial = false;
             retryAtMicros = now + Math.min(limits.backOffMost(), backOffMicros);
         }
-        link.state = PlannedConnection.State.CLOSED;
+        connection.state = PlannedConnection.State.CLOSED;
     }
 
     /** Whether HTTP/1.1 is used in place of HTTP/3 for the time being. */
@@ -215,6 +215,6 @@
 
     /** The connections that are not closed; a copy. */
     public List<PlannedConnection> connections() {
-        return List.copyOf(links);
+        return List.copyOf(connections);
     }
 }
--- a/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -94,7 +94,7 @@
         if (malformed) {
             return;
         }
-        boolean complete = completeResponse != null || stream != null && stream.ended;
+        boolean complete = completeResponse != null || (stream != null && stream.ended);
         if (complete || !part.decoderResult().isSuccess()) {
             rejectMalformed(); // a second response, or one that can't be read
             return;
--- a/src/main/java/loadbalancer/upstream/http1/TimedChannel.java
+++ b/src/main/java/loadbalancer/upstream/http1/TimedChannel.java
@@ -10,11 +10,9 @@
  * system call, since a process may be stopped anywhere between a decision and that call. On its event loop.
  */
 final class TimedChannel extends NioSocketChannel {
-    private static final Runnable NOTHING = () -> {};
-
     private final Clock clock;
     private long untilMicros = Long.MAX_VALUE;
-    private Runnable onLateWrite = NOTHING;
+    private Runnable onLateWrite; // null: nobody is notified
 
     TimedChannel(Clock clock) {
         this.clock = clock;
@@ -35,12 +33,12 @@
         long limitMicros = untilMicros;
         Runnable late = onLateWrite;
         untilMicros = Long.MAX_VALUE; // what has begun continues
-        onLateWrite = NOTHING;
+        onLateWrite = null;
         if (clock.now() >= limitMicros) {
             throw new IOException("too late to be begun");
         }
         super.doWrite(out);
-        if (clock.now() >= limitMicros) {
+        if (clock.now() >= limitMicros && late != null) {
             late.run();
         }
     }
--- a/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
@@ -210,7 +210,7 @@
             String server, ProxyRequest request, long waitMicros, long startBeforeMicros, Listener listener) {
         Http3Upstream upstream = upstreams.get(server);
         boolean streamedBody = request.rest() != null; // goes over HTTP/1.1
-        if (upstream == null || streamedBody && fallback != null) {
+        if (upstream == null || (streamedBody && fallback != null)) {
             return fallback.send(server, request, waitMicros, startBeforeMicros, listener);
         }
         Http3ConnectionPlan.Choice choice = choose(upstream);
--- a/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
+++ b/src/test/java/loadbalancer/http3/Http3ConnectionPlanTest.java
@@ -112,43 +112,43 @@
         assertEquals(Way.WAIT, plan.choose(4_000).way());
     }
 
-    /** Against a naive count over random histories: limits kept, links neither lost nor used when closed. */
+    /** Against a naive count over random histories: limits kept, connections neither lost nor used when closed. */
     @Test
     void noHistoryExceedsALimit() {
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Http3ConnectionPlan any = new Http3ConnectionPlan(LIMITS);
-            Map<Http3ConnectionPlan.PlannedConnection, Integer> open = new HashMap<>();
-            Map<Http3ConnectionPlan.PlannedConnection, Long> left = new HashMap<>();
-            List<Http3ConnectionPlan.PlannedConnection> dead = new ArrayList<>();
+            Http3ConnectionPlan randomPlan = new Http3ConnectionPlan(LIMITS);
+            Map<Http3ConnectionPlan.PlannedConnection, Integer> openStreams = new HashMap<>();
+            Map<Http3ConnectionPlan.PlannedConnection, Long> streamsLeft = new HashMap<>();
+            List<Http3ConnectionPlan.PlannedConnection> closed = new ArrayList<>();
             for (long now = 0; now < 400; now++) {
-                List<Http3ConnectionPlan.PlannedConnection> links = new ArrayList<>(any.connections());
-                Http3ConnectionPlan.PlannedConnection some =
-                        links.isEmpty() ? null : links.get(random.nextInt(links.size()));
+                List<Http3ConnectionPlan.PlannedConnection> connections = new ArrayList<>(randomPlan.connections());
+                Http3ConnectionPlan.PlannedConnection connection =
+                        connections.isEmpty() ? null : connections.get(random.nextInt(connections.size()));
                 int event = random.nextInt(10);
                 if (event < 5) {
-                    Choice c = any.choose(now * 100);
-                    boolean taken = c.way() == Way.STREAM || c.way() == Way.WAIT;
-                    assertFalse(dead.contains(c.link()));
+                    Choice choice = randomPlan.choose(now * 100);
+                    boolean taken = choice.way() == Way.STREAM || choice.way() == Way.WAIT;
+                    assertFalse(closed.contains(choice.link()));
                     if (taken) {
-                        assertTrue(open.merge(c.link(), 1, Integer::sum) <= LIMITS.streams());
+                        assertTrue(openStreams.merge(choice.link(), 1, Integer::sum) <= LIMITS.streams());
                     }
-                    if (c.way() == Way.STREAM) {
-                        assertTrue(left.merge(c.link(), -1L, Long::sum) >= 0, "beyond the peer's limit");
+                    if (choice.way() == Way.STREAM) {
+                        assertTrue(streamsLeft.merge(choice.link(), -1L, Long::sum) >= 0, "beyond the peer's limit");
                     }
-                } else if (some != null && event < 7 && open.getOrDefault(some, 0) > 0) {
-                    any.released(some, now);
-                    open.merge(some, -1, Integer::sum);
-                } else if (some != null && event == 7 && !some.up() && !some.beyond(Long.MAX_VALUE)) {
-                    any.up(some, 12, now);
-                    left.putIfAbsent(some, 12L - open.getOrDefault(some, 0));
-                } else if (some != null && event == 8) {
-                    any.goAway(some, random.nextInt(5) * 4L);
-                } else if (some != null && event == 9) {
-                    any.closed(some, now * 100);
-                    dead.add(some);
+                } else if (connection != null && event < 7 && openStreams.getOrDefault(connection, 0) > 0) {
+                    randomPlan.released(connection, now);
+                    openStreams.merge(connection, -1, Integer::sum);
+                } else if (connection != null && event == 7 && !connection.up() && !connection.beyond(Long.MAX_VALUE)) {
+                    randomPlan.up(connection, 12, now);
+                    streamsLeft.putIfAbsent(connection, 12L - openStreams.getOrDefault(connection, 0));
+                } else if (connection != null && event == 8) {
+                    randomPlan.goAway(connection, random.nextInt(5) * 4L);
+                } else if (connection != null && event == 9) {
+                    randomPlan.closed(connection, now * 100);
+                    closed.add(connection);
                 }
-                assertTrue(any.connections().stream().noneMatch(dead::contains));
+                assertTrue(randomPlan.connections().stream().noneMatch(closed::contains));
             }
         }
     }
