--- /dev/null
+++ b/src/main/java/loadbalancer/downstream/ClientAddress.java
@@ -0,0 +1,24 @@
+package loadbalancer.downstream;
+
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import loadbalancer.connections.ConnectionBudget;
+
+/** Under which key the connections of one client address are counted. */
+public final class ClientAddress {
+    private static final String UNKNOWN = "unknown";
+
+    private ClientAddress() {}
+
+    /**
+     * The key of a remote address: see {@link ConnectionBudget#address}. All connections without an IP address,
+     * as those of a domain socket or those already closed, share one key.
+     *
+     * @param remote the address, or null where it is not known any more
+     */
+    public static Object key(SocketAddress remote) {
+        return remote instanceof InetSocketAddress address
+                ? ConnectionBudget.address(address.getAddress().getAddress())
+                : UNKNOWN;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/downstream/FinalResponse.java
@@ -0,0 +1,66 @@
+package loadbalancer.downstream;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import loadbalancer.proxy.UpstreamResponse;
+
+/**
+ * The one final response to a request, before a protocol frames it: status, body and fields are the same
+ * whatever protocol the client speaks. Immutable by convention: {@code body} must not be changed.
+ *
+ * @param status the status code (RFC 9110, section 15)
+ * @param body the complete content
+ * @param contentType the media type, or null for none
+ * @param fieldName one further field, in the case that HTTP/1.1 writes; used where {@code fieldValue} is set
+ * @param fieldValue the value of that field, or null for no such field
+ */
+public record FinalResponse(int status, byte[] body, String contentType, String fieldName, String fieldValue) {
+    /** Requests to paths that begin so are for this process and are not forwarded. */
+    public static final String MANAGEMENT_PREFIX = "/-/";
+    /** Where health checks ask whether this process takes clients. */
+    public static final String READINESS_PATH = "/-/ready";
+    /** The reason of a 409: an upstream could not tell two open requests with the same id apart. */
+    public static final String DUPLICATE_REQUEST_ID = "a request with this Req-Id is open";
+
+    private static final String PLAIN_TEXT = "text/plain";
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** A complete upstream response that is passed on with its media type. */
+    public static FinalResponse served(UpstreamResponse response) {
+        return new FinalResponse(200, response.body(), response.type(), null, null);
+    }
+
+    /**
+     * The request was not processed and may be retried.
+     *
+     * @param retryAfterMicros the delay for Retry-After (RFC 9110, section 10.2.3), written in seconds; 0 or less
+     *     for none
+     */
+    public static FinalResponse rejected(long retryAfterMicros) {
+        String seconds =
+                retryAfterMicros <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfterMicros / MICROS_PER_SECOND);
+        return new FinalResponse(503, line("refused: trying again is harmless"), PLAIN_TEXT, "Retry-After", seconds);
+    }
+
+    /** The request failed; whether an upstream processed it is unknown. */
+    public static FinalResponse failed() {
+        return text(502, "failed");
+    }
+
+    /** A status with one line of plain text. */
+    public static FinalResponse text(int status, String text) {
+        return new FinalResponse(status, line(text), PLAIN_TEXT, null, null);
+    }
+
+    /** The response to a request for a path with {@link #MANAGEMENT_PREFIX}. */
+    public static FinalResponse management(String method, String path, boolean ready) {
+        if (!path.equals(READINESS_PATH) || !method.equals("GET")) {
+            return text(404, "not found");
+        }
+        return ready ? text(200, "ready") : text(503, "not ready");
+    }
+
+    private static byte[] line(String text) {
+        return (text + "\n").getBytes(StandardCharsets.UTF_8);
+    }
+}
--- a/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
+++ b/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * The clients' listener. In each pass over the sockets it accepts what waits in its queue, as long as there
- * is room: a connection that lies there is not read, so neither its request's time nor its client's close is
- * known. A failed accept is told to whoever keeps the listener; Netty would stop accepting for a second. On
+ * The listening socket for clients. In each pass over the sockets it accepts the connections that wait, as long as
+ * there is capacity: one that waits is not read, so neither the time of its request nor the client's close is
+ * known. A failed accept is reported to the {@link Gatekeeper}; Netty alone would stop accepting for a second. On
  * the event loop.
  */
 final class AcceptingChannel extends NioServerSocketChannel {
-    /** What limits accepting, and hears of failures. */
+    /** Limits accepting, and is notified of failures. */
     interface Gatekeeper {
-        /** Whether another connection may be accepted in this pass, behind so many. */
+        /** Whether another connection may be accepted in this pass, which has accepted so many. */
         boolean mayAccept(int accepted);
 
         /** An accept has failed while the listener was open; the connection, if any, still waits. */
@@ -24,7 +24,7 @@
 
     private final Gatekeeper gatekeeper;
 
-    /** {@code inherited}: a listener that other processes read as well; null for one of its own. */
+    /** {@code inherited}: a socket that other processes accept from as well; null for an own one. */
     static AcceptingChannel of(ServerSocketChannel inherited, Gatekeeper gatekeeper) {
         return inherited == null ? new AcceptingChannel(gatekeeper) : new AcceptingChannel(inherited, gatekeeper);
     }
--- /dev/null
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -0,0 +1,96 @@
+package loadbalancer.downstream.http1;
+
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import loadbalancer.downstream.FinalResponse;
+import loadbalancer.http1.Http1HeaderFields;
+import loadbalancer.lifecycle.LifeCycle;
+import loadbalancer.proxy.Dispatcher;
+import loadbalancer.proxy.ProxyRequest;
+import loadbalancer.proxy.RequestValidator;
+import loadbalancer.proxy.WarmUpRequests;
+import loadbalancer.settings.SettingsReader;
+
+/**
+ * Decides what a decoded request is for: the readiness path, this process's own warm-up, or the dispatcher. On
+ * the event loop.
+ */
+final class Http1RequestHandler {
+    private static final int WARM_UP_BODY_BYTES = 256;
+
+    private final Dispatcher dispatcher;
+    private final LifeCycle lifeCycle;
+    private SettingsReader.Boot settings;
+    private WarmUpRequests warmUp; // null when it is over
+
+    Http1RequestHandler(Dispatcher dispatcher, LifeCycle lifeCycle, SettingsReader.Boot settings) {
+        this.dispatcher = dispatcher;
+        this.lifeCycle = lifeCycle;
+        this.settings = settings;
+    }
+
+    /** Other settings hold for the requests from here on. */
+    void reload(SettingsReader.Boot newSettings) {
+        settings = newSettings;
+    }
+
+    /** Serves a warm-up's requests as well; null when it is over. */
+    void setWarmUp(WarmUpRequests requests) {
+        warmUp = requests;
+    }
+
+    /** Responds to a request, at once or when the dispatcher does. */
+    void handle(Http1ClientConnection connection, ReceivedRequest request) {
+        HttpRequest head = request.head();
+        boolean keepAlive = HttpUtil.isKeepAlive(head);
+        String path = head.uri();
+        Http1HeaderFields fields = new Http1HeaderFields(head.headers());
+        boolean isWarmUp = warmUp != null && warmUp.knows(fields);
+        if (isWarmUp && path.equals(WarmUpRequests.HOP)) {
+            connection.respond(warmUpResponse(warmUp.declines()), keepAlive);
+        } else if (path.startsWith(FinalResponse.MANAGEMENT_PREFIX)
+                && !(isWarmUp && path.equals(WarmUpRequests.PATH))) {
+            connection.respond(FinalResponse.management(head.method().name(), path, lifeCycle.ready()), keepAlive);
+        } else {
+            dispatch(connection, request, fields, keepAlive);
+        }
+    }
+
+    // What this process says as its own upstream.
+    private static FinalResponse warmUpResponse(boolean declined) {
+        byte[] body = new byte[WARM_UP_BODY_BYTES];
+        return declined
+                ? new FinalResponse(503, body, null, "Srv-Declined", "1")
+                : new FinalResponse(200, body, null, "Srv-Load", "TEXT eps=0.1, latency_ms=14.5, inflight=2");
+    }
+
+    private void dispatch(
+            Http1ClientConnection connection, ReceivedRequest received, Http1HeaderFields fields, boolean keepAlive) {
+        HttpRequest head = received.head();
+        String path = head.uri();
+        ProxyRequest request;
+        try {
+            request = RequestValidator.validate(head.method().name(), path, fields, received.body(), settings)
+                    .withBodyStream(received.bodyStream(), received.length());
+            fields.endToEnd();
+        } catch (IllegalArgumentException e) {
+            connection.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+            return;
+        }
+        boolean isWarmUp = path.equals(WarmUpRequests.PATH);
+        Dispatcher target = isWarmUp ? warmUp.dispatcher() : dispatcher;
+        if (target.isOpen(request.id())) {
+            // An upstream could not tell the two apart, and might answer one with the other's response.
+            connection.refuse(HttpResponseStatus.CONFLICT, FinalResponse.DUPLICATE_REQUEST_ID);
+            return;
+        }
+        Http1ResponseWriter writer = new Http1ResponseWriter(
+                connection, keepAlive, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
+        Runnable clientClosed = target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.HOP) : request, writer);
+        if (!writer.hasResponded()) {
+            connection.awaitResponse(clientClosed);
+        }
+    }
+}
--- a/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
+++ b/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
@@ -7,39 +7,40 @@
 import java.util.ArrayDeque;
 
 /**
- * Keeps what a client sends while its requests ahead are as many as are taken. The connection is read on:
- * with reading off its end was not seen either, and requests whose client had left were sent on. On the event
- * loop.
+ * Buffers what a client sends while it has pipelined as many requests as are taken. The connection is still read:
+ * with reading off its end would not be seen either, and requests whose client had left would be forwarded. On
+ * the event loop.
  */
 final class PipeliningLimiter extends ChannelInboundHandlerAdapter {
-    private final int most;
-    private final Runnable full;
-    private final ArrayDeque<Object> kept = new ArrayDeque<>();
+    private final int maxBytes;
+    private final Runnable onOverflow;
+    private final ArrayDeque<Object> buffered = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private int bytes;
-    private boolean shut;
+    private int bufferedBytes;
+    private boolean paused;
 
-    /** {@code full} runs where more than {@code most} bytes would have to be kept. */
-    PipeliningLimiter(int most, Runnable full) {
-        this.most = most;
-        this.full = full;
+    /** {@code onOverflow} runs where more than {@code maxBytes} would have to be buffered. */
+    PipeliningLimiter(int maxBytes, Runnable onOverflow) {
+        this.maxBytes = maxBytes;
+        this.onOverflow = onOverflow;
     }
 
-    boolean isShut() {
-        return shut;
+    boolean isPaused() {
+        return paused;
     }
 
-    void shut() {
-        shut = true;
+    /** Buffers what arrives from here on. */
+    void pause() {
+        paused = true;
     }
 
-    /** Hands on what was kept, as far as it is not shut again meanwhile. */
-    void open() {
-        shut = false;
-        boolean any = !kept.isEmpty();
-        while (!shut && !kept.isEmpty()) {
-            Object next = kept.poll();
-            bytes -= size(next);
+    /** Hands on what was buffered, as far as it is not paused once more meanwhile. */
+    void resume() {
+        paused = false;
+        boolean any = !buffered.isEmpty();
+        while (!paused && !buffered.isEmpty()) {
+            Object next = buffered.poll();
+            bufferedBytes -= size(next);
             context.fireChannelRead(next);
         }
         if (any) {
@@ -47,12 +48,12 @@
         }
     }
 
-    /** Keeps nothing, and lets through what comes from here on. */
+    /** Discards the buffer, and hands on at once what arrives from here on. */
     void drop() {
-        shut = false;
-        kept.forEach(ReferenceCountUtil::release);
-        kept.clear();
-        bytes = 0;
+        paused = false;
+        buffered.forEach(ReferenceCountUtil::release);
+        buffered.clear();
+        bufferedBytes = 0;
     }
 
     @Override
@@ -61,21 +62,21 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext at, Object part) {
-        if (!shut) {
-            at.fireChannelRead(part);
+    public void channelRead(ChannelHandlerContext current, Object part) {
+        if (!paused) {
+            current.fireChannelRead(part);
             return;
         }
-        if (bytes + size(part) > most) {
+        if (bufferedBytes + size(part) > maxBytes) {
             ReferenceCountUtil.release(part);
-            full.run();
+            onOverflow.run();
             return;
         }
-        bytes += size(part);
-        kept.add(part);
+        bufferedBytes += size(part);
+        buffered.add(part);
     }
 
     private static int size(Object part) {
-        return part instanceof ByteBuf some ? some.readableBytes() : 0;
+        return part instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -16,227 +16,245 @@
 import java.util.Arrays;
 import loadbalancer.http1.BodyReader;
 import loadbalancer.proxy.BodyMemoryBudget;
-import loadbalancer.proxy.BodyStream;
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * Puts a client's requests together, each whole and copied off the socket's buffers. What is too long, or
- * framed in a way that others may read otherwise, is refused as soon as that shows, and none of it is kept.
+ * Puts the parts of a client's requests together, copied off the socket's buffers: short ones complete, long ones as
+ * a head and a stream. What is too long, or framed in a way that other readers may understand differently, is
+ * reported as soon as that shows, and none of it is kept. On the event loop.
  */
 final class RequestAggregator extends SimpleChannelInboundHandler<HttpObject> {
-    /** Whom it tells. After {@link #bad} or {@link #cut} nothing more comes. */
-    interface Taker {
-        /** A head has come that can be read; its body is to follow. */
-        void begun(HttpRequest head);
+    /** Gets the requests. After {@link #onMalformed} or {@link #onStreamBroken} there are no more. */
+    interface Listener {
+        /** A well-formed head has arrived; its body follows. */
+        void onHead(HttpRequest head);
 
-        void whole(HttpRequest head, byte[] body);
+        /** A request has arrived: a short one completely, a long one with the first bytes of its body. */
+        void onRequest(ReceivedRequest request);
 
-        /** A long one: {@code rest} follows behind {@code first}; {@code length}: of both, -1 if unknown. */
-        void flowing(HttpRequest head, byte[] first, BodyStream rest, long length);
+        /** What arrives is no request that can be served. */
+        void onMalformed(HttpResponseStatus status, String reason);
 
-        void bad(HttpResponseStatus status, String why);
-
-        /** The same within the long body that was told last. */
-        void cut(HttpResponseStatus status, String why);
+        /** The body that was reported last as a stream is malformed or too long. */
+        void onStreamBroken(HttpResponseStatus status, String reason);
     }
 
-    private final Taker taker;
-    private final BodyMemoryBudget room;
-    private final BodyMemoryBudget early;
+    private final Listener listener;
+    private final BodyMemoryBudget memory;
+    private final BodyMemoryBudget unclaimedMemory;
     private HttpRequest head;
     private byte[] body;
-    private int length;
-    private boolean over;
-    private Inflow inflow; // of a long body, until its last byte
-
-    /** {@code early}: what long bodies may take that come in before anybody takes them. */
-    RequestAggregator(Taker taker, BodyMemoryBudget room, BodyMemoryBudget early) {
-        this.taker = taker;
-        this.room = room;
-        this.early = early;
+    private int length; // bytes of the body so far
+    private boolean dropped;
+    private StreamedBody stream; // of a long body, until its last byte
+
+    /** {@code unclaimedMemory}: what long bodies may take together that nobody has subscribed to yet. */
+    RequestAggregator(Listener listener, BodyMemoryBudget memory, BodyMemoryBudget unclaimedMemory) {
+        this.listener = listener;
+        this.memory = memory;
+        this.unclaimedMemory = unclaimedMemory;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (over) {
+        if (dropped) {
             return;
         }
         if (!part.decoderResult().isSuccess()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (part instanceof HttpRequest request) {
-            RequestFraming.Problem problem = RequestFraming.framing(request);
+            RequestFraming.Problem problem = RequestFraming.check(request);
             if (problem != null) {
                 refuse(problem.status(), problem.text());
                 return;
             }
-            head = request;
-            body = new byte[0];
-            length = 0;
-            taker.begun(request);
-            long told = HttpUtil.getContentLength(request, -1L);
-            if (!over && told > ProxyRequest.BODY_MOST) {
-                flow(context.channel(), told);
-            }
+            headReceived(context.channel(), request);
+        }
+        if (!dropped && part instanceof HttpContent content) {
+            contentReceived(context.channel(), content.content(), part instanceof LastHttpContent);
+        }
+    }
+
+    private void headReceived(Channel channel, HttpRequest request) {
+        head = request;
+        body = new byte[0];
+        length = 0;
+        listener.onHead(request);
+        long announced = HttpUtil.getContentLength(request, -1L);
+        if (!dropped && announced > ProxyRequest.BODY_MOST) {
+            startStream(channel, announced);
+        }
+    }
+
+    private void contentReceived(Channel channel, ByteBuf content, boolean last) {
+        if (stream != null) {
+            stream.append(content, last);
+            return;
         }
-        if (!over && inflow != null && part instanceof HttpContent content) {
-            inflow.more(content.content(), part instanceof LastHttpContent);
-        } else if (!over && part instanceof HttpContent content) {
-            add(context.channel(), content.content());
-            if (!over && inflow != null && part instanceof LastHttpContent) {
-                inflow.more(Unpooled.EMPTY_BUFFER, true);
-            } else if (!over && part instanceof LastHttpContent) {
-                HttpRequest request = head;
-                head = null;
-                byte[] all = body.length == length ? body : Arrays.copyOf(body, length);
-                room.release(length);
-                taker.whole(request, all);
+        buffer(channel, content);
+        if (!dropped && last) {
+            if (stream != null) {
+                stream.append(Unpooled.EMPTY_BUFFER, true);
+            } else {
+                completeRequest();
             }
         }
     }
 
-    private void add(Channel channel, ByteBuf more) {
-        int bytes = more.readableBytes();
+    private void completeRequest() {
+        HttpRequest request = head;
+        head = null;
+        byte[] complete = body.length == length ? body : Arrays.copyOf(body, length);
+        memory.release(length);
+        listener.onRequest(new ReceivedRequest(request, complete, null, complete.length));
+    }
+
+    private void buffer(Channel channel, ByteBuf content) {
+        int bytes = content.readableBytes();
         if (bytes == 0) {
             return;
         }
         if (length + bytes > ProxyRequest.BODY_MOST) {
-            flow(channel, -1);
-            if (inflow != null) { // not refused at once
-                inflow.more(more, false);
+            startStream(channel, -1);
+            if (stream != null) { // not refused at once
+                stream.append(content, false);
             }
             return;
         }
-        if (!room.tryReserve(bytes)) {
+        if (!memory.tryReserve(bytes)) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
             return;
         }
         if (length == 0) {
-            body = ByteBufUtil.getBytes(more);
+            body = ByteBufUtil.getBytes(content);
         } else {
             if (length + bytes > body.length) {
                 body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
             }
-            more.readBytes(body, length, bytes);
+            content.readBytes(body, length, bytes);
         }
         length += bytes;
     }
 
-    private void flow(Channel channel, long told) {
+    private void startStream(Channel channel, long announcedLength) {
         HttpRequest request = head;
-        byte[] held = Arrays.copyOf(body, length);
+        byte[] firstBytes = Arrays.copyOf(body, length);
         head = null;
         body = null;
-        room.release(length);
-        inflow = new Inflow(channel);
-        taker.flowing(request, held, inflow, told);
+        memory.release(length);
+        stream = new StreamedBody(channel);
+        listener.onRequest(new ReceivedRequest(request, firstBytes, stream, announcedLength));
     }
 
-    /** Whether the last byte of a long body has not come yet. */
-    boolean flows() {
-        return inflow != null;
+    /** Whether the last byte of a long body has not arrived yet. */
+    boolean isStreaming() {
+        return stream != null;
     }
 
     /** Bytes of the present long body so far. */
-    long flown() {
-        return inflow == null ? 0 : inflow.bytes;
+    long streamedBytes() {
+        return stream == null ? 0 : stream.bytes;
+    }
+
+    private void refuse(HttpResponseStatus status, String reason) {
+        if (stream != null) {
+            listener.onStreamBroken(status, reason);
+            return;
+        }
+        drop();
+        listener.onMalformed(status, reason);
+    }
+
+    /** Discards everything, now and from here on. */
+    void drop() {
+        dropped = true;
+        if (head != null) {
+            memory.release(length);
+        }
+        head = null;
+        body = null;
+        StreamedBody broken = stream;
+        stream = null;
+        if (broken != null) {
+            broken.abort();
+        }
     }
 
     /**
-     * What follows of a long body. Until it has a taker it is read on while there is room: with reading off
-     * the end of its connection was not seen either, and what waited for its attempt was sent on behind its
-     * client.
+     * The rest of a long body. Until it has a subscriber it is read on while there is capacity: with reading off
+     * the end of its connection would not be seen either, and a request that waited for its attempt would be
+     * forwarded although its client had left.
      */
-    private final class Inflow extends BodyReader {
-        private final ArrayDeque<byte[]> held = new ArrayDeque<>();
-        private int charged; // of what is held
-        private boolean dropped;
-        private boolean whole;
+    private final class StreamedBody extends BodyReader {
+        private final ArrayDeque<byte[]> buffered = new ArrayDeque<>();
+        private int reservedBytes;
+        private boolean cancelled;
+        private boolean complete;
         private long bytes;
 
-        Inflow(Channel channel) {
+        StreamedBody(Channel channel) {
             super(channel);
         }
 
         @Override
         protected void begin() {
             setReady(true);
-            early.release(charged);
-            charged = 0;
-            while (!held.isEmpty()) {
-                taker().onData(held.poll());
+            releaseReserved();
+            while (!buffered.isEmpty()) {
+                taker().onData(buffered.poll());
             }
-            if (whole) {
+            if (complete) {
                 taker().onComplete();
             }
         }
 
         @Override
         public void cancel() {
-            dropped = true;
-            held.clear();
-            early.release(charged);
-            charged = 0;
+            cancelled = true;
+            buffered.clear();
+            releaseReserved();
             setReady(true); // its client may have to finish before it reads
         }
 
-        private void more(ByteBuf more, boolean last) {
-            bytes += more.readableBytes();
+        private void releaseReserved() {
+            unclaimedMemory.release(reservedBytes);
+            reservedBytes = 0;
+        }
+
+        private void append(ByteBuf content, boolean last) {
+            bytes += content.readableBytes();
             if (bytes > ProxyRequest.LENGTH_MOST) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
-            if (!started() && !dropped) {
-                hold(ByteBufUtil.getBytes(more));
-            } else if (started() && more.isReadable()) {
-                taker().onData(ByteBufUtil.getBytes(more));
+            if (!started() && !cancelled) {
+                buffer(ByteBufUtil.getBytes(content));
+            } else if (started() && content.isReadable()) {
+                taker().onData(ByteBufUtil.getBytes(content));
             }
             if (last) {
-                whole = true;
-                inflow = null;
+                complete = true;
+                stream = null;
                 if (started()) {
                     taker().onComplete();
                 }
             }
         }
 
-        private void hold(byte[] piece) {
-            held.add(piece);
-            if (early.tryReserve(piece.length)) {
-                charged += piece.length;
+        private void buffer(byte[] piece) {
+            buffered.add(piece);
+            if (unclaimedMemory.tryReserve(piece.length)) {
+                reservedBytes += piece.length;
             } else {
                 setReady(false);
             }
         }
 
-        private void broken() {
+        private void abort() {
             cancel();
             if (started()) {
                 taker().onError();
             }
         }
     }
-
-    private void refuse(HttpResponseStatus status, String why) {
-        if (inflow != null) {
-            taker.cut(status, why);
-            return;
-        }
-        drop();
-        taker.bad(status, why);
-    }
-
-    /** Keeps nothing, now and from here on. */
-    void drop() {
-        over = true;
-        if (head != null) {
-            room.release(length);
-        }
-        head = null;
-        body = null;
-        Inflow left = inflow;
-        inflow = null;
-        if (left != null) {
-            left.broken();
-        }
-    }
 }
--- a/src/main/java/loadbalancer/downstream/http1/RequestDecoder.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestDecoder.java
@@ -5,21 +5,24 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Reads requests strictly: where two readers could differ about where a request ends, it is not read. */
+/**
+ * Decodes requests strictly (RFC 9112, sections 6.3 and 11.2): one about whose end two readers could differ is
+ * malformed.
+ */
 final class RequestDecoder extends HttpRequestDecoder {
-    private static final int LINE_MOST = 4 * 1024;
-    private static final int HEAD_MOST = 8 * 1024;
-    private static final int PIECE = 32 * 1024; // bytes that are handed on at once
+    private static final int MAX_REQUEST_LINE_BYTES = 4 * 1024;
+    private static final int MAX_HEADER_BYTES = 8 * 1024;
+    private static final int MAX_CHUNK_BYTES = 32 * 1024; // handed on at once
 
     RequestDecoder() {
         super(new HttpDecoderConfig()
-                .setMaxInitialLineLength(LINE_MOST)
-                .setMaxHeaderSize(HEAD_MOST)
-                .setMaxChunkSize(PIECE));
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
+                .setMaxChunkSize(MAX_CHUNK_BYTES));
     }
 
     /** Whether more has been read than what it has handed on: at least the beginning of another request. */
-    boolean holdsMore() {
+    boolean hasBufferedRequest() {
         ByteBuf rest = internalBuffer();
         return rest.isReadable() && rest.forEachByte(b -> b <= ' ') >= 0; // empty lines don't count
     }
--- /dev/null
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseHeads.java
@@ -0,0 +1,74 @@
+package loadbalancer.downstream.http1;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import loadbalancer.downstream.FinalResponse;
+import loadbalancer.proxy.UpstreamResponse;
+
+/** Frames responses as HTTP/1.1 messages (RFC 9112, section 6). */
+final class ResponseHeads {
+    private static final String ALT_SVC = "Alt-Svc";
+
+    private ResponseHeads() {}
+
+    /** The interim response that asks the client for the body (RFC 9110, section 15.2.1). */
+    static FullHttpResponse interimContinue() {
+        return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
+    }
+
+    /**
+     * A complete response.
+     *
+     * @param alternativeService the value of Alt-Svc (RFC 7838), or null
+     * @param staysOpen whether the connection stays open; otherwise the head says that it closes
+     */
+    static FullHttpResponse complete(FinalResponse response, String alternativeService, boolean staysOpen) {
+        ByteBuf body = Unpooled.wrappedBuffer(response.body());
+        FullHttpResponse message =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(response.status()), body);
+        if (response.contentType() != null) {
+            message.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
+        }
+        message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+        if (response.fieldValue() != null) {
+            message.headers().set(response.fieldName(), response.fieldValue());
+        }
+        if (alternativeService != null) {
+            message.headers().set(ALT_SVC, alternativeService);
+        }
+        if (!staysOpen) {
+            message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+        return message;
+    }
+
+    /** Whether the end of a streamed response shows without a close: HTTP/1.0 knows no chunks (RFC 9112, 6.1). */
+    static boolean isSelfDelimited(UpstreamResponse response, boolean http10) {
+        return response.length() >= 0 || !http10;
+    }
+
+    /** The head of a response whose body is streamed behind it. */
+    static HttpResponse streamed(UpstreamResponse response, boolean selfDelimited, boolean keepAlive) {
+        HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        if (response.type() != null) {
+            head.headers().set(HttpHeaderNames.CONTENT_TYPE, response.type());
+        }
+        if (response.length() >= 0) {
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.length());
+        } else if (selfDelimited) {
+            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+        }
+        if (!keepAlive) {
+            head.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        }
+        return head;
+    }
+}
--- a/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
@@ -33,7 +33,7 @@
     private final BlockingQueue<Integer> passes = new LinkedBlockingQueue<>();
     private int accepted;
 
-    private final class Passes extends ChannelInboundHandlerAdapter {
+    private final class PassRecorder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object child) {
             accepted++;
@@ -47,11 +47,11 @@
         }
     }
 
-    private Channel listen(int most) throws InterruptedException {
+    private Channel listen(int maxPerPass) throws InterruptedException {
         AcceptingChannel.Gatekeeper gatekeeper = new AcceptingChannel.Gatekeeper() {
             @Override
-            public boolean mayAccept(int before) {
-                return before < most;
+            public boolean mayAccept(int acceptedInPass) {
+                return acceptedInPass < maxPerPass;
             }
 
             @Override
@@ -62,15 +62,14 @@
         return new ServerBootstrap()
                 .group(group)
                 .channelFactory(() -> AcceptingChannel.of(null, gatekeeper))
-                .handler(new Passes())
+                .handler(new PassRecorder())
                 .childHandler(new ChannelInboundHandlerAdapter())
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel();
     }
 
-    // They wait while the loop is busy.
-    private void connectAll(Channel listener) throws IOException, InterruptedException {
+    private void connectWhileLoopIsBusy(Channel listener) throws IOException, InterruptedException {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch busy = new CountDownLatch(1);
         group.next().execute(() -> {
@@ -82,9 +81,9 @@
             }
         });
         begun.await();
-        InetSocketAddress at = (InetSocketAddress) listener.localAddress();
+        InetSocketAddress address = (InetSocketAddress) listener.localAddress();
         for (int i = 0; i < WAITING; i++) {
-            clients.add(new Socket(at.getAddress(), at.getPort()));
+            clients.add(new Socket(address.getAddress(), address.getPort()));
         }
         busy.countDown();
     }
@@ -98,14 +97,14 @@
     }
 
     @Test
-    void allThatWaitAreAcceptedInOnePass() throws IOException, InterruptedException {
-        connectAll(listen(Integer.MAX_VALUE));
+    void allWaitingConnectionsAreAcceptedInOnePass() throws IOException, InterruptedException {
+        connectWhileLoopIsBusy(listen(Integer.MAX_VALUE));
         assertEquals(WAITING, passes.poll(30, TimeUnit.SECONDS));
     }
 
     @Test
-    void noMoreThanThereIsRoomForAreAcceptedInOnePass() throws IOException, InterruptedException {
-        connectAll(listen(2));
+    void noMoreConnectionsThanAdmittedAreAcceptedInOnePass() throws IOException, InterruptedException {
+        connectWhileLoopIsBusy(listen(2));
         assertEquals(2, passes.poll(30, TimeUnit.SECONDS));
         assertEquals(4, passes.poll(30, TimeUnit.SECONDS));
         assertEquals(6, passes.poll(30, TimeUnit.SECONDS));
--- a/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -16,64 +16,62 @@
 import loadbalancer.proxy.BodyStream;
 import org.junit.jupiter.api.Test;
 
+/** How much of long request bodies is buffered before an attempt subscribes to them. */
 class RequestAggregatorTest {
-    private static final int MOST = 100_000;
+    private static final int MEMORY_BYTES = 100_000;
 
-    private final BodyMemoryBudget early = new BodyMemoryBudget(MOST);
+    private final BodyMemoryBudget unclaimedMemory = new BodyMemoryBudget(MEMORY_BYTES);
     private BodyStream rest;
-    private int passed;
+    private int receivedBytes;
 
-    private EmbeddedChannel waiting(int bytes) {
+    private EmbeddedChannel channelWithLongBody(int bytes) {
         EmbeddedChannel channel = new EmbeddedChannel(new RequestAggregator(
-                new RequestAggregator.Taker() {
+                new RequestAggregator.Listener() {
                     @Override
-                    public void begun(HttpRequest head) {}
+                    public void onHead(HttpRequest head) {}
 
                     @Override
-                    public void whole(HttpRequest head, byte[] body) {}
-
-                    @Override
-                    public void flowing(HttpRequest head, byte[] first, BodyStream following, long length) {
-                        rest = following;
+                    public void onRequest(ReceivedRequest request) {
+                        rest = request.bodyStream();
                     }
 
                     @Override
-                    public void bad(HttpResponseStatus status, String why) {}
+                    public void onMalformed(HttpResponseStatus status, String reason) {}
 
                     @Override
-                    public void cut(HttpResponseStatus status, String why) {}
+                    public void onStreamBroken(HttpResponseStatus status, String reason) {}
                 },
-                new BodyMemoryBudget(MOST),
-                early));
+                new BodyMemoryBudget(MEMORY_BYTES),
+                unclaimedMemory));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/k");
         head.headers().set("Content-Length", 1_000_000);
         channel.writeInbound(head);
-        more(channel, bytes);
+        appendToBody(channel, bytes);
         return channel;
     }
 
-    private static void more(EmbeddedChannel channel, int bytes) {
+    private static void appendToBody(EmbeddedChannel channel, int bytes) {
         channel.writeInbound(new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[bytes])));
     }
 
     @Test
-    void aLongBodyThatWaitsIsReadOnWithinTheRoomOfAll() {
-        EmbeddedChannel first = waiting(60_000);
+    void aLongBodyWithoutASubscriberIsReadWhileThereIsMemory() {
+        EmbeddedChannel first = channelWithLongBody(60_000);
         assertTrue(first.config().isAutoRead(), "its end has to be seen");
-        EmbeddedChannel second = waiting(60_000);
-        assertFalse(second.config().isAutoRead(), "no room for as much");
+        EmbeddedChannel second = channelWithLongBody(60_000);
+        assertFalse(second.config().isAutoRead(), "no memory for as much");
         first.pipeline().get(RequestAggregator.class).drop();
-        assertTrue(early.tryReserve(MOST), "all is given back");
-        assertFalse(early.tryReserve(1));
+        assertTrue(unclaimedMemory.tryReserve(MEMORY_BYTES), "all is released");
+        assertFalse(unclaimedMemory.tryReserve(1));
     }
 
     @Test
-    void whatWasHeldIsGivenBackOnceWhenItIsTakenOrDropped() {
-        EmbeddedChannel channel = waiting(60_000);
+    void memoryOfABodyIsReleasedOnceWhenItIsSubscribedToOrDropped() {
+        EmbeddedChannel channel = channelWithLongBody(60_000);
         rest.subscribe(new BodyStream.Taker() {
             @Override
             public void onData(byte[] bytes) {
-                passed += bytes.length;
+                receivedBytes += bytes.length;
             }
 
             @Override
@@ -82,14 +80,14 @@
             @Override
             public void onError() {}
         });
-        assertEquals(60_000, passed);
-        more(channel, 90_000);
-        assertEquals(150_000, passed, "what follows is not held");
+        assertEquals(60_000, receivedBytes);
+        appendToBody(channel, 90_000);
+        assertEquals(150_000, receivedBytes, "what follows is not buffered");
         channel.pipeline().get(RequestAggregator.class).drop();
-        waiting(60_000);
+        channelWithLongBody(60_000);
         rest.cancel();
         rest.cancel();
-        assertTrue(early.tryReserve(MOST));
-        assertFalse(early.tryReserve(1), "not more than was held");
+        assertTrue(unclaimedMemory.tryReserve(MEMORY_BYTES));
+        assertFalse(unclaimedMemory.tryReserve(1), "not more than was reserved");
     }
 }
