--- a/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
+++ b/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
@@ -9,31 +9,38 @@
 import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.http3.RetryTokens;
 
-/** Asks newcomers to prove their address first where {@link Http3ConnectionLimiter} says so. On the event loop. */
+/**
+ * Address validation by Retry packets (RFC 9000, section 8.1.2): new clients have to prove their address first
+ * where {@link Http3ConnectionLimiter} says so. On the event loop.
+ */
 final class AddressValidationHandler implements QuicTokenHandler {
-    private final Http3ConnectionLimiter sessions;
+    private static final int KEY_BYTES = 32;
+    private static final int INVALID_TOKEN = -1; // as the interface wants it
+
+    private final Http3ConnectionLimiter connectionLimiter;
     private final RetryTokens tokens;
 
-    AddressValidationHandler(Http3ConnectionLimiter sessions) {
-        this.sessions = sessions;
-        byte[] key = new byte[32];
+    AddressValidationHandler(Http3ConnectionLimiter connectionLimiter) {
+        this.connectionLimiter = connectionLimiter;
+        byte[] key = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(key);
         tokens = new RetryTokens(key);
     }
 
     @Override
-    public boolean writeToken(ByteBuf out, ByteBuf id, InetSocketAddress address) {
-        boolean ask = sessions.mustProve();
-        if (ask) {
-            out.writeBytes(tokens.write(ByteBufUtil.getBytes(id), raw(address), System.nanoTime()));
+    public boolean writeToken(ByteBuf out, ByteBuf connectionId, InetSocketAddress address) {
+        boolean needed = connectionLimiter.mustProve();
+        if (needed) {
+            byte[] id = ByteBufUtil.getBytes(connectionId);
+            out.writeBytes(tokens.write(id, addressAndPort(address), System.nanoTime()));
         }
-        return ask;
+        return needed;
     }
 
     @Override
     public int validateToken(ByteBuf token, InetSocketAddress address) {
-        byte[] id = tokens.read(ByteBufUtil.getBytes(token), raw(address), System.nanoTime());
-        return id == null ? -1 : RetryTokens.ID;
+        byte[] connectionId = tokens.read(ByteBufUtil.getBytes(token), addressAndPort(address), System.nanoTime());
+        return connectionId == null ? INVALID_TOKEN : RetryTokens.ID;
     }
 
     @Override
@@ -41,9 +48,9 @@
         return RetryTokens.MOST;
     }
 
-    private static byte[] raw(InetSocketAddress address) {
+    private static byte[] addressAndPort(InetSocketAddress address) {
         byte[] ip = address.getAddress().getAddress();
-        return ByteBuffer.allocate(ip.length + 2)
+        return ByteBuffer.allocate(ip.length + Short.BYTES)
                 .put(ip)
                 .putShort((short) address.getPort())
                 .array();
--- a/src/main/java/loadbalancer/downstream/http3/DatagramCounter.java
+++ b/src/main/java/loadbalancer/downstream/http3/DatagramCounter.java
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Counts what is read from the socket, and tells whether a read is under way. On the event loop. */
+/** Counts the datagrams that are read from the socket, and knows whether a read is being handled. On the event loop. */
 final class DatagramCounter extends ChannelInboundHandlerAdapter {
     private long count;
     private boolean reading;
--- a/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
@@ -10,82 +10,83 @@
 import io.netty.handler.codec.quic.QuicConnectionCloseEvent;
 import io.netty.handler.codec.quic.QuicStreamChannel;
 import io.netty.handler.ssl.SslHandshakeCompletionEvent;
-import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import loadbalancer.connections.ConnectionBudget;
+import loadbalancer.downstream.ClientAddress;
 import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.http3.Http3ErrorCodes;
 import loadbalancer.http3.RapidResetGuard;
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.UnhandledExceptionHandler;
 
-/** One connection of a client and its streams. On the event loop. */
+/** One connection of a client and its request streams (RFC 9114, section 6.1). On the event loop. */
 final class Http3ClientConnection extends ChannelInboundHandlerAdapter {
-    private static final long LAST = (1L << 62) - 4; // the greatest id of a client's stream
-    private static final double BURST = 100; // streams ended by their client that are borne
-    private static final double PER_SECOND = 20;
+    // The greatest id of a stream that a client opens (RFC 9000, section 2.1), for a GOAWAY that rejects nothing.
+    private static final long MAX_CLIENT_STREAM_ID = (1L << 62) - 4;
+    private static final int STREAM_ID_STEP = 4; // between two bidirectional streams of a client
+    private static final double MAX_RESET_BURST = 100; // streams that the client ends before their responses
+    private static final double MAX_RESETS_PER_SECOND = 20;
 
-    private final Http3Listener server;
+    private final Http3Listener listener;
     private final QuicChannel channel;
-    private final Http3ConnectionLimiter.TrackedConnection session;
-    private final RapidResetGuard resets;
+    private final Http3ConnectionLimiter.TrackedConnection tracked;
+    private final RapidResetGuard resetGuard;
     private final Set<Http3RequestStream> streams = new LinkedHashSet<>();
-    private long next; // the least id that has not been seen
-    private long refused = Long.MAX_VALUE; // streams from here on are rejected
-    private boolean late;
+    private long nextStreamId; // the lowest id that has not been seen
+    private long firstRejectedStreamId = Long.MAX_VALUE; // streams from here on are rejected
+    private boolean goAwayAfterHandshake;
     private boolean clientClosed;
 
-    Http3ClientConnection(Http3Listener server, QuicChannel channel) {
-        this.server = server;
+    Http3ClientConnection(Http3Listener listener, QuicChannel channel) {
+        this.listener = listener;
         this.channel = channel;
         long now = System.nanoTime();
-        resets = new RapidResetGuard(BURST, PER_SECOND, now);
-        session = server.sessions.open(address(channel), () -> end(Http3ErrorCodes.EXCESSIVE_LOAD), now);
-        if (session != null) {
-            channel.pipeline()
-                    .addLast(
-                            this,
-                            new Http3ServerConnectionHandler(
-                                    new ChannelInitializer<QuicStreamChannel>() {
-                                        @Override
-                                        protected void initChannel(QuicStreamChannel stream) {
-                                            opened(stream);
-                                        }
-                                    },
-                                    null,
-                                    null,
-                                    CodecErrors.settings(),
-                                    true),
-                            new UnhandledExceptionHandler());
+        resetGuard = new RapidResetGuard(MAX_RESET_BURST, MAX_RESETS_PER_SECOND, now);
+        tracked = listener.connectionLimiter()
+                .open(
+                        ClientAddress.key(channel.remoteSocketAddress()),
+                        () -> close(Http3ErrorCodes.EXCESSIVE_LOAD),
+                        now);
+        if (isAdmitted()) {
+            channel.pipeline().addLast(this, connectionHandler(), new UnhandledExceptionHandler());
         }
     }
 
-    private static Object address(QuicChannel channel) {
-        return channel.remoteSocketAddress() instanceof InetSocketAddress from
-                ? ConnectionBudget.address(from.getAddress().getAddress())
-                : "unknown";
+    private Http3ServerConnectionHandler connectionHandler() {
+        ChannelInitializer<QuicStreamChannel> requestStreams = new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(QuicStreamChannel stream) {
+                streamOpened(stream);
+            }
+        };
+        return new Http3ServerConnectionHandler(requestStreams, null, null, CodecErrors.settings(), true);
     }
 
-    Http3ConnectionLimiter.TrackedConnection session() {
-        return session;
+    /** Whether the limits admit it; otherwise it has no handlers and is to be closed. */
+    boolean isAdmitted() {
+        return tracked != null;
     }
 
-    Http3Listener server() {
-        return server;
+    /** Its place in the limits; null where it is not admitted. */
+    Http3ConnectionLimiter.TrackedConnection tracked() {
+        return tracked;
     }
 
-    /** It came while the node is about to stop: it is told so once its handshake is done. */
-    void late() {
-        late = true;
-        refused = server.isClosing() ? 0 : refused;
+    Http3Listener listener() {
+        return listener;
+    }
+
+    /** It was opened while the listener is draining: the client is notified once the handshake is done. */
+    void openedWhileDraining() {
+        goAwayAfterHandshake = true;
+        firstRejectedStreamId = listener.isClosing() ? 0 : firstRejectedStreamId;
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
-        if (event instanceof SslHandshakeCompletionEvent done && done.isSuccess()) {
-            server.sessions.established(session, System.nanoTime());
+        if (event instanceof SslHandshakeCompletionEvent handshake && handshake.isSuccess()) {
+            listener.connectionLimiter().established(tracked, System.nanoTime());
         }
         context.fireUserEventTriggered(event);
         if (event instanceof QuicConnectionCloseEvent) {
@@ -93,65 +94,68 @@
             clientClosed = true;
             List.copyOf(streams).forEach(Http3RequestStream::clientClosed);
         }
-        if (late && event instanceof SslHandshakeCompletionEvent) {
-            goAway(server.isClosing() ? 0 : LAST);
+        if (goAwayAfterHandshake && event instanceof SslHandshakeCompletionEvent) {
+            sendGoAway(listener.isClosing() ? 0 : MAX_CLIENT_STREAM_ID);
         }
     }
 
-    private void opened(QuicStreamChannel stream) {
-        next = Math.max(next, stream.streamId() + 4);
-        Http3RequestStream request = new Http3RequestStream(this, stream, stream.streamId() >= refused);
+    private void streamOpened(QuicStreamChannel stream) {
+        nextStreamId = Math.max(nextStreamId, stream.streamId() + STREAM_ID_STEP);
+        Http3RequestStream request = new Http3RequestStream(this, stream, stream.streamId() >= firstRejectedStreamId);
         streams.add(request);
-        server.sessions.streamOpened(session);
+        listener.connectionLimiter().streamOpened(tracked);
         stream.closeFuture().addListener(closed -> {
             streams.remove(request);
             request.closed();
-            server.sessions.streamClosed(session, System.nanoTime());
+            listener.connectionLimiter().streamClosed(tracked, System.nanoTime());
         });
         stream.pipeline().addLast(request);
     }
 
-    /** Whether its client has closed it; what is still read of its streams is not served. */
+    /** Whether the client has closed it; what is still read of its streams is not served. */
     boolean isClientClosed() {
         return clientClosed;
     }
 
-    /** Its client has ended a stream before our answer. */
-    void cancelled() {
-        if (!resets.ended(System.nanoTime())) {
-            end(Http3ErrorCodes.EXCESSIVE_LOAD);
+    /** The client has ended a stream before its response; too many of these close the connection. */
+    void streamCancelled() {
+        if (!resetGuard.ended(System.nanoTime())) {
+            close(Http3ErrorCodes.EXCESSIVE_LOAD);
         }
     }
 
-    void answered() {
-        resets.answered();
+    /** A stream has got its response. */
+    void streamResponded() {
+        resetGuard.answered();
     }
 
-    void look(long now) {
+    /** Ends the streams that take too long. */
+    void checkTimeouts(long now) {
         for (Http3RequestStream stream : List.copyOf(streams)) {
-            stream.look(now);
+            stream.checkTimeouts(now);
         }
     }
 
-    /** The first step of an end in order: no stream is rejected yet. */
-    void announce() {
-        goAway(LAST);
+    /** The first step of a graceful shutdown (RFC 9114, section 5.2): no stream is rejected yet. */
+    void announceShutdown() {
+        sendGoAway(MAX_CLIENT_STREAM_ID);
     }
 
-    /** The second: what has not been seen is rejected. */
-    void goAway() {
-        refused = next;
-        goAway(next);
+    /** The second step: streams that have not been seen are rejected. */
+    void rejectNewStreams() {
+        firstRejectedStreamId = nextStreamId;
+        sendGoAway(nextStreamId);
     }
 
-    private void goAway(long id) {
+    private void sendGoAway(long streamId) {
         QuicStreamChannel control = Http3.getLocalControlStream(channel);
         if (control != null) {
-            control.writeAndFlush(new DefaultHttp3GoAwayFrame(id));
+            control.writeAndFlush(new DefaultHttp3GoAwayFrame(streamId));
         }
     }
 
-    void end(long code) {
-        CodecErrors.close(channel, code);
+    /** Closes the connection with an error code of RFC 9114, section 8.1. */
+    void close(long errorCode) {
+        CodecErrors.close(channel, errorCode);
     }
 }
--- a/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
@@ -30,61 +30,79 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * The side to clients over HTTP/3 (RFC 9114) on QUIC (RFC 9000): one UDP socket on the event loop. It takes
- * connections and their streams and words each request's one final answer; it picks, repeats and sheds
+ * The listener for clients over HTTP/3 (RFC 9114) on QUIC (RFC 9000): one UDP socket on the event loop. It accepts
+ * connections and their streams and writes each request's one final response; it balances, retries and sheds
  * nothing. All of it runs on the event loop but {@link #listen}.
  */
 public final class Http3Listener {
-    /** What bounds it; {@code idle} in ms, {@code streams} at once on a connection. */
+    /**
+     * Its limits.
+     *
+     * @param sessions of connections, by address and in all
+     * @param streams at once on a connection
+     * @param idle ms without a packet after which a connection is closed
+     */
     public record Limits(Http3ConnectionLimiter.Limits sessions, int streams, long idle) {}
 
-    private static final long LOOK_MS = 200; // between looks at what takes too long
-    // A connection's window: two whole bodies at once. What more of its streams send waits with the client.
-    private static final long WINDOW = 2L * ProxyRequest.BODY_MOST;
+    /** Whether clients are to use this listener. */
+    private enum Phase {
+        NOT_READY,
+        READY,
+        /** They are notified to go elsewhere (RFC 9114, section 5.2). */
+        DRAINING
+    }
+
+    private static final long CHECK_MILLIS = 200; // between checks of the connections' time limits
+    // Of a connection: two complete bodies at once. What more of its streams send waits with the client.
+    private static final long CONNECTION_WINDOW_BYTES = 2L * ProxyRequest.BODY_MOST;
     private static final int CONTROL_STREAMS = 3; // and two of QPACK (RFC 9114, section 6.2)
-    private static final int CONTROL_WINDOW = 4 * 1024;
-    private static final int CONNECTION_IDS = 4; // spare ones, for clients whose path changes
-    private static final int DATAGRAM = 1_350;
-    private static final int READS_AT_ONCE = 16; // each of up to sixteen datagrams
+    private static final int CONTROL_WINDOW_BYTES = 4 * 1024;
+    private static final int SPARE_CONNECTION_IDS = 4; // for clients whose path changes
+    private static final int DATAGRAM_BYTES = 1_350;
+    private static final int MAX_READS_AT_ONCE = 16; // each of up to sixteen datagrams
     private static final int CONNECTION_REFUSED = 0x02; // RFC 9000, section 20.1
 
-    final EventLoop loop;
-    SettingsReader.Boot boot;
-    final Dispatcher dispatcher;
-    final BodyMemoryBudget room;
-    final Http3ConnectionLimiter sessions;
+    private final EventLoop loop;
+    private final Dispatcher dispatcher;
+    private final BodyMemoryBudget bodyMemory;
+    private final Http3ConnectionLimiter connectionLimiter;
     private final Limits limits;
     private final Consumer<String> log;
     private final Set<Http3ClientConnection> connections = new LinkedHashSet<>();
-    private QuicSslContext context; // of new connections
     private final DatagramCounter datagrams = new DatagramCounter();
+    private SettingsReader.Boot settings;
+    private QuicSslContext tlsContext; // of new connections
     private Channel socket;
-    private Future<?> looking;
-    private boolean ready;
-    private boolean stopping;
+    private Future<?> timeoutChecks;
+    private Phase phase = Phase.NOT_READY;
     private boolean closing;
 
-    /** {@code log} must not block. */
+    /**
+     * A listener that is not bound yet.
+     *
+     * @param bodyMemory what the buffered bodies of all clients may take together
+     * @param log takes a line for the operators; must not block
+     */
     public Http3Listener(
             EventLoop loop,
-            SettingsReader.Boot boot,
+            SettingsReader.Boot settings,
             Dispatcher dispatcher,
-            BodyMemoryBudget room,
+            BodyMemoryBudget bodyMemory,
             TlsIdentity identity,
             Limits limits,
             Consumer<String> log) {
         this.loop = loop;
-        this.boot = boot;
+        this.settings = settings;
         this.dispatcher = dispatcher;
-        this.room = room;
+        this.bodyMemory = bodyMemory;
         this.limits = limits;
         this.log = log;
-        sessions = new Http3ConnectionLimiter(limits.sessions());
-        context = context(identity);
+        connectionLimiter = new Http3ConnectionLimiter(limits.sessions());
+        tlsContext = tlsContext(identity);
     }
 
     // Without early data: a replayed request must not reach an upstream (RFC 9114, section 10.9).
-    private static QuicSslContext context(TlsIdentity identity) {
+    private static QuicSslContext tlsContext(TlsIdentity identity) {
         return QuicSslContextBuilder.forServer(
                         identity.key(), null, identity.chain().toArray(X509Certificate[]::new))
                 .applicationProtocols(Http3.supportedApplicationProtocols())
@@ -92,28 +110,14 @@
                 .build();
     }
 
-    /** Listens; called from another thread than the loop's, and returns the address in use. */
-    public InetSocketAddress listen(InetSocketAddress at) throws IOException {
-        ChannelHandler codec = Http3.newQuicServerCodecBuilder()
-                .sslEngineProvider(connection -> context.newEngine(connection.alloc()))
-                .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
-                .maxSendUdpPayloadSize(DATAGRAM)
-                .maxRecvUdpPayloadSize(DATAGRAM)
-                .initialMaxData(WINDOW)
-                .initialMaxStreamDataBidirectionalRemote(ProxyRequest.BODY_MOST)
-                .initialMaxStreamDataUnidirectional(CONTROL_WINDOW)
-                .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
-                .initialMaxStreamsBidirectional(limits.streams())
-                .activeMigration(true)
-                .activeConnectionIdLimit(CONNECTION_IDS)
-                .tokenHandler(new AddressValidationHandler(sessions))
-                .handler(new ChannelInitializer<QuicChannel>() {
-                    @Override
-                    protected void initChannel(QuicChannel channel) {
-                        opened(channel);
-                    }
-                })
-                .build();
+    /**
+     * Listens; called from another thread than the loop's.
+     *
+     * @return the address in use
+     * @throws IOException if the calling thread is interrupted; what binding fails with is thrown as it is
+     */
+    public InetSocketAddress listen(InetSocketAddress address) throws IOException {
+        ChannelHandler codec = quicCodec();
         try {
             socket = new Bootstrap()
                     .group(loop)
@@ -124,52 +128,80 @@
                             channel.pipeline().addLast(datagrams, codec);
                         }
                     })
-                    .bind(at)
+                    .bind(address)
                     .sync()
                     .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted");
         }
-        looking = loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        timeoutChecks =
+                loop.scheduleWithFixedDelay(this::checkTimeouts, CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
         return (InetSocketAddress) socket.localAddress();
     }
 
-    /** Takes clients, for the first time or again: those that were told that it goes come anew. */
+    private ChannelHandler quicCodec() {
+        return Http3.newQuicServerCodecBuilder()
+                .sslEngineProvider(connection -> tlsContext.newEngine(connection.alloc()))
+                .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
+                .maxSendUdpPayloadSize(DATAGRAM_BYTES)
+                .maxRecvUdpPayloadSize(DATAGRAM_BYTES)
+                .initialMaxData(CONNECTION_WINDOW_BYTES)
+                .initialMaxStreamDataBidirectionalRemote(ProxyRequest.BODY_MOST)
+                .initialMaxStreamDataUnidirectional(CONTROL_WINDOW_BYTES)
+                .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
+                .initialMaxStreamsBidirectional(limits.streams())
+                .activeMigration(true)
+                .activeConnectionIdLimit(SPARE_CONNECTION_IDS)
+                .tokenHandler(new AddressValidationHandler(connectionLimiter))
+                .handler(new ChannelInitializer<QuicChannel>() {
+                    @Override
+                    protected void initChannel(QuicChannel channel) {
+                        connectionOpened(channel);
+                    }
+                })
+                .build();
+    }
+
+    /** Serves clients, for the first time or once more after {@link #stopping}; nothing once it is closing. */
     public void ready() {
-        ready = !closing;
-        stopping = closing;
+        phase = closing ? Phase.DRAINING : Phase.READY;
     }
 
-    /** Reads what has come by now, so that it is known which streams their clients have ended. */
-    void readNow() {
-        if (datagrams.isReading() || !(socket.unsafe() instanceof NioUnsafe unsafe)) {
-            return;
-        }
-        long before = -1;
-        for (int i = 0; i < READS_AT_ONCE && datagrams.count() != before; i++) {
-            before = datagrams.count();
-            unsafe.read();
-        }
+    /** Other settings hold for the requests from here on. */
+    public void reload(SettingsReader.Boot newSettings) {
+        settings = newSettings;
     }
 
-    boolean isReady() {
-        return ready;
+    /** New connections show this certificate; those that are open go on with theirs. */
+    public void renew(TlsIdentity identity) {
+        tlsContext = tlsContext(identity);
     }
 
-    /** Other settings hold from here on, for what comes in. */
-    public void reload(SettingsReader.Boot to) {
-        boot = to;
+    /** Notifies the clients to go elsewhere, and serves what they still send (RFC 9114, section 5.2). */
+    public void stopping() {
+        phase = Phase.DRAINING;
+        connections.forEach(Http3ClientConnection::announceShutdown);
     }
 
-    /** New connections show this certificate; those that stand go on with theirs. */
-    public void renew(TlsIdentity identity) {
-        context = context(identity);
+    /** Streams from here on are rejected as not processed; the requests that have been taken are served. */
+    public void close() {
+        closing = true;
+        connections.forEach(Http3ClientConnection::rejectNewStreams);
+    }
+
+    /** Closes all connections, once all that was taken has been answered. */
+    public void end() {
+        if (!timeoutChecks.cancel(false)) {
+            return; // called before: more may be taken while it stops
+        }
+        log.accept(connectionLimiter.summary());
+        List.copyOf(connections).forEach(c -> c.close(Http3ErrorCodes.NO_ERROR));
     }
 
-    private void opened(QuicChannel channel) {
+    private void connectionOpened(QuicChannel channel) {
         Http3ClientConnection connection = new Http3ClientConnection(this, channel);
-        if (connection.session() == null) {
+        if (!connection.isAdmitted()) {
             // Later: its first packet is still being read.
             loop.execute(() -> channel.close(false, CONNECTION_REFUSED, Unpooled.EMPTY_BUFFER));
             return;
@@ -177,44 +209,58 @@
         connections.add(connection);
         channel.closeFuture().addListener(closed -> {
             connections.remove(connection);
-            sessions.closed(connection.session());
+            connectionLimiter.closed(connection.tracked());
         });
-        if (stopping) {
-            connection.late();
+        if (phase == Phase.DRAINING) {
+            connection.openedWhileDraining();
         }
     }
 
-    private void look() {
+    private void checkTimeouts() {
         long now = System.nanoTime();
-        sessions.endOverdue(now);
+        connectionLimiter.endOverdue(now);
         for (Http3ClientConnection connection : List.copyOf(connections)) {
-            connection.look(now);
+            connection.checkTimeouts(now);
+        }
+    }
+
+    // ---------------------------------------------------------------- for its connections
+
+    /** Reads what has arrived by now, so that it is known which streams their clients have ended. */
+    void readNow() {
+        if (datagrams.isReading() || !(socket.unsafe() instanceof NioUnsafe unsafe)) {
+            return;
+        }
+        long before = -1;
+        for (int i = 0; i < MAX_READS_AT_ONCE && datagrams.count() != before; i++) {
+            before = datagrams.count();
+            unsafe.read();
         }
     }
 
+    boolean isReady() {
+        return phase == Phase.READY;
+    }
+
+    /** Whether new streams are rejected. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Clients are told that it goes, and what they still send is served (RFC 9114, section 5.2). */
-    public void stopping() {
-        ready = false;
-        stopping = true;
-        connections.forEach(Http3ClientConnection::announce);
+    Dispatcher dispatcher() {
+        return dispatcher;
     }
 
-    /** Takes nothing more: streams from here on are rejected, as never processed; what is taken goes on. */
-    public void close() {
-        closing = true;
-        connections.forEach(Http3ClientConnection::goAway);
+    SettingsReader.Boot settings() {
+        return settings;
     }
 
-    /** Ends all connections, once all that was taken has been answered. */
-    public void end() {
-        if (!looking.cancel(false)) {
-            return; // told before: more may be taken while it stops
-        }
-        log.accept(sessions.summary());
-        List.copyOf(connections).forEach(c -> c.end(Http3ErrorCodes.NO_ERROR));
+    /** The memory of buffered bodies, until their requests are answered. */
+    BodyMemoryBudget bodyMemory() {
+        return bodyMemory;
+    }
+
+    Http3ConnectionLimiter connectionLimiter() {
+        return connectionLimiter;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -14,9 +14,9 @@
 import io.netty.handler.codec.quic.QuicException;
 import io.netty.handler.codec.quic.QuicStreamChannel;
 import io.netty.util.ReferenceCountUtil;
-import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.downstream.FinalResponse;
 import loadbalancer.http3.HeaderValidator;
 import loadbalancer.http3.Http3ErrorCodes;
 import loadbalancer.http3.MalformedMessageException;
@@ -30,115 +30,127 @@
 import loadbalancer.proxy.ResponseWriter;
 import loadbalancer.proxy.UpstreamResponse;
 
-/** One request of a client on its stream, and its one final answer (RFC 9114, section 4.1). On the loop. */
+/**
+ * One request of a client on its stream, and its one final response (RFC 9114, section 4.1). On the event loop.
+ */
 final class Http3RequestStream extends Http3RequestStreamInboundHandler implements ResponseWriter {
-    private static final long RECEIVE = TimeUnit.MILLISECONDS.toNanos(2_000); // a whole request
-    private static final long UNREAD = TimeUnit.MILLISECONDS.toNanos(5_000); // an answer that nobody reads
+    private enum State {
+        /** The request arrives, or its response is pending. */
+        OPEN,
+        /** The response has been written. */
+        RESPONDED,
+        /** Ended without a response, by either side. */
+        RESET
+    }
+
+    private static final long RECEIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // for a complete request
+    private static final long UNREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // for a response to be read
 
     private final Http3ClientConnection connection;
-    private final Http3Listener server;
+    private final Http3Listener listener;
     private final QuicStreamChannel stream;
-    private final FinalFrame last = new FinalFrame();
-    private final MessageState state = new MessageState(ProxyRequest.BODY_MOST);
-    private final long since = System.nanoTime();
+    private final boolean behindGoAway;
+    private final FinalFrame finalFrame = new FinalFrame();
+    private final MessageState message = new MessageState(ProxyRequest.BODY_MOST);
+    private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory
+    private final long openedAt = System.nanoTime();
+    private State state = State.OPEN;
     private HeaderValidator.Head head;
     private Http3Headers headers;
-    private final AggregatedBody body = new AggregatedBody(); // its bytes are taken from the room
-    private Runnable gone; // set while the core owes an answer here
-    private boolean answered;
-    private final boolean late; // behind our GOAWAY
-    private boolean rejected;
-    private boolean cancelled;
-    private long answeredAt;
-    private long unread; // bytes of the answer that have not left
+    private Runnable clientClosed; // to be run if the client leaves; null while no response is pending
+    private long respondedAt;
+    private long unreadBytes; // of the response that have not left
 
-    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean reject) {
+    /** {@code behindGoAway}: the stream is to be rejected as not processed (RFC 9114, section 5.2). */
+    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean behindGoAway) {
         this.connection = connection;
-        this.server = connection.server();
+        this.listener = connection.listener();
         this.stream = stream;
-        this.late = reject;
-        stream.pipeline().addFirst(last);
+        this.behindGoAway = behindGoAway;
+        stream.pipeline().addFirst(finalFrame);
     }
 
     /** Ends what takes too long. */
-    void look(long now) {
-        if (!answered && !rejected && !state.isComplete() && now - since > RECEIVE) {
-            reject(408, "too slow");
-        } else if (answered && now - answeredAt > UNREAD) {
-            // Not taken yet, or its client neither ends its request nor resets it.
+    void checkTimeouts(long now) {
+        if (state == State.OPEN && !message.isComplete() && now - openedAt > RECEIVE_NANOS) {
+            respond(408, "too slow");
+        } else if (state == State.RESPONDED && now - respondedAt > UNREAD_NANOS) {
+            // Not read yet, or its client neither ends its request nor resets it.
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
-    /** Its client has closed the connection: nobody waits for the answer. */
+    /** The client has closed the connection: nobody waits for the response. */
     void clientClosed() {
-        Runnable left = gone;
-        gone = null;
-        if (left != null) {
-            left.run();
+        Runnable pending = clientClosed;
+        clientClosed = null;
+        if (pending != null) {
+            pending.run();
         }
     }
 
     /** The stream is closed, whoever did it. */
     void closed() {
-        drop();
-        sent(unread);
+        releaseBody();
+        responseLeft(unreadBytes);
         clientClosed();
-        if (!answered && !rejected) {
-            ended();
-        }
+        cancelled();
     }
 
-    private void drop() {
-        server.room.release(body.length());
+    private void releaseBody() {
+        listener.bodyMemory().release(body.length());
         body.release();
     }
 
-    // ---------------------------------------------------------------- what comes in
+    // ---------------------------------------------------------------- request
 
     @Override
     protected void channelRead(ChannelHandlerContext context, Http3HeadersFrame frame) {
-        if (answered || rejected) {
+        if (state != State.OPEN) {
             return;
         }
-        if (late) {
-            // None of it has been looked at: the client may ask elsewhere, whatever it is.
-            rejected = true;
+        if (behindGoAway) {
+            // None of it has been looked at: the client may retry it elsewhere, whatever it is.
+            state = State.RESET;
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_REJECTED);
             return;
         }
         try {
-            if (!state.headless()) {
+            if (message.headless()) {
+                headReceived(frame.headers());
+            } else {
                 HeaderValidator.trailers(frame.headers());
-                state.trailers();
-                return;
-            }
-            headers = frame.headers();
-            if (HeaderValidator.tooLong(headers)) {
-                reject(431, "too many fields");
-                return;
-            }
-            head = HeaderValidator.request(headers);
-            state.head(head.length());
-            if (state.announcesTooMuch()) {
-                reject(413, "too large");
-            } else if (head.method().equals("GET") && head.length() > 0) {
-                reject(400, "a GET with a body");
+                message.trailers();
             }
         } catch (MalformedMessageException e) {
             malformed(e);
         }
     }
 
+    private void headReceived(Http3Headers received) throws MalformedMessageException {
+        headers = received;
+        if (HeaderValidator.tooLong(headers)) {
+            respond(431, "too many fields");
+            return;
+        }
+        head = HeaderValidator.request(headers);
+        message.head(head.length());
+        if (message.announcesTooMuch()) {
+            respond(413, "too large");
+        } else if (head.method().equals("GET") && head.length() > 0) {
+            respond(400, "a GET with a body");
+        }
+    }
+
     @Override
     protected void channelRead(ChannelHandlerContext context, Http3DataFrame frame) {
         try {
-            if (answered || rejected) {
+            if (state != State.OPEN) {
                 return;
             }
             int bytes = frame.content().readableBytes();
-            if (!state.data(bytes) || !server.room.tryReserve(bytes)) {
-                reject(413, "too large");
+            if (!message.data(bytes) || !listener.bodyMemory().tryReserve(bytes)) {
+                respond(413, "too large");
                 return;
             }
             body.add(frame.content());
@@ -151,28 +163,28 @@
 
     @Override
     protected void channelInputClosed(ChannelHandlerContext context) {
-        if (answered || rejected || state.isComplete()) {
+        if (state != State.OPEN || message.isComplete()) {
             return;
         }
         try {
-            state.end();
+            message.end();
         } catch (MalformedMessageException e) {
             malformed(e);
             return;
         }
-        take();
+        handleRequest();
     }
 
     @Override
     protected void handleQuicException(ChannelHandlerContext context, QuicException cause) {
-        ended();
+        cancelled();
     }
 
-    // What the codec turns down before we read it: heads as well as frames out of their order.
+    // What the codec refuses before it is read here: heads as well as frames out of their order.
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (cause instanceof QuicException || answered || rejected) {
-            ended();
+        if (cause instanceof QuicException || state != State.OPEN) {
+            cancelled();
         } else {
             long code =
                     cause instanceof Http3Exception known ? known.errorCode().code() : Http3ErrorCodes.MESSAGE_ERROR;
@@ -180,126 +192,133 @@
         }
     }
 
-    // Its client has reset it: what was not whole is nothing, and a whole request's answer has no reader.
-    private void ended() {
-        if (!answered && !rejected && !cancelled) {
-            cancelled = true;
-            rejected = true;
-            connection.cancelled();
+    // The client has reset it: an incomplete request is void, and the response of a complete one has no reader.
+    private void cancelled() {
+        if (state == State.OPEN) {
+            state = State.RESET;
+            connection.streamCancelled();
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
-    private void malformed(MalformedMessageException why) {
-        rejected = true;
-        drop();
-        connection.cancelled(); // costs its client what a reset stream does
-        CodecErrors.reset(stream, why.code());
+    private void malformed(MalformedMessageException problem) {
+        state = State.RESET;
+        releaseBody();
+        connection.streamCancelled(); // costs its client what a reset stream does
+        CodecErrors.reset(stream, problem.code());
     }
 
-    // ---------------------------------------------------------------- what it asks for
+    // ---------------------------------------------------------------- dispatch
 
-    private void take() {
+    private void handleRequest() {
         if (connection.isClientClosed()) {
-            drop();
+            releaseBody();
             return;
         }
         String path = head.path();
-        if (path != null && path.startsWith("/-/")) {
-            boolean asked = path.equals("/-/ready") && head.method().equals("GET");
-            reject(
-                    !asked ? 404 : server.isReady() ? 200 : 503,
-                    !asked ? "not found" : server.isReady() ? "ready" : "not ready");
+        if (path != null && path.startsWith(FinalResponse.MANAGEMENT_PREFIX)) {
+            respond(FinalResponse.management(head.method(), path, listener.isReady()));
             return;
         }
-        ProxyRequest order;
-        Http3HeaderFields fields = new Http3HeaderFields(headers);
+        ProxyRequest request;
         try {
-            if (path == null) {
-                throw new IllegalArgumentException("not a path");
-            }
-            if (head.method().equals("GET") && body.length() > 0) {
-                throw new IllegalArgumentException("a GET with a body");
-            }
-            order = RequestValidator.validate(head.method(), path, fields, body.all(), server.boot);
-            fields.endToEnd();
+            request = validatedRequest(path);
         } catch (IllegalArgumentException e) {
-            reject(400, e.getMessage());
+            respond(400, e.getMessage());
             return;
         }
-        if (server.dispatcher.isOpen(order.id())) {
+        if (listener.dispatcher().isOpen(request.id())) {
             // Whatever protocol the other one came by: an upstream could not tell the two apart.
-            reject(409, "a request with this Req-Id is open");
+            respond(409, FinalResponse.DUPLICATE_REQUEST_ID);
             return;
         }
-        Runnable leave = server.dispatcher.dispatch(order, this);
-        if (!answered) {
-            gone = leave;
+        Runnable onClose = listener.dispatcher().dispatch(request, this);
+        if (state != State.RESPONDED) {
+            clientClosed = onClose;
         }
     }
 
+    private ProxyRequest validatedRequest(String path) {
+        if (path == null) {
+            throw new IllegalArgumentException("not a path");
+        }
+        if (head.method().equals("GET") && body.length() > 0) {
+            throw new IllegalArgumentException("a GET with a body");
+        }
+        Http3HeaderFields fields = new Http3HeaderFields(headers);
+        ProxyRequest request = RequestValidator.validate(head.method(), path, fields, body.all(), listener.settings());
+        fields.endToEnd();
+        return request;
+    }
+
     @Override
     public void readConnection() {
-        server.readNow();
+        listener.readNow();
     }
 
-    // ---------------------------------------------------------------- what goes out
+    // ---------------------------------------------------------------- response
 
     @Override
-    public void serve(UpstreamResponse answer) {
-        write(200, answer.body(), answer.type(), 0);
+    public void serve(UpstreamResponse response) {
+        respond(FinalResponse.served(response));
     }
 
     @Override
-    public void reject(long retryAfter) {
-        write(503, "refused: trying again is harmless\n".getBytes(StandardCharsets.UTF_8), "text/plain", retryAfter);
+    public void reject(long retryAfterMicros) {
+        respond(FinalResponse.rejected(retryAfterMicros));
     }
 
     @Override
     public void fail() {
-        reject(502, "failed");
+        respond(FinalResponse.failed());
     }
 
-    private void reject(int status, String text) {
-        write(status, (text + "\n").getBytes(StandardCharsets.UTF_8), "text/plain", 0);
+    private void respond(int status, String text) {
+        respond(FinalResponse.text(status, text));
     }
 
-    private void write(int status, byte[] content, String type, long retryAfter) {
-        answered = true;
-        gone = null;
-        answeredAt = System.nanoTime();
-        boolean unfinished = !state.isComplete();
-        drop();
-        Http3Headers out = new DefaultHttp3Headers();
-        out.status(Integer.toString(status));
-        if (type != null) {
-            out.set("content-type", type);
-        }
-        out.set("content-length", Integer.toString(content.length));
-        if (retryAfter > 0) {
-            out.set("retry-after", String.format(Locale.ROOT, "%.3f", retryAfter / 1e6));
-        }
-        unread = content.length + HeaderValidator.SECTION_MOST;
-        server.sessions.unread(connection.session(), unread);
-        long charged = unread;
-        last.last();
-        ChannelFuture written = stream.write(new DefaultHttp3HeadersFrame(out));
+    private void respond(FinalResponse response) {
+        state = State.RESPONDED;
+        clientClosed = null;
+        respondedAt = System.nanoTime();
+        boolean requestIncomplete = !message.isComplete();
+        releaseBody();
+        byte[] content = response.body();
+        unreadBytes = content.length + HeaderValidator.SECTION_MOST;
+        listener.connectionLimiter().unread(connection.tracked(), unreadBytes);
+        long charged = unreadBytes;
+        finalFrame.last();
+        ChannelFuture written = stream.write(new DefaultHttp3HeadersFrame(headersOf(response)));
         if (content.length > 0) {
             written = stream.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(content)));
         }
-        written.addListener(done -> sent(charged));
+        written.addListener(done -> responseLeft(charged));
         stream.flush();
-        if (unfinished) {
-            // The rest of the request is not wanted; the answer stands (RFC 9114, section 4.1).
+        if (requestIncomplete) {
+            // The rest of the request is not wanted; the response stands (RFC 9114, section 4.1).
             stream.shutdownInput((int) Http3ErrorCodes.NO_ERROR);
         }
-        connection.answered();
+        connection.streamResponded();
+    }
+
+    // Names of fields are in lower case (RFC 9114, section 4.2).
+    private static Http3Headers headersOf(FinalResponse response) {
+        Http3Headers fields = new DefaultHttp3Headers();
+        fields.status(Integer.toString(response.status()));
+        if (response.contentType() != null) {
+            fields.set("content-type", response.contentType());
+        }
+        fields.set("content-length", Integer.toString(response.body().length));
+        if (response.fieldValue() != null) {
+            fields.set(response.fieldName().toLowerCase(Locale.ROOT), response.fieldValue());
+        }
+        return fields;
     }
 
-    private void sent(long bytes) {
-        if (unread > 0) {
-            unread = 0;
-            server.sessions.unread(connection.session(), -bytes);
+    private void responseLeft(long bytes) {
+        if (unreadBytes > 0) {
+            unreadBytes = 0;
+            listener.connectionLimiter().unread(connection.tracked(), -bytes);
         }
     }
 }
