--- a/src/main/java/loadbalancer/admin/AdminOperations.java
+++ b/src/main/java/loadbalancer/admin/AdminOperations.java
@@ -2,17 +2,17 @@
 
 import loadbalancer.lifecycle.LifeCycle;
 
-/** What operators may ask of a balancer; called on the event loop. */
+/** What operators may ask of a load balancer; called on the event loop. */
 public interface AdminOperations {
     /** Whether this process takes clients. */
     boolean ready();
 
-    /** Sends the clients away. */
+    /** Moves the clients to other processes: health checks fail, and idle connections are closed. */
     LifeCycle.Verdict evacuate();
 
-    /** Takes clients again. */
+    /** Takes clients again after {@link #evacuate}. */
     LifeCycle.Verdict rejoin();
 
-    /** What it is at, in a word. */
+    /** The state of the life cycle, in a word for the operators. */
     String state();
 }
--- a/src/main/java/loadbalancer/admin/AdminRoutes.java
+++ b/src/main/java/loadbalancer/admin/AdminRoutes.java
@@ -4,42 +4,55 @@
 import java.util.function.Function;
 import loadbalancer.lifecycle.LifeCycle.Verdict;
 
-/** The operators' calls: what each asks for, and what is answered. Decides without I/O. */
+/** The operators' requests: what each asks for, and the response. Decides without I/O. */
 final class AdminRoutes {
-    /** Its status (RFC 9110, section 15), one line of text, and what {@code Allow} says, or null. */
-    record Answer(int status, String text, String allow) {}
+    /**
+     * A response.
+     *
+     * @param status the status code (RFC 9110, section 15)
+     * @param text one line
+     * @param allow the value of Allow (RFC 9110, section 10.2.1), or null for none
+     */
+    record Response(int status, String text, String allow) {
+        static Response of(int status, String text) {
+            return new Response(status, text, null);
+        }
+    }
 
-    private record Call(String method, Function<AdminOperations, Answer> run) {}
+    private record Route(String method, Function<AdminOperations, Response> handler) {}
 
-    private static final Map<String, Call> CALLS = Map.of(
-            "/api/ready",
-                    new Call("GET", o -> o.ready() ? yes("ready") : new Answer(503, "not ready: " + o.state(), null)),
-            "/api/evacuate", new Call("POST", o -> told(o.evacuate(), o, "evacuating", "sent away already")),
-            "/api/rejoin", new Call("POST", o -> told(o.rejoin(), o, "taking clients", "not sent away")));
+    private static final Map<String, Route> ROUTES = Map.of(
+            "/api/ready", new Route("GET", AdminRoutes::readiness),
+            "/api/evacuate", new Route("POST", o -> outcome(o.evacuate(), o, "evacuating", "sent away already")),
+            "/api/rejoin", new Route("POST", o -> outcome(o.rejoin(), o, "taking clients", "not sent away")));
 
     private AdminRoutes() {}
 
-    private static Answer yes(String text) {
-        return new Answer(200, text, null);
+    private static Response readiness(AdminOperations operations) {
+        return operations.ready() ? Response.of(200, "ready") : Response.of(503, "not ready: " + operations.state());
     }
 
-    private static Answer told(Verdict verdict, AdminOperations o, String done, String already) {
+    private static Response outcome(Verdict verdict, AdminOperations operations, String done, String already) {
         return switch (verdict) {
-            case DONE -> yes(done);
-            case ALREADY -> yes(already);
-            case NOT_POSSIBLE -> new Answer(409, "not possible while it is " + o.state(), null);
+            case DONE -> Response.of(200, done);
+            case ALREADY -> Response.of(200, already);
+            case NOT_POSSIBLE -> Response.of(409, "not possible while it is " + operations.state());
         };
     }
 
-    /** Carries a call out; {@code uri} may have a query, which says nothing. */
-    static Answer respond(String method, String uri, AdminOperations to) {
-        Call call = CALLS.get(uri.split("\\?", 2)[0]);
-        if (call == null) {
-            return new Answer(404, "no such call", null);
+    /**
+     * Carries a request out.
+     *
+     * @param uri the path, and perhaps a query, which is ignored
+     */
+    static Response respond(String method, String uri, AdminOperations operations) {
+        Route route = ROUTES.get(uri.split("\\?", 2)[0]);
+        if (route == null) {
+            return Response.of(404, "no such call");
         }
-        if (!call.method().equals(method)) {
-            return new Answer(405, "by " + call.method() + " only", call.method());
+        if (!route.method().equals(method)) {
+            return new Response(405, "by " + route.method() + " only", route.method());
         }
-        return call.run().apply(to);
+        return route.handler().apply(operations);
     }
 }
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -33,34 +33,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Where operators call: HTTP/1.1, one call to a connection, which ends with its answer. Callers are few and
- * trusted, but may be stuck: one that comes when all places are taken ends whoever waits longest.
+ * The operators' endpoint: HTTP/1.1, one request to a connection, which closes behind its response. Operators'
+ * connections are few and trusted, but may be stuck: a new one beyond the limit closes the oldest.
  */
 public final class AdminServer {
-    private static final int CALLERS = 16;
+    private static final int MAX_CONNECTIONS = 16;
     private static final int BACKLOG = 64;
-    private static final long CALL_MS = 5_000; // for a whole call
-    private static final long LEAVE_MS = 1_000; // for the answer to be read
-    private static final int LINE_MOST = 1_024;
-    private static final int HEAD_MOST = 4_096;
-    private static final int BODY_MOST = 4_096; // nothing in it is asked for
+    private static final long REQUEST_MILLIS = 5_000; // for the request and its response
+    private static final long CLOSE_MILLIS = 1_000; // for the response to be read
+    private static final int MAX_REQUEST_LINE_BYTES = 1_024;
+    private static final int MAX_HEADER_BYTES = 4_096;
+    private static final int MAX_BODY_BYTES = 4_096; // it is ignored
 
     private final EventLoop loop;
     private final AdminOperations operations;
-    private final Set<Channel> callers = new LinkedHashSet<>(); // the oldest first
+    private final Set<Channel> connections = new LinkedHashSet<>(); // the oldest first
     private Channel listener;
 
+    /** An endpoint that is not bound yet; {@code operations} is called on {@code loop}. */
     public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
     /**
-     * Listens; called from another thread than the loop's, and returns the address in use.
+     * Listens; called from another thread than the loop's.
      *
-     * @throws IOException where the address can't be had
+     * @return the address in use
+     * @throws IOException if the calling thread is interrupted; what binding fails with is thrown as it is
      */
-    public InetSocketAddress listen(InetSocketAddress at) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         try {
             listener = new ServerBootstrap()
                     .group(loop, loop)
@@ -71,10 +73,10 @@
                     .childHandler(new ChannelInitializer<NioSocketChannel>() {
                         @Override
                         protected void initChannel(NioSocketChannel channel) {
-                            opened(channel);
+                            connectionAccepted(channel);
                         }
                     })
-                    .bind(at)
+                    .bind(address)
                     .sync()
                     .channel();
             return (InetSocketAddress) listener.localAddress();
@@ -84,85 +86,86 @@
         }
     }
 
-    /** Takes no more calls. */
+    /** Accepts no more connections. */
     public void close() {
         listener.close();
     }
 
-    private void opened(NioSocketChannel channel) {
-        if (callers.size() >= CALLERS) {
-            Channel eldest = callers.iterator().next();
-            callers.remove(eldest);
-            eldest.close();
+    private void connectionAccepted(NioSocketChannel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            Channel oldest = connections.iterator().next();
+            connections.remove(oldest);
+            oldest.close();
         }
-        callers.add(channel);
-        channel.closeFuture().addListener(closed -> callers.remove(channel));
-        loop.schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+        connections.add(channel);
+        channel.closeFuture().addListener(closed -> connections.remove(channel));
+        loop.schedule(() -> channel.close(), REQUEST_MILLIS, TimeUnit.MILLISECONDS);
         channel.pipeline()
                 .addLast(
                         new HttpRequestDecoder(new HttpDecoderConfig()
-                                .setMaxInitialLineLength(LINE_MOST)
-                                .setMaxHeaderSize(HEAD_MOST)),
+                                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                                .setMaxHeaderSize(MAX_HEADER_BYTES)),
                         new HttpResponseEncoder(),
-                        new Caller(channel));
+                        new RequestHandler(channel));
     }
 
-    /** One caller and its call. */
-    private final class Caller extends SimpleChannelInboundHandler<HttpObject> {
+    /** One connection and its request. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final NioSocketChannel channel;
         private HttpRequest head;
-        private int length;
-        private boolean answered;
+        private int bodyBytes;
+        private boolean responded;
 
-        Caller(NioSocketChannel channel) {
+        RequestHandler(NioSocketChannel channel) {
             this.channel = channel;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (answered) {
-                return; // one call to a connection
+            if (responded) {
+                return; // one request to a connection
             }
             if (!part.decoderResult().isSuccess()) {
-                Throwable cause = part.decoderResult().cause();
-                if (cause instanceof TooLongHttpLineException || cause instanceof TooLongHttpHeaderException) {
-                    answer(new AdminRoutes.Answer(431, "too long", null));
-                } else {
-                    answer(new AdminRoutes.Answer(400, "not a call in HTTP/1.1", null));
-                }
+                respond(malformed(part.decoderResult().cause()));
                 return;
             }
             if (part instanceof HttpRequest request) {
                 head = request;
             }
             if (part instanceof HttpContent content) {
-                length += content.content().readableBytes();
-                if (length > BODY_MOST) {
-                    answer(new AdminRoutes.Answer(413, "a call has no such body", null));
+                bodyBytes += content.content().readableBytes();
+                if (bodyBytes > MAX_BODY_BYTES) {
+                    respond(AdminRoutes.Response.of(413, "a call has no such body"));
                 } else if (part instanceof LastHttpContent) {
-                    answer(AdminRoutes.respond(head.method().name(), head.uri(), operations));
+                    respond(AdminRoutes.respond(head.method().name(), head.uri(), operations));
                 }
             }
         }
 
-        private void answer(AdminRoutes.Answer answer) {
-            answered = true;
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+        private AdminRoutes.Response malformed(Throwable cause) {
+            return cause instanceof TooLongHttpLineException || cause instanceof TooLongHttpHeaderException
+                    ? AdminRoutes.Response.of(431, "too long")
+                    : AdminRoutes.Response.of(400, "not a call in HTTP/1.1");
+        }
+
+        private void respond(AdminRoutes.Response response) {
+            responded = true;
+            DefaultFullHttpResponse message = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(answer.status()),
-                    Unpooled.copiedBuffer(answer.text() + "\n", StandardCharsets.UTF_8));
-            response.headers()
+                    HttpResponseStatus.valueOf(response.status()),
+                    Unpooled.copiedBuffer(response.text() + "\n", StandardCharsets.UTF_8));
+            message.headers()
                     .set(HttpHeaderNames.CONTENT_TYPE, "text/plain")
-                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
+                    .set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            if (answer.allow() != null) {
-                response.headers().set(HttpHeaderNames.ALLOW, answer.allow());
+            if (response.allow() != null) {
+                message.headers().set(HttpHeaderNames.ALLOW, response.allow());
             }
-            // Closed at once, with bytes unread, the connection would be reset before the answer is read.
-            channel.writeAndFlush(response)
+            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            channel.writeAndFlush(message)
                     .addListener(
                             written -> channel.shutdownOutput().addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
-            loop.schedule(() -> channel.close(), LEAVE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> channel.close(), CLOSE_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
