--- a/src/main/java/loadbalancer/downstream/FinalResponse.java
+++ b/src/main/java/loadbalancer/downstream/FinalResponse.java
@@ -6,15 +6,9 @@
 
 /**
  * The one final response to a request, before a protocol frames it: status, body and fields are the same
- * whatever protocol the client speaks. Immutable by convention: {@code body} must not be changed.
- *
- * @param status the status code (RFC 9110, section 15)
- * @param body the complete content
- * @param contentType the media type, or null for none
- * @param fieldName one further field, in the case that HTTP/1.1 writes; used where {@code fieldValue} is set
- * @param fieldValue the value of that field, or null for no such field
+ * whatever protocol the client speaks.
  */
-public record FinalResponse(int status, byte[] body, String contentType, String fieldName, String fieldValue) {
+public final class FinalResponse {
     /** Requests to paths that begin so are for this process and are not forwarded. */
     public static final String MANAGEMENT_PREFIX = "/-/";
     /** Where health checks ask whether this process takes clients. */
@@ -25,6 +19,29 @@
     private static final String PLAIN_TEXT = "text/plain";
     private static final double MICROS_PER_SECOND = 1e6;
 
+    private final int status;
+    private final byte[] body;
+    private final String contentType;
+    private final String fieldName;
+    private final String fieldValue;
+
+    /**
+     * A response.
+     *
+     * @param status the status code (RFC 9110, section 15)
+     * @param body the complete content; must not be changed
+     * @param contentType the media type, or null for none
+     * @param fieldName one further field, in the case that HTTP/1.1 writes; used where {@code fieldValue} is set
+     * @param fieldValue the value of that field, or null for no such field
+     */
+    public FinalResponse(int status, byte[] body, String contentType, String fieldName, String fieldValue) {
+        this.status = status;
+        this.body = body;
+        this.contentType = contentType;
+        this.fieldName = fieldName;
+        this.fieldValue = fieldValue;
+    }
+
     /** A complete upstream response that is passed on with its media type. */
     public static FinalResponse served(UpstreamResponse response) {
         return new FinalResponse(200, response.body(), response.type(), null, null);
@@ -60,6 +77,31 @@
         return ready ? text(200, "ready") : text(503, "not ready");
     }
 
+    /** The status code. */
+    public int status() {
+        return status;
+    }
+
+    /** The complete content; not to be changed. */
+    public byte[] body() {
+        return body;
+    }
+
+    /** The media type; null for none. */
+    public String contentType() {
+        return contentType;
+    }
+
+    /** The name of one further field, in the case that HTTP/1.1 writes. */
+    public String fieldName() {
+        return fieldName;
+    }
+
+    /** The value of that field; null where there is no such field. */
+    public String fieldValue() {
+        return fieldValue;
+    }
+
     private static byte[] line(String text) {
         return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -139,9 +139,9 @@
     @Override
     public boolean mayAccept(int accepted) {
         return accepted == 0
-                || accepted < MAX_ACCEPTS_PER_PASS
+                || (accepted < MAX_ACCEPTS_PER_PASS
                         && accepted < budget.available(Direction.CLIENT, System.nanoTime())
-                        && warmUpAdmits(accepted);
+                        && warmUpAdmits(accepted));
     }
 
     @Override
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -106,7 +106,7 @@
         head = null;
         byte[] complete = body.length == length ? body : Arrays.copyOf(body, length);
         memory.release(length);
-        listener.onRequest(new ReceivedRequest(request, complete, null, complete.length));
+        listener.onRequest(ReceivedRequest.complete(request, complete));
     }
 
     private void buffer(Channel channel, ByteBuf content) {
@@ -143,7 +143,7 @@
         body = null;
         memory.release(length);
         stream = new StreamedBody(channel);
-        listener.onRequest(new ReceivedRequest(request, firstBytes, stream, announcedLength));
+        listener.onRequest(ReceivedRequest.streamed(request, firstBytes, stream, announcedLength));
     }
 
     /** Whether the last byte of a long body has not arrived yet. */
