--- /dev/null
+++ b/src/main/java/loadbalancer/policy/ArrivalRate.java
@@ -0,0 +1,37 @@
+package loadbalancer.policy;
+
+/** The rate at which clients bring requests to this balancer. Resubmissions don't count. */
+final class ArrivalRate {
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** Shortest time that the rate is a mean of: what arrives at a start may be a burst. */
+    private static final double MIN_WINDOW_MICROS = DecayScale.TIME_CONSTANT_MICROS / 3;
+
+    private double arrivals;
+    private long firstArrivalAt;
+
+    void record(long now, boolean resubmission) {
+        firstArrivalAt = arrivals == 0 ? now : firstArrivalAt;
+        arrivals += resubmission ? 0 : 1;
+    }
+
+    /** Decaying number of arrivals. */
+    double arrivals() {
+        return arrivals;
+    }
+
+    /**
+     * Requests per second: a mean of the time since the first one, where that is short. A balancer that has just
+     * started is otherwise taken for an idle one, and refuses requests at the few servers of its subset.
+     */
+    double perSecond(long now) {
+        double elapsed = Math.max(MIN_WINDOW_MICROS, now - firstArrivalAt);
+        return arrivals
+                / DecayScale.TIME_CONSTANT_MICROS
+                * MICROS_PER_SECOND
+                / -Math.expm1(-elapsed / DecayScale.TIME_CONSTANT_MICROS);
+    }
+
+    void decay(double keep) {
+        arrivals *= keep;
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/DiscoverySubscription.java
@@ -0,0 +1,55 @@
+package loadbalancer.policy;
+
+import java.util.SplittableRandom;
+import loadbalancer.policy.Policy.Actions;
+import loadbalancer.policy.Policy.Discovery;
+import loadbalancer.policy.Policy.ListKind;
+
+/** Subscribes to the endpoint list, and does so anew, with backoff, where discovery fails or nothing comes. */
+final class DiscoverySubscription {
+    private static final long FIRST_BACKOFF_MICROS = 500_000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
+    private final ActiveSettings active;
+    private final SplittableRandom random;
+    private final OperatorLog log;
+    /** When to subscribe the next time, in microseconds. */
+    private long subscribeAt = Long.MAX_VALUE;
+
+    private int failures;
+
+    DiscoverySubscription(ActiveSettings active, SplittableRandom random, OperatorLog log) {
+        this.active = active;
+        this.random = random;
+        this.log = log;
+    }
+
+    void listReceived(long now, ListKind kind, Actions out) {
+        if (kind != ListKind.PERSISTED) {
+            failures = 0;
+            subscribeAt = Long.MAX_VALUE;
+        } else if (active.settings().discovery() == Discovery.ASK) {
+            subscribe(now, out);
+        }
+    }
+
+    void listFailed(long now, Actions out) {
+        long longest = active.settings().bounds().askWithin() / 2;
+        long backoff = Math.min(longest, FIRST_BACKOFF_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, failures));
+        failures++;
+        subscribeAt = Math.min(subscribeAt, now + backoff / 2 + random.nextLong(Math.max(1, backoff)));
+        log.write(now, "discovery failed " + failures + " times, asking again", out);
+    }
+
+    void subscribeIfDue(long now, Actions out) {
+        if (now >= subscribeAt) {
+            subscribe(now, out);
+        }
+    }
+
+    private void subscribe(long now, Actions out) {
+        long within = active.settings().bounds().askWithin();
+        subscribeAt = now + within / 2 + random.nextLong(1 + within / 8);
+        out.watch(true);
+    }
+}
--- a/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -15,11 +15,6 @@
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import loadbalancer.policy.PolicyState.Attempt;
-import loadbalancer.policy.PolicyState.Learned;
-import loadbalancer.policy.PolicyState.Node;
-import loadbalancer.policy.PolicyState.Request;
-import loadbalancer.policy.PolicyState.Turn;
 
 /**
  * Every decision of one balancer. The module's interface, its events, actions and types, is Policy.java;
@@ -33,8 +28,6 @@
     // Mechanism. D, A: the paper's defaults. Counts fade so that a slowed server loses its rank in seconds.
     private static final int D = 4;
     private static final int A = 2;
-    private static final double FADE = 10e6;            // µs, time constant of all decaying counts
-    private static final double RATE_LEAST = FADE / 3;  // in which what came at a start may be a burst
     private static final double QUICK = 2e6;            // µs, the same for the rate of answers
     private static final double STALE = 2;              // usual latencies, time constant of trust in a report
     private static final double SLOW_SMOOTH = 0.25;     // weight of one answer in a server's slowness
@@ -70,56 +63,49 @@
     private static final double SHARE_LEAST = 0.1;      // of arrivals that a tier is taken for at least
     private static final double CHEAP = 0.3;            // over-share worth: at a start turned away
     private static final int KNOWN = 8;                 // answers that the strain is a mean of at least
-    private static final double SMOOTH = 0.03;          // weight of one answer in a class's usual latency
     // Work sent to a cold server, as a share of what a warm one of like weight takes at the same coldness.
     private static final double COLD_MARGIN = 2.4;
     // The same for those in this balancer's subset, as a share of what a warm one there takes. How many
     // balancers have a server in a subset of six varies by 0.4 of their mean: twice as many may share it.
     private static final double OUR_MARGIN = 1.2;
-    // Further attempts after failures that may have run, per first attempt.
-    private static final double RETRY_SHARE = 0.2;
-    private static final double BUDGET_MOST = 10;
     private static final double HEDGE_FULL = 0.02;      // safe ones' hedges rest while more is turned away
-    private static final double HEDGE_LEAST = 4;        // what hedges leave of that budget to retries
-    private static final double HINTED = 0.7;           // part of the latency that goes with hinted work
     private static final double LATE_WORTH = 0.5;       // a late answer that earns less is given up
     private static final double FEW = 5;                // first tries that say little of a tenant's rate
     private static final double SHARE_BURST = 4;        // requests of a small tenant that chance bunches
     private static final double TENANT_BURST = 1e6;     // µs of its rate that a tenant may bring at once
-    private static final long TICK_MOST = 20_000;       // µs between sweeps while anything is open
     private static final long REFRESH = 100_000;        // µs between looks at all servers
-    private static final double GAIN_MOST = 1e60;       // counts are brought back to scale above it
 
-    private static final Comparator<Node> BY_ACCOMPLISHMENT =
-        Comparator.<Node>comparingDouble(n -> -n.count).thenComparingInt(n -> n.order);
+    private static final Comparator<ServerState> BY_ACCOMPLISHMENT =
+        Comparator.<ServerState>comparingDouble(n -> -n.accomplishment).thenComparingInt(n -> n.tieBreaker);
 
-    private Settings settings;
+    private final ActiveSettings active;
     private final SplittableRandom random;
-    private long tick;
-    private long shortestAim;
-    private boolean anySafe;                            // whether any class may simply be repeated
-    private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private List<Node> listed = new ArrayList<>();      // up, in the seeded order
+    private final OperatorLog log = new OperatorLog();
+    private final DecayScale scale = new DecayScale();
+    private final ArrivalRate arrivals = new ArrivalRate();
+    private final ClassLatencies latencies = new ClassLatencies();
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final SequencedKeys sequencedKeys = new SequencedKeys();
+    private final DiscoverySubscription subscription;
+    private final Map<String, ServerState> nodes = new LinkedHashMap<>();
+    private List<ServerState> listed = new ArrayList<>();      // up, in the seeded order
     private boolean allLookBad;                         // or most of them: the fault is elsewhere
-    private final TreeMap<Long, Node> points = new TreeMap<>(); // the ring: listed servers, more by weight
-    private Node[] ring;                                // the same for keys, made when one asks for it
+    private final TreeMap<Long, ServerState> points = new TreeMap<>(); // the ring: listed servers, more by weight
+    private ServerState[] ring;                                // the same for keys, made when one asks for it
     private long[] ringAt;
-    private Node[] homeRing = {};                       // each server once, from this balancer's point on
+    private ServerState[] homeRing = {};                       // each server once, from this balancer's point on
     private final long home;                            // where this balancer's subset starts
     private int walk;
     private double fastShare = 0.5;                     // the paper's p
-    private final Map<String, Request> open = new LinkedHashMap<>();
+    private final Map<String, RequestState> open = new LinkedHashMap<>();
     private final Map<Long, Double> keyCounts = new HashMap<>(); // faded requests of each key
-    private final Map<Long, Turn> turns = new LinkedHashMap<>();
     // in share, over share
-    private final List<List<Request>> held = List.of(new ArrayList<>(), new ArrayList<>());
-    private Learned[] learned = {};                     // of each class
+    private final List<List<RequestState>> held = List.of(new ArrayList<>(), new ArrayList<>());
     private double[] brought = {};                      // faded first tries of each tenant
     private double[] shareTokens = {}; // requests each tenant may still bring within its share
     private long[] shareAt = {};
     private double meanWeight = 1;                      // of listed servers
     private double ownMean;                             // moving mean of own attempts in flight
-    private double shortestUsual;                       // µs, the least of the classes' usual latencies
     private int inFlight;
     private double[] tiers = {};                        // the distinct worths of requests, ascending
     private double[] asked = {};                        // faded arrivals of each tier
@@ -130,21 +116,16 @@
     private int answers;
     private long strainAt;
     private double turnedAway;                          // faded attempts that no server took
-    private double arrivals;
-    private long firstAt;                               // when the first of them came
-    private double retryBudget = BUDGET_MOST;
     private long fadedAt;
-    private double scale = 1;                           // of servers' counts: it grows, they don't fade
     private double warmRate;                            // answers per second and weight of warm servers
     private double ourRate;                             // the same of those in this balancer's subset
     private long refreshAt;
     private long wakeAt = Long.MAX_VALUE;
-    private long askAt = Long.MAX_VALUE;                // when to subscribe (again)
-    private int askFailures;
-    private long remarkAt;
 
     public JsqDasPolicy(Settings settings, long seed) {
+        this.active = new ActiveSettings(settings);
         this.random = new SplittableRandom(seed);
+        this.subscription = new DiscoverySubscription(active, random, log);
         this.home = (long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63);
         tune(0, settings, Collections.nCopies(settings.classes().size(), -1),
             Collections.nCopies(settings.tenants().size(), -1));
@@ -154,16 +135,10 @@
         }
     }
 
-    // All that follows from the settings. What is open holds its class's own record, and is not touched.
+    // All that follows from the active.settings(). What is open holds its class's own record, and is not touched.
     private void tune(long now, Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
-        settings = to;
-        Learned[] before = learned;
-        learned = IntStream.range(0, to.classes().size()).mapToObj(i -> formerClasses.get(i) < 0
-            ? new Learned(to.classes().get(i)) : before[formerClasses.get(i)]).toArray(Learned[]::new);
-        shortestAim = to.classes().stream().mapToLong(RequestClass::aim).min().getAsLong();
-        shortestUsual = shortestUsual();
-        anySafe = to.classes().stream().anyMatch(c -> c.effect() == Effect.SAFE);
-        tick = Math.max(to.tick(), Math.min(TICK_MOST, shortestAim / 16));
+        active.reload(to);
+        latencies.reload(to.classes(), formerClasses);
         double[] tiersBefore = tiers;
         tiers = to.classes().stream().flatMapToDouble(c ->
             DoubleStream.of(value(c, false), value(c, true))).distinct().sorted().toArray();
@@ -188,24 +163,20 @@
     }
 
     private double inShare() {
-        return settings.classes().stream().mapToDouble(c -> value(c, false)).min().getAsDouble();
-    }
-
-    private double shortestUsual() {
-        return Arrays.stream(learned).mapToDouble(k -> k.usual).min().getAsDouble();
+        return active.settings().classes().stream().mapToDouble(c -> value(c, false)).min().getAsDouble();
     }
 
     @Override
     public void reload(long now, Settings to, List<Integer> formerClasses, List<Integer> formerTenants,
             Actions out) {
         tune(now, to, formerClasses, formerTenants);
-        wakeBy(now, tick, out);
+        wakeBy(now, active.tickMicros(), out);
     }
 
     // ---------------------------------------------------------------- dispatch: the paper's definition
 
     // Ranks by accomplishment, samples A of the top p·k and D-A of the rest, takes the shortest queue.
-    private Node draw(List<Node> candidates, long now, Actions out) {
+    private ServerState draw(List<ServerState> candidates, long now, Actions out) {
         int k = candidates.size();
         if (k == 1) {
             return candidates.get(0);
@@ -219,7 +190,7 @@
     }
 
     // Draws without replacement from [from, to); returns the shortest queue, ties to the higher rank.
-    private int sample(List<Node> ranked, int from, int to, int draws, int best, long now,
+    private int sample(List<ServerState> ranked, int from, int to, int draws, int best, long now,
             Actions out) {
         int shortest = best;
         int[] left = IntStream.range(from, to).toArray();
@@ -239,26 +210,26 @@
     // finds its own queues empty nearly always, and ties alone would then send all of it to one set. In
     // another zone, where crossing has a price, a queue counts for longer: it must be worth the price. So
     // does one that needs a handshake: chosen by queues alone, four requests in ten opened a connection.
-    private double queue(Node n, long now, Actions out) {
-        while (!n.penalties.isEmpty() && n.penalties.peekFirst() <= now) {
-            n.penalties.pollFirst();
+    private double queue(ServerState n, long now, Actions out) {
+        while (!n.penaltyEnds.isEmpty() && n.penaltyEnds.peekFirst() <= now) {
+            n.penaltyEnds.pollFirst();
         }
-        Prices prices = settings.prices();
-        double far = n.server.zone() == settings.zone() ? 0 : CROSSING * prices.crossZone();
+        Prices prices = active.settings().prices();
+        double far = n.server.zone() == active.settings().zone() ? 0 : CROSSING * prices.crossZone();
         if (prices.handshake() > 0 && !out.isConnected(n.server.id())) {
             far += CROSSING * prices.handshake();
         }
-        double queue = (n.inFlight + n.penalties.size() + others(n, now)) * meanWeight / n.server.weight();
+        double queue = (n.inFlight + n.penaltyEnds.size() + others(n, now)) * meanWeight / n.server.weight();
         return queue + far * (1 + queue);
     }
 
     // The attempts of other balancers: as last reported, or by Little's law as many as this balancer has in
     // a server on average, in the ratio of this server's latency. Old news fades to the mean of all.
-    private double others(Node n, long now) {
+    private double others(ServerState n, long now) {
         double relative = n.server.weight() / meanWeight;
-        double trust = n.reportedAt > 0 ? Math.exp(-(now - n.reportedAt) / (STALE * shortestUsual)) : 0;
-        double inferred = relative * ownMean * (settings.balancers() - 1) / Math.max(1, listed.size());
-        return slowness(n, now) * (inferred + trust * (n.reported - inferred));
+        double trust = n.reportedAt > 0 ? Math.exp(-(now - n.reportedAt) / (STALE * latencies.shortestMicros())) : 0;
+        double inferred = relative * ownMean * (active.settings().balancers() - 1) / Math.max(1, listed.size());
+        return slowness(n, now) * (inferred + trust * (n.reportedInFlight - inferred));
     }
 
     // ---------------------------------------------------------------- exceptions: who is a candidate
@@ -267,17 +238,17 @@
     // Guards against connections that grow with the fleet, and counts and queues that say nothing because
     // each server hears from this balancer once in a while only. Where it holds no server that may be used,
     // as when its servers have failed or are cold, the walk goes on, over the whole list if need be.
-    private List<Node> candidates(Request r, long now) {
-        List<Node> fresh = new ArrayList<>();
-        List<Node> tried = new ArrayList<>();
+    private List<ServerState> candidates(RequestState r, long now) {
+        List<ServerState> fresh = new ArrayList<>();
+        List<ServerState> tried = new ArrayList<>();
         boolean keyed = r.key != 0 && walksByKey(now);
         int wanted = keyed ? (int) Math.max(KEY_SUBSET, KEY_SPREAD * heat(r.key) * listed.size())
             : subset(now);
-        Node[] order = homeRing;
+        ServerState[] order = homeRing;
         int from = 0;
         if (keyed) {
             if (ring == null) {
-                ring = points.values().toArray(new Node[0]);
+                ring = points.values().toArray(new ServerState[0]);
                 ringAt = points.keySet().stream().mapToLong(Long::longValue).toArray();
             }
             order = ring;
@@ -287,76 +258,66 @@
         walk++;
         boolean near = !keyed && staysNear();
         for (int i = 0, warm = 0, met = 0; i < order.length && warm < wanted && met < REACH * wanted; i++) {
-            Node n = order[(from + i) % order.length];
-            if (n.walk == walk) {
+            ServerState n = order[(from + i) % order.length];
+            if (n.lastWalk == walk) {
                 continue;
             }
-            n.walk = walk;
-            if (permitted(r.kind, n.server) && mayRunOn(r, n, now) && hasColdBudget(n, now)
+            n.lastWalk = walk;
+            if (r.isPermittedOn(n.server) && r.mayRunOn(n, now, active.tickMicros()) && hasColdBudget(n, now)
                     && (allLookBad || healthy(n, r, now))) {
-                (wasTried(r, n) ? tried : fresh).add(n);
+                (r.wasSentTo(n) ? tried : fresh).add(n);
                 int counts = warmth(n, now) >= 1 ? 1 : 0;
                 met += counts;
-                warm += near && n.server.zone() != settings.zone() ? 0 : counts;
+                warm += near && n.server.zone() != active.settings().zone() ? 0 : counts;
             }
         }
         return fresh.isEmpty() ? tried : fresh;
     }
 
     private int subset(long now) {
-        double visits = settings.prices().handshake() > 0 ? DEAR_VISITS : SUBSET_VISITS;
-        return (int) Math.max(SUBSET, rate(now) * visits);
+        double visits = active.settings().prices().handshake() > 0 ? DEAR_VISITS : SUBSET_VISITS;
+        return (int) Math.max(SUBSET, arrivals.perSecond(now) * visits);
     }
 
     private boolean walksByKey(long now) {
-        return settings.warmKeys() && rate(now) * SUBSET_VISITS >= listed.size();
-    }
-
-    // Requests a second that clients bring: a mean of the time since the first one, where that is short.
-    // Guards against a busy balancer that has just started, and refuses at the few servers of an idle one.
-    private double rate(long now) {
-        return arrivals / FADE * 1e6 / -Math.expm1(-Math.max(RATE_LEAST, now - firstAt) / FADE);
+        return active.settings().warmKeys() && arrivals.perSecond(now) * SUBSET_VISITS >= listed.size();
     }
 
     private boolean staysNear() {
-        return settings.prices().crossZone() > settings.prices().handshake();
+        return active.settings().prices().crossZone() > active.settings().prices().handshake();
     }
 
     // The part of this balancer's requests that concern the key. Guards against a hot key: four servers
     // of fifty took a seventh of all requests, and the larger the fleet the smaller a part four are.
     private double heat(long key) {
-        return Math.max(0, keyCounts.getOrDefault(key, 0.0) / scale - 1) / Math.max(1, arrivals);
-    }
-
-    private static boolean wasTried(Request r, Node n) {
-        return r.attempts.stream().anyMatch(a -> a.node == n);
+        return Math.max(0, keyCounts.getOrDefault(key, 0.0) / scale.unit() - 1) / Math.max(1, arrivals.arrivals());
     }
 
     // Guards against a server that fails fast or has fallen silent: it would win every queue comparison.
     // One on trial gets one attempt at a time, and none that could not be repeated where others can be.
-    private boolean healthy(Node n, Request r, long now) {
+    private boolean healthy(ServerState n, RequestState r, long now) {
         return !looksBad(n, now)
-            && (n.trial == 0 || n.inFlight == 0 && (r.kind.effect() == Effect.SAFE || !anySafe));
+            && (n.trialSuccessesLeft == 0 || n.inFlight == 0 && (r.requestClass.effect() == Effect.SAFE || !active.anyClassSafe()));
     }
 
-    private boolean looksBad(Node n, long now) {
+    private boolean looksBad(ServerState n, long now) {
         return n.ejectedUntil > now || n.fullUntil > now || stalled(n, now);
     }
 
-    private static Attempt oldest(Node n) {
-        while (!n.sent.isEmpty() && !n.sent.peekFirst().out) {
-            n.sent.pollFirst();
+    private static AttemptState oldest(ServerState n) {
+        while (!n.attempts.isEmpty() && !n.attempts.peekFirst().inFlight) {
+            n.attempts.pollFirst();
         }
-        return n.sent.peekFirst();
+        return n.attempts.peekFirst();
     }
 
-    private boolean stalled(Node n, long now) {
-        Attempt oldest = oldest(n);
+    private boolean stalled(ServerState n, long now) {
+        AttemptState oldest = oldest(n);
         if (oldest == null) {
             return false;
         }
-        double patience = SILENCE * oldest.request.learned.usual + tick;
-        return now - oldest.at > patience && now - n.lastOk > patience;
+        double patience = SILENCE * oldest.request.latency.typicalMicros() + active.tickMicros();
+        return now - oldest.sentAt > patience && now - n.lastSuccessAt > patience;
     }
 
     // Bounds ejection: when most servers look bad the fault is likely elsewhere, and all are used.
@@ -364,61 +325,24 @@
         return 2 * listed.stream().filter(n -> looksBad(n, now)).count() > listed.size();
     }
 
-    // Rule 6: a class may be bound to zones and kinds of machine, at every attempt.
-    private static boolean permitted(RequestClass kind, Server s) {
-        return (kind.zones().isEmpty() || kind.zones().contains(s.zone()))
-            && (kind.machineKinds().isEmpty() || kind.machineKinds().contains(s.kind()));
-    }
-
-    // Rule 5: whether all earlier requests of the key are over, and what they left may no longer run.
-    private static boolean hasTurn(Request r, long now) {
-        return r.turn == null
-            || r.turn.line.peekFirst() == r && (now >= r.turn.restUntil || !r.attempts.isEmpty());
-    }
-
-    // Rule 2: a request that may have run goes again only where its class allows.
-    private boolean mayRunOn(Request r, Node n, long now) {
-        Attempt first = firstThatMayHaveRun(r);
-        if (first == null || r.kind.effect() == Effect.SAFE) {
-            return true;
-        }
-        if (r.kind.effect() == Effect.UNSAFE || memoryLeft(r, now) <= 0) {
-            return false;
-        }
-        return switch (r.kind.scope()) {
-            case ALL -> true;
-            case ZONE -> n.server.zone() == first.server.zone() && n.server.zone() >= 0;
-            case CELL -> n.server.cell() == first.server.cell() && n.server.cell() >= 0;
-        };
-    }
-
-    // For how long the servers still drop a repeat of a keyed request that may have run.
-    private long memoryLeft(Request r, long now) {
-        return firstThatMayHaveRun(r).at + r.kind.keyMemory() - tick - now;
-    }
-
-    private static Attempt firstThatMayHaveRun(Request r) {
-        return r.attempts.stream().filter(a -> a.mayHaveRun).findFirst().orElse(null);
-    }
-
     // Rule 4: a cold server gets its part of what warm ones of like weight take, from nothing on.
-    private boolean hasColdBudget(Node n, long now) {
+    private boolean hasColdBudget(ServerState n, long now) {
         double part = warmth(n, now);
         if (part >= 1) {
             return true;
         }
         // The fleet's mean would do if all balancers used it; those do that have it in their subset. By the
         // mean alone the newcomers among 200 servers took a seventh of that, and the rest was crushed.
-        double ours = n.ours ? OUR_MARGIN * ourRate * n.server.weight() : 0;
+        double ours = n.inSubset ? OUR_MARGIN * ourRate * n.server.weight() : 0;
         double rate = part * Math.max(COLD_MARGIN * warmRate(n), ours);
-        n.tokens = Math.min(Math.max(1, rate * settings.bounds().fallWindow() / 3e6),
-            n.tokens + rate * (now - n.tokensAt) / 1e6);
-        n.tokensAt = now;
-        return n.tokens >= 1;
+        n.slowStartTokens = Math.min(Math.max(1, rate * active.settings().bounds().fallWindow() / 3e6),
+            n.slowStartTokens + rate * (now - n.slowStartTokensAt) / 1e6);
+        n.slowStartTokensAt = now;
+        return n.slowStartTokens >= 1;
     }
 
-    private double warmth(Node n, long now) {
-        Bounds b = settings.bounds();
+    private double warmth(ServerState n, long now) {
+        Bounds b = active.settings().bounds();
         long age = now - n.server.startedAt();
         if (n.server.startedAt() <= 0 || b.rampTime() <= 0 || age >= b.rampTime()) {
             return 1;
@@ -427,9 +351,9 @@
     }
 
     // Answers per second that a warm server of n's weight gives this balancer.
-    private double warmRate(Node n) {
+    private double warmRate(ServerState n) {
         // Before anything is known: a warm server gives two answers in the shortest aim, to all balancers.
-        double least = 2e6 / shortestAim / settings.balancers();
+        double least = 2e6 / active.shortestObjectiveMicros() / active.settings().balancers();
         return Math.max(least, warmRate * n.server.weight());
     }
 
@@ -443,29 +367,29 @@
         double met = 0;
         int subset = subset(now);
         boolean all = walksByKey(now);
-        for (Node n : homeRing) {
-            n.ours = !all && warm < subset && met < REACH * subset;
+        for (ServerState n : homeRing) {
+            n.inSubset = !all && warm < subset && met < REACH * subset;
             if (warmth(n, now) >= 1) {
-                oks += n.oks / scale;
+                oks += n.successes / scale.unit();
                 weight += n.server.weight();
-                used += n.ours ? n.server.weight() : 0;
+                used += n.inSubset ? n.server.weight() : 0;
                 met++;
-                warm += staysNear() && n.server.zone() != settings.zone() ? 0 : 1;
+                warm += staysNear() && n.server.zone() != active.settings().zone() ? 0 : 1;
             }
         }
-        warmRate = weight <= 0 ? 0 : oks / FADE * 1e6 / weight;
-        ourRate = used <= 0 ? 0 : oks / FADE * 1e6 / used;
+        warmRate = weight <= 0 ? 0 : oks / DecayScale.TIME_CONSTANT_MICROS * 1e6 / weight;
+        ourRate = used <= 0 ? 0 : oks / DecayScale.TIME_CONSTANT_MICROS * 1e6 / used;
         allLookBad = mostLookBad(now);
-        turns.values().removeIf(t -> t.line.isEmpty() && now >= t.restUntil);
-        keyCounts.values().removeIf(count -> count < scale / 2);
-        if (scale > GAIN_MOST) {
-            for (Node n : nodes.values()) {
-                n.count /= scale;
-                n.oks /= scale;
-                n.fails /= scale;
+        sequencedKeys.removeIdle(now);
+        keyCounts.values().removeIf(count -> count < scale.unit() / 2);
+        if (scale.mustRescale()) {
+            for (ServerState n : nodes.values()) {
+                n.accomplishment /= scale.unit();
+                n.successes /= scale.unit();
+                n.failures /= scale.unit();
             }
             keyCounts.clear();
-            scale = 1;
+            scale.reset();
         }
         refreshAt = now + REFRESH;
     }
@@ -475,51 +399,48 @@
     @Override
     public void request(long now, String id, int requestClass, int tenant, String key, long timeLeft,
             long work, boolean resubmission, Actions out) {
-        RequestClass kind = settings.classes().get(requestClass);
-        if (settings.warmKeys() && key != null && !resubmission) {
-            keyCounts.merge(Hashing.hash(key), scale, Double::sum);
+        RequestClass kind = active.settings().classes().get(requestClass);
+        if (active.settings().warmKeys() && key != null && !resubmission) {
+            keyCounts.merge(Hashing.hash(key), scale.unit(), Double::sum);
         }
-        firstAt = arrivals == 0 ? now : firstAt;
-        arrivals += resubmission ? 0 : 1;
+        arrivals.record(now, resubmission);
         brought[tenant] += resubmission ? 0 : 1;
         long aim = kind.aim() + (work > 0 ? (long) (kind.aimStretch() * work) : 0);
-        Request r = new Request(id, learned[requestClass], kind, settings.limits(),
-            key == null ? 0 : Hashing.hash(key), now, timeLeft,
-            now + aim - spent(requestClass, timeLeft, resubmission), overShare(tenant, now));
+        ClassLatency latency = latencies.of(requestClass);
+        long elapsed = latency.elapsedSinceFirstSubmission(kind.deadline(), timeLeft, resubmission);
+        RequestState r = new RequestState(id, latency, kind, active.settings().limits(), key == null ? 0 : Hashing.hash(key),
+            new RequestState.Times(now, now + timeLeft, now + aim - elapsed), overShare(tenant, now));
         open.put(id, r);
         if (work > 0) {
-            double mean = r.learned.meanWork;
-            r.learned.meanWork += (mean > 0 ? SMOOTH : 1) * (work - mean);
-            r.size = 1 + HINTED * (work / r.learned.meanWork - 1);
+            r.relativeWork = latency.recordWork(work);
         }
-        wakeBy(now, tick, out);
-        retryBudget = Math.min(BUDGET_MOST, retryBudget + RETRY_SHARE);
+        wakeBy(now, active.tickMicros(), out);
+        retryBudget.recordRequest();
         if (shed(tierOf(r))) {
-            if (now >= remarkAt) {      // the text is not made up for each of many refusals
-                remark(now, String.format(Locale.ROOT, "overload: refusing, level %.2f, strain %.2f", level,
+            if (log.isDue(now)) {      // the text is not made up for each of many refusals
+                log.write(now, String.format(Locale.ROOT, "overload: refusing, level %.2f, strain %.2f", level,
                     strain), out);
             }
             finish(r, now, out);
             return;
         }
         if (kind.inOrder() && key != null) {
-            r.turn = turns.computeIfAbsent(r.key, k -> new Turn());
-            r.turn.line.add(r);
+            sequencedKeys.add(r);
         }
         if (!place(r, now, out)) {
             hold(r, now, out);
         }
     }
 
-    private int tierOf(Request r) {
-        return Arrays.binarySearch(tiers, value(r.kind, r.last));
+    private int tierOf(RequestState r) {
+        return Arrays.binarySearch(tiers, value(r.requestClass, r.lowPriority));
     }
 
     // What a unit of work is worth, which is what an overloaded fleet runs short of. Where worth goes by
     // request, the dear ones are as a rule the heavy ones, and classes are turned away alike: turned away
     // by worth, the light class starved while the fleet served a fraction of the requests it could.
     private double value(RequestClass kind, boolean overShare) {
-        return (settings.worthByWork() ? kind.worth() : 1) * (overShare ? settings.overShareWorth() : 1);
+        return (active.settings().worthByWork() ? kind.worth() : 1) * (overShare ? active.settings().overShareWorth() : 1);
     }
 
     // This balancer's part of the traffic: even, or more where its middle tenant brings more. Traffic is not
@@ -527,11 +448,11 @@
     private double ownPart() {
         double[] ratios = new double[brought.length];
         for (int i = 0; i < ratios.length; i++) {
-            double even = settings.tenants().get(i).allowancePerSecond() / settings.balancers() * FADE / 1e6;
+            double even = active.settings().tenants().get(i).allowancePerSecond() / active.settings().balancers() * DecayScale.TIME_CONSTANT_MICROS / 1e6;
             ratios[i] = (brought[i] + FEW) / (even + FEW);
         }
         Arrays.sort(ratios);
-        return Math.min(1, Math.max(1, ratios[(ratios.length - 1) / 2]) / settings.balancers());
+        return Math.min(1, Math.max(1, ratios[(ratios.length - 1) / 2]) / active.settings().balancers());
     }
 
     // Overload: turns away the tiers under the level, and a part of the one that it has reached.
@@ -567,23 +488,12 @@
         strainAt = now;
     }
 
-    // Time gone since the client's first try, where a marked resubmission shows it. Each try gets the same
-    // time, or what is left of the class's deadline: one with another time than first tries tells its age.
-    private long spent(int requestClass, long timeLeft, boolean resubmission) {
-        long deadline = settings.classes().get(requestClass).deadline();
-        if (!resubmission) {
-            learned[requestClass].firstTry = Math.max(learned[requestClass].firstTry, timeLeft);
-        }
-        boolean tells = resubmission && Math.abs(timeLeft - learned[requestClass].firstTry) > deadline / 32;
-        return tells ? Math.max(0, deadline - timeLeft) : 0;
-    }
-
     // Whether this request exceeds its tenant's share: each has a bucket filled at its part of the rate.
     private boolean overShare(int tenant, long now) {
-        if (settings.tenants().isEmpty()) {
+        if (active.settings().tenants().isEmpty()) {
             return false;
         }
-        double rate = settings.tenants().get(tenant).allowancePerSecond() * ownPart();
+        double rate = active.settings().tenants().get(tenant).allowancePerSecond() * ownPart();
         double most = Math.max(SHARE_BURST, rate * TENANT_BURST / 1e6);
         shareTokens[tenant] = Math.min(most, shareTokens[tenant] + rate * (now - shareAt[tenant]) / 1e6);
         shareAt[tenant] = now;
@@ -594,38 +504,30 @@
         return false;
     }
 
-    // When a request must be sent to be answered within its aim; one whose aim has passed is not held.
-    private long latestStart(Request r) {
-        if (r.aimAt <= r.arrived) {
-            return r.arrived;
-        }
-        return Math.max(r.arrived + (r.aimAt - r.arrived) / 4, r.aimAt - (long) (2 * r.learned.usual));
-    }
-
     // Keeps a request for which no server may be used now; one whose time is all but over is answered.
-    private void hold(Request r, long now, Actions out) {
-        if (now >= r.deadline - 2 * tick) {
+    private void hold(RequestState r, long now, Actions out) {
+        if (now >= r.deadline - 2 * active.tickMicros()) {
             finish(r, now, out);
-        } else if (!r.held) {
-            r.held = true;
-            List<Request> queue = held.get(r.last ? 1 : 0);
+        } else if (!r.pending) {
+            r.pending = true;
+            List<RequestState> queue = held.get(r.lowPriority ? 1 : 0);
             int i = queue.size();
-            while (i > 0 && latestStart(queue.get(i - 1)) > latestStart(r)) {
+            while (i > 0 && queue.get(i - 1).latestStart() > r.latestStart()) {
                 i--;                    // the most urgent first: short aims ran out in the queue
             }
             queue.add(i, r);
         }
     }
 
-    private void unhold(Request r) {
-        if (r.held) {
-            r.held = false;
-            held.get(r.last ? 1 : 0).remove(r);
+    private void unhold(RequestState r) {
+        if (r.pending) {
+            r.pending = false;
+            held.get(r.lowPriority ? 1 : 0).remove(r);
         }
     }
 
-    private boolean place(Request r, long now, Actions out) {
-        List<Node> candidates = hasTurn(r, now) ? candidates(r, now) : List.of();
+    private boolean place(RequestState r, long now, Actions out) {
+        List<ServerState> candidates = SequencedKeys.mayRun(r, now) ? candidates(r, now) : List.of();
         if (candidates.isEmpty()) {
             return false;
         }
@@ -633,17 +535,17 @@
         return true;
     }
 
-    private void send(Request r, Node n, long now, Actions out) {
-        boolean repeats = firstThatMayHaveRun(r) != null && r.kind.effect() == Effect.KEYED;
-        long within = repeats ? memoryLeft(r, now) : 0;
-        Attempt a = new Attempt(n, r, now);
+    private void send(RequestState r, ServerState n, long now, Actions out) {
+        boolean repeats = r.firstThatMayHaveRun() != null && r.requestClass.effect() == Effect.KEYED;
+        long within = repeats ? r.deduplicationTimeLeft(now, active.tickMicros()) : 0;
+        AttemptState a = new AttemptState(n, r, now);
         r.attempts.add(a);
-        r.out++;
-        n.sent.add(a);
+        r.attemptsInFlight++;
+        n.attempts.add(a);
         n.inFlight++;
         inFlight++;
-        n.count += scale;
-        n.tokens--;
+        n.accomplishment += scale.unit();
+        n.slowStartTokens--;
         if (repeats) {              // its connection may take longer to come up than repeats are dropped for
             out.send(r.id, n.server.id(), timeout(r, now), within);
         } else {
@@ -654,42 +556,40 @@
     // What is not safe to repeat is given up at its aim, where a late answer earns little: its client won't
     // come again, and waiting work dropped then makes room for work that can be in time. What is safe would
     // come back; it leaves room for another attempt where copies are forbidden, and is not cut otherwise.
-    private long timeout(Request r, long now) {
-        if (r.kind.streamed()) {
+    private long timeout(RequestState r, long now) {
+        if (r.requestClass.streamed()) {
             return 0;
         }
-        if (r.kind.effect() != Effect.SAFE) {
-            return r.kind.lateShare() < LATE_WORTH && r.aimAt > now ? r.aimAt - now : 0;
+        if (r.requestClass.effect() != Effect.SAFE) {
+            return r.requestClass.lateShare() < LATE_WORTH && r.objectiveAt > now ? r.objectiveAt - now : 0;
         }
         if (r.limits.mayDuplicate() || r.attempts.size() >= r.limits.maxAttempts()) {
             return 0;
         }
-        long patience = Math.max((r.deadline - now) / 2, (long) (3 * r.learned.usual));
+        long patience = Math.max((r.deadline - now) / 2, (long) (3 * r.latency.typicalMicros()));
         return Math.max(1, Math.min(r.deadline - now, patience));
     }
 
     // Sends held requests as servers come free, those within their share first.
     private void drainHeld(long now, Actions out) {
-        for (List<Request> queue : held) {
-            Iterator<Request> i = queue.iterator();
+        for (List<RequestState> queue : held) {
+            Iterator<RequestState> i = queue.iterator();
             while (i.hasNext()) {
-                Request r = i.next();
+                RequestState r = i.next();
                 if (r.closed || place(r, now, out)) {
-                    r.held = false;
+                    r.pending = false;
                     i.remove();
-                } else if (r.attempts.isEmpty() && r.turn == null && r.kind.zones().isEmpty()
-                        && r.kind.machineKinds().isEmpty()) {
+                } else if (r.attempts.isEmpty() && r.sequence == null && r.requestClass.zones().isEmpty()
+                        && r.requestClass.machineKinds().isEmpty()) {
                     return;         // any server would do for this one: none is free
                 }
             }
         }
     }
 
-    private void finish(Request r, long now, Actions out) {
+    private void finish(RequestState r, long now, Actions out) {
         r.closed = true;
-        boolean harmless = firstThatMayHaveRun(r) == null || r.kind.effect() == Effect.SAFE
-            || r.kind.effect() == Effect.KEYED && r.kind.scope() == Scope.ALL;
-        if (harmless) {
+        if (r.isHarmlessToResubmit()) {
             out.reject(r.id, 0);
         } else {
             out.fail(r.id);
@@ -697,65 +597,61 @@
         forget(r);
     }
 
-    private void forget(Request r) {
-        if (r.closed && r.out == 0) {
+    private void forget(RequestState r) {
+        if (r.closed && r.attemptsInFlight == 0) {
             open.remove(r.id);
-            if (r.turn != null) {
-                r.turn.line.remove(r);
-            }
+            SequencedKeys.remove(r);
         }
     }
 
     @Override
     public void outcome(long now, String id, int attempt, Outcome outcome, long latency, boolean closed,
             Load load, Actions out) {
-        Request r = open.get(id);
-        if (r == null || attempt >= r.attempts.size() || !r.attempts.get(attempt).out) {
+        RequestState r = open.get(id);
+        if (r == null || attempt >= r.attempts.size() || !r.attempts.get(attempt).inFlight) {
             return;
         }
-        Attempt a = r.attempts.get(attempt);
-        a.out = false;
+        AttemptState a = r.attempts.get(attempt);
+        a.inFlight = false;
         a.mayHaveRun = !outcome.neverRan();
         turnedAway += outcome.neverRan() ? 1 : 0;
-        r.out--;
-        a.node.inFlight--;
+        r.attemptsInFlight--;
+        a.target.inFlight--;
         inFlight--;
-        if (r.turn != null && a.mayHaveRun && outcome != Outcome.OK && outcome != Outcome.ERROR) {
-            r.turn.restUntil = Math.max(r.turn.restUntil, now + settings.bounds().orderPause());
-        }
-        report(a.node, load, now);
+        SequencedKeys.attemptEnded(r, a, outcome, now, active.settings().bounds().orderPause());
+        report(a.target, load, now);
         learn(a, outcome, latency, now, out);
         if (closed) {
             close(r, out);
-        } else if (!r.closed && r.out == 0) {
+        } else if (!r.closed && r.attemptsInFlight == 0) {
             again(r, outcome, now, out);
         }
         forget(r);
         drainHeld(now, out);
     }
 
-    private void close(Request r, Actions out) {
+    private void close(RequestState r, Actions out) {
         r.closed = true;
         for (int i = 0; i < r.attempts.size(); i++) {
-            if (r.attempts.get(i).out && r.limits.mayCancel() && !r.streaming) {
+            if (r.attempts.get(i).inFlight && r.limits.mayCancel() && !r.streaming) {
                 out.cancel(r.id, i);
             }
         }
     }
 
     // After a failed attempt: another one, if the class, the deadline and the retry budget allow it.
-    private void again(Request r, Outcome outcome, long now, Actions out) {
-        boolean allowed = outcome.neverRan() || r.kind.effect() != Effect.UNSAFE && retryBudget >= 1;
+    private void again(RequestState r, Outcome outcome, long now, Actions out) {
+        boolean allowed = outcome.neverRan() || r.requestClass.effect() != Effect.UNSAFE && retryBudget.allowsRetry();
         // Nothing can be won by holding what may not be repeated any more.
-        allowed &= r.kind.effect() != Effect.KEYED || firstThatMayHaveRun(r) == null
-            || memoryLeft(r, now) > 0;
+        allowed &= r.requestClass.effect() != Effect.KEYED || r.firstThatMayHaveRun() == null
+            || r.deduplicationTimeLeft(now, active.tickMicros()) > 0;
         if (!allowed || outcome == Outcome.NOT_SENT || r.attempts.size() >= r.limits.maxAttempts()
-            || now >= (r.kind.effect() == Effect.SAFE ? r.deadline : r.aimAt) - tick) {
+            || now >= (r.requestClass.effect() == Effect.SAFE ? r.deadline : r.objectiveAt) - active.tickMicros()) {
             finish(r, now, out);
             return;
         }
         if (!outcome.neverRan()) {
-            retryBudget--;
+            retryBudget.consume();
         }
         if (!place(r, now, out)) {
             hold(r, now, out);
@@ -768,30 +664,30 @@
     // an overload; it might hurt where all servers slow down at once, by the budget's share at most. A keyed
     // request goes to the group that drops repeats, and early: it is given up at its aim, and its client may
     // not come again. A fleet of 60 lost a fifth of its dearest class to queues that one balancer can't see.
-    private void hedge(Request r, boolean crowded, long now, Actions out) {
-        boolean safe = r.kind.effect() == Effect.SAFE;
-        if (r.out != 1 || r.closed || r.streaming || r.kind.effect() == Effect.UNSAFE || safe && crowded
-            || now >= r.aimAt || r.attempts.size() >= r.limits.maxAttempts()
-            || !r.limits.mayDuplicate() || retryBudget < HEDGE_LEAST) {
+    private void hedge(RequestState r, boolean crowded, long now, Actions out) {
+        boolean safe = r.requestClass.effect() == Effect.SAFE;
+        if (r.attemptsInFlight != 1 || r.closed || r.streaming || r.requestClass.effect() == Effect.UNSAFE || safe && crowded
+            || now >= r.objectiveAt || r.attempts.size() >= r.limits.maxAttempts()
+            || !r.limits.mayDuplicate() || !retryBudget.allowsHedge()) {
             return;
         }
-        double expected = r.learned.usual * r.size;
-        double room = safe ? r.aimAt - r.arrived - 2 * expected : 0;
+        double expected = r.latency.typicalMicros() * r.relativeWork;
+        double room = safe ? r.objectiveAt - r.arrivedAt - 2 * expected : 0;
         double patience = Math.max(expected, room);
-        if (now - r.attempts.get(r.attempts.size() - 1).at < patience) {
+        if (now - r.attempts.get(r.attempts.size() - 1).sentAt < patience) {
             return;
         }
-        List<Node> others = candidates(r, now);
-        others.removeIf(n -> wasTried(r, n));
+        List<ServerState> others = candidates(r, now);
+        others.removeIf(n -> r.wasSentTo(n));
         if (!others.isEmpty()) {
-            retryBudget--;
+            retryBudget.consume();
             send(r, draw(others, now, out), now, out);
         }
     }
 
     @Override
     public void streamStarted(long now, String id, int attempt, Actions out) {
-        Request r = open.get(id);
+        RequestState r = open.get(id);
         if (r != null) {
             r.streaming = true;
         }
@@ -799,7 +695,7 @@
 
     @Override
     public void clientDisconnected(long now, String id, Actions out) {
-        Request r = open.get(id);
+        RequestState r = open.get(id);
         if (r != null && !r.closed) {
             close(r, out);
             unhold(r);
@@ -810,96 +706,89 @@
     // ---------------------------------------------------------------- health and limits
 
     // Guards against figures that no server can mean: what is missing, negative or absurd is passed over.
-    private void report(Node n, Load load, long now) {
+    private void report(ServerState n, Load load, long now) {
         if (load != null && load.inFlight() >= 0 && load.inFlight() < REPORT_MOST) {
-            n.reported = load.inFlight();
+            n.reportedInFlight = load.inFlight();
             n.reportedAt = now;
         }
     }
 
-    private static double slowness(Node n, long now) {
-        return 1 + (n.slowness - 1) * Math.exp(-(now - n.slownessAt) / FADE);
+    private static double slowness(ServerState n, long now) {
+        return 1 + (n.slowness - 1) * Math.exp(-(now - n.slownessAt) / DecayScale.TIME_CONSTANT_MICROS);
     }
 
-    private static void slowed(Node n, double ratio, long now) {
+    private static void slowed(ServerState n, double ratio, long now) {
         double old = slowness(n, now);
         n.slowness = old + SLOW_SMOOTH * (Math.min(SLOW_MOST, ratio) - old);
         n.slownessAt = now;
     }
 
-    private void learn(Attempt a, Outcome outcome, long latency, long now, Actions out) {
-        Node n = a.node;
-        RequestClass kind = a.request.kind;
-        Learned of = a.request.learned;
-        double usually = of.usual * a.request.size;
+    private void learn(AttemptState a, Outcome outcome, long latency, long now, Actions out) {
+        ServerState n = a.target;
+        RequestClass kind = a.request.requestClass;
+        ClassLatency of = a.request.latency;
+        double usually = of.typicalMicros() * a.request.relativeWork;
         switch (outcome) {
             case OK -> {
-                n.oks += scale;
-                n.lastOk = now;
+                n.successes += scale.unit();
+                n.lastSuccessAt = now;
                 slowed(n, latency / usually, now);
-                of.usual += SMOOTH * (latency - of.usual);
-                if (n.trial > 0 && --n.trial == 0) {
+                of.recordLatency(latency);
+                if (n.trialSuccessesLeft > 0 && --n.trialSuccessesLeft == 0) {
                     n.ejections = 0;
-                    n.fails = 0;
-                    remark(now, "recovered " + n.server.id(), out);
+                    n.failures = 0;
+                    log.write(now, "recovered " + n.server.id(), out);
                 }
                 strained(latency / (double) kind.aim(), now);
             }
             case CANCELLED -> {         // the copy came first, or the client left
                 if (latency > 2 * usually) {    // its server may well be at it still
-                    failed(n, 0, (long) (2 * of.usual), now, out);
+                    failed(n, 0, (long) (2 * of.typicalMicros()), now, out);
                     slowed(n, Math.max(slowness(n, now), latency / usually), now);
                 }
             }
             case NOT_SENT -> { }
             case FULL -> {
                 // A hung server fills up and then only turns away: without answers that is no mere overload.
-                failed(n, now - n.lastOk > QUICK ? 0.5 : 0, (long) of.usual, now, out);
+                failed(n, now - n.lastSuccessAt > QUICK ? 0.5 : 0, (long) of.typicalMicros(), now, out);
                 // It answers in no time, so it would win again and again while its queue is longest of all.
-                n.fullUntil = now + (long) (of.usual * (0.5 + random.nextDouble()));
+                n.fullUntil = now + (long) (of.typicalMicros() * (0.5 + random.nextDouble()));
                 strained(FULL_STRAIN, now);
             }
             // A time-out may be the fault of the load: it takes more of them.
             case TIMEOUT -> {
                 slowed(n, latency / usually, now);
                 strained(STRAIN_MOST, now);
-                failed(n, 0.5, (long) (2 * of.usual), now, out);
+                failed(n, 0.5, (long) (2 * of.typicalMicros()), now, out);
             }
-            default -> failed(n, 1, (long) (2 * of.usual), now, out);
+            default -> failed(n, 1, (long) (2 * of.typicalMicros()), now, out);
         }
     }
 
     // A failure neither earns rank nor frees its slot at once, and enough of them eject the server.
-    private void failed(Node n, double weight, long penalty, long now, Actions out) {
-        n.count = Math.max(0, n.count - scale);
-        n.penalties.add(now + penalty);
-        n.fails += weight * scale;
-        boolean many = n.fails > FAIL_COUNT * scale && n.fails > FAIL_SHARE * (n.fails + n.oks);
-        if (weight > 0 && (n.trial > 0 || many)) {
+    private void failed(ServerState n, double weight, long penalty, long now, Actions out) {
+        n.accomplishment = Math.max(0, n.accomplishment - scale.unit());
+        n.penaltyEnds.add(now + penalty);
+        n.failures += weight * scale.unit();
+        boolean many = n.failures > FAIL_COUNT * scale.unit() && n.failures > FAIL_SHARE * (n.failures + n.successes);
+        if (weight > 0 && (n.trialSuccessesLeft > 0 || many)) {
             eject(n, now, out);
         }
     }
 
-    private void eject(Node n, long now, Actions out) {
+    private void eject(ServerState n, long now, Actions out) {
         if (n.ejectedUntil > now) {
             return;
         }
         long length = EJECT_FIRST << Math.min(EJECT_DOUBLINGS, n.ejections++);
         n.ejectedUntil = now + length + random.nextLong(length / 4);
-        n.trial = TRIALS_OK;
-        remark(now, "ejected " + n.server.id() + " for " + length / 1000 + " ms after failures", out);
+        n.trialSuccessesLeft = TRIALS_OK;
+        log.write(now, "ejected " + n.server.id() + " for " + length / 1000 + " ms after failures", out);
     }
 
     @Override
     public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out) { }
 
-    private void remark(long now, String line, Actions out) {
-        if (now >= remarkAt) {
-            remarkAt = now + 1_000_000;
-            out.log(line);
-        }
-    }
-
     // ---------------------------------------------------------------- time
 
     @Override
@@ -908,16 +797,16 @@
             return;                     // asked for before an earlier one was
         }
         wakeAt = Long.MAX_VALUE;
-        double keep = Math.exp(-(now - fadedAt) / FADE);
-        scale /= Math.max(keep, 1 / GAIN_MOST);
-        arrivals *= keep;
+        double keep = Math.exp(-(now - fadedAt) / DecayScale.TIME_CONSTANT_MICROS);
+        scale.decay(keep);
+        arrivals.decay(keep);
         turnedAway *= keep;
         fade(asked, keep);
         fade(brought, keep);
         if (now >= refreshAt) {
             refresh(now);
         }
-        shortestUsual = shortestUsual();
+        latencies.refreshShortest();
         ownMean += (1 - Math.exp(-(now - fadedAt) / QUICK)) * (inFlight - ownMean);
         if (now - strainAt > FORGET) {
             strain *= Math.exp(-(now - fadedAt) / FORGET);
@@ -925,19 +814,17 @@
         steer((now - fadedAt) / 1e6);
         fadedAt = now;
         drainHeld(now, out);
-        for (List<Request> queue : held) {
-            for (Request r : new ArrayList<>(queue)) {
+        for (List<RequestState> queue : held) {
+            for (RequestState r : new ArrayList<>(queue)) {
                 sweep(r, now, out);
             }
         }
         if (level + lean < hedgeLevel) {
-            boolean crowded = turnedAway > HEDGE_FULL * arrivals;
+            boolean crowded = turnedAway > HEDGE_FULL * arrivals.arrivals();
             open.values().forEach(r -> hedge(r, crowded, now, out));
         }
-        if (now >= askAt) {
-            ask(now, out);
-        }
-        wakeBy(now, open.isEmpty() ? REFRESH : tick, out);
+        subscription.subscribeIfDue(now, out);
+        wakeBy(now, open.isEmpty() ? REFRESH : active.tickMicros(), out);
     }
 
     private void wakeBy(long now, long delay, Actions out) {
@@ -954,9 +841,9 @@
     }
 
     // Rule 1: answers held requests in time, new ones as soon as they can't be answered within their aim.
-    private void sweep(Request r, long now, Actions out) {
-        long until = r.deadline - 2 * tick;
-        if (now >= (r.attempts.isEmpty() ? Math.min(until, latestStart(r)) : until)) {
+    private void sweep(RequestState r, long now, Actions out) {
+        long until = r.deadline - 2 * active.tickMicros();
+        if (now >= (r.attempts.isEmpty() ? Math.min(until, r.latestStart()) : until)) {
             unhold(r);
             finish(r, now, out);
         }
@@ -969,24 +856,15 @@
         if (wakeAt == Long.MAX_VALUE) {
             Arrays.fill(shareAt, now);
             fadedAt = now;
-            wakeBy(now, tick, out);
+            wakeBy(now, active.tickMicros(), out);
         }
         if (kind == ListKind.FAILED) {
-            long pause = Math.min(settings.bounds().askWithin() / 2, 500_000L << Math.min(4, askFailures++));
-            askAt = Math.min(askAt, now + pause / 2 + random.nextLong(Math.max(1, pause)));
-            remark(now, "discovery failed " + askFailures + " times, asking again", out);
+            subscription.listFailed(now, out);
             return;
         }
-        if (kind == ListKind.PERSISTED) {
-            if (settings.discovery() == Discovery.ASK) {
-                ask(now, out);
-            }
-        } else {
-            askFailures = 0;
-            askAt = Long.MAX_VALUE;
-        }
+        subscription.listReceived(now, kind, out);
         if (kind != ListKind.PARTIAL) {
-            for (Node n : nodes.values()) {
+            for (ServerState n : nodes.values()) {
                 n.server = n.server.withState(State.GONE);
             }
         }
@@ -994,7 +872,7 @@
             enter(s, now);
         }
         listed = new ArrayList<>();
-        for (Node n : nodes.values()) {
+        for (ServerState n : nodes.values()) {
             if (n.server.state() == State.UP) {
                 listed.add(n);
             }
@@ -1006,15 +884,15 @@
     }
 
     private void enter(Server s, long now) {
-        Node n = nodes.get(s.id());
+        ServerState n = nodes.get(s.id());
         if (n == null || n.server.startedAt() != s.startedAt() && s.startedAt() > 0) {
             if (n != null) {
                 setPoints(n, 0);
             }
-            n = new Node(s, random.nextInt());
-            n.tokens = random.nextDouble();
-            n.tokensAt = now;
-            n.lastOk = now;
+            n = new ServerState(s, random.nextInt());
+            n.slowStartTokens = random.nextDouble();
+            n.slowStartTokensAt = now;
+            n.lastSuccessAt = now;
             nodes.put(s.id(), n);
         }
         n.server = s;
@@ -1024,7 +902,7 @@
     // only those are touched. Made anew at each step of a deploy, the ring cost more than all requests.
     private void arrange() {
         meanWeight = listed.stream().mapToDouble(n -> n.server.weight()).average().orElse(1);
-        for (Node n : nodes.values()) {
+        for (ServerState n : nodes.values()) {
             double share = POINTS * n.server.weight() / meanWeight;
             int many = (int) Math.max(1, Math.min(8 * POINTS, Math.round(share)));
             setPoints(n, n.server.state() == State.UP ? many : 0);
@@ -1032,15 +910,15 @@
         ring = null;
         walk++;
         homeRing = Stream.of(points.tailMap(home), points.headMap(home)).flatMap(m -> m.values().stream())
-            .filter(n -> n.walk != walk).peek(n -> n.walk = walk).toArray(Node[]::new);
+            .filter(n -> n.lastWalk != walk).peek(n -> n.lastWalk = walk).toArray(ServerState[]::new);
     }
 
-    private void setPoints(Node n, int many) {
-        while (n.points < many) {
-            points.put(Hashing.mix(n.hash + n.points++), n);
+    private void setPoints(ServerState n, int many) {
+        while (n.ringPoints < many) {
+            points.put(Hashing.mix(n.idHash + n.ringPoints++), n);
         }
-        while (n.points > many) {
-            points.remove(Hashing.mix(n.hash + --n.points), n);
+        while (n.ringPoints > many) {
+            points.remove(Hashing.mix(n.idHash + --n.ringPoints), n);
         }
     }
 
@@ -1048,7 +926,7 @@
     private double fastShare() {
         Map<Integer, double[]> kinds = new LinkedHashMap<>();
         double sum = 0;
-        for (Node n : listed) {
+        for (ServerState n : listed) {
             double[] k = kinds.computeIfAbsent(n.server.kind(), x -> new double[2]);
             k[0] += n.server.weight();
             k[1]++;
@@ -1062,11 +940,4 @@
         }
         return kinds.size() < 2 ? 0.5 : fast / listed.size();
     }
-
-    // Subscribes; asks again if nothing answers.
-    private void ask(long now, Actions out) {
-        long within = settings.bounds().askWithin();
-        askAt = now + within / 2 + random.nextLong(1 + within / 8);
-        out.watch(true);
-    }
 }
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -6,6 +6,7 @@
 
 import java.io.IOException;
 import java.lang.reflect.Field;
+import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Collection;
@@ -170,7 +171,7 @@
 
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
-        String rules = Files.readString(Path.of("src/main/java/loadbalancer/policy/JsqDasPolicy.java"));
+        String sources = sourcesOfThePackage();
         String page = Files.readString(Path.of("README.md"));
         for (String line : List.of(
                 "overload: refusing, level ",
@@ -179,11 +180,22 @@
                 "recovered ",
                 "discovery failed ",
                 " times, asking again")) {
-            assertTrue(rules.contains(line), "the module writes: " + line);
+            assertTrue(sources.contains(line), "the module writes: " + line);
             assertTrue(page.contains(line.strip()), "the README names: " + line);
         }
     }
 
+    private static String sourcesOfThePackage() throws IOException {
+        StringBuilder sources = new StringBuilder();
+        try (DirectoryStream<Path> files =
+                Files.newDirectoryStream(Path.of("src/main/java/loadbalancer/policy"), "*.java")) {
+            for (Path file : files) {
+                sources.append(Files.readString(file));
+            }
+        }
+        return sources.toString();
+    }
+
     private static int size(Object policy, String field) throws ReflectiveOperationException {
         Field f = policy.getClass().getDeclaredField(field);
         f.setAccessible(true);
