--- a/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -8,11 +8,9 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
@@ -49,20 +47,6 @@
     private static final int EJECT_DOUBLINGS = 4;       // up to 16 s
     private static final int TRIALS_OK = 3;             // successes in a row, one at a time, that end a trial
     private static final double SILENCE = 3; // silent for this multiple of the usual latency: stalled
-    // Shedding: the mean of latency / aim steers which share of the arrivals is turned away, cheapest first.
-    private static final double STRAIN_CHEAP = 0.40;    // above it the cheapest requests are turned away
-    private static final double STRAIN_DEAR = 0.60;     // and above it the most valuable too
-    private static final double STRAIN_MOST = 1.2;      // one answer counts no more than this
-    private static final double FULL_STRAIN = 1.5;      // that an attempt turned away counts as
-    private static final double FORGET = 2e6;           // µs without news after which strain is forgotten
-    private static final double GAIN = 0.3;             // share of arrivals, per second and unit of strain
-    private static final double LEAN = 2;               // the same at once, for as long as the strain lasts
-    private static final double LEAN_MOST = 0.85;        // of a tier
-    private static final double STRAIN_NEWS = 0.7e6;    // µs, time constant of the strain
-    private static final double RETURN = 3;             // times as fast calm lets requests in again
-    private static final double SHARE_LEAST = 0.1;      // of arrivals that a tier is taken for at least
-    private static final double CHEAP = 0.3;            // over-share worth: at a start turned away
-    private static final int KNOWN = 8;                 // answers that the strain is a mean of at least
     // Work sent to a cold server, as a share of what a warm one of like weight takes at the same coldness.
     private static final double COLD_MARGIN = 2.4;
     // The same for those in this balancer's subset, as a share of what a warm one there takes. How many
@@ -70,9 +54,6 @@
     private static final double OUR_MARGIN = 1.2;
     private static final double HEDGE_FULL = 0.02;      // safe ones' hedges rest while more is turned away
     private static final double LATE_WORTH = 0.5;       // a late answer that earns less is given up
-    private static final double FEW = 5;                // first tries that say little of a tenant's rate
-    private static final double SHARE_BURST = 4;        // requests of a small tenant that chance bunches
-    private static final double TENANT_BURST = 1e6;     // µs of its rate that a tenant may bring at once
     private static final long REFRESH = 100_000;        // µs between looks at all servers
 
     private static final Comparator<ServerState> BY_ACCOMPLISHMENT =
@@ -86,6 +67,8 @@
     private final ClassLatencies latencies = new ClassLatencies();
     private final RetryBudget retryBudget = new RetryBudget();
     private final SequencedKeys sequencedKeys = new SequencedKeys();
+    private final AdmissionController admission;
+    private final TenantQuotas quotas;
     private final DiscoverySubscription subscription;
     private final Map<String, ServerState> nodes = new LinkedHashMap<>();
     private List<ServerState> listed = new ArrayList<>();      // up, in the seeded order
@@ -101,20 +84,9 @@
     private final Map<Long, Double> keyCounts = new HashMap<>(); // faded requests of each key
     // in share, over share
     private final List<List<RequestState>> held = List.of(new ArrayList<>(), new ArrayList<>());
-    private double[] brought = {};                      // faded first tries of each tenant
-    private double[] shareTokens = {}; // requests each tenant may still bring within its share
-    private long[] shareAt = {};
     private double meanWeight = 1;                      // of listed servers
     private double ownMean;                             // moving mean of own attempts in flight
     private int inFlight;
-    private double[] tiers = {};                        // the distinct worths of requests, ascending
-    private double[] asked = {};                        // faded arrivals of each tier
-    private double hedgeLevel;                          // above it requests within their share are refused
-    private double level;                               // tiers turned away, the last of them in part
-    private double lean;                                // what the strain of now adds to the level
-    private double strain;                              // moving mean of latency / aim
-    private int answers;
-    private long strainAt;
     private double turnedAway;                          // faded attempts that no server took
     private long fadedAt;
     private double warmRate;                            // answers per second and weight of warm servers
@@ -125,45 +97,21 @@
     public JsqDasPolicy(Settings settings, long seed) {
         this.active = new ActiveSettings(settings);
         this.random = new SplittableRandom(seed);
+        this.admission = new AdmissionController(active, random);
+        this.quotas = new TenantQuotas(active, random);
         this.subscription = new DiscoverySubscription(active, random, log);
         this.home = (long) ((settings.rank() + 0.5) / settings.balancers() * 0x1p64 - 0x1p63);
         tune(0, settings, Collections.nCopies(settings.classes().size(), -1),
             Collections.nCopies(settings.tenants().size(), -1));
-        double inShare = inShare();
-        while (tiers[(int) level] < Math.min(inShare, CHEAP * tiers[tiers.length - 1])) {
-            level++;
-        }
+        admission.start();
     }
 
-    // All that follows from the active.settings(). What is open holds its class's own record, and is not touched.
+    // All that follows from the settings. What is open holds its class's own record, and is not touched.
     private void tune(long now, Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
         active.reload(to);
         latencies.reload(to.classes(), formerClasses);
-        double[] tiersBefore = tiers;
-        tiers = to.classes().stream().flatMapToDouble(c ->
-            DoubleStream.of(value(c, false), value(c, true))).distinct().sorted().toArray();
-        hedgeLevel = Arrays.binarySearch(tiers, inShare()) + 0.05;
-        if (!Arrays.equals(tiers, tiersBefore)) {
-            asked = new double[tiers.length];
-            level = tiersBefore.length == 0 ? 0 : level * tiers.length / tiersBefore.length;
-            lean = 0;
-        }
-        double[] tokensBefore = shareTokens;
-        double[] broughtBefore = brought;
-        shareTokens = new double[to.tenants().size()];
-        shareAt = new long[shareTokens.length];
-        brought = new double[Math.max(1, shareTokens.length)];
-        Arrays.fill(shareAt, now);
-        for (int i = 0; i < shareTokens.length; i++) {
-            int former = formerTenants.get(i);
-            // All full at once overran servers at a start.
-            shareTokens[i] = former < 0 ? SHARE_BURST * random.nextDouble() : tokensBefore[former];
-            brought[i] = former < 0 ? 0 : broughtBefore[former];
-        }
-    }
-
-    private double inShare() {
-        return active.settings().classes().stream().mapToDouble(c -> value(c, false)).min().getAsDouble();
+        admission.reload();
+        quotas.reload(now, formerTenants);
     }
 
     @Override
@@ -404,22 +352,21 @@
             keyCounts.merge(Hashing.hash(key), scale.unit(), Double::sum);
         }
         arrivals.record(now, resubmission);
-        brought[tenant] += resubmission ? 0 : 1;
+        quotas.recordArrival(tenant, resubmission);
         long aim = kind.aim() + (work > 0 ? (long) (kind.aimStretch() * work) : 0);
         ClassLatency latency = latencies.of(requestClass);
         long elapsed = latency.elapsedSinceFirstSubmission(kind.deadline(), timeLeft, resubmission);
         RequestState r = new RequestState(id, latency, kind, active.settings().limits(), key == null ? 0 : Hashing.hash(key),
-            new RequestState.Times(now, now + timeLeft, now + aim - elapsed), overShare(tenant, now));
+            new RequestState.Times(now, now + timeLeft, now + aim - elapsed), quotas.exceedsQuota(tenant, now));
         open.put(id, r);
         if (work > 0) {
             r.relativeWork = latency.recordWork(work);
         }
         wakeBy(now, active.tickMicros(), out);
         retryBudget.recordRequest();
-        if (shed(tierOf(r))) {
-            if (log.isDue(now)) {      // the text is not made up for each of many refusals
-                log.write(now, String.format(Locale.ROOT, "overload: refusing, level %.2f, strain %.2f", level,
-                    strain), out);
+        if (admission.shouldReject(r)) {
+            if (log.isDue(now)) { // the text is not made up for each of many rejections
+                log.write(now, admission.describe(), out);
             }
             finish(r, now, out);
             return;
@@ -432,78 +379,6 @@
         }
     }
 
-    private int tierOf(RequestState r) {
-        return Arrays.binarySearch(tiers, value(r.requestClass, r.lowPriority));
-    }
-
-    // What a unit of work is worth, which is what an overloaded fleet runs short of. Where worth goes by
-    // request, the dear ones are as a rule the heavy ones, and classes are turned away alike: turned away
-    // by worth, the light class starved while the fleet served a fraction of the requests it could.
-    private double value(RequestClass kind, boolean overShare) {
-        return (active.settings().worthByWork() ? kind.worth() : 1) * (overShare ? active.settings().overShareWorth() : 1);
-    }
-
-    // This balancer's part of the traffic: even, or more where its middle tenant brings more. Traffic is not
-    // spread evenly over balancers; one tenant far over its share must not widen the shares of all.
-    private double ownPart() {
-        double[] ratios = new double[brought.length];
-        for (int i = 0; i < ratios.length; i++) {
-            double even = active.settings().tenants().get(i).allowancePerSecond() / active.settings().balancers() * DecayScale.TIME_CONSTANT_MICROS / 1e6;
-            ratios[i] = (brought[i] + FEW) / (even + FEW);
-        }
-        Arrays.sort(ratios);
-        return Math.min(1, Math.max(1, ratios[(ratios.length - 1) / 2]) / active.settings().balancers());
-    }
-
-    // Overload: turns away the tiers under the level, and a part of the one that it has reached.
-    private boolean shed(int tier) {
-        asked[tier]++;
-        return tier + random.nextDouble() < level + lean;
-    }
-
-    // Moves the level by how far the strain is from what the tier on the edge may cause. Guards against
-    // queues in which all wait and all are late. Each balancer turns away a share of what it sees: a limit
-    // on attempts in flight, which for most balancers is about one, refused most of a calm day. What the
-    // strain of now adds by itself goes with it: by steps alone 14 balancers met a loss of 30 % of the fleet
-    // 4 s too late, then refused all but the dearest for 8 s, most of it with the servers idle again.
-    private void steer(double seconds) {
-        int edge = Math.min(tiers.length - 1, (int) level);
-        double worth = tiers[edge] / tiers[tiers.length - 1];
-        double bound = STRAIN_CHEAP + (STRAIN_DEAR - STRAIN_CHEAP) * worth;
-        double share = asked[edge] / Math.max(1, Arrays.stream(asked).sum());
-        double excess = answers == 0 ? 0 : (strain - bound) / Math.max(SHARE_LEAST, share);
-        // Within the tier on the edge: the next one has a bound of its own, and what is cheap returns slowly.
-        double most = share < SHARE_LEAST ? LEAN_MOST : Math.min(LEAN_MOST, edge + 1 - level);
-        lean = Math.max(worth < CHEAP ? 0 : edge - level, Math.min(most, LEAN * excess));
-        double step = GAIN * seconds * excess;
-        // Over-share traffic returns slowly: what crowding costs outweighs a cheap request.
-        step = step > 0 ? step : step * (worth < CHEAP ? worth : RETURN);
-        level = answers == 0 ? level : Math.max(0, Math.min(tiers.length - 0.05, level + step));
-    }
-
-    private void strained(double sample, long now) {
-        double news = 1 - Math.exp(-(now - strainAt) / STRAIN_NEWS);
-        double weight = Math.max(1.0 / ++answers, Math.min(1.0 / KNOWN, news));
-        strain += weight * (Math.min(STRAIN_MOST, sample) - strain);
-        strainAt = now;
-    }
-
-    // Whether this request exceeds its tenant's share: each has a bucket filled at its part of the rate.
-    private boolean overShare(int tenant, long now) {
-        if (active.settings().tenants().isEmpty()) {
-            return false;
-        }
-        double rate = active.settings().tenants().get(tenant).allowancePerSecond() * ownPart();
-        double most = Math.max(SHARE_BURST, rate * TENANT_BURST / 1e6);
-        shareTokens[tenant] = Math.min(most, shareTokens[tenant] + rate * (now - shareAt[tenant]) / 1e6);
-        shareAt[tenant] = now;
-        if (shareTokens[tenant] < 1) {
-            return true;
-        }
-        shareTokens[tenant]--;
-        return false;
-    }
-
     // Keeps a request for which no server may be used now; one whose time is all but over is answered.
     private void hold(RequestState r, long now, Actions out) {
         if (now >= r.deadline - 2 * active.tickMicros()) {
@@ -739,7 +614,7 @@
                     n.failures = 0;
                     log.write(now, "recovered " + n.server.id(), out);
                 }
-                strained(latency / (double) kind.aim(), now);
+                admission.recordLoad(latency / (double) kind.aim(), now);
             }
             case CANCELLED -> {         // the copy came first, or the client left
                 if (latency > 2 * usually) {    // its server may well be at it still
@@ -753,12 +628,12 @@
                 failed(n, now - n.lastSuccessAt > QUICK ? 0.5 : 0, (long) of.typicalMicros(), now, out);
                 // It answers in no time, so it would win again and again while its queue is longest of all.
                 n.fullUntil = now + (long) (of.typicalMicros() * (0.5 + random.nextDouble()));
-                strained(FULL_STRAIN, now);
+                admission.recordFullServer(now);
             }
             // A time-out may be the fault of the load: it takes more of them.
             case TIMEOUT -> {
                 slowed(n, latency / usually, now);
-                strained(STRAIN_MOST, now);
+                admission.recordTimeout(now);
                 failed(n, 0.5, (long) (2 * of.typicalMicros()), now, out);
             }
             default -> failed(n, 1, (long) (2 * of.typicalMicros()), now, out);
@@ -801,17 +676,13 @@
         scale.decay(keep);
         arrivals.decay(keep);
         turnedAway *= keep;
-        fade(asked, keep);
-        fade(brought, keep);
+        quotas.decay(keep);
         if (now >= refreshAt) {
             refresh(now);
         }
         latencies.refreshShortest();
         ownMean += (1 - Math.exp(-(now - fadedAt) / QUICK)) * (inFlight - ownMean);
-        if (now - strainAt > FORGET) {
-            strain *= Math.exp(-(now - fadedAt) / FORGET);
-        }
-        steer((now - fadedAt) / 1e6);
+        admission.update(now, now - fadedAt, keep);
         fadedAt = now;
         drainHeld(now, out);
         for (List<RequestState> queue : held) {
@@ -819,7 +690,7 @@
                 sweep(r, now, out);
             }
         }
-        if (level + lean < hedgeLevel) {
+        if (admission.allowsHedging()) {
             boolean crowded = turnedAway > HEDGE_FULL * arrivals.arrivals();
             open.values().forEach(r -> hedge(r, crowded, now, out));
         }
@@ -834,12 +705,6 @@
         }
     }
 
-    private static void fade(double[] counts, double keep) {
-        for (int i = 0; i < counts.length; i++) {
-            counts[i] *= keep;
-        }
-    }
-
     // Rule 1: answers held requests in time, new ones as soon as they can't be answered within their aim.
     private void sweep(RequestState r, long now, Actions out) {
         long until = r.deadline - 2 * active.tickMicros();
@@ -854,7 +719,7 @@
     @Override
     public void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out) {
         if (wakeAt == Long.MAX_VALUE) {
-            Arrays.fill(shareAt, now);
+            quotas.start(now);
             fadedAt = now;
             wakeBy(now, active.tickMicros(), out);
         }
