--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -166,7 +166,7 @@
         }
         harness.list(ListKind.COMPLETE, List.of(new Server("c", State.UP, 0, 1, 0, 0, 0)));
         assertEquals(0, size(harness.policy, "open"));
-        assertTrue(size(harness.policy, "nodes") <= 1);
+        assertTrue(size(field(harness.policy, "endpoints"), "servers") <= 1);
     }
 
     @Test
@@ -196,10 +196,14 @@
         return sources.toString();
     }
 
-    private static int size(Object policy, String field) throws ReflectiveOperationException {
-        Field f = policy.getClass().getDeclaredField(field);
-        f.setAccessible(true);
-        Object value = f.get(policy);
+    private static Object field(Object owner, String name) throws ReflectiveOperationException {
+        Field field = owner.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(owner);
+    }
+
+    private static int size(Object owner, String name) throws ReflectiveOperationException {
+        Object value = field(owner, name);
         return value instanceof Map ? ((Map<?, ?>) value).size() : ((Collection<?>) value).size();
     }
 }
