--- a/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -50,7 +50,7 @@
         this.outliers = outliers;
     }
 
-    /** The servers that the request may be sent to now; those that it was sent to already only if there are no others. */
+    /** Servers that the request may be sent to now; those that it was sent to already only if there are no others. */
     List<ServerState> candidates(RequestState request, long now) {
         if (request.key != 0 && usesKeySubsets(now)) {
             double proportional =
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/TimeoutPolicy.java
@@ -0,0 +1,38 @@
+package loadbalancer.policy;
+
+/** How long an attempt may take. */
+final class TimeoutPolicy {
+    /** No time-out but the request's deadline. */
+    static final long NONE = 0;
+    /** A class whose late responses earn less than this part of its worth is given up at its objective. */
+    private static final double MIN_LATE_WORTH = 0.5;
+    /** Typical latencies that an attempt gets at least before another one is tried in its place. */
+    private static final double MIN_LATENCIES = 3;
+
+    private TimeoutPolicy() {}
+
+    /**
+     * The time-out of an attempt that is sent now, in microseconds, or {@link #NONE}. The attempt is among those of the
+     * request already.
+     *
+     * <p>A request that is not safe to repeat is given up at its objective where a late response earns little: its
+     * client won't come back, and waiting work dropped then makes capacity for work that can be in time. A safe one
+     * would come back; it leaves time for another attempt where hedged requests are forbidden, and is not cut
+     * otherwise.
+     */
+    static long timeoutMicros(RequestState request, long now) {
+        if (request.requestClass.streamed()) {
+            return NONE;
+        }
+        if (!request.isSafe()) {
+            boolean cut = request.requestClass.lateShare() < MIN_LATE_WORTH && request.objectiveAt > now;
+            return cut ? request.objectiveAt - now : NONE;
+        }
+        if (request.limits.mayDuplicate() || !request.hasAttemptsLeft()) {
+            return NONE;
+        }
+        long timeLeft = request.deadline - now;
+        long patience = Math.max(timeLeft / 2, (long) (MIN_LATENCIES * request.latency.typicalMicros()));
+        return Math.max(1, Math.min(timeLeft, patience));
+    }
+}
