--- /dev/null
+++ b/src/test/java/loadbalancer/policy/EndpointSetTest.java
@@ -0,0 +1,79 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertSame;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
+import org.junit.jupiter.api.Test;
+
+class EndpointSetTest {
+    private static final long NOW = PolicyFixtures.NOW;
+
+    private final HashRing ring = new HashRing(0, 1);
+    private final EndpointSet endpoints = new EndpointSet(new SplittableRandom(1), ring);
+
+    private static Server server(String id, State state, long startedAt, double weight) {
+        return new Server(id, state, startedAt, weight, 0, 0, 0);
+    }
+
+    private List<String> listed() {
+        return endpoints.listed().stream().map(state -> state.server.id()).toList();
+    }
+
+    @Test
+    void aCompleteListRemovesWhatItDoesNotHoldAndAPartialOneDoesNot() {
+        endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(3));
+        endpoints.update(NOW, ListKind.PARTIAL, List.of(PolicyTestHarness.up("new")));
+        assertEquals(List.of("s0", "s1", "s2", "new"), listed());
+        endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(1));
+        assertEquals(List.of("s0"), listed());
+        assertEquals(1, endpoints.all().size());
+    }
+
+    @Test
+    void aServerThatLeftIsKeptWhileAttemptsAreInFlight() {
+        endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(1));
+        ServerState state = endpoints.listed().get(0);
+        state.inFlight = 1;
+        endpoints.update(NOW, ListKind.COMPLETE, List.of());
+        assertEquals(List.of(), listed());
+        assertEquals(List.of(state), List.copyOf(endpoints.all()));
+        state.inFlight = 0;
+        endpoints.update(NOW, ListKind.COMPLETE, List.of());
+        assertEquals(0, endpoints.all().size());
+    }
+
+    @Test
+    void aDrainingServerTakesNoRequests() {
+        endpoints.update(NOW, ListKind.COMPLETE, List.of(server("a", State.DRAINING, 0, 1)));
+        assertEquals(List.of(), listed());
+        assertEquals(1, endpoints.all().size());
+    }
+
+    @Test
+    void whatWasLearnedOfAServerHoldsUntilItRestarts() {
+        endpoints.update(NOW, ListKind.COMPLETE, List.of(server("a", State.UP, 5, 1)));
+        ServerState learned = endpoints.listed().get(0);
+        endpoints.update(NOW, ListKind.PARTIAL, List.of(server("a", State.UP, 5, 3)));
+        assertSame(learned, endpoints.listed().get(0));
+        assertEquals(3, learned.server.weight());
+        endpoints.update(NOW, ListKind.PARTIAL, List.of(server("a", State.UP, 6, 3)));
+        assertNotSame(learned, endpoints.listed().get(0));
+        assertEquals(0, learned.ringPoints);
+    }
+
+    @Test
+    void theMeanWeightIsThatOfListedServers() {
+        assertEquals(1, endpoints.meanWeight());
+        endpoints.update(
+                NOW,
+                ListKind.COMPLETE,
+                List.of(server("a", State.UP, 0, 2), server("b", State.UP, 0, 4), server("c", State.DRAINING, 0, 100)));
+        assertEquals(3, endpoints.meanWeight());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
@@ -0,0 +1,111 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Load;
+import loadbalancer.policy.Policy.Prices;
+import org.junit.jupiter.api.Test;
+
+class QueueEstimatorTest {
+    private static final long NOW = PolicyFixtures.NOW;
+
+    private final ServerState server = PolicyFixtures.server("s");
+
+    private static QueueEstimator estimator(Prices prices, int balancers) {
+        ActiveSettings active = PolicyFixtures.active(prices, balancers);
+        ClassLatencies latencies = new ClassLatencies();
+        latencies.reload(active.settings().classes(), List.of(-1));
+        EndpointSet endpoints = new EndpointSet(new SplittableRandom(1), new HashRing(0, balancers));
+        endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(4));
+        return new QueueEstimator(active, endpoints, latencies);
+    }
+
+    private static double length(QueueEstimator queues, ServerState server) {
+        return queues.queueLength(server, NOW, PolicyFixtures.NO_ACTIONS);
+    }
+
+    private static Load report(double inFlight) {
+        return new Load(inFlight, 0, 0, 0, 0, 0);
+    }
+
+    @Test
+    void ownAttemptsCountInProportionToTheWeight() {
+        QueueEstimator queues = estimator(new Prices(0, 0), 1);
+        ServerState heavy = PolicyFixtures.server("heavy", 2, 0);
+        for (int i = 0; i < 4; i++) {
+            queues.attemptSent(server);
+            queues.attemptSent(heavy);
+        }
+        queues.attemptEnded(server);
+        assertEquals(3, length(queues, server));
+        assertEquals(2, length(queues, heavy));
+    }
+
+    @Test
+    void aFailedAttemptKeepsItsPlaceForAWhile() {
+        QueueEstimator queues = estimator(new Prices(0, 0), 1);
+        QueueEstimator.keepPlace(server, NOW + 10);
+        assertEquals(1, queues.queueLength(server, NOW + 9, PolicyFixtures.NO_ACTIONS));
+        assertEquals(0, queues.queueLength(server, NOW + 10, PolicyFixtures.NO_ACTIONS));
+    }
+
+    @Test
+    void anotherZoneSeemsLongerByItsPrice() {
+        QueueEstimator queues = estimator(new Prices(0.05, 0), 1);
+        assertEquals(0, length(queues, server));
+        assertEquals(0.5, length(queues, PolicyFixtures.server("far", 1, 1)));
+    }
+
+    @Test
+    void aServerWithoutAConnectionSeemsLongerByTheHandshake() {
+        Policy.Actions disconnected = new NoOpActions() {
+            @Override
+            public boolean isConnected(String id) {
+                return false;
+            }
+        };
+        assertEquals(0.8, estimator(new Prices(0, 0.08), 1).queueLength(server, NOW, disconnected));
+        assertEquals(0, estimator(new Prices(0, 0), 1).queueLength(server, NOW, disconnected));
+    }
+
+    @Test
+    void aReportIsTrustedLessTheOlderItIs() {
+        QueueEstimator queues = estimator(new Prices(0, 0), 3);
+        QueueEstimator.recordReport(server, report(8), NOW);
+        assertEquals(8, length(queues, server));
+        double later = queues.queueLength(server, NOW + 300_000, PolicyFixtures.NO_ACTIONS);
+        assertEquals(8 * Math.exp(-1), later, 1e-9, "two typical latencies of 150 ms on");
+    }
+
+    @Test
+    void reportsThatNoServerCanMeanAreIgnored() {
+        QueueEstimator.recordReport(server, null, NOW);
+        for (double absurd : new double[] {Double.NaN, -1, 1e6, Double.POSITIVE_INFINITY}) {
+            QueueEstimator.recordReport(server, report(absurd), NOW);
+        }
+        assertEquals(0, server.reportedAt);
+    }
+
+    @Test
+    void otherBalancersAreTakenToHaveAsManyAttemptsAsThisOne() {
+        QueueEstimator queues = estimator(new Prices(0, 0), 3);
+        for (int i = 0; i < 4; i++) {
+            queues.attemptSent(PolicyFixtures.server("other"));
+        }
+        queues.update(Long.MAX_VALUE / 2);
+        assertEquals(2, length(queues, server), 1e-9, "four attempts over four servers, of two others");
+    }
+
+    @Test
+    void slownessFollowsTheLatenciesAndFadesToOne() {
+        QueueEstimator.recordSlowness(server, 3, NOW);
+        assertEquals(1.5, QueueEstimator.slowness(server, NOW));
+        QueueEstimator.recordSlowness(server, 1_000, NOW);
+        assertTrue(QueueEstimator.slowness(server, NOW) <= 4, "one response counts for four at most");
+        assertEquals(1, QueueEstimator.slowness(server, NOW + 1_000_000_000), 1e-9);
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -0,0 +1,84 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
+import org.junit.jupiter.api.Test;
+
+class SlowStartTest {
+    private static final long NOW = PolicyFixtures.NOW;
+    private static final long RAMP = 20_000_000;
+
+    private final SlowStart slowStart = new SlowStart(PolicyFixtures.active(PolicyFixtures.SAFE), new DecayScale());
+
+    private static ServerState startedAt(long time) {
+        ServerState server = new ServerState(new Server("new", State.UP, time, 1, 0, 0, 0), 0);
+        server.slowStartTokensAt = NOW;
+        return server;
+    }
+
+    private static ServerState[] warmServer(double successes) {
+        ServerState warm = PolicyFixtures.server("warm");
+        warm.successes = successes;
+        return new ServerState[] {warm};
+    }
+
+    /** Attempts that a server may be sent in ten seconds, asked for each millisecond. */
+    private int attempts(ServerState server) {
+        int sent = 0;
+        for (long now = NOW; now < NOW + 10_000_000; now += 1_000) {
+            if (slowStart.hasBudget(server, now)) {
+                SlowStart.recordDispatch(server);
+                sent++;
+            }
+        }
+        return sent;
+    }
+
+    @Test
+    void aServerIsWarmWhenItsRampIsOver() {
+        assertTrue(slowStart.isWarm(startedAt(0), NOW), "started long ago");
+        assertTrue(slowStart.isWarm(startedAt(NOW - RAMP), NOW));
+        assertFalse(slowStart.isWarm(startedAt(NOW - RAMP + 1), NOW));
+    }
+
+    @Test
+    void aWarmServerIsNotLimited() {
+        ServerState server = startedAt(0);
+        server.slowStartTokens = -100;
+        assertTrue(slowStart.hasBudget(server, NOW));
+    }
+
+    @Test
+    void aNewServerGetsAGrowingPartOfWhatAWarmOneTakes() {
+        slowStart.refresh(warmServer(1_000), NOW); // 100 responses a second
+        int atStart = attempts(startedAt(NOW));
+        // 2.4 times 100 a second, for ten seconds of warmth from 0.2 to 0.6.
+        assertEquals(2.4 * 100 * 10 * 0.4, atStart, 50);
+        int later = attempts(startedAt(NOW - RAMP / 2));
+        assertEquals(2.4 * 100 * 10 * 0.8, later, 50);
+    }
+
+    @Test
+    void withoutAnyMeasurementANewServerGetsAFewAttempts() {
+        int sent = attempts(startedAt(NOW));
+        assertTrue(sent > 5 && sent < 80, "sent " + sent);
+    }
+
+    @Test
+    void aServerOfTheSubsetGetsItsPartOfTheSubsetsWork() {
+        ServerState inSubset = PolicyFixtures.server("warm");
+        inSubset.successes = 1_000;
+        inSubset.inSubset = true;
+        ServerState idle = PolicyFixtures.server("idle", 9, 0);
+        slowStart.refresh(new ServerState[] {inSubset, idle}, NOW);
+        ServerState outside = startedAt(NOW);
+        ServerState inside = startedAt(NOW);
+        inside.inSubset = true;
+        int expectedRatio = 5; // 1.2 times all of the responses, against 2.4 times a tenth of them
+        assertEquals(expectedRatio, attempts(inside) / (double) attempts(outside), 0.5);
+    }
+}
