--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -21,9 +21,9 @@
     private static final double MAX_LOAD_LOWEST_TIER = 0.40;
     /** Load above which those of the highest priority are rejected too. */
     private static final double MAX_LOAD_HIGHEST_TIER = 0.60;
-    /** One response counts as no more load than this. */
+    /** One response counts as no more load than this; a time-out counts as this. */
     private static final double MAX_LOAD_SAMPLE = 1.2;
-    /** Load that an attempt counts as for which the server had no capacity; see the limit above. */
+    /** Load of an attempt for which the server had no capacity, before that limit. */
     private static final double LOAD_OF_FULL_SERVER = 1.5;
     /** Time constant of the load. */
     private static final double LOAD_SMOOTHING_MICROS = 0.7e6;
@@ -45,7 +45,7 @@
     private static final double LOW_PRIORITY = 0.3;
     /** Part of the lowest tier within quota that may be rejected while requests are still hedged. */
     private static final double HEDGING_MARGIN = 0.05;
-    /** The level never rejects the highest tier completely. */
+    /** Part of the highest tier that the level by itself, without the proportional term, admits at least. */
     private static final double MIN_ADMITTED_OF_HIGHEST_TIER = 0.05;
 
     private final ActiveSettings active;
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
@@ -0,0 +1,103 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import loadbalancer.policy.Policy.Discovery;
+import loadbalancer.policy.Policy.ListKind;
+import org.junit.jupiter.api.Test;
+
+class DiscoverySubscriptionTest {
+    private static final long NOW = PolicyFixtures.NOW;
+    private static final long WITHIN = 10_000_000;
+
+    private final List<String> lines = new ArrayList<>();
+    private int subscriptions;
+    private final Policy.Actions out = new NoOpActions() {
+        @Override
+        public void watch(boolean on) {
+            subscriptions++;
+        }
+
+        @Override
+        public void log(String line) {
+            lines.add(line);
+        }
+    };
+
+    private static DiscoverySubscription subscription(Discovery discovery) {
+        ActiveSettings active =
+                new ActiveSettings(PolicyTestHarness.settings(1, true, discovery, List.of(), PolicyFixtures.SAFE));
+        return new DiscoverySubscription(active, new SplittableRandom(1), new OperatorLog());
+    }
+
+    /** How long after {@code from} the subscription is due, by steps of 10 ms, or -1 if it isn't within a minute. */
+    private long dueAfter(DiscoverySubscription subscription, long from) {
+        int before = subscriptions;
+        for (long after = 0; after <= 60_000_000; after += 10_000) {
+            subscription.subscribeIfDue(from + after, out);
+            if (subscriptions > before) {
+                return after;
+            }
+        }
+        return -1;
+    }
+
+    @Test
+    void theListOfAFormerRunLeadsToASubscriptionThatIsRepeatedUntilAListComes() {
+        DiscoverySubscription subscription = subscription(Discovery.ASK);
+        subscription.listReceived(NOW, ListKind.PERSISTED, out);
+        assertEquals(1, subscriptions);
+        long after = dueAfter(subscription, NOW);
+        assertTrue(after >= WITHIN / 2 && after <= WITHIN, "after " + after);
+        subscription.listReceived(NOW, ListKind.COMPLETE, out);
+        assertEquals(-1, dueAfter(subscription, NOW));
+    }
+
+    @Test
+    void whereListsComeUnaskedNothingIsSubscribed() {
+        DiscoverySubscription subscription = subscription(Discovery.PUSH);
+        subscription.listReceived(NOW, ListKind.PERSISTED, out);
+        assertEquals(-1, dueAfter(subscription, NOW));
+        assertEquals(0, subscriptions);
+    }
+
+    @Test
+    void backoffGrowsWithEachFailureUpToItsLimit() {
+        DiscoverySubscription subscription = subscription(Discovery.ASK);
+        long now = NOW;
+        for (long backoff : new long[] {500_000, 1_000_000, 2_000_000, 4_000_000, 5_000_000, 5_000_000}) {
+            subscription.listFailed(now, out);
+            long after = dueAfter(subscription, now);
+            // Half of it is random, and the time is found in steps of 10 ms.
+            assertTrue(after >= backoff / 2 && after <= backoff * 3 / 2 + 10_000, backoff + ": after " + after);
+            now += 4_000_000; // the subscription that was made is repeated after five seconds
+        }
+    }
+
+    @Test
+    void aListEndsTheBackoff() {
+        DiscoverySubscription subscription = subscription(Discovery.ASK);
+        for (int i = 0; i < 5; i++) {
+            subscription.listFailed(NOW, out);
+        }
+        subscription.listReceived(NOW, ListKind.COMPLETE, out);
+        subscription.listFailed(NOW, out);
+        long after = dueAfter(subscription, NOW);
+        assertTrue(after >= 250_000 && after <= 760_000, "after " + after);
+        assertEquals(List.of("discovery failed 1 times, asking again"), lines);
+    }
+
+    @Test
+    void afterManyFailuresItIsTriedWithinTheBound() {
+        DiscoverySubscription subscription = subscription(Discovery.ASK);
+        for (int i = 0; i < 40; i++) {
+            subscription.listFailed(NOW, out);
+        }
+        long after = dueAfter(subscription, NOW);
+        assertTrue(after >= 0 && after <= WITHIN, "after " + after);
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -0,0 +1,95 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.SplittableRandom;
+import loadbalancer.policy.Policy.Outcome;
+import org.junit.jupiter.api.Test;
+
+class OutcomeRecorderTest {
+    private static final long NOW = PolicyFixtures.NOW;
+
+    private final DecayScale scale = new DecayScale();
+    private final SplittableRandom random = new SplittableRandom(1);
+    private final AccomplishmentRanking ranking = new AccomplishmentRanking(scale);
+    private final ServerState server = PolicyFixtures.server("s");
+    private final OutcomeRecorder outcomes = recorder();
+
+    private OutcomeRecorder recorder() {
+        ActiveSettings active = PolicyFixtures.active(PolicyFixtures.SAFE);
+        EndpointSet endpoints = new EndpointSet(random, new HashRing(0, 1));
+        AdmissionController admission = new AdmissionController(active, random);
+        admission.reload();
+        OutlierDetector outliers = new OutlierDetector(active, endpoints, ranking, scale, random, new OperatorLog());
+        return new OutcomeRecorder(outliers, admission, scale, random);
+    }
+
+    /** Records an outcome of an attempt of a class with a typical latency of 150 ms. */
+    private AttemptState record(Outcome outcome, long latency) {
+        AttemptState attempt = PolicyFixtures.send(PolicyFixtures.request(PolicyFixtures.SAFE), server, NOW - latency);
+        ranking.recordDispatch(server);
+        outcomes.record(attempt, outcome, latency, NOW, PolicyFixtures.NO_ACTIONS);
+        return attempt;
+    }
+
+    @Test
+    void aSuccessCountsForTheServerAndTheClass() {
+        AttemptState attempt = record(Outcome.OK, 300_000);
+        assertEquals(1, server.successes);
+        assertEquals(NOW, server.lastSuccessAt);
+        assertEquals(1, server.accomplishment);
+        assertEquals(1.25, server.slowness);
+        assertEquals(154_500, attempt.request.latency.typicalMicros(), 1e-6);
+    }
+
+    @Test
+    void aFailureCountsAgainstTheServerAndKeepsItsPlace() {
+        record(Outcome.ERROR, 1_000);
+        assertEquals(1, server.failures);
+        assertEquals(0, server.accomplishment);
+        assertEquals(NOW + 300_000, server.penaltyEnds.peekFirst());
+    }
+
+    @Test
+    void aTimeoutCountsForHalfAFailure() {
+        record(Outcome.TIMEOUT, 600_000);
+        assertEquals(0.5, server.failures);
+        assertEquals(1.75, server.slowness);
+    }
+
+    @Test
+    void aServerWithoutCapacityRestsForAboutATypicalLatency() {
+        server.lastSuccessAt = NOW;
+        record(Outcome.FULL, 500);
+        assertEquals(0, server.failures);
+        long rest = server.fullUntil - NOW;
+        assertTrue(rest >= 75_000 && rest <= 225_000, "rests for " + rest);
+    }
+
+    @Test
+    void aServerWithoutCapacityAndWithoutSuccessesMayHang() {
+        server.lastSuccessAt = NOW - 2_000_001;
+        record(Outcome.FULL, 500);
+        assertEquals(0.5, server.failures);
+    }
+
+    @Test
+    void aCancelledAttemptCountsOnlyIfItTookLong() {
+        record(Outcome.CANCELLED, 300_000);
+        assertEquals(1, server.slowness);
+        assertEquals(0, server.penaltyEnds.size());
+        record(Outcome.CANCELLED, 450_000);
+        assertEquals(1.5, server.slowness);
+        assertEquals(1, server.penaltyEnds.size());
+        assertEquals(0, server.failures);
+    }
+
+    @Test
+    void anAttemptThatWasNotSentTellsNothing() {
+        record(Outcome.NOT_SENT, 0);
+        assertEquals(1, server.accomplishment);
+        assertEquals(0, server.failures);
+        assertEquals(0, server.penaltyEnds.size());
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/PendingQueueTest.java
@@ -0,0 +1,70 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class PendingQueueTest {
+    private static final long NOW = PolicyFixtures.NOW;
+    private static final long TICK = 20_000;
+
+    private final PendingQueue queue = new PendingQueue(PolicyFixtures.active(PolicyFixtures.SAFE));
+
+    private static RequestState request(String id, long objectiveMicros, boolean overQuota) {
+        return PolicyFixtures.request(id, PolicyFixtures.SAFE, objectiveMicros, overQuota);
+    }
+
+    private static List<String> ids(List<RequestState> requests) {
+        return requests.stream().map(request -> request.id).toList();
+    }
+
+    @Test
+    void requestsWaitInTheOrderOfTheirLatestStartLowPriorityLast() {
+        queue.offer(request("late", 1_000_000, false), NOW);
+        queue.offer(request("low", 600_000, true), NOW);
+        queue.offer(request("early", 600_000, false), NOW);
+        queue.offer(request("early too", 600_000, false), NOW);
+        assertEquals(List.of("early", "early too", "late", "low"), ids(queue.removeExpired(NOW + 2_000_000)));
+    }
+
+    @Test
+    void aRequestExpiresWhenItCanNotMeetItsObjectiveAnyMore() {
+        queue.offer(request("r", 600_000, false), NOW);
+        long latestStart = NOW + 600_000 - 2 * 150_000; // two typical latencies before the objective
+        assertEquals(List.of(), queue.removeExpired(latestStart - 1));
+        assertEquals(List.of("r"), ids(queue.removeExpired(latestStart)));
+        assertEquals(List.of(), queue.removeExpired(latestStart));
+    }
+
+    @Test
+    void aRequestThatWasSentExpiresShortlyBeforeItsDeadline() {
+        RequestState request = request("r", 600_000, false);
+        PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW);
+        queue.offer(request, NOW);
+        long end = request.deadline - 2 * TICK;
+        assertEquals(List.of(), queue.removeExpired(end - 1));
+        assertEquals(List.of("r"), ids(queue.removeExpired(end)));
+    }
+
+    @Test
+    void aRequestWhoseTimeIsAllButOverIsNotTaken() {
+        RequestState request = request("r", 600_000, false);
+        assertFalse(queue.offer(request, request.deadline - 2 * TICK));
+        assertFalse(request.pending);
+        assertTrue(queue.offer(request, request.deadline - 2 * TICK - 1));
+        assertTrue(request.pending);
+    }
+
+    @Test
+    void aRequestIsPendingOnceHoweverOftenItIsOffered() {
+        RequestState request = request("r", 600_000, false);
+        queue.offer(request, NOW);
+        queue.offer(request, NOW);
+        queue.remove(request);
+        assertFalse(request.pending);
+        assertEquals(List.of(), queue.removeExpired(request.deadline));
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
@@ -0,0 +1,151 @@
+package loadbalancer.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+import loadbalancer.policy.Policy.ListKind;
+import loadbalancer.policy.Policy.Prices;
+import loadbalancer.policy.Policy.RequestClass;
+import loadbalancer.policy.Policy.Server;
+import loadbalancer.policy.Policy.State;
+import org.junit.jupiter.api.Test;
+
+class SubsetSelectorTest {
+    private static final long NOW = PolicyFixtures.NOW;
+
+    private final SplittableRandom random = new SplittableRandom(1);
+    private final ArrivalRate arrivals = new ArrivalRate();
+    private final HashRing ring = new HashRing(0, 4);
+    private final EndpointSet endpoints = new EndpointSet(random, ring);
+    private final RequestState request = PolicyFixtures.request(PolicyFixtures.SAFE);
+
+    private SubsetSelector selector(Prices prices) {
+        ActiveSettings active = PolicyFixtures.active(prices, 4);
+        DecayScale scale = new DecayScale();
+        OutlierDetector outliers = new OutlierDetector(
+                active, endpoints, new AccomplishmentRanking(scale), scale, random, new OperatorLog());
+        return new SubsetSelector(
+                active,
+                endpoints,
+                ring,
+                arrivals,
+                new KeyAffinity(scale, arrivals),
+                new SlowStart(active, scale),
+                outliers);
+    }
+
+    private SubsetSelector selector() {
+        return selector(new Prices(0, 0));
+    }
+
+    private void list(int count, long startedAt, int zones) {
+        List<Server> servers = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            servers.add(new Server("s" + i, State.UP, startedAt, 1, 0, 0, i % zones));
+        }
+        endpoints.update(NOW, ListKind.COMPLETE, servers);
+    }
+
+    @Test
+    void anIdleBalancerUsesTheSameSixServers() {
+        list(50, 0, 1);
+        SubsetSelector selector = selector();
+        List<ServerState> candidates = selector.candidates(request, NOW);
+        assertEquals(6, candidates.size());
+        assertEquals(candidates, selector.candidates(request, NOW + 1_000_000));
+    }
+
+    /** 100 requests at once are taken for a rate of 35 per second. */
+    private void busy() {
+        list(80, 0, 1);
+        for (int i = 0; i < 100; i++) {
+            arrivals.record(NOW, false);
+        }
+    }
+
+    @Test
+    void aBusyBalancerUsesThoseThatItVisitsEveryOneAndAHalfSeconds() {
+        busy();
+        assertEquals(52, selector().candidates(request, NOW).size());
+    }
+
+    @Test
+    void itUsesFewerWhereHandshakesHaveAPrice() {
+        busy();
+        assertEquals(17, selector(new Prices(0, 0.1)).candidates(request, NOW).size());
+    }
+
+    @Test
+    void anEjectedServerIsReplacedByTheNextOne() {
+        list(50, 0, 1);
+        SubsetSelector selector = selector();
+        List<ServerState> before = selector.candidates(request, NOW);
+        before.get(2).ejectedUntil = NOW + 1_000_000;
+        List<ServerState> after = selector.candidates(request, NOW);
+        assertEquals(6, after.size());
+        assertFalse(after.contains(before.get(2)));
+    }
+
+    @Test
+    void serversWarmingUpAreCandidatesBesideSixWarmOnes() {
+        list(10, NOW - 10_000_000, 1);
+        endpoints.listed().forEach(server -> server.slowStartTokens = 2);
+        assertEquals(10, selector().candidates(request, NOW).size(), "none of them is warm");
+    }
+
+    @Test
+    void aServerThatWasTriedIsUsedOnlyWhereThereIsNoOther() {
+        list(2, 0, 1);
+        SubsetSelector selector = selector();
+        PolicyFixtures.send(request, endpoints.listed().get(0), NOW);
+        assertEquals(List.of(endpoints.listed().get(1)), selector.candidates(request, NOW));
+        PolicyFixtures.send(request, endpoints.listed().get(1), NOW);
+        assertEquals(new HashSet<>(endpoints.listed()), new HashSet<>(selector.candidates(request, NOW)));
+    }
+
+    @Test
+    void whereCrossingZonesHasAPriceTheOwnZonesServersCount() {
+        list(60, 0, 2);
+        List<ServerState> candidates = selector(new Prices(0.1, 0)).candidates(request, NOW);
+        assertEquals(6, candidates.stream().filter(s -> s.server.zone() == 0).count());
+        assertTrue(candidates.size() <= 4 * 6);
+    }
+
+    @Test
+    void aClassIsNotSentOutsideItsZones() {
+        list(20, 0, 2);
+        RequestClass base = PolicyFixtures.SAFE;
+        RequestClass bound = new RequestClass(
+                base.effect(),
+                base.scope(),
+                0,
+                base.aim(),
+                base.deadline(),
+                0,
+                1,
+                0,
+                false,
+                false,
+                Set.of(1),
+                Set.of());
+        List<ServerState> candidates = selector().candidates(PolicyFixtures.request(bound), NOW);
+        assertEquals(6, candidates.size());
+        assertTrue(candidates.stream().allMatch(s -> s.server.zone() == 1));
+    }
+
+    @Test
+    void theSubsetIsMarked() {
+        list(50, 0, 1);
+        SubsetSelector selector = selector();
+        selector.refresh(NOW);
+        List<ServerState> marked =
+                endpoints.listed().stream().filter(server -> server.inSubset).toList();
+        assertEquals(new HashSet<>(selector.candidates(request, NOW)), new HashSet<>(marked));
+    }
+}
