--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -58,7 +58,7 @@
         ranking.recordDispatch(server);
         SlowStart.recordDispatch(server);
         long timeout = TimeoutPolicy.timeoutMicros(request, now);
-        if (repeats) { // its connection may take longer to come up than the servers drop repeats
+        if (repeats) { // connecting may take longer than the servers drop repeats for
             out.send(request.id, server.server.id(), timeout, sendWithin);
         } else {
             out.send(request.id, server.server.id(), timeout);
--- a/src/main/java/loadbalancer/policy/DiscoverySubscription.java
+++ b/src/main/java/loadbalancer/policy/DiscoverySubscription.java
@@ -5,7 +5,7 @@
 import loadbalancer.policy.Policy.Discovery;
 import loadbalancer.policy.Policy.ListKind;
 
-/** Subscribes to the endpoint list, and does so anew, with backoff, where discovery fails or nothing comes. */
+/** Subscribes to the endpoint list, and does so anew, with backoff, where discovery fails or no list arrives. */
 final class DiscoverySubscription {
     private static final long FIRST_BACKOFF_MICROS = 500_000;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -8,7 +8,7 @@
  * <p>Hedged requests draw on the budget of the retries and rest while requests are rejected, so that they can't feed
  * an overload; where all servers slow down at once they might hurt, by the budget's proportion at most. A keyed
  * request goes to the servers that drop repeats, and early: it is given up at its objective, and its client may not
- * come back. A fleet of 60 lost a fifth of its most expensive class to queues that one balancer can't see.
+ * resubmit it. A fleet of 60 lost a fifth of its most expensive class to queues that one balancer can't see.
  */
 final class HedgingPolicy {
     /** Safe requests are not hedged while servers had no capacity for more than this proportion of the arrivals. */
--- a/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -282,7 +282,7 @@
         removeIfDone(request);
     }
 
-    // The client has its response, or is gone: what else is in flight is cancelled where that is allowed.
+    // The client has its response, or has disconnected: other attempts are cancelled where that is allowed.
     private static void close(RequestState request, Actions out) {
         request.closed = true;
         if (!request.limits.mayCancel() || request.streaming) {
--- a/src/main/java/loadbalancer/policy/Policy.java
+++ b/src/main/java/loadbalancer/policy/Policy.java
@@ -4,32 +4,35 @@
 import java.util.Set;
 
 /**
- * The whole interface of the decision module: what one balancer tells it (the methods below) and what it may
- * ask for in return ({@link Actions}).
+ * The interface of the decision module: the events that one balancer notifies it of (the methods below), and the
+ * actions that it requests in return ({@link Actions}).
  *
- * <p>All times are microseconds in a {@code long}; {@code now} is the caller's clock and never goes back. Ids
- * are opaque. One object serves one balancer and is not thread-safe: events are handed over one at a time, in
- * the order in which they happened, and each returns before the next. Actions are carried out in the order in
- * which they are asked for, at the time {@code now}. A new or restarted balancer is a new object, and its
- * first event is {@link #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers
- * that the module no longer holds are legal and passed over.
+ * <p>All times are microseconds in a {@code long}; {@code now} is the caller's clock and never goes back. Ids are
+ * opaque. One object serves one balancer and is not thread-safe: the caller reports events one at a time, in the order
+ * in which they happened, and none before the former has returned. It carries out actions in the order in which they
+ * are requested, at the time {@code now}. A new or restarted balancer is a new object, and its first event is {@link
+ * #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers that the module no
+ * longer holds are legal and ignored.
  */
 public interface Policy {
     /** What a class of requests allows once an attempt may have run. */
     enum Effect {
+        /** Idempotent: may be repeated at any server. */
         SAFE,
+        /** Has an idempotency key: may be repeated at the servers of the class's {@link Scope}. */
         KEYED,
+        /** May not be repeated. */
         UNSAFE
     }
 
-    /** The servers that drop a repeat of a keyed request. */
+    /** The servers that drop a repeat of a keyed request: all, or those of the first attempt's zone or cell. */
     enum Scope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** How the list of servers is learnt: changes come unasked, or only after watch or fetch. */
+    /** How the endpoint list is discovered: updates arrive unrequested, or only after a watch or fetch. */
     enum Discovery {
         PUSH,
         ASK
@@ -42,7 +45,7 @@
         NONE
     }
 
-    /** What a list holds: the one kept over a restart, the complete one, changes only or, failed, nothing. */
+    /** What a list holds: that of the former run, all servers, changes only or, where discovery failed, nothing. */
     enum ListKind {
         PERSISTED,
         COMPLETE,
@@ -50,7 +53,7 @@
         FAILED
     }
 
-    /** A listed server runs, finishes its work without taking more, or has gone. */
+    /** A listed server runs, is in graceful shutdown and takes no requests, or has left. */
     enum State {
         UP,
         DRAINING,
@@ -60,12 +63,16 @@
     /** How an attempt ended. */
     enum Outcome {
         OK(false),
+        /** The server responded with an error. */
         ERROR(false),
+        /** The server had no capacity and rejected the attempt. */
         FULL(true),
         TIMEOUT(false),
         CONNECT_FAILED(true),
+        /** The connection was lost after the attempt had been sent. */
         RESET(false),
         CANCELLED(false),
+        /** The balancer did not send it: see {@link Actions#send(String, String, long, long)}. */
         NOT_SENT(true);
 
         private final boolean neverRan;
@@ -81,8 +88,8 @@
     }
 
     /**
-     * One entry of the list. {@code startedAt} is 0 where the last start is long past; {@code weight}
-     * compares servers only; {@code cell}, {@code kind} and {@code zone} are numbers, or -1.
+     * One entry of the endpoint list. {@code startedAt} is 0 where the last start is long past; {@code weight} is
+     * relative to other servers; {@code cell}, {@code kind} (of machine) and {@code zone} are numbers, -1 if unknown.
      */
     record Server(String id, State state, long startedAt, double weight, int cell, int kind, int zone) {
         /** The same server in another state. */
@@ -92,10 +99,11 @@
     }
 
     /**
-     * A class of requests: an answer within {@code aim} earns {@code worth}, one before {@code deadline} the
-     * {@code lateShare} of it. {@code aimStretch} lengthens the aim by that multiple of the request's work.
-     * {@code inOrder}: requests with one key run one at a time, in the order taken. {@code zones} and
-     * {@code machineKinds} are the only ones whose servers may be sent to; empty: all.
+     * A class of requests. A response within {@code aim}, the latency objective, earns {@code worth}, the priority
+     * weight; one before {@code deadline} earns the proportion {@code lateShare} of it. {@code aimStretch} lengthens
+     * the objective by that multiple of the request's work. {@code keyMemory}: for how long servers drop repeats of a
+     * keyed request. {@code inOrder}: requests with one key run one at a time, in the order of arrival. Attempts go to
+     * servers of these {@code zones} and {@code machineKinds} only; empty: to all.
      */
     record RequestClass(
             Effect effect,
@@ -146,14 +154,14 @@
         }
     }
 
-    /** A tenant: requests per second within its share, over all balancers. */
+    /** A tenant and its quota: requests per second, over all balancers. */
     record Tenant(double allowancePerSecond) {
         public Tenant {
             require(allowancePerSecond >= 0, "allowancePerSecond", allowancePerSecond);
         }
     }
 
-    /** How much the worst-served class and the worst-served tenant count, beside the whole. */
+    /** Weights of the operators' goal: of all requests, and of the worst window, class and tenant. */
     record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
     /** Points of the goal for each crossing of zones and for each new connection, per first try; 0: free. */
@@ -164,7 +172,7 @@
         }
     }
 
-    /** What the site allows. {@code retryAfterMax} is 0 where clients get no such advice. */
+    /** What the site allows. {@code mayDuplicate}: hedged requests; {@code retryAfterMax}: 0 for no Retry-After. */
     record Limits(
             int maxAttempts,
             boolean mayDuplicate,
@@ -177,7 +185,10 @@
         }
     }
 
-    /** The figures of the rules; {@code orderPause}: a key's rest after an attempt that may still run. */
+    /**
+     * The figures of the rules. {@code coldFrom} and {@code rampTime}: a server's slow start, from that part of a warm
+     * one's work on; {@code orderPause}: for how long a key rests after an attempt that may still run.
+     */
     record Bounds(
             long answerSlack,
             long drainGrace,
@@ -197,9 +208,9 @@
     }
 
     /**
-     * All that a balancer is told at its start. {@code rank} is its number among all, from 0;
-     * {@code warmKeys}: a server needs less work for a key that it served lately; {@code tick} is the
-     * shortest step of the clock.
+     * The settings of a balancer. {@code rank} is its number among all {@code balancers}, from 0; {@code
+     * overShareWorth}: the priority of requests over their tenant's quota, as a proportion; {@code warmKeys}: a server
+     * needs less work for a key that it served lately; {@code tick} is the shortest step of the clock.
      */
     record Settings(
             int balancers,
@@ -227,7 +238,7 @@
         }
     }
 
-    /** A server's own report; a figure that it doesn't carry is NaN. {@code recentLatency} is in µs. */
+    /** A server's load report; a figure that it doesn't carry is NaN. {@code recentLatency} is in µs. */
     record Load(
             double inFlight,
             double queued,
@@ -243,24 +254,24 @@
     }
 
     /**
-     * Other settings hold from here on; requests that are open keep those that they were taken under. Zones,
-     * machine kinds, rank, the number of balancers and how lists are learned are the same as before.
+     * Other settings hold from here on; open requests keep those that they were taken under. Zones, machine kinds,
+     * rank, the number of balancers and the kind of discovery are the same as before.
      *
      * @param formerClasses for each class of {@code settings} the number that it had before, or -1
      * @param formerTenants the same for each tenant
      */
     void reload(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out);
 
-    /** News of the list of servers; {@code servers} is empty for {@link ListKind#FAILED}. */
+    /** The endpoint list was updated; {@code servers} is empty for {@link ListKind#FAILED}. */
     void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out);
 
     /**
-     * A request has come in and is owed one final answer before {@code timeLeft} is over.
+     * A request has arrived; it needs one final response before {@code timeLeft} is over.
      *
      * @param tenant 0 where there are none
      * @param key what the request concerns, or null
-     * @param work the client's guess of the work, or -1
-     * @param resubmission the client says that it has tried before
+     * @param work the client's estimate of the work, or -1
+     * @param resubmission the client marked it as not its first submission
      */
     void request(
             long now,
@@ -277,8 +288,8 @@
      * An attempt has ended; each attempt that was sent ends once.
      *
      * @param attempt the request's attempts are numbered 0, 1, 2 ... in the order of their sends
-     * @param closed the request has had its final answer (an OK is passed to the client by the caller)
-     * @param load null where no report came with it
+     * @param closed the request has had its final response (the caller forwards an OK to the client)
+     * @param load null where the response carried no load report
      */
     void outcome(
             long now,
@@ -290,59 +301,58 @@
             Load load,
             Actions out);
 
-    /** A streamed answer has begun: the attempt belongs to the client, its time-outs no longer hold. */
+    /** A streamed response has begun: the attempt belongs to the client, its time-outs no longer hold. */
     void streamStarted(long now, String request, int attempt, Actions out);
 
-    /** The client has left: nothing more is owed. */
+    /** The client has disconnected: the request needs no response. */
     void clientDisconnected(long now, String request, Actions out);
 
-    /** A probe has come back. */
+    /** A health check has ended. */
     void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out);
 
-    /** The time asked for with {@link Actions#wake} has come. */
+    /** The time requested with {@link Actions#wakeAfter} is over. */
     void wake(long now, Actions out);
 
-    /** A message from another balancer; loadbalancer sends none and reads none. */
+    /** A message from another balancer; {@link JsqDasPolicy} sends none and reads none. */
     default void peerMessage(long now, int from, byte[] data, Actions out) {}
 
-    /** What the module may ask for: a sink that the caller implements. */
+    /** The actions that the module may request: implemented by the caller. */
     interface Actions {
         /** Send an attempt; {@code timeout} 0 means until the request's deadline. */
         void send(String request, String server, long timeout);
 
         /**
-         * The same, if it can be begun within that time, in µs: from then on it must not run any more, and
-         * ends as {@link Outcome#NOT_SENT} where its connection comes up later. No other where sends take no
-         * time.
+         * The same, if it can be begun within that time, in µs: from then on it must not run, and ends as {@link
+         * Outcome#NOT_SENT} where its connection is established later. The same as without where sends take no time.
          */
         default void send(String request, String server, long timeout, long within) {
             send(request, server, timeout);
         }
 
-        /** Final answer: refused, trying again is harmless; {@code retryAfter} 0 gives no advice. */
+        /** Final response: rejected, a new submission is harmless; {@code retryAfter} 0: no Retry-After. */
         void reject(String request, long retryAfter);
 
-        /** Final answer: failed, nothing promised. */
+        /** Final response: failed; the request may have run. */
         void fail(String request);
 
         /** Stop waiting for an attempt. */
         void cancel(String request, int attempt);
 
         /**
-         * Whether an attempt at that server would find a connection to go on, and so need no handshake; true
-         * where nobody knows. A question: it changes nothing.
+         * Whether an attempt at that server would find an established connection, and so need no handshake; true
+         * where that is unknown. A query: it changes nothing.
          */
         default boolean isConnected(String server) {
             return true;
         }
 
-        /** Ask a server how it is. */
+        /** Send a health check to a server. */
         void probe(String server);
 
-        /** Subscribe to changes of the list from here on, or end the subscription. */
+        /** Subscribe to updates of the endpoint list, or end the subscription. */
         void watch(boolean on);
 
-        /** Ask for the complete list once. */
+        /** Fetch the complete endpoint list once. */
         void fetchList();
 
         /** Close the idle connections to a server. */
--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -131,7 +131,7 @@
         return firstThatMayHaveRun().sentAt + requestClass.keyMemory() - tickMicros - now;
     }
 
-    /** Whether the client may be told that a new submission does no harm. */
+    /** Whether a new submission by the client does no harm. */
     boolean isHarmlessToResubmit() {
         return firstThatMayHaveRun() == null || isSafe() || isKeyed() && requestClass.scope() == Scope.ALL;
     }
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -24,7 +24,7 @@
     private final DecayScale scale;
     /** Responses per second and unit of weight, of warm servers. */
     private double warmRate;
-    /** The same as if all of them had come from the subset's servers. */
+    /** The same responses per unit of weight of the subset's servers. */
     private double subsetRate;
 
     SlowStart(ActiveSettings active, DecayScale scale) {
--- a/src/main/java/loadbalancer/policy/TimeoutPolicy.java
+++ b/src/main/java/loadbalancer/policy/TimeoutPolicy.java
@@ -16,8 +16,8 @@
      * request already.
      *
      * <p>A request that is not safe to repeat is given up at its objective where a late response earns little: its
-     * client won't come back, and waiting work dropped then makes capacity for work that can be in time. A safe one
-     * would come back; it leaves time for another attempt where hedged requests are forbidden, and is not cut
+     * client won't resubmit it, and waiting work dropped then frees capacity for work that can be in time. A safe one
+     * would be resubmitted; it leaves time for another attempt where hedged requests are forbidden, and is not cut
      * otherwise.
      */
     static long timeoutMicros(RequestState request, long now) {
