--- a/src/main/java/loadbalancer/policy/ArrivalRate.java
+++ b/src/main/java/loadbalancer/policy/ArrivalRate.java
@@ -24,7 +24,7 @@
      * started is otherwise taken for an idle one, and refuses requests at the few servers of its subset.
      */
     double perSecond(long now) {
-        double elapsed = Math.max(MIN_WINDOW_MICROS, now - firstArrivalAt);
+        double elapsed = Math.max(MIN_WINDOW_MICROS, (double) (now - firstArrivalAt));
         return arrivals
                 / DecayScale.TIME_CONSTANT_MICROS
                 * MICROS_PER_SECOND
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -59,7 +59,7 @@
         }
         return !isOutlier(server, now)
                 && (server.trialSuccessesLeft == 0
-                        || server.inFlight == 0 && (request.isSafe() || !active.anyClassSafe()));
+                        || (server.inFlight == 0 && (request.isSafe() || !active.anyClassSafe())));
     }
 
     /** Decides anew whether most servers look like outliers, and all are used. */
--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -133,7 +133,7 @@
 
     /** Whether a new submission by the client does no harm. */
     boolean isHarmlessToResubmit() {
-        return firstThatMayHaveRun() == null || isSafe() || isKeyed() && requestClass.scope() == Scope.ALL;
+        return firstThatMayHaveRun() == null || isSafe() || (isKeyed() && requestClass.scope() == Scope.ALL);
     }
 
     /** When the request must be sent to finish within its objective; at once if that has passed. */
--- a/src/main/java/loadbalancer/policy/SequencedKeys.java
+++ b/src/main/java/loadbalancer/policy/SequencedKeys.java
@@ -16,9 +16,11 @@
     /** Whether all earlier requests of the key are over, and attempts they left behind may no longer run. */
     static boolean mayRun(RequestState request, long now) {
         SequencedKey sequence = request.sequence;
-        return sequence == null
-                || sequence.requests.peekFirst() == request
-                        && (now >= sequence.restUntil || !request.attempts.isEmpty());
+        if (sequence == null) {
+            return true;
+        }
+        boolean first = sequence.requests.peekFirst() == request;
+        return first && (now >= sequence.restUntil || !request.attempts.isEmpty());
     }
 
     /** Lets the key rest after an attempt of which nobody knows whether it still runs. */
--- a/src/main/java/loadbalancer/policy/ServerSampler.java
+++ b/src/main/java/loadbalancer/policy/ServerSampler.java
@@ -57,7 +57,7 @@
                     ? -1
                     : queues.queueLength(ranked.get(drawn), now, out)
                             - queues.queueLength(ranked.get(shortest), now, out);
-            if (difference < 0 || difference == 0 && drawn < shortest) {
+            if (difference < 0 || (difference == 0 && drawn < shortest)) {
                 shortest = drawn;
             }
         }
