--- a/src/test/java/loadbalancer/policy/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/policy/DecisionTraceTest.java
@@ -234,8 +234,8 @@
             String key = random.nextInt(4) == 0 ? null : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
             long work = random.nextInt(3) == 0 ? -1 : 5_000 + random.nextInt(40_000);
             long left = settings.classes().get(requestClass).deadline() / (1 + random.nextInt(3));
-            boolean again = random.nextInt(12) == 0;
-            policy.request(now, id, requestClass, tenant, key, left, work, again, this);
+            boolean resubmission = random.nextInt(12) == 0;
+            policy.request(now, id, requestClass, tenant, key, left, work, resubmission, this);
             later(left, () -> expire(call));
             if (random.nextInt(40) == 0) {
                 later(random.nextLong(left), () -> leave(call));
@@ -255,7 +255,7 @@
             }
         }
 
-        // Servers begin, drain, leave and come back cold; discovery fails now and then.
+        // Servers begin, drain, leave and return cold; discovery fails now and then.
         private void changeList() {
             int chance = random.nextInt(10);
             int index = random.nextInt(SERVERS);
--- a/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -24,7 +24,7 @@
             PolicyTestHarness.settings(PolicyTestHarness.kind(Effect.SAFE, Scope.ALL));
 
     /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
-    private static PolicyTestHarness halves(long seed) {
+    private static PolicyTestHarness twoKinds(long seed) {
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             list.add(new Server("s" + i, State.UP, 0, i < 3 ? 2 : 1, 0, i < 3 ? 0 : 1, 0));
@@ -37,7 +37,7 @@
         // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
         Map<String, Integer> first = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
-            first.merge(halves(seed).request("r", 0).server, 1, Integer::sum);
+            first.merge(twoKinds(seed).request("r", 0).server, 1, Integer::sum);
         }
         assertEquals(Set.of("s0", "s1", "s2", "s3", "s4", "s5"), first.keySet());
         for (int count : first.values()) {
@@ -50,9 +50,9 @@
         // With ranks fixed by different counts, rank i of three wins with probability 2, 1, 0 of 3.
         Map<Integer, Integer> wins = new HashMap<>();
         for (int seed = 0; seed < 3000; seed++) {
-            PolicyTestHarness harness = halves(seed);
+            PolicyTestHarness harness = twoKinds(seed);
             List<String> order = new ArrayList<>();
-            for (int i = 0; i < 60; i++) { // counts come to differ
+            for (int i = 0; i < 60; i++) { // until counts differ
                 PolicyTestHarness.Sent sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.end(sent, Outcome.OK);
@@ -72,14 +72,14 @@
         assertTrue(all > 300, "enough samples with distinct counts: " + all);
         assertEquals(0.67, wins.getOrDefault(0, 0) / all, 0.08);
         assertEquals(0.33, wins.getOrDefault(1, 0) / all, 0.08);
-        assertEquals(0.0, wins.getOrDefault(2, 0) / all, 0.001, "the least of the top set never wins a tie");
+        assertEquals(0.0, wins.getOrDefault(2, 0) / all, 0.001, "the last of the top set never wins a tie");
     }
 
     @Test
     void theShortestSampledQueueWins() {
         // Every server of the top set is given work; then the empty ones of the rest must win.
         for (int seed = 0; seed < 50; seed++) {
-            PolicyTestHarness harness = halves(seed);
+            PolicyTestHarness harness = twoKinds(seed);
             Set<String> busy = new HashSet<>();
             for (int i = 0; i < 3; i++) {
                 busy.add(harness.request("r" + i, 0).server);
@@ -107,7 +107,7 @@
     }
 
     private static List<String> script(long seed) {
-        PolicyTestHarness harness = halves(seed);
+        PolicyTestHarness harness = twoKinds(seed);
         for (int i = 0; i < 300; i++) {
             PolicyTestHarness.Sent sent = harness.request("r" + i, 0);
             harness.pass(7_000 + i % 13 * 1000);
@@ -170,11 +170,11 @@
             PolicyTestHarness harness =
                     new PolicyTestHarness(settings, seed).list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
             harness.links = Set.of("s0")::contains;
-            int held = 0;
+            int queued = 0;
             for (int i = 0; i < 200; i++) {
                 PolicyTestHarness.Sent sent = harness.request("r" + i, 0);
-                if (sent.server.equals("s0") && held < 3) {
-                    held++;
+                if (sent.server.equals("s0") && queued < 3) {
+                    queued++;
                 } else {
                     assertTrue(!sent.server.equals("s0"), "three wait there already");
                     harness.end(sent, Outcome.OK);
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -150,7 +150,7 @@
                     .filter(s -> !s.ended)
                     .toList()
                     .forEach(s -> harness.end(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
-            if (i % 50 == 0) { // machines come and go under new names
+            if (i % 50 == 0) { // machines are replaced under new names
                 harness.list(
                         ListKind.COMPLETE,
                         List.of(
--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -15,17 +15,16 @@
 
 /**
  * Many instances of the module in virtual time, before servers that serve one request at a time, in order,
- * and turn away what finds their waiting room full; clients try again after a refusal. What it counts, it
- * counts over all instances.
+ * and reject what finds their queue full; clients resubmit what was rejected. All counts are over all instances.
  */
 final class FleetModel {
     private static final long STEP = 5_000;
-    private static final int ROOM = 12;
-    private static final IdleTimeout REST = new IdleTimeout(0);
-    private static final int TRIES = 3;
-    private static final long BACK_OFF = 50_000;
+    private static final int QUEUE_CAPACITY = 12;
+    private static final IdleTimeout IDLE_TIMEOUT = new IdleTimeout(0);
+    private static final int MAX_SUBMISSIONS = 3;
+    private static final long RESUBMIT_AFTER = 50_000;
 
-    private static final class Box {
+    private static final class ModelServer {
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         Server server;
         final ArrayDeque<Long> sends = new ArrayDeque<>(); // of the last fall window, while it is cold
@@ -45,7 +44,7 @@
         // Spare ones go first: of those behind it the last was used latest.
         private ArrayDeque<Long> idle(String server) {
             ArrayDeque<Long> at = idle.computeIfAbsent(server, id -> new ArrayDeque<>());
-            while (!at.isEmpty() && REST.ends(of.now - at.peekFirst(), at.size() - 1)) {
+            while (!at.isEmpty() && IDLE_TIMEOUT.ends(of.now - at.peekFirst(), at.size() - 1)) {
                 at.pollFirst();
             }
             return at;
@@ -66,22 +65,22 @@
 
     private record Job(PolicyTestHarness at, PolicyTestHarness.Sent sent, long work) {}
 
-    private record Try(long at, int requestClass, int number, long work) {}
+    private record Submission(long at, int requestClass, int number, long work) {}
 
     final List<PolicyTestHarness> balancers = new ArrayList<>();
     final int[] asked;
     final int[] inTime;
     final int[] refused;
-    double worstCold; // most sent to a cold server in a fall window, in parts of what rule 4 allows
+    double worstCold; // highest number sent to a cold server in a fall window, in parts of what rule 4 allows
     double worstFall; // the same, in parts of what fells it: n + 3 * root of n + 3 of n allowed
     int coldSends;
     int opened; // connections to servers, of all balancers
     long now = PolicyTestHarness.START;
     private final Policy.Settings settings;
     private final SplittableRandom random;
-    private final Map<String, Box> boxes = new HashMap<>();
-    private final PriorityQueue<Try> tries = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    private final Map<String, Try> open = new HashMap<>();
+    private final Map<String, ModelServer> modelServers = new HashMap<>();
+    private final PriorityQueue<Submission> submissions = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final Map<String, Submission> open = new HashMap<>();
     private final List<Integer> seen = new ArrayList<>();
     private final List<List<Job>> sentOut = new ArrayList<>();
     private final Map<String, Double> slowed = new HashMap<>();
@@ -99,7 +98,7 @@
         asked = new int[settings.classes().size()];
         inTime = new int[asked.length];
         refused = new int[asked.length];
-        servers.forEach(s -> boxes.computeIfAbsent(s.id(), id -> new Box()).server = s);
+        servers.forEach(s -> modelServers.computeIfAbsent(s.id(), id -> new ModelServer()).server = s);
         for (int i = 0; i < instances; i++) {
             Policy.Settings s = settings;
             PolicyTestHarness harness = new PolicyTestHarness(
@@ -129,8 +128,8 @@
 
     /** A change that all balancers hear of at once. */
     void change(List<Server> servers) {
-        servers.forEach(s -> boxes.computeIfAbsent(s.id(), id -> new Box()).server = s);
-        boxes.values().forEach(this::speed);
+        servers.forEach(s -> modelServers.computeIfAbsent(s.id(), id -> new ModelServer()).server = s);
+        modelServers.values().forEach(this::speed);
         balancers.forEach(b -> b.list(ListKind.PARTIAL, servers));
     }
 
@@ -147,7 +146,8 @@
                     draw -= shares[kind++];
                 }
                 asked[kind]++;
-                tries.add(new Try((long) next, kind, 1, (long) (-work * Math.log(1 - random.nextDouble()))));
+                submissions.add(
+                        new Submission((long) next, kind, 1, (long) (-work * Math.log(1 - random.nextDouble()))));
                 next += -1e6 / rate * Math.log(1 - random.nextDouble());
             }
             step();
@@ -159,8 +159,8 @@
         for (PolicyTestHarness b : balancers) {
             b.pass(now - b.now);
         }
-        while (!tries.isEmpty() && tries.peek().at <= now) {
-            Try t = tries.poll();
+        while (!submissions.isEmpty() && submissions.peek().at <= now) {
+            Submission t = submissions.poll();
             PolicyTestHarness b = balancers.get(random.nextInt(balancers.size()));
             String id = "q" + requests++;
             open.put(id, t);
@@ -170,7 +170,7 @@
                     0,
                     settings.classes().get(t.requestClass).deadline());
         }
-        boxes.values().forEach(this::serve);
+        modelServers.values().forEach(this::serve);
         for (int i = 0; i < balancers.size(); i++) {
             take(i);
         }
@@ -182,20 +182,20 @@
             ((Connections) at.links).idle(sent.server).addLast(at.now);
         }
         if (settings.reports() == Policy.Reports.ANSWERS) {
-            at.reported = boxes.get(sent.server).queue.size();
+            at.reported = modelServers.get(sent.server).queue.size();
         }
         at.end(sent, outcome);
     }
 
-    private void serve(Box box) {
-        box.queue.removeIf(j -> j.sent.ended);
-        while (!box.queue.isEmpty() && box.freeAt <= now) {
-            Job job = box.queue.poll();
-            double speed = box.speed * box.server.weight() * warmth(box);
-            box.freeAt = Math.max(now - STEP, box.freeAt) + (long) (job.work / speed);
+    private void serve(ModelServer modelServer) {
+        modelServer.queue.removeIf(j -> j.sent.ended);
+        while (!modelServer.queue.isEmpty() && modelServer.freeAt <= now) {
+            Job job = modelServer.queue.poll();
+            double speed = modelServer.speed * modelServer.server.weight() * warmth(modelServer);
+            modelServer.freeAt = Math.max(now - STEP, modelServer.freeAt) + (long) (job.work / speed);
             if (!job.sent.ended) {
                 end(job.at, job.sent, Outcome.OK);
-                Try t = open.remove(job.sent.request);
+                Submission t = open.remove(job.sent.request);
                 if (t != null) {
                     long took = now - t.at;
                     inTime[t.requestClass] +=
@@ -205,21 +205,21 @@
         }
     }
 
-    // Rule 4, as a budget over any window: all that reaches the server counts, also what it turns away.
-    private void count(Box box, long at) {
-        if (warmth(box) < 1) {
-            box.sends.add(at);
-            while (box.sends.peekFirst() <= at - settings.bounds().fallWindow()) {
-                box.sends.pollFirst();
+    // Rule 4, as a budget over any window: all that reaches the server counts, also what it rejects.
+    private void count(ModelServer modelServer, long at) {
+        if (warmth(modelServer) < 1) {
+            modelServer.sends.add(at);
+            while (modelServer.sends.peekFirst() <= at - settings.bounds().fallWindow()) {
+                modelServer.sends.pollFirst();
             }
             double allowed = settings.bounds().overloadFactor()
                     * settings.bounds().fallWindow()
                     / work
-                    * box.speed
-                    * box.server.weight()
-                    * warmth(box);
-            worstCold = Math.max(worstCold, box.sends.size() / allowed);
-            worstFall = Math.max(worstFall, box.sends.size() / (allowed + 3 * Math.sqrt(allowed) + 3));
+                    * modelServer.speed
+                    * modelServer.server.weight()
+                    * warmth(modelServer);
+            worstCold = Math.max(worstCold, modelServer.sends.size() / allowed);
+            worstFall = Math.max(worstFall, modelServer.sends.size() / (allowed + 3 * Math.sqrt(allowed) + 3));
             coldSends++;
         }
     }
@@ -227,15 +227,16 @@
     /** Servers so named need so many times as long for everything, from here on. */
     void slow(String prefix, double times) {
         slowed.put(prefix, times);
-        boxes.values().forEach(this::speed);
+        modelServers.values().forEach(this::speed);
     }
 
-    private void speed(Box box) {
-        slowed.forEach((prefix, times) -> box.speed = box.server.id().startsWith(prefix) ? 1 / times : box.speed);
+    private void speed(ModelServer modelServer) {
+        slowed.forEach((prefix, times) ->
+                modelServer.speed = modelServer.server.id().startsWith(prefix) ? 1 / times : modelServer.speed);
     }
 
-    private double warmth(Box box) {
-        long start = box.server.startedAt();
+    private double warmth(ModelServer modelServer) {
+        long start = modelServer.server.startedAt();
         double age = start == 0 ? 1 : (double) (now - start) / settings.bounds().rampTime();
         return Math.min(1, settings.bounds().coldFrom() + (1 - settings.bounds().coldFrom()) * age);
     }
@@ -246,14 +247,15 @@
         List<Job> jobs = sentOut.get(number);
         for (; seen.get(number) < b.sends.size(); seen.set(number, seen.get(number) + 1)) {
             PolicyTestHarness.Sent s = b.sends.get(seen.get(number));
-            Box box = boxes.get(s.server);
-            Try t = open.get(s.request);
-            count(box, s.at);
-            if (box.server.state() != State.UP || box.queue.size() >= ROOM * box.server.weight()) {
+            ModelServer modelServer = modelServers.get(s.server);
+            Submission t = open.get(s.request);
+            count(modelServer, s.at);
+            if (modelServer.server.state() != State.UP
+                    || modelServer.queue.size() >= QUEUE_CAPACITY * modelServer.server.weight()) {
                 end(b, s, Outcome.FULL);
             } else {
                 Job job = new Job(b, s, t == null ? 0 : t.work);
-                box.queue.add(job);
+                modelServer.queue.add(job);
                 jobs.add(job);
             }
         }
@@ -267,13 +269,13 @@
         }
         b.cancels.clear();
         b.finals.forEach((id, how) -> {
-            Try t = open.remove(id);
+            Submission t = open.remove(id);
             if (t != null && how.equals("refused")) {
                 refused[t.requestClass]++;
-                long gone = now - t.at;
-                if (t.number < TRIES
-                        && gone < settings.classes().get(t.requestClass).deadline()) {
-                    tries.add(new Try(now + BACK_OFF, t.requestClass, t.number + 1, t.work));
+                long elapsed = now - t.at;
+                if (t.number < MAX_SUBMISSIONS
+                        && elapsed < settings.classes().get(t.requestClass).deadline()) {
+                    submissions.add(new Submission(now + RESUBMIT_AFTER, t.requestClass, t.number + 1, t.work));
                 }
             }
         });
--- a/src/test/java/loadbalancer/policy/FleetTest.java
+++ b/src/test/java/loadbalancer/policy/FleetTest.java
@@ -62,7 +62,7 @@
     }
 
     /**
-     * By steps alone the level came seconds too late, and stayed for as long again: 0.87 to 0.89 in a draw.
+     * By steps alone the level rose seconds too late, and stayed for as long once more: 0.87 to 0.89 in a draw.
      * Single draws now lie between 0.88 and 0.92, so the mean of many is what tells the two apart.
      */
     @Test
@@ -89,7 +89,7 @@
         assertTrue(sum / DRAWS > 0.9, sum / DRAWS + " of " + figures);
     }
 
-    /** Rule 4 over all balancers, told their number rightly or wrong by a third; room for works that vary. */
+    /** Rule 4 over all balancers, whose configured number is right or wrong by a third; a margin for varying work. */
     @ParameterizedTest
     @CsvSource({"14, 0.4", "14, 0.7", "14, 0.95", "19, 0.7", "10, 0.7", "19, 0.95"})
     void noColdServerIsPushedOverByAllBalancersTogether(int balancers, double load) {
@@ -170,12 +170,12 @@
                         s.bounds(),
                         2_000),
                 instances,
-                halves("s", 0, 0, MANY_SERVERS),
+                twoKinds("s", 0, 0, MANY_SERVERS),
                 seed);
     }
 
     // Every other one is four times as fast, and listed so.
-    private static List<Server> halves(String name, long startedAt, int from, int to) {
+    private static List<Server> twoKinds(String name, long startedAt, int from, int to) {
         return servers(name, State.UP, startedAt, from, to).stream()
                 .map(x -> new Server(
                         x.id(),
@@ -204,7 +204,7 @@
     }
 
     /**
-     * Rule 4 where each balancer sends a cold server one request in a while, told their number or too few,
+     * Rule 4 where each balancer sends a cold server one request in a while, configured with their number or too few,
      * just started or for long at work. By the fleet's mean alone, of which only the few balancers with the
      * server in their subset made use, 56 requests reached sixty newcomers in 6 s at the lower load, and 387
      * since. What the fullest of sixty got differs by a tenth from draw to draw, so several are drawn.
@@ -219,7 +219,7 @@
             fleet.change(servers("s", State.DRAINING, 0, 0, 60));
             fleet.slow("new", 1.5);
             fleet.run(1_500_000, load * MANY_RATE, SHARES, MANY_WORK);
-            fleet.change(halves("new", fleet.now, 0, 60));
+            fleet.change(twoKinds("new", fleet.now, 0, 60));
             fleet.run(6_000_000, load * MANY_RATE, SHARES, MANY_WORK);
             String figures = balancers + " at " + load + ", seed " + seed + ": " + fleet.worstFall + " of a fall, "
                     + fleet.worstCold + " of what is allowed";
@@ -238,15 +238,15 @@
         fleet.run(1_000_000, 0.6 * MANY_RATE, SHARES, MANY_WORK);
         fleet.balancers.forEach(b -> b.list(ListKind.PARTIAL, List.of()).list(ListKind.FAILED, List.of()));
         int before = calls(fleet);
-        int most = 0;
+        int maxCalls = 0;
         int called = before;
         for (int i = 0; i < 20; i++) {
             fleet.run(50_000, 0.6 * MANY_RATE, SHARES, MANY_WORK);
-            most = Math.max(most, calls(fleet) - called);
+            maxCalls = Math.max(maxCalls, calls(fleet) - called);
             called = calls(fleet);
         }
         assertEquals(MANY, called - before, "each asks once within a second");
-        assertTrue(most <= 25, "calls within 50 ms: " + most);
+        assertTrue(maxCalls <= 25, "calls within 50 ms: " + maxCalls);
     }
 
     private static int calls(FleetModel fleet) {
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -65,7 +65,7 @@
         assertFalse(harness.sentFor("r").get(1).server.equals(first.server));
     }
 
-    /** Repeats are dropped for 2 s from the first send: a connection may come up later than that. */
+    /** Repeats are dropped for 2 s from the first send: a connection may be established later than that. */
     @Test
     void aKeyedRepeatSaysHowLongItMayTakeToBegin() {
         PolicyTestHarness harness = warmWithoutCopies(PolicyTestHarness.kind(Effect.KEYED, Scope.CELL));
@@ -75,7 +75,7 @@
         assertEquals(2, harness.sentFor("r").size());
         long left = harness.within.get("r");
         assertTrue(left > 1_500_000 && left <= first.at + 2_000_000 - harness.now, "left: " + left);
-        assertFalse(harness.within.containsKey("warm-" + PolicyTestHarness.START + "-0"), "a first send may come late");
+        assertFalse(harness.within.containsKey("warm-" + PolicyTestHarness.START + "-0"), "a first send may be late");
     }
 
     @Test
@@ -105,7 +105,7 @@
                 .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         harness.warmUp(60, 0, 40_000);
         PolicyTestHarness.Sent first = harness.request("r", 0);
-        assertTrue(first.timeout > 0 && first.timeout < PolicyTestHarness.DEADLINE, "room is left for another attempt");
+        assertTrue(first.timeout > 0 && first.timeout < PolicyTestHarness.DEADLINE, "time is left for another attempt");
         harness.pass(PolicyTestHarness.AIM);
         assertEquals(1, harness.sentFor("r").size());
     }
@@ -156,7 +156,7 @@
             harness.end(sent, Outcome.OK);
         }
         harness.list(ListKind.COMPLETE, List.of(PolicyTestHarness.up("s1")));
-        assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is gone");
+        assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is removed");
     }
 
     @Test
@@ -225,7 +225,7 @@
         Map<String, Integer> classOf = new TreeMap<>();
         Map<String, Long> unusable = new TreeMap<>();
         Map<String, Map<Integer, Outcome>> ended = new TreeMap<>();
-        List<String> gone = new ArrayList<>();
+        List<String> disconnected = new ArrayList<>();
         harness.list(ListKind.PERSISTED, PolicyTestHarness.fleet(random.nextInt(8)));
         PolicyTestHarness.fleet(8).forEach(s -> truth.put(s.id(), s));
         int checked = 0;
@@ -245,7 +245,7 @@
                     PolicyTestHarness.Sent sent = out.get(random.nextInt(out.size()));
                     Outcome[] all = Outcome.values();
                     Outcome outcome = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-                    if (outcome == Outcome.OK && gone.contains(sent.request)) {
+                    if (outcome == Outcome.OK && disconnected.contains(sent.request)) {
                         outcome = Outcome.CANCELLED;
                     }
                     ended.computeIfAbsent(sent.request, k -> new TreeMap<>()).put(sent.number, outcome);
@@ -254,8 +254,8 @@
             } else if (what < 90 && !deadlines.isEmpty()) {
                 String id = "r" + random.nextInt(step + 1);
                 if (deadlines.containsKey(id) && !harness.finals.containsKey(id)) {
-                    harness.finals.put(id, "gone");
-                    gone.add(id);
+                    harness.finals.put(id, "disconnected");
+                    disconnected.add(id);
                     harness.policy.clientDisconnected(harness.now, id, harness);
                 }
             } else if (what < 93) {
@@ -282,7 +282,7 @@
             } else {
                 harness.pass(random.nextLong(60_000));
             }
-            // Attempts whose own time-out or request's deadline has come end then, as on the wire.
+            // Attempts whose own time-out or request's deadline is over end then, as on the wire.
             for (PolicyTestHarness.Sent s : new ArrayList<>(harness.sends)) {
                 long until =
                         s.timeout > 0 ? Math.min(s.at + s.timeout, deadlines.get(s.request)) : deadlines.get(s.request);
@@ -294,7 +294,7 @@
             for (; checked < harness.sends.size(); checked++) {
                 PolicyTestHarness.Sent s = harness.sends.get(checked);
                 Long since = unusable.get(s.server);
-                assertTrue(since == null || s.at <= since, "sent to a draining or gone server: " + s.server);
+                assertTrue(since == null || s.at <= since, "sent to a draining or removed server: " + s.server);
                 checkRepeat(harness, s, kinds.get(classOf.get(s.request)), ended, copies);
             }
         }
--- a/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FurtherRulesTest.java
@@ -98,7 +98,7 @@
         PolicyTestHarness harness = fleet(ordered(Effect.SAFE));
         PolicyTestHarness.Sent first = harness.keyed("a", 0, "k");
         harness.keyed("b", 0, "k");
-        harness.finals.put("a", "gone");
+        harness.finals.put("a", "disconnected");
         harness.policy.clientDisconnected(harness.now, "a", harness);
         harness.pass(50_000);
         assertEquals(0, harness.sentFor("b").size(), "its attempt has no outcome yet");
@@ -110,14 +110,14 @@
     }
 
     @Test
-    void theOneThatHasTheTurnIsTriedAgainWithoutAWait() {
+    void theRequestThatMayRunIsRetriedWithoutAWait() {
         PolicyTestHarness harness = fleet(ordered(Effect.SAFE));
         harness.end(harness.keyed("a", 0, "k"), Outcome.RESET);
         assertEquals(2, harness.sentFor("a").size());
     }
 
     @Test
-    void aRequestWhoseTurnNeverComesIsAnsweredInTime() {
+    void aRequestThatNeverMayRunIsFinishedInTime() {
         PolicyTestHarness harness = fleet(ordered(Effect.SAFE));
         harness.keyed("a", 0, "k");
         long from = harness.now;
--- a/src/test/java/loadbalancer/policy/LearningTest.java
+++ b/src/test/java/loadbalancer/policy/LearningTest.java
@@ -25,7 +25,7 @@
                 .list(ListKind.PERSISTED, PolicyTestHarness.fleet(servers));
     }
 
-    /** Serves four requests at a time for a while; attempts on the bad servers end as told. */
+    /** Serves four requests at a time for a while; attempts on the bad servers end as given. */
     private static void serve(PolicyTestHarness harness, int requests, long latency, Map<String, Outcome> bad) {
         for (int i = 0; i < requests; i++) {
             for (int j = 0; j < 4; j++) {
@@ -96,7 +96,7 @@
 
     @Test
     void theLimitRecoversAfterOverload() {
-        // Idle servers kept their old strain, which held the limit down for 20 s after the load had gone.
+        // Idle servers kept their old load, which held the limit down for 20 s after the overload had ended.
         PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 200, 30_000, Map.of());
         for (int i = 0; i < 60; i++) { // everything takes ten times as long
@@ -153,7 +153,7 @@
 
     @Test
     void aCallerThatSleptForLongIsNoFailure() {
-        // With every server idle for 13 minutes all weights of the middle strain are 0.
+        // With every server idle for 13 minutes all weights of the middle tier are 0.
         PolicyTestHarness harness = harness(1, SAFE);
         for (int i = 0; i < 10; i++) {
             harness.end(harness.request("r" + i, 0), Outcome.OK);
@@ -173,8 +173,8 @@
         // A third of all answers came after the first try's aim: worthless work that crowded out the rest.
         PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("late", 0, PolicyTestHarness.DEADLINE - PolicyTestHarness.AIM - 200_000);
-        harness.again("quick", 0, PolicyTestHarness.DEADLINE - 150_000); // this one can still be in time
+        harness.resubmit("late", 0, PolicyTestHarness.DEADLINE - PolicyTestHarness.AIM - 200_000);
+        harness.resubmit("quick", 0, PolicyTestHarness.DEADLINE - 150_000); // this one can still be in time
         assertEquals(1, harness.sentFor("quick").size());
         assertEquals("refused", harness.finals.get("late"));
     }
@@ -183,7 +183,7 @@
     void aNextTryThatMayBeInTimeIsServedLikeAnyOther() {
         PolicyTestHarness harness = harness(6, SAFE);
         serve(harness, 20, 20_000, Map.of());
-        harness.again("again", 0, PolicyTestHarness.DEADLINE); // as much time as a first try: age unknown
+        harness.resubmit("again", 0, PolicyTestHarness.DEADLINE); // as much time as a first try: age unknown
         assertEquals(1, harness.sentFor("again").size());
     }
 
@@ -242,14 +242,14 @@
 
     @Test
     void strainTurnsAwayAShareAndCalmTakesItBack() {
-        // A limit on attempts in flight, about one for most balancers, refused most of a calm day.
+        // A limit on attempts in flight, about one for most balancers, rejected most of a calm day.
         PolicyTestHarness harness = harness(6, SAFE);
-        assertEquals(40, sentOf(harness, 40, 0, 0, 50_000), "a calm day is served whole");
+        assertEquals(40, sentOf(harness, 40, 0, 0, 50_000), "a calm day is served completely");
         sentOf(harness, 30, 0, 0, 900_000);
         int late = sentOf(harness, 20, 0, 0, 900_000);
         assertTrue(late < 14, "with all late a part is turned away at once: sent " + late + " of 20");
         sentOf(harness, 200, 0, 0, 50_000);
-        assertTrue(sentOf(harness, 40, 0, 0, 50_000) >= 39, "and let in again");
+        assertTrue(sentOf(harness, 40, 0, 0, 50_000) >= 39, "and admitted after it");
     }
 
     @Test
@@ -263,16 +263,16 @@
 
     @Test
     void theCheapestAreTurnedAwayFirst() {
-        Policy.RequestClass dear = new Policy.RequestClass(
+        Policy.RequestClass valuable = new Policy.RequestClass(
                 Effect.UNSAFE, Scope.ALL, 0, PolicyTestHarness.AIM, PolicyTestHarness.DEADLINE, 0, 9, 0, false);
-        PolicyTestHarness harness = harness(6, UNSAFE, dear);
+        PolicyTestHarness harness = harness(6, UNSAFE, valuable);
         for (int i = 0; i < 30; i++) {
             sentOf(harness, 1, 0, 0, 350_000);
             sentOf(harness, 1, 1, 0, 350_000);
         }
         int cheap = sentOf(harness, 10, 0, 0, 1_000);
         int valued = sentOf(harness, 10, 1, 0, 1_000);
-        assertTrue(valued >= 8 && cheap <= 2, "sent: " + valued + " dear, " + cheap + " cheap");
+        assertTrue(valued >= 8 && cheap <= 2, "sent: " + valued + " valuable, " + cheap + " cheap");
     }
 
     @Test
@@ -350,7 +350,7 @@
         // After a burst work whose aim had passed filled the queues before work that could be in time.
         PolicyTestHarness harness = harness(6, SAFE, UNSAFE);
         assertEquals(PolicyTestHarness.AIM, harness.request("once", 1).timeout);
-        assertEquals(0, harness.request("safe", 0).timeout, "its client would only come again");
+        assertEquals(0, harness.request("safe", 0).timeout, "its client would only resubmit it");
         PolicyTestHarness.Sent late = harness.sentFor("once").get(0);
         harness.pass(PolicyTestHarness.AIM);
         harness.end(late, Outcome.TIMEOUT);
@@ -359,7 +359,7 @@
 
     @Test
     void aFullServerRestsForAMoment() {
-        // It answers in no time, so it won again and again: two of five attempts were turned away.
+        // It answers in no time, so it won time after time: two of five attempts were rejected.
         PolicyTestHarness harness = harness(6, UNSAFE);
         serve(harness, 50, 50_000, Map.of());
         PolicyTestHarness.Sent full = harness.request("full", 0);
@@ -422,7 +422,7 @@
                 harness.end(harness.sentFor("full" + i).get(j), Outcome.FULL);
             }
         }
-        assertEquals(5, refusedUnsent(harness), "the strain is high enough");
+        assertEquals(5, refusedUnsent(harness), "the load is high enough");
         harness.pass(60_000); // the servers that were full have rested
         PolicyTestHarness.Sent sent = null;
         for (int i = 0; sent == null; i++) {
@@ -466,9 +466,9 @@
     @Test
     void whereWorthGoesByRequestClassesAreTurnedAwayAlike() {
         // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
-        Policy.RequestClass dear = new Policy.RequestClass(
+        Policy.RequestClass valuable = new Policy.RequestClass(
                 Effect.UNSAFE, Scope.ALL, 0, PolicyTestHarness.AIM, PolicyTestHarness.DEADLINE, 0, 9, 0, false);
-        Policy.Settings s = PolicyTestHarness.settings(UNSAFE, dear);
+        Policy.Settings s = PolicyTestHarness.settings(UNSAFE, valuable);
         PolicyTestHarness harness = new PolicyTestHarness(
                         new Policy.Settings(
                                 1,
@@ -494,7 +494,7 @@
         }
         int cheap = sentOf(harness, 60, 0, 0, 1_000);
         int valued = sentOf(harness, 60, 1, 0, 1_000);
-        assertTrue(cheap >= valued / 2, "sent: " + valued + " dear, " + cheap + " cheap");
+        assertTrue(cheap >= valued / 2, "sent: " + valued + " valuable, " + cheap + " cheap");
     }
 
     @Test
@@ -544,7 +544,7 @@
 
     @Test
     void newsOfFullQueuesDoesNotTurnAllAway() {
-        // Late answers counted twice their aim: refusal rose to 86% in seconds, fell back and rose again.
+        // Late answers counted twice their aim: refusal rose to 86% in seconds, fell and rose a second time.
         PolicyTestHarness harness = harness(6, SAFE);
         sentOf(harness, 40, 0, 0, 50_000);
         for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
@@ -568,6 +568,6 @@
         assertTrue(sent >= 4 && sent <= 36, "a part is turned away at once, never all: sent " + sent);
         sentOf(harness, 20, 0, 0, 50_000);
         sent = sentOf(harness, 40, 0, 0, 20_000);
-        assertTrue(sent >= 36, "and let in again: " + sent);
+        assertTrue(sent >= 36, "and admitted after it: " + sent);
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyTestHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestHarness.java
@@ -28,7 +28,7 @@
         default void sent(String server) {}
     }
 
-    /** An attempt that was sent; {@code ended} once its outcome was told. */
+    /** An attempt that was sent; {@code ended} once the module was notified of its outcome. */
     static final class Sent {
         final String request;
         final int number;
@@ -133,7 +133,7 @@
     }
 
     /** A marked resubmission. */
-    Sent again(String id, int requestClass, long timeLeft) {
+    Sent resubmit(String id, int requestClass, long timeLeft) {
         return request(id, requestClass, 0, timeLeft, true);
     }
 
@@ -208,8 +208,8 @@
     }
 
     @Override
-    public void send(String request, String server, long timeout, long mostUntilBegun) {
-        within.put(request, mostUntilBegun);
+    public void send(String request, String server, long timeout, long sendWithin) {
+        within.put(request, sendWithin);
         send(request, server, timeout);
     }
 
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -52,7 +52,7 @@
                 return "sent after its answer";
             }
             if (!usable) {
-                return "sent to a draining or gone server";
+                return "sent to a draining or removed server";
             }
             for (int i = 0; i < k.ended.size(); i++) {
                 boolean mayHaveRun = k.ended.get(i) == null || !k.ended.get(i).neverRan();
@@ -102,10 +102,10 @@
             long from = sends.get(i);
             double part = b.coldFrom() + (1 - b.coldFrom()) * (from - started) / b.rampTime();
             long until = from + b.fallWindow();
-            long many = sends.stream().filter(t -> t >= from && t < until).count();
-            double most = b.overloadFactor() * part * warmPerSecond * b.fallWindow() / 1e6 + 2;
-            if (many > most && from - started < b.rampTime()) {
-                return many + " sends in a window that bears " + most;
+            long count = sends.stream().filter(t -> t >= from && t < until).count();
+            double limit = b.overloadFactor() * part * warmPerSecond * b.fallWindow() / 1e6 + 2;
+            if (count > limit && from - started < b.rampTime()) {
+                return count + " sends in a window that bears " + limit;
             }
         }
         return null;
--- a/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -145,7 +145,7 @@
                 harness.list(ListKind.PARTIAL, List.of(s.withState(State.values()[random.nextInt(3)])));
             } else if (what < 86 && !classOf.isEmpty()) {
                 String id = List.copyOf(classOf.keySet()).get(random.nextInt(classOf.size()));
-                if (harness.finals.putIfAbsent(id, "gone") == null) {
+                if (harness.finals.putIfAbsent(id, "disconnected") == null) {
                     checker.over.put(id, true);
                     harness.policy.clientDisconnected(harness.now, id, harness);
                 }
--- a/src/test/java/loadbalancer/policy/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/policy/SettingsReloadTest.java
@@ -20,7 +20,7 @@
 
     private static final class World implements NoOpActions {
         final Map<String, Policy.RequestClass> kinds = new HashMap<>();
-        final Map<String, Integer> most = new HashMap<>();
+        final Map<String, Integer> maxAttempts = new HashMap<>();
         final Map<String, Integer> sent = new HashMap<>();
         final Map<String, Integer> answers = new HashMap<>();
         final Set<String> mayHaveRun = new java.util.HashSet<>();
@@ -31,7 +31,7 @@
         @Override
         public void send(String request, String server, long timeout) {
             int number = sent.merge(request, 1, Integer::sum) - 1;
-            assertTrue(number < most.get(request), request + ": more attempts than when it was taken");
+            assertTrue(number < maxAttempts.get(request), request + ": more attempts than when it was taken");
             assertTrue(
                     !mayHaveRun.contains(request) || kinds.get(request).effect() != Effect.UNSAFE,
                     request + ": unsafe, and may have run");
@@ -129,7 +129,7 @@
                     String id = "r" + taken++;
                     int number = random.nextInt(s.classes().size());
                     w.kinds.put(id, s.classes().get(number));
-                    w.most.put(id, s.limits().maxAttempts());
+                    w.maxAttempts.put(id, s.limits().maxAttempts());
                     int tenant = s.tenants().isEmpty()
                             ? 0
                             : random.nextInt(s.tenants().size());
