--- a/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
@@ -3,63 +3,68 @@
 import java.util.PriorityQueue;
 
 /**
- * For how long the loop has not looked at its sockets, as far as its timers tell, and what follows from it:
- * what was due and has not come still waits for its turn, so what is read now may have lain there since.
- * Guards against answers that are in time by the balancer's count and too late by their client's, and against
- * sends by a list whose change lies unread. Decides without I/O or clock; times in µs of one clock. For one
- * thread.
+ * Decides from the lateness of timers for how long the event loop has been stalled, and what follows: as
+ * long as a timer is overdue the sockets have not been polled either, so what is read now may have lain there
+ * since. Guards against responses that are in time by the balancer's clock and too late by the client's, and
+ * against attempts by an endpoint list whose update lies unread. No I/O and no clock; times in µs of one
+ * clock. For one thread.
  */
 final class EventLoopStallDetector {
-    /** Between signs of life of the loop: what has lain unread is known to that. */
-    static final long BEAT = 20_000;
+    /** Between heartbeats of the event loop: the precision at which a stall is known. */
+    static final long HEARTBEAT_MICROS = 20_000;
 
-    private static final long OLD_LIST = 100_000; // behind which the list may have changed
-    private static final long TOLD_LEAST = 200_000; // that a beat may be late before it is told
-    private static final long TOLD_EVERY = 5_000_000;
+    private static final long STALE_LIST_MICROS = 100_000; // behind a longer stall the list may have changed
+    private static final long REPORT_MIN_MICROS = 200_000; // shorter stalls are not logged
+    private static final long REPORT_INTERVAL_MICROS = 5_000_000;
 
-    private final PriorityQueue<Long> due = new PriorityQueue<>();
-    private long toldAt = Long.MIN_VALUE / 2;
-    private long passed = Long.MAX_VALUE; // MAX: it has not been told of any pass
+    private static final long NEVER_POLLED = Long.MAX_VALUE;
 
-    /** A timer is to come then. */
-    void expect(long at) {
-        due.add(at);
+    private final PriorityQueue<Long> expectedTimers = new PriorityQueue<>();
+    private long reportedAt = Long.MIN_VALUE / 2;
+    private long lastPollBegan = NEVER_POLLED;
+
+    /** A timer is due at that time. */
+    void timerExpected(long dueAt) {
+        expectedTimers.add(dueAt);
     }
 
-    /** A timer that was due then has come. */
-    void came(long at) {
-        due.remove(at);
+    /** A timer that was due at that time has fired. */
+    void timerFired(long dueAt) {
+        expectedTimers.remove(dueAt);
     }
 
     /** For how long what is read now may have lain unread. */
-    long unread(long now) {
-        return due.isEmpty() ? 0 : Math.max(0, now - due.peek());
+    long unreadFor(long now) {
+        return expectedTimers.isEmpty() ? 0 : Math.max(0, now - expectedTimers.peek());
     }
 
-    /** Whether news of the list may lie unread behind what is read now. */
-    boolean hidesNews(long now) {
-        return unread(now) > OLD_LIST;
+    /** Whether an update of the endpoint list may lie unread behind what is read now. */
+    boolean mayHideUpdates(long now) {
+        return unreadFor(now) > STALE_LIST_MICROS;
     }
 
-    /** A whole pass over the sockets has begun then or later, and ended. */
-    void passed(long began) {
-        passed = passed == Long.MAX_VALUE ? began : Math.max(passed, began);
+    /** All sockets have been polled since {@code began}. */
+    void socketsPolled(long began) {
+        lastPollBegan = lastPollBegan == NEVER_POLLED ? began : Math.max(lastPollBegan, began);
     }
 
     /**
-     * Until when the grace of no drain can be over of which nothing has been read: it may have been told
-     * right behind the begin of the last pass.
+     * Until when the grace of a drain that has not been read can't be over: the drain may have been announced
+     * right behind the begin of the last poll.
      */
     long graceHolds(long grace) {
-        return passed == Long.MAX_VALUE
-                ? passed
-                : Math.max(passed + OLD_LIST, DrainGrace.stopAt(DrainGrace.NEVER, passed, grace));
+        return lastPollBegan == NEVER_POLLED
+                ? NEVER_POLLED
+                : Math.max(
+                        lastPollBegan + STALE_LIST_MICROS, DrainGrace.stopAt(DrainGrace.NEVER, lastPollBegan, grace));
     }
 
-    /** Whether operators are to hear that a beat came so late; not each time where it goes on. */
-    boolean tells(long late, long now) {
-        boolean tells = late > TOLD_LEAST && now - toldAt >= TOLD_EVERY;
-        toldAt = tells ? now : toldAt;
-        return tells;
+    /** Whether operators are to be told that a heartbeat was so late; not each time while stalls go on. */
+    boolean shouldReport(long lateness, long now) {
+        boolean report = lateness > REPORT_MIN_MICROS && now - reportedAt >= REPORT_INTERVAL_MICROS;
+        if (report) {
+            reportedAt = now;
+        }
+        return report;
     }
 }
--- a/src/main/java/loadbalancer/proxy/Invariants.java
+++ b/src/main/java/loadbalancer/proxy/Invariants.java
@@ -20,7 +20,9 @@
         /** A request was about to get a second final response. */
         SECOND_RESPONSE,
         /** The program closed a client's connection while it owed a response on it. */
-        CLOSED_UNANSWERED
+        CLOSED_UNANSWERED,
+        /** A request or attempt was about to leave a state that it can only be in once. */
+        ILLEGAL_TRANSITION
     }
 
     private final Map<Violation, Long> counts = new EnumMap<>(Violation.class);
--- a/src/test/java/loadbalancer/proxy/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -297,7 +297,7 @@
     void whereTheModuleIsSilentTheLastResortAnswersInTimeAndNothingIsSentAfterIt() {
         policy.silent = true;
         take();
-        loop.pass(100_000 - Dispatcher.GUARD);
+        loop.pass(100_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
         assertEquals(List.of("failed"), answers.given);
         assertEquals(List.of("last-resort answers: 1"), log);
         assertFalse(dispatcher.isOpen("r1"));
@@ -390,9 +390,11 @@
         dispatcher.beginShutdown(600_000); // the longest deadline is 100 ms
         loop.pass(650_000);
         takeFor(5_000_000);
-        assertEquals(50_000 - Dispatcher.GUARD - Dispatcher.LAST_WORD, carrier.started.get(0).wait);
+        assertEquals(
+                50_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS - RequestDeadlines.LAST_ATTEMPT_LEAD_MICROS,
+                carrier.started.get(0).wait);
         policy.silent = true;
-        loop.pass(50_000 - Dispatcher.GUARD);
+        loop.pass(50_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
         assertEquals(List.of("failed"), answers.given);
     }
 
@@ -416,7 +418,7 @@
     @Test
     void behindAStandstillNewsOfTheListComesFirst() {
         dispatcher.startStallDetection();
-        loop.stall(EventLoopStallDetector.BEAT + 500_000);
+        loop.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 500_000);
         takeFor(900_000);
         takeFor(900_000);
         dispatcher.updateEndpoints(Policy.ListKind.PARTIAL, new EndpointUpdate(2, false, List.of()));
@@ -458,14 +460,15 @@
                 stands.attach(new FakeCarrier(), EndpointSource.NONE);
                 stands.startStallDetection();
                 left[0] = look;
-                still.pass(EventLoopStallDetector.BEAT);
+                still.pass(EventLoopStallDetector.HEARTBEAT_MICROS);
                 boolean stood = left[0] <= 0;
                 left[0] = Integer.MAX_VALUE;
                 String where = (before ? "before look " : "behind look ") + look;
                 if (stood) {
                     assertTrue(stands.mayHaveUnread(), where);
                     still.pass(0); // behind passes over the sockets
-                    still.pass(EventLoopStallDetector.BEAT); // its next one may have been asked for behind it
+                    still.pass(
+                            EventLoopStallDetector.HEARTBEAT_MICROS); // its next one may have been asked for behind it
                 } else {
                     assertTrue(look > 1, "it looks");
                 }
@@ -490,7 +493,7 @@
                 late.stall(turn);
                 late.pass(0);
             }
-            late.pass(EventLoopStallDetector.BEAT);
+            late.pass(EventLoopStallDetector.HEARTBEAT_MICROS);
             assertEquals(20, over.size());
             assertFalse(over.contains(true), turn + ": " + over);
             late.stall(1_300_000);
@@ -502,14 +505,14 @@
     @Test
     void whoeverLeavesBeforeTheModuleHeardOfItIsNotToldToIt() {
         dispatcher.startStallDetection();
-        loop.stall(EventLoopStallDetector.BEAT + 500_000);
+        loop.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 500_000);
         takeFor(900_000).run();
         loop.pass(0);
         assertEquals(List.of(), policy.seen);
         assertEquals(List.of(), policy.told);
         assertFalse(dispatcher.isOpen("r1"));
         assertEquals(0, dispatcher.pendingResponses());
-        loop.stall(EventLoopStallDetector.BEAT + 500_000);
+        loop.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 500_000);
         takeFor(900_000);
         dispatcher.retire();
         loop.pass(0);
@@ -521,16 +524,16 @@
     void whatMayHaveLainUnreadIsKnownWithoutTheModulesWakes() {
         policy.silent = true;
         dispatcher.startStallDetection();
-        loop.stall(EventLoopStallDetector.BEAT + 40_000);
+        loop.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 40_000);
         take();
         assertEquals(48_000, carrier.started.get(0).wait);
         loop.pass(0); // the beat has come
         take();
         assertEquals(50_000, carrier.started.get(1).wait);
         assertEquals(List.of(), log);
-        loop.stall(EventLoopStallDetector.BEAT + 730_000);
+        loop.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000);
         loop.pass(0);
-        loop.stall(EventLoopStallDetector.BEAT + 730_000); // right after that: no second line
+        loop.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000); // right after that: no second line
         loop.pass(0);
         assertEquals(
                 List.of("stood still for 730 ms: what came meanwhile lay unread"),
