--- a/src/main/java/loadbalancer/proxy/RequestLog.java
+++ b/src/main/java/loadbalancer/proxy/RequestLog.java
@@ -5,15 +5,17 @@
 import java.util.function.Consumer;
 
 /**
- * What happens to each connection, request and attempt, a line an event, for whoever looks into a failure.
- * Off unless operators ask for it ({@value #VARIABLE}): at full load it writes thousands of lines a second,
+ * Logs the events of each connection, request and attempt, one line an event, for the analysis of a failure.
+ * Off unless operators switch it on ({@value #VARIABLE}): at full load it writes thousands of lines a second,
  * and the sink drops what it can't keep up with. On the event loop.
  */
 public final class RequestLog {
     /** The environment variable that switches it on, by the value {@code on}. */
-    public static final String VARIABLE = "HONEYSPINDLE_REQUEST_LOG";
+    public static final String VARIABLE = "ROUTER_REQUEST_LOG";
+    /** Its former name, which is read where {@link #VARIABLE} is not set. */
+    static final String FORMER_VARIABLE = "HONEYSPINDLE_REQUEST_LOG";
 
-    /** What is logged, by its stable name in lower case. */
+    /** The events; each is logged by its name in lower case. */
     public enum Event {
         CONNECTION_ACCEPTED,
         CONNECTION_CLOSED,
@@ -33,7 +35,7 @@
         LIST_RECEIVED
     }
 
-    /** Writes nothing. */
+    /** A log that writes nothing. */
     public static final RequestLog OFF = new RequestLog(null);
 
     private final Consumer<String> sink;
@@ -42,22 +44,23 @@
         this.sink = sink;
     }
 
-    /** One that writes to {@code sink} where the environment asks for it; {@code sink} must not block. */
+    /** A log that writes to {@code sink} where the environment switches it on; {@code sink} must not block. */
     public static RequestLog of(Map<String, String> environment, Consumer<String> sink) {
-        return "on".equals(environment.get(VARIABLE)) ? new RequestLog(sink) : OFF;
+        String value = environment.get(environment.containsKey(VARIABLE) ? VARIABLE : FORMER_VARIABLE);
+        return "on".equals(value) ? new RequestLog(sink) : OFF;
     }
 
-    /** Whether anything is written: what a line needs beyond its arguments is gathered only then. */
+    /** Whether anything is written: callers gather expensive details only then. */
     public boolean isOn() {
         return sink != null;
     }
 
-    /** An event of a connection, by its number since the start, with a reason or a figure. */
+    /** An event of a connection, by its number since the start of the process. */
     public void connection(Event event, long number, Object detail) {
         write(event, "connection=" + number, detail);
     }
 
-    /** An event of a request, by its client's own id for it. */
+    /** An event of a request, by its client's own name for it. */
     public void request(Event event, String id, Object detail) {
         write(event, "request=" + id, detail);
     }
