--- a/src/main/java/loadbalancer/proxy/Addresses.java
+++ b/src/main/java/loadbalancer/proxy/Addresses.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Socket addresses as literals: there is no DNS here, and a name must not make anybody wait for one. */
+/** Socket addresses as literals: names are rejected, so that a DNS lookup never blocks the caller. */
 public final class Addresses {
     private Addresses() {}
 
-    /** Reads {@code address:port}; throws IllegalArgumentException where it isn't that. */
+    /** Reads {@code address:port}; throws IllegalArgumentException where {@code text} is something else. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
@@ -26,7 +26,7 @@
         }
     }
 
-    /** As {@link #parse} reads it. */
+    /** The address in the form that {@link #parse} reads. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
+++ b/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
@@ -1,30 +1,33 @@
 package loadbalancer.proxy;
 
 /**
- * The memory that clients' bodies may take together, while they come in and until they are answered. Guards
- * against a heap that many connections fill at once: each of them keeps to its own limit.
+ * The memory that the bodies of all clients' requests may take together, from their receipt until the
+ * response. Each connection has a limit of its own; this one guards against a heap that many connections fill
+ * together. For the event loop's thread.
  */
 public final class BodyMemoryBudget {
-    /** Bytes of bodies of clients that a node holds together, whatever front they came by. */
+    /** Bytes of request bodies that a process holds at once, over all downstream protocols. */
     public static final long CLIENTS = 6 << 20;
 
-    private final long most;
-    private long held;
+    private final long maxBytes;
+    private long reservedBytes;
 
-    public BodyMemoryBudget(long most) {
-        this.most = most;
+    /** A budget of {@code maxBytes}, of which nothing is reserved. */
+    public BodyMemoryBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** False where there is no room: nothing is taken then. */
+    /** Reserves {@code bytes}; false where they don't fit into the budget, and nothing is reserved then. */
     public boolean tryReserve(int bytes) {
-        if (held + bytes > most) {
+        if (reservedBytes + bytes > maxBytes) {
             return false;
         }
-        held += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
+    /** Gives reserved bytes back. */
     public void release(int bytes) {
-        held -= bytes;
+        reservedBytes -= bytes;
     }
 }
--- a/src/main/java/loadbalancer/proxy/BodyStream.java
+++ b/src/main/java/loadbalancer/proxy/BodyStream.java
@@ -1,31 +1,31 @@
 package loadbalancer.proxy;
 
 /**
- * The rest of a message that is passed on as it comes: whoever reads it off a connection stands behind this,
- * and hands it to the one taker, piece by piece, in order. All of it runs on the event loop.
+ * The rest of a message's body, forwarded while it is received: a connection's reader provides it and hands it
+ * to one taker, piece by piece and in order. Everything runs on the event loop.
  */
 public interface BodyStream {
-    /** Where the bytes go; after {@link #ended} or {@link #broken}, of which one is called once, none. */
+    /** Where the bytes go. Nothing follows {@link #onComplete} or {@link #onError}; one of them is called once. */
     interface Taker {
-        /** {@code bytes} belong to the taker. */
+        /** The next bytes; the array belongs to the taker. */
         void onData(byte[] bytes);
 
-        /** It is whole. */
+        /** All bytes have been handed over. */
         void onComplete();
 
-        /** The rest will never come. */
+        /** The rest can't be received. */
         void onError();
     }
 
-    /** Whether it has a taker: what has been passed on is not held any more. */
+    /** Whether it has a taker: bytes that have been handed over are not kept, so there is no second one. */
     boolean started();
 
     /** Begins to hand over; throws IllegalStateException where it has begun before. */
     void subscribe(Taker taker);
 
-    /** Whether the taker has room; where it has none the reads stop, and a little may still come. */
-    void setReady(boolean room);
+    /** Backpressure: while the taker is not ready reading stops; a few bytes may still follow. */
+    void setReady(boolean ready);
 
-    /** Nobody wants the rest. */
+    /** Nobody needs the rest. */
     void cancel();
 }
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -327,7 +327,7 @@
         PendingRequest pending = requests.find(request);
         if (pending != null && !pending.isClosed()) {
             close(pending);
-            metrics.refused();
+            metrics.rejected();
             requestLog.request(RequestLog.Event.RESPONSE_REFUSED, pending.clientId(), retryAfter);
             pending.response().reject(retryAfter);
             releaseAttempts(pending);
--- a/src/main/java/loadbalancer/proxy/DrainGrace.java
+++ b/src/main/java/loadbalancer/proxy/DrainGrace.java
@@ -1,24 +1,27 @@
 package loadbalancer.proxy;
 
 /**
- * Until when a carrier may still begin a request to an upstream that drains (rule 3). Decides without I/O;
- * times in µs.
+ * Until when a transport may still begin an attempt to a draining upstream (rule 3). No I/O and no clock; times
+ * in µs.
  */
 public final class DrainGrace {
-    /** While it serves. */
+    /** The end of the grace of an upstream that is not draining. */
     public static final long NEVER = Long.MAX_VALUE;
-    /** After its grace: that long a stopped upstream is kept, against a table that only grows. */
+    /** How long a drained upstream is kept after its grace, so that the table of upstreams stays bounded. */
     public static final long FORGET = 60_000_000;
 
-    private static final long MARGIN = 50_000; // before the grace is over: the clock is not shared
+    private static final long MARGIN_MICROS = 50_000; // the clock is not shared with the upstream
 
     private DrainGrace() {}
 
     /**
-     * @param earlier what held until now: a drain that is told again is no later for it
+     * When the grace of a drain is over.
+     *
+     * @param earlier the result of an earlier announcement, or {@link #NEVER}; a repeated one extends nothing
+     * @param now when the drain was announced
      * @param grace as the settings have it
      */
     public static long stopAt(long earlier, long now, long grace) {
-        return Math.min(earlier, now + Math.max(0, grace - Math.min(MARGIN, grace / 2)));
+        return Math.min(earlier, now + Math.max(0, grace - Math.min(MARGIN_MICROS, grace / 2)));
     }
 }
--- a/src/main/java/loadbalancer/proxy/EndpointSource.java
+++ b/src/main/java/loadbalancer/proxy/EndpointSource.java
@@ -1,14 +1,14 @@
 package loadbalancer.proxy;
 
-/** A source of the list of upstreams, as the module asks for it. Runs on the event loop. */
+/** A source of the endpoint list, as the policy asks for it. Runs on the event loop. */
 public interface EndpointSource {
-    /** Subscribes to changes, in place of an earlier subscription, or ends it. */
+    /** Subscribes to updates, in place of an earlier subscription, or ends the subscription. */
     void watch(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Fetches the complete list once. */
     void fetch();
 
-    /** No source: what is known stays. */
+    /** No source: the known endpoints stay. */
     EndpointSource NONE = new EndpointSource() {
         @Override
         public void watch(boolean on) {}
--- a/src/main/java/loadbalancer/proxy/HeaderFields.java
+++ b/src/main/java/loadbalancer/proxy/HeaderFields.java
@@ -5,8 +5,9 @@
 
 /**
  * The header fields of a message, whatever its protocol (RFC 9110, section 5): names are compared without
- * regard to case. A front hands over its own protocol's form behind this; a carrier of the same protocol
- * passes that form on as it is, and only one of another translates it. Held on the event loop's thread.
+ * regard to case. A downstream provides its own protocol's representation behind this; a transport of the same
+ * protocol forwards that representation as it is, and only one of another translates it. For the event loop's
+ * thread.
  */
 public interface HeaderFields {
     /** No fields. */
@@ -22,7 +23,7 @@
         }
 
         @Override
-        public void each(BiConsumer<String, String> to) {}
+        public void each(BiConsumer<String, String> action) {}
     };
 
     /** The first value of a field; null where there is none. */
@@ -31,11 +32,11 @@
     /** All values of a field, in their order. */
     List<String> all(String name);
 
-    /** Whether a field that may stand once only stands there more often. */
+    /** Whether there is more than one line of a field. */
     default boolean several(String name) {
         return all(name).size() > 1;
     }
 
-    /** Hands over every name and value, in their order. */
-    void each(BiConsumer<String, String> to);
+    /** Calls {@code action} with every name and value, in their order. */
+    void each(BiConsumer<String, String> action);
 }
--- a/src/main/java/loadbalancer/proxy/PendingUpdates.java
+++ b/src/main/java/loadbalancer/proxy/PendingUpdates.java
@@ -1,11 +1,11 @@
 package loadbalancer.proxy;
 
 /**
- * News of the list that may lie unread, because the loop's thread stood still (rule 3): what a carrier asks
- * before it begins with a request. On the loop.
+ * Updates of the endpoint list that may lie unread because the event loop was stalled (rule 3): what a
+ * transport asks before it begins an attempt. On the event loop.
  */
 public interface PendingUpdates {
-    /** Of a loop that has no list to hear of. */
+    /** For an event loop that receives no endpoint list. */
     PendingUpdates NONE = new PendingUpdates() {
         @Override
         public boolean mayHaveUnread() {
@@ -23,19 +23,19 @@
         }
     };
 
-    /** Whether the loop has stood still, and not passed over its sockets since. */
+    /** Whether the event loop was stalled, and has not polled its sockets since. */
     boolean mayHaveUnread();
 
     /**
-     * Until when what is ready may leave, in µs of the node's clock (rule 3): then the grace of a drain may
-     * be over of which nothing has been read.
+     * Until when an attempt may leave, in µs of the balancer's clock (rule 3): from then on the grace of a
+     * drain whose announcement lies unread may be over.
      */
     long graceHolds();
 
     /**
-     * Runs {@code task} once news of the list that may lie unread has been read: at once where the loop keeps
-     * up, else behind a whole pass over its sockets. The present pass may have begun before the standstill,
-     * and look at none that became ready since.
+     * Runs {@code task} once updates of the endpoint list that may lie unread have been read: at once where the
+     * event loop keeps up, otherwise after a complete poll of its sockets. The poll that is under way may have
+     * begun before the stall, and miss sockets that became ready since.
      */
     void afterUpdates(Runnable task);
 }
--- a/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -1,11 +1,23 @@
 package loadbalancer.proxy;
 
 /**
- * A client's request, whatever the protocol that it came by: what goes on to an upstream unchanged, and what
- * the module is told of it. Times are in µs; {@code id} is the client's; {@code work} is -1 where the client
- * gives no guess; {@code fields} holds none that belong to one connection only; {@code body} is not changed.
- * {@code rest} follows behind it where it is longer than is held, {@code length} is that of both, -1 if
- * unknown; {@code passes}: its front passes long answers on.
+ * A client's request, whatever protocol it was received by: what is forwarded to an upstream unchanged, and
+ * what the policy is told of it.
+ *
+ * @param id the client's own name for the request
+ * @param method the HTTP method
+ * @param uri path and query
+ * @param fields the header fields that are forwarded; none that belong to one connection only
+ * @param body the first bytes of the body, or all of them; not to be changed
+ * @param requestClass the number of its class in the settings
+ * @param tenant the number of its tenant in the settings; 0 where they name none
+ * @param key the key for server affinity, or null
+ * @param timeLeft how long the client waits, in µs
+ * @param work the client's estimate of the work, in µs; -1 where it gives none
+ * @param resubmission whether the client has sent it before
+ * @param rest the bytes that follow {@code body} where the request is long; null where there are none
+ * @param length bytes of {@code body} and {@code rest} together; -1 if unknown
+ * @param passes whether its downstream forwards long responses while they are received
  */
 public record ProxyRequest(
         String id,
@@ -22,7 +34,7 @@
         BodyStream rest,
         long length,
         boolean passes) {
-    /** One whose body is whole, and its answer too. */
+    /** One whose body is complete, and whose response has to be too. */
     public ProxyRequest(
             String id,
             String method,
@@ -52,19 +64,19 @@
                 false);
     }
 
-    /** Bytes of a body, of a request or an answer, that are held whole; longer ones go through. */
+    /** Bytes of the longest body, of a request or a response, that is buffered; longer ones are streamed. */
     public static final int BODY_MOST = 64 * 1024;
-    /** Bytes of a body that goes through. */
+    /** Bytes of the longest body that is streamed. */
     public static final long LENGTH_MOST = 48L << 20;
-    /** The field that tells how long the asker will wait, in ms. */
+    /** The header field that says how long the sender waits for a response, in ms. */
     public static final String DEADLINE = "Req-Deadline-Ms";
 
-    /** The same for another path. */
-    public ProxyRequest withUri(String other) {
+    /** The same request for another path. */
+    public ProxyRequest withUri(String newUri) {
         return new ProxyRequest(
                 id,
                 method,
-                other,
+                newUri,
                 fields,
                 body,
                 requestClass,
@@ -78,8 +90,8 @@
                 passes);
     }
 
-    /** The same from a front that passes long answers on, and with what follows behind its body, or null. */
-    public ProxyRequest withBodyStream(BodyStream following, long all) {
+    /** The same request with the rest of its body, or null, from a downstream that streams long responses. */
+    public ProxyRequest withBodyStream(BodyStream newRest, long newLength) {
         return new ProxyRequest(
                 id,
                 method,
@@ -92,8 +104,8 @@
                 timeLeft,
                 work,
                 resubmission,
-                following,
-                all,
+                newRest,
+                newLength,
                 true);
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestMetrics.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -6,157 +6,178 @@
 import loadbalancer.policy.Policy;
 
 /**
- * What has become of the requests: the same names for every front and in every report, so that they can be
- * set side by side. Worth is that of the classes, times the work where the settings count it so; a late
- * answer earns its class's share. Reads no clock; used on the event loop's thread only.
+ * Counts requests by their result, in total and by class and tenant. The worth of a request is its class's
+ * priority weight, times the work where the settings say so; a late response earns its class's share of it.
+ * Reads no clock; for the event loop's thread.
  */
 public final class RequestMetrics {
     /** The counts of one class or one tenant. */
-    public static final class Line {
-        private long taken;
+    public static final class Counts {
+        private long accepted;
         private long inTime;
         private long late;
-        private double asked;
-        private double earned;
+        private double offeredWorth;
+        private double earnedWorth;
 
-        public long taken() {
-            return taken;
+        /** Accepted requests. */
+        public long accepted() {
+            return accepted;
         }
 
-        /** Served within the aim. */
+        /** Served within the latency objective. */
         public long inTime() {
             return inTime;
         }
 
-        /** Served after the aim. */
+        /** Served after the latency objective. */
         public long late() {
             return late;
         }
 
-        /** Worth of all that was taken. */
-        public double asked() {
-            return asked;
+        /** Worth of all accepted requests. */
+        public double offeredWorth() {
+            return offeredWorth;
         }
 
-        /** Worth of what was served. */
-        public double earned() {
-            return earned;
+        /** Worth earned by the served requests. */
+        public double earnedWorth() {
+            return earnedWorth;
         }
     }
 
     private Policy.Settings settings;
-    private final Line all = new Line();
-    private Line[] classes;
-    private Line[] tenants;
+    private final Counts all = new Counts();
+    private Counts[] byClass;
+    private Counts[] byTenant;
     private final long[] outcomes = new long[Policy.Outcome.values().length];
-    private long refused;
+    private long rejected;
     private long failed;
-    private long gone;
+    private long disconnected;
 
+    /** Counts of 0 for the classes and tenants of {@code settings}. */
     public RequestMetrics(Policy.Settings settings) {
         this.settings = settings;
-        classes = lines(settings.classes().size());
-        tenants = lines(Math.max(1, settings.tenants().size()));
+        byClass = zeros(settings.classes().size());
+        byTenant = zeros(Math.max(1, settings.tenants().size()));
     }
 
-    private static Line[] lines(int count) {
-        Line[] lines = new Line[count];
-        for (int i = 0; i < count; i++) {
-            lines[i] = new Line();
+    private static Counts[] zeros(int size) {
+        Counts[] counts = new Counts[size];
+        for (int i = 0; i < size; i++) {
+            counts[i] = new Counts();
         }
-        return lines;
-    }
-
-    /** A request's place in the counts: the lines and the class that it was taken under. */
-    public record Entry(Line ofClass, Line ofTenant, double worth, long aim, double lateShare) {}
-
-    /** Other settings hold from here on; the lines go on under the numbers that they have now, or begin. */
+        return counts;
+    }
+
+    /**
+     * A request's place in the counts, by the settings that it was accepted under.
+     *
+     * @param ofClass the counts of its class
+     * @param ofTenant the counts of its tenant
+     * @param worth what it earns in time
+     * @param latencyObjective in µs
+     * @param lateShare the share of {@code worth} that a late response earns
+     */
+    public record Entry(Counts ofClass, Counts ofTenant, double worth, long latencyObjective, double lateShare) {}
+
+    /**
+     * Other settings hold from here on; known classes and tenants keep their counts under their new numbers.
+     *
+     * @param formerClasses for each class its number before, -1 where it is new
+     * @param formerTenants for each tenant its number before, -1 where it is new
+     */
     public void reload(Policy.Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
         settings = to;
-        classes = carried(classes, formerClasses);
-        tenants = to.tenants().isEmpty() ? lines(1) : carried(tenants, formerTenants);
-    }
-
-    private static Line[] carried(Line[] before, List<Integer> former) {
-        return former.stream().map(i -> i < 0 ? new Line() : before[i]).toArray(Line[]::new);
-    }
-
-    /** A request has been taken. */
-    public Entry received(ProxyRequest order) {
-        Policy.RequestClass kind = settings.classes().get(order.requestClass());
-        long aim = kind.aim() + (order.work() > 0 ? (long) (kind.aimStretch() * order.work()) : 0);
-        Entry entry =
-                new Entry(classes[order.requestClass()], tenants[order.tenant()], worth(order), aim, kind.lateShare());
+        byClass = renumbered(byClass, formerClasses);
+        byTenant = to.tenants().isEmpty() ? zeros(1) : renumbered(byTenant, formerTenants);
+    }
+
+    private static Counts[] renumbered(Counts[] before, List<Integer> formerNumbers) {
+        return formerNumbers.stream()
+                .map(number -> number < 0 ? new Counts() : before[number])
+                .toArray(Counts[]::new);
+    }
+
+    /** Counts an accepted request. */
+    public Entry received(ProxyRequest request) {
+        Policy.RequestClass requestClass = settings.classes().get(request.requestClass());
+        long stretch = request.work() > 0 ? (long) (requestClass.aimStretch() * request.work()) : 0;
+        Entry entry = new Entry(
+                byClass[request.requestClass()],
+                byTenant[request.tenant()],
+                worth(request),
+                requestClass.aim() + stretch,
+                requestClass.lateShare());
         received(all, entry.worth());
         received(entry.ofClass(), entry.worth());
         received(entry.ofTenant(), entry.worth());
         return entry;
     }
 
-    private static void received(Line line, double worth) {
-        line.taken++;
-        line.asked += worth;
+    private static void received(Counts counts, double worth) {
+        counts.accepted++;
+        counts.offeredWorth += worth;
     }
 
-    /** It has been served, {@code latency} µs after it was taken. */
+    /** Counts a served request; {@code latency}: in µs since it was accepted. */
     public void served(Entry entry, long latency) {
-        boolean inTime = latency <= entry.aim();
+        boolean inTime = latency <= entry.latencyObjective();
         double earned = entry.worth() * (inTime ? 1 : entry.lateShare());
         served(all, inTime, earned);
         served(entry.ofClass(), inTime, earned);
         served(entry.ofTenant(), inTime, earned);
     }
 
-    private static void served(Line line, boolean inTime, double earned) {
+    private static void served(Counts counts, boolean inTime, double earned) {
         if (inTime) {
-            line.inTime++;
+            counts.inTime++;
         } else {
-            line.late++;
+            counts.late++;
         }
-        line.earned += earned;
+        counts.earnedWorth += earned;
     }
 
-    /** One has been refused. */
-    public void refused() {
-        refused++;
+    /** Counts a rejected request. */
+    public void rejected() {
+        rejected++;
     }
 
-    /** One has failed. */
+    /** Counts a failed request. */
     public void failed() {
         failed++;
     }
 
-    /** One's client has left before its answer. */
+    /** Counts a request whose client has disconnected before its response. */
     public void clientDisconnected() {
-        gone++;
+        disconnected++;
     }
 
-    /** An attempt has ended. */
+    /** Counts an attempt by its outcome. */
     public void ended(Policy.Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
-    private double worth(ProxyRequest order) {
-        double worth = settings.classes().get(order.requestClass()).worth();
-        return settings.worthByWork() && order.work() > 0 ? worth * order.work() : worth;
+    private double worth(ProxyRequest request) {
+        double worth = settings.classes().get(request.requestClass()).worth();
+        return settings.worthByWork() && request.work() > 0 ? worth * request.work() : worth;
     }
 
-    /** The counts over all. */
-    public Line all() {
+    /** The counts in total. */
+    public Counts all() {
         return all;
     }
 
     /** The counts of a class, by its number in the settings. */
-    public Line ofClass(int number) {
-        return classes[number];
+    public Counts ofClass(int number) {
+        return byClass[number];
     }
 
     /** The counts of a tenant, by its number; 0 where the settings name none. */
-    public Line ofTenant(int number) {
-        return tenants[number];
+    public Counts ofTenant(int number) {
+        return byTenant[number];
     }
 
-    /** Attempts by how they ended; those that never ended so are left out. */
+    /** Attempts by outcome; outcomes that have not happened are left out. */
     public Map<Policy.Outcome, Long> attempts() {
         Map<Policy.Outcome, Long> attempts = new EnumMap<>(Policy.Outcome.class);
         for (Policy.Outcome outcome : Policy.Outcome.values()) {
@@ -167,22 +188,24 @@
         return attempts;
     }
 
-    /** In one line, for the end of a run. */
+    /** The counts in one line, for the end of a run. */
     public String summary() {
-        return all.inTime + " served in time, " + all.late + " late, " + refused + " refused, " + failed + " failed, "
-                + gone + " gone";
+        return all.inTime + " served in time, " + all.late + " late, " + rejected + " refused, " + failed + " failed, "
+                + disconnected + " gone";
     }
 
-    public long refusals() {
-        return refused;
+    /** Rejected requests. */
+    public long rejections() {
+        return rejected;
     }
 
+    /** Failed requests. */
     public long failures() {
         return failed;
     }
 
-    /** Requests whose clients left before an answer. */
-    public long departures() {
-        return gone;
+    /** Requests whose clients disconnected before a response. */
+    public long disconnects() {
+        return disconnected;
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -4,37 +4,37 @@
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
-/** What every front asks of a request before it is taken, whatever its protocol. Decides without I/O. */
+/** Validates a request before it is accepted, whatever protocol it was received by. No I/O and no clock. */
 public final class RequestValidator {
-    private static final int NAME_MOST = 256; // characters of an id or a key
-    private static final long DEADLINE_MOST = 600_000; // ms: it is held for so long at most
-    private static final long COST_MOST = 600_000_000; // µs: a guess beyond it says nothing
-    private static final List<String> SINGLE = List.of(
+    private static final int MAX_NAME_LENGTH = 256; // characters of an id or a key
+    private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is held for so long at most
+    private static final long MAX_COST_MICROS = 600_000_000; // a longer estimate is ignored
+    private static final List<String> SINGLE_FIELDS = List.of(
             "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
 
     private RequestValidator() {}
 
     /**
-     * What a request asks for.
+     * Validates a request.
      *
      * @param uri path and query
-     * @param fields those that go on, and with them those that tell of the request itself
-     * @throws IllegalArgumentException with the reason, where it can't be taken
+     * @param fields the header fields that are forwarded, among them those that describe the request
+     * @throws IllegalArgumentException with the reason, where the request can't be accepted
      */
     public static ProxyRequest validate(
             String method, String uri, HeaderFields fields, byte[] body, SettingsReader.Boot boot) {
-        for (String name : SINGLE) {
+        for (String name : SINGLE_FIELDS) {
             if (fields.several(name)) {
                 throw new IllegalArgumentException("more than one " + name);
             }
         }
         String id = text(fields, "Req-Id");
-        if (!named(id)) {
+        if (!isName(id)) {
             throw new IllegalArgumentException("no or bad Req-Id");
         }
-        int number = number(method, fields, boot);
-        long left = number(fields.get(ProxyRequest.DEADLINE), -1);
-        if (left <= 0 || left > DEADLINE_MOST) {
+        int requestClass = requestClass(method, fields, boot);
+        long timeLeftMillis = number(fields.get(ProxyRequest.DEADLINE), -1);
+        if (timeLeftMillis <= 0 || timeLeftMillis > MAX_DEADLINE_MILLIS) {
             throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE);
         }
         if (!uri.startsWith("/")) {
@@ -50,27 +50,29 @@
                 uri,
                 fields,
                 body,
-                number,
+                requestClass,
                 tenant,
                 key.isEmpty() ? null : key,
-                left * 1000,
-                cost > COST_MOST ? -1 : cost,
+                timeLeftMillis * 1000,
+                cost > MAX_COST_MICROS ? -1 : cost,
                 "1".equals(fields.get("Req-Retry")));
     }
 
-    // A name stands twice where its class has changed lately: clients hear of that later than this balancer.
-    private static int number(String method, HeaderFields fields, SettingsReader.Boot boot) {
+    // A name occurs twice where its class was changed lately: clients learn of that later than this balancer.
+    private static int requestClass(String method, HeaderFields fields, SettingsReader.Boot boot) {
         String name = text(fields, "Req-Kind");
-        int number = boot.classes().indexOf(name);
-        if (number < 0) {
+        int first = boot.classes().indexOf(name);
+        if (first < 0) {
             throw new IllegalArgumentException("unknown Req-Kind");
         }
-        String repeat = fields.get("Idempotency-Key");
-        for (int i = number; i < boot.classes().size(); i++) {
+        String idempotencyKey = fields.get("Idempotency-Key");
+        for (int i = first; i < boot.classes().size(); i++) {
             Policy.Effect effect = boot.settings().classes().get(i).effect();
-            String wanted = effect == Policy.Effect.SAFE ? "GET" : "POST";
-            boolean fits = effect == Policy.Effect.KEYED ? repeat != null && named(repeat) : repeat == null;
-            if (boot.classes().get(i).equals(name) && method.equals(wanted) && fits) {
+            String requiredMethod = effect == Policy.Effect.SAFE ? "GET" : "POST";
+            boolean keyFits = effect == Policy.Effect.KEYED
+                    ? idempotencyKey != null && isName(idempotencyKey)
+                    : idempotencyKey == null;
+            if (boot.classes().get(i).equals(name) && method.equals(requiredMethod) && keyFits) {
                 return i;
             }
         }
@@ -82,14 +84,16 @@
         return value == null ? "" : value;
     }
 
-    private static boolean named(String text) {
-        return !text.isEmpty() && text.length() <= NAME_MOST && text.chars().allMatch(c -> c > ' ' && c < 127);
+    private static boolean isName(String text) {
+        return !text.isEmpty()
+                && text.length() <= MAX_NAME_LENGTH
+                && text.chars().allMatch(c -> c > ' ' && c < 127);
     }
 
-    private static long number(String text, long otherwise) {
+    private static long number(String text, long defaultValue) {
         String digits = text == null ? "" : text.strip();
-        boolean plain =
+        boolean isNumber =
                 !digits.isEmpty() && digits.length() <= 12 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        return plain ? Long.parseLong(digits) : otherwise;
+        return isNumber ? Long.parseLong(digits) : defaultValue;
     }
 }
--- a/src/main/java/loadbalancer/proxy/ResponseWriter.java
+++ b/src/main/java/loadbalancer/proxy/ResponseWriter.java
@@ -1,22 +1,24 @@
 package loadbalancer.proxy;
 
 /**
- * Where the one final answer to a request goes: a front's side of the seam. {@link Dispatcher} calls exactly
- * one of these once for each request taken, on the event loop, unless its client has left before.
+ * Writes the one final response to a client. {@link Dispatcher} calls exactly one of {@link #serve},
+ * {@link #reject} and {@link #fail} once for each request accepted, on the event loop, unless the client has
+ * disconnected before.
  */
 public interface ResponseWriter {
-    /** Served: passes the upstream's body on. */
-    void serve(UpstreamResponse answer);
+    /** Forwards an upstream's response. */
+    void serve(UpstreamResponse response);
 
-    /** Refused, trying again is harmless; {@code retryAfter} in µs, 0 where none is advised. */
+    /** Rejects the request: a retry is harmless; {@code retryAfter} in µs, 0 where none is advised. */
     void reject(long retryAfter);
 
-    /** Failed, nothing promised. */
+    /** Fails the request: whether a server has run it is not known. */
     void fail();
 
     /**
-     * Reads what the client's connection holds by now, so that its close is known: what was given to run at
-     * that has run by the return. Not to be called from within a read of a connection.
+     * Reads what the client's connection has received by now, so that its close is noticed: the callback that
+     * {@link Dispatcher#dispatch} returned has run by the return. Not to be called from within a read of a
+     * connection.
      */
     default void readConnection() {}
 }
--- a/src/main/java/loadbalancer/proxy/Scheduler.java
+++ b/src/main/java/loadbalancer/proxy/Scheduler.java
@@ -1,16 +1,16 @@
 package loadbalancer.proxy;
 
-/** The one thread that owns requests and module, as far as the core needs it: real, or in virtual time. */
+/** The one thread that owns requests and policy: the event loop, or virtual time in tests. */
 public interface Scheduler {
-    /** What has been asked to run later. */
+    /** A scheduled task. */
     interface Timer {
-        /** Does nothing where it has run already. */
+        /** Cancels the task; does nothing where it has run already. */
         void cancel();
     }
 
-    /** Runs {@code task} on the loop's thread, not from within this call. May be called from any thread. */
+    /** Runs {@code task} on the event loop, never from within this call. May be called from any thread. */
     void execute(Runnable task);
 
-    /** Runs {@code task} on the loop's thread once, after {@code delay} µs. */
+    /** Runs {@code task} on the event loop once, after {@code delay} µs. */
     Timer schedule(long delay, Runnable task);
 }
--- a/src/main/java/loadbalancer/proxy/SendPermit.java
+++ b/src/main/java/loadbalancer/proxy/SendPermit.java
@@ -3,10 +3,10 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Whether an attempt may begin, as {@link SendGuard} found it right before the first byte.
+ * Whether an attempt may begin, as {@link SendGuard} decided right before the first byte.
  *
- * @param refusal how the attempt ends unbegun; null where it may begin
- * @param until where it may begin: its first byte has to leave before, in µs of the node's clock
+ * @param refusal the outcome of an attempt that may not begin; null where it may
+ * @param until where it may begin: its first byte has to leave before, in µs of the balancer's clock
  */
 public record SendPermit(Policy.Outcome refusal, long until) {
     static SendPermit refused(Policy.Outcome outcome) {
--- a/src/main/java/loadbalancer/proxy/UpstreamResponse.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamResponse.java
@@ -3,18 +3,23 @@
 import loadbalancer.policy.Policy;
 
 /**
- * An upstream's answer, whatever the protocol that it came by; {@code body} is not to be changed. Where it is
- * long {@code rest} follows behind that, and {@code length} is that of both, -1 if unknown.
+ * An upstream's response, whatever protocol it was received by.
+ *
+ * @param status the HTTP status
+ * @param fields the header fields that are forwarded
+ * @param body the first bytes of the body, or all of them; not to be changed
+ * @param rest the bytes that follow {@code body} where the response is long; null where there are none
+ * @param length bytes of {@code body} and {@code rest} together; -1 if unknown
  */
 public record UpstreamResponse(int status, HeaderFields fields, byte[] body, BodyStream rest, long length) {
-    /** A whole one. */
+    /** A complete one. */
     public UpstreamResponse(int status, HeaderFields fields, byte[] body) {
         this(status, fields, body, null, body.length);
     }
 
     /**
-     * What it tells of the attempt. Turned away unseen only where the upstream says so itself; any other
-     * failure may have run.
+     * The outcome of the attempt. It was rejected without having run only where the upstream says so itself;
+     * with any other failure it may have run.
      */
     public Policy.Outcome outcome() {
         if (status == 200) {
@@ -24,7 +29,7 @@
         return declined && (status == 503 || status == 504) ? Policy.Outcome.FULL : Policy.Outcome.ERROR;
     }
 
-    /** Its media type; null where it names none. */
+    /** The media type; null where the response names none. */
     public String type() {
         return fields.get("Content-Type");
     }
--- a/src/main/java/loadbalancer/proxy/WarmUpRequests.java
+++ b/src/main/java/loadbalancer/proxy/WarmUpRequests.java
@@ -1,18 +1,18 @@
 package loadbalancer.proxy;
 
-/** Requests of the node's own that a front takes before clients come; see the node's rehearsal. */
+/** The balancer's own requests, which downstreams accept during the warm-up, before clients connect. */
 public interface WarmUpRequests {
-    /** The path of its requests, and the one on which they come back to this node as an upstream. */
+    /** The path of these requests. */
     String PATH = "/-/rehearsal";
-
+    /** The path on which they return to this process, in the role of the upstream. */
     String HOP = "/-/rehearsed";
 
-    /** Whether a request with these fields is one of its own. */
+    /** Whether a request with these fields is one of the balancer's own. */
     boolean knows(HeaderFields fields);
 
-    /** As an upstream: whether the request that has come back is turned away. */
+    /** In the role of the upstream: whether the request that has returned is to be declined. */
     boolean declines();
 
-    /** Who takes its requests, in place of the real one. */
+    /** The dispatcher of these requests, in place of the one for clients. */
     Dispatcher dispatcher();
 }
--- a/src/test/java/loadbalancer/proxy/BodyMemoryBudgetTest.java
+++ b/src/test/java/loadbalancer/proxy/BodyMemoryBudgetTest.java
@@ -7,12 +7,12 @@
 
 class BodyMemoryBudgetTest {
     @Test
-    void bodiesAreRefusedWhereTogetherTheyTakeTooMuch() {
-        BodyMemoryBudget room = new BodyMemoryBudget(10);
-        assertTrue(room.tryReserve(6));
-        assertFalse(room.tryReserve(5));
-        assertTrue(room.tryReserve(4));
-        room.release(6);
-        assertTrue(room.tryReserve(5));
+    void reservationsBeyondTheBudgetAreRefused() {
+        BodyMemoryBudget budget = new BodyMemoryBudget(10);
+        assertTrue(budget.tryReserve(6));
+        assertFalse(budget.tryReserve(5));
+        assertTrue(budget.tryReserve(4));
+        budget.release(6);
+        assertTrue(budget.tryReserve(5));
     }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -0,0 +1,34 @@
+package loadbalancer.proxy;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** A dispatcher in virtual time, with a transport, a policy and a client that record what they get. */
+abstract class DispatcherFixture {
+    final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
+    final FakeTransport transport = new FakeTransport();
+    final SingleAttemptPolicy policy = new SingleAttemptPolicy();
+    final RecordingResponseWriter client = new RecordingResponseWriter();
+    final List<String> log = new ArrayList<>();
+    final Dispatcher dispatcher = new Dispatcher(scheduler, scheduler, TestSettings.boot(), policy, log::add);
+
+    DispatcherFixture() {
+        dispatcher.attach(transport, EndpointSource.NONE);
+    }
+
+    /** Dispatches a request of a client that waits for 100 ms; returns what to run when it disconnects. */
+    final Runnable dispatch() {
+        return dispatchFor(100_000);
+    }
+
+    /** The same for a client that waits for {@code timeLeft} µs. */
+    final Runnable dispatchFor(long timeLeft) {
+        return dispatcher.dispatch(
+                new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", timeLeft, -1, false),
+                client);
+    }
+
+    static UpstreamResponse ok() {
+        return new UpstreamResponse(200, HeaderFields.NONE, new byte[0]);
+    }
+}
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/DispatcherUploadTest.java
@@ -0,0 +1,96 @@
+package loadbalancer.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Requests whose bodies are forwarded while they are received. */
+class DispatcherUploadTest extends DispatcherFixture {
+    /** A long body; the test says when it is complete. */
+    private static final class FakeBodyStream implements BodyStream {
+        private Taker taker;
+
+        @Override
+        public boolean started() {
+            return taker != null;
+        }
+
+        @Override
+        public void subscribe(Taker subscriber) {
+            taker = subscriber;
+        }
+
+        @Override
+        public void setReady(boolean ready) {}
+
+        @Override
+        public void cancel() {}
+    }
+
+    private static final class DiscardingTaker implements BodyStream.Taker {
+        @Override
+        public void onData(byte[] bytes) {}
+
+        @Override
+        public void onComplete() {}
+
+        @Override
+        public void onError() {}
+    }
+
+    private ProxyRequest upload(FakeBodyStream body) {
+        return new ProxyRequest("u", "POST", "/k", HeaderFields.NONE, new byte[0], 0, 0, null, 400_000, -1, false)
+                .withBodyStream(body, 300_000);
+    }
+
+    @Test
+    void theTimeOfAnUploadCountsFromItsLastByte() {
+        FakeBodyStream body = new FakeBodyStream();
+        RecordingResponseWriter uploader = new RecordingResponseWriter();
+        dispatcher.dispatch(upload(body), uploader);
+        transport.requests.get(0).rest().subscribe(new DiscardingTaker());
+        scheduler.pass(5_000_000);
+        assertEquals(List.of(), uploader.responses);
+        assertFalse(transport.started.get(0).stopped);
+        body.taker.onComplete();
+        scheduler.pass(49_000);
+        assertFalse(transport.started.get(0).stopped);
+        scheduler.pass(2_000);
+        assertTrue(transport.started.get(0).stopped);
+        assertEquals(List.of("failed"), uploader.responses);
+    }
+
+    /** The policy never responds, nor would the deadline if its timer started with the last byte only. */
+    @Test
+    void anUploadThatIsNeverForwardedGetsAResponse() {
+        RecordingResponseWriter uploader = new RecordingResponseWriter();
+        transport.failsWithinSend = true;
+        policy.neverFails = true;
+        dispatcher.dispatch(upload(new FakeBodyStream()), uploader);
+        scheduler.pass(400_000);
+        assertEquals(List.of("failed"), uploader.responses);
+    }
+
+    @Test
+    void anAttemptWhoseUpstreamAcceptsNoMoreOfAnUploadIsGivenUp() {
+        FakeBodyStream body = new FakeBodyStream();
+        RecordingResponseWriter uploader = new RecordingResponseWriter();
+        dispatcher.dispatch(upload(body), uploader);
+        BodyStream rest = transport.requests.get(0).rest();
+        rest.subscribe(new DiscardingTaker());
+        transport.started.get(0).effect = AttemptTransport.AttemptEffect.NEVER_RAN;
+        rest.setReady(false);
+        scheduler.pass(9_000_000);
+        rest.setReady(true);
+        scheduler.pass(9_000_000);
+        assertEquals(List.of(), uploader.responses);
+        rest.setReady(false);
+        scheduler.pass(11_000_000);
+        assertTrue(transport.started.get(0).stopped);
+        assertEquals(List.of("NOT_SENT"), policy.notifications);
+        assertEquals(List.of("failed"), uploader.responses);
+    }
+}
--- a/src/test/java/loadbalancer/proxy/DrainGraceTest.java
+++ b/src/test/java/loadbalancer/proxy/DrainGraceTest.java
@@ -6,7 +6,7 @@
 
 class DrainGraceTest {
     @Test
-    void aDrainEndsBeforeItsGraceAndIsNoLaterForBeingToldAgain() {
+    void aDrainStopsBeforeItsGraceEndsAndARepeatedAnnouncementExtendsNothing() {
         assertEquals(1_950_000, DrainGrace.stopAt(DrainGrace.NEVER, 1_000_000, 1_000_000));
         assertEquals(1_950_000, DrainGrace.stopAt(1_950_000, 1_500_000, 1_000_000));
         assertEquals(1_040_000, DrainGrace.stopAt(DrainGrace.NEVER, 1_000_000, 80_000), "half of it");
--- a/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
+++ b/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The dispatcher and the module in virtual time, on a loop that stands still for 0.1 to 1 s at any point of
- * a request's life. Clients and servers go on meanwhile: what they send is read when it wakes, before its
- * timers run, as {@code ReadBeforeTimers} has it.
+ * The dispatcher and the policy in virtual time, on an event loop that is stalled for 0.1 to 1 s at any point
+ * of a request's life. Clients and servers go on meanwhile: what they send is read when the stall is over,
+ * before the timers run, as {@code ReadBeforeTimers} does it.
  */
 class EventLoopStallTest {
-    private static final long DEADLINE = 400_000; // µs, of every request
-    private static final long SLACK = 8_000; // of the settings: a beat less the guards is no more
+    private static final long DEADLINE_MICROS = 400_000; // of every request
+    private static final long SLACK_MICROS = 8_000; // AnswerSlack of the settings
     private static final int SERVERS = 4;
 
     private static SettingsReader.Boot boot() {
@@ -35,7 +35,7 @@
                     "Classes." + i + ".GoalTime",
                     "200000",
                     "Classes." + i + ".GiveUp",
-                    Long.toString(DEADLINE),
+                    Long.toString(DEADLINE_MICROS),
                     "Classes." + i + ".Gain",
                     "4",
                     "Classes." + i + ".LateShare",
@@ -65,58 +65,58 @@
         return SettingsReader.read(values, (path, what) -> new IllegalArgumentException(path + what));
     }
 
-    /** One client's request: when it was sent, and the answers that came. */
-    private static final class Asked implements ResponseWriter {
+    /** One client's request: when it was sent, and the responses to it. */
+    private static final class ClientRequest implements ResponseWriter {
         private final VirtualTimeScheduler loop;
-        private final long sent;
-        private final List<String> answers = new ArrayList<>();
-        private long answeredAt;
+        private final long sentAt;
+        private final List<String> responses = new ArrayList<>();
+        private long respondedAt;
 
-        Asked(VirtualTimeScheduler loop) {
+        ClientRequest(VirtualTimeScheduler loop) {
             this.loop = loop;
-            this.sent = loop.now();
+            this.sentAt = loop.now();
         }
 
-        private void answer(String what) {
-            answers.add(what);
-            answeredAt = loop.now();
+        private void record(String response) {
+            responses.add(response);
+            respondedAt = loop.now();
         }
 
         @Override
-        public void serve(UpstreamResponse answer) {
-            answer("served");
+        public void serve(UpstreamResponse response) {
+            record("served");
         }
 
         @Override
         public void reject(long retryAfter) {
-            answer("refused");
+            record("rejected");
         }
 
         @Override
         public void fail() {
-            answer("failed");
+            record("failed");
         }
     }
 
-    /** Servers that answer after a time of their own; the answer waits in the socket until it is read. */
+    /** Servers that respond after a random time; the response waits in the socket until it is read. */
     private final class Servers implements AttemptTransport {
         @Override
-        public void updateEndpoints(EndpointUpdate targets, long now) {}
+        public void updateEndpoints(EndpointUpdate update, long now) {}
 
         @Override
-        public Attempt send(String server, ProxyRequest order, long wait, long before, Listener listener) {
-            boolean[] over = new boolean[1];
-            long takes = 5_000 + random.nextLong(random.nextInt(6) == 0 ? 600_000 : 60_000);
-            arrivals.add(new Arrival(loop.now() + takes, () -> {
-                if (!over[0]) {
-                    over[0] = true;
+        public Attempt send(String server, ProxyRequest request, long wait, long before, Listener listener) {
+            boolean[] ended = new boolean[1];
+            long serviceMicros = 5_000 + random.nextLong(random.nextInt(6) == 0 ? 600_000 : 60_000);
+            arrivals.add(new Arrival(loop.now() + serviceMicros, () -> {
+                if (!ended[0]) {
+                    ended[0] = true;
                     listener.ended(Policy.Outcome.OK, new UpstreamResponse(200, HeaderFields.NONE, new byte[0]), null);
                 }
             }));
             return new Attempt() {
                 @Override
                 public AttemptTransport.AttemptEffect cancel() {
-                    over[0] = true;
+                    ended[0] = true;
                     return AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
                 }
 
@@ -134,97 +134,101 @@
         public void closeIdle(String server) {}
     }
 
-    /** Bytes that reach the machine at a time, and what reading them does. */
+    /** Bytes that arrive in a socket at a time, and what reading them does. */
     private record Arrival(long at, Runnable read) {}
 
     private final VirtualTimeScheduler loop = new VirtualTimeScheduler();
     private final List<Arrival> arrivals = new ArrayList<>();
     private SplittableRandom random;
-    private int made;
-
-    // One turn of the loop: its sockets, then its timers.
-    private void turn() {
-        List<Arrival> here = arrivals.stream().filter(a -> a.at() <= loop.now()).toList();
-        arrivals.removeAll(here);
-        here.forEach(a -> a.read().run());
+    private int requestsSent;
+
+    // One iteration of the event loop: its sockets, then its timers.
+    private void runIteration() {
+        List<Arrival> readable =
+                arrivals.stream().filter(arrival -> arrival.at() <= loop.now()).toList();
+        arrivals.removeAll(readable);
+        readable.forEach(arrival -> arrival.read().run());
         loop.pass(0);
     }
 
     private void run(long micros) {
         for (long until = loop.now() + micros; loop.now() < until; ) {
             loop.stall(1_000);
-            turn();
+            runIteration();
         }
     }
 
     @Test
-    void eachRequestGetsItsOneAnswerWhereverTheLoopStandsStill() {
+    void eachRequestGetsOneResponseWheneverTheLoopIsStalled() {
         int served = 0;
         for (int seed = 0; seed < 400; seed++) {
             random = new SplittableRandom(seed);
             arrivals.clear();
-            JsqDasPolicy module = new JsqDasPolicy(boot().settings(), seed);
-            Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), module, line -> {});
+            JsqDasPolicy policy = new JsqDasPolicy(boot().settings(), seed);
+            Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), policy, line -> {});
             dispatcher.attach(new Servers(), EndpointSource.NONE);
             dispatcher.startStallDetection();
-            List<EndpointUpdate.Endpoint> targets = new ArrayList<>();
+            List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < SERVERS; i++) {
-                targets.add(
+                endpoints.add(
                         new EndpointUpdate.Endpoint(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
             }
-            dispatcher.updateEndpoints(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, targets));
-            List<Asked> all = new ArrayList<>();
+            dispatcher.updateEndpoints(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, endpoints));
+            List<ClientRequest> requests = new ArrayList<>();
             int stallAt = random.nextInt(300);
-            long[] stalled = new long[2];
+            long stallBegan = 0;
+            long stallEnded = 0;
             for (int step = 0; step < 300; step++) {
                 if (step == stallAt) {
-                    stalled[0] = loop.now();
+                    stallBegan = loop.now();
                     long length = 100_000 + random.nextLong(900_000);
-                    for (int i = 0; i < 20; i++) { // clients go on asking
+                    for (int i = 0; i < 20; i++) { // clients go on sending
                         loop.stall(length / 20);
-                        ask(dispatcher, all);
+                        sendRequest(dispatcher, requests);
                     }
-                    stalled[1] = loop.now();
-                    turn();
+                    stallEnded = loop.now();
+                    runIteration();
                 } else {
                     if (random.nextInt(4) == 0) {
-                        ask(dispatcher, all);
+                        sendRequest(dispatcher, requests);
                     }
                     run(1_000 + random.nextLong(4_000));
                 }
             }
-            run(2 * DEADLINE);
-            for (Asked asked : all) {
-                String seen = "seed " + seed + ": " + asked.answers + " " + (asked.answeredAt - asked.sent);
-                assertEquals(1, asked.answers.size(), seen);
-                boolean hit = asked.sent <= stalled[1] && asked.sent + DEADLINE >= stalled[0];
-                // At the waking at the latest, where its time ran out meanwhile.
-                long latest = Math.max(asked.sent + DEADLINE + SLACK, hit ? stalled[1] + 2_000 : 0);
-                assertTrue(asked.answeredAt <= latest, seen);
-                served += asked.answers.contains("served") ? 1 : 0;
+            run(2 * DEADLINE_MICROS);
+            for (ClientRequest request : requests) {
+                String result =
+                        "seed " + seed + ": " + request.responses + " " + (request.respondedAt - request.sentAt);
+                assertEquals(1, request.responses.size(), result);
+                long deadline = request.sentAt + DEADLINE_MICROS;
+                boolean overlapsStall = request.sentAt <= stallEnded && deadline >= stallBegan;
+                // Right behind the stall at the latest, where its deadline passed meanwhile.
+                long latest = Math.max(deadline + SLACK_MICROS, overlapsStall ? stallEnded + 2_000 : 0);
+                assertTrue(request.respondedAt <= latest, result);
+                served += request.responses.contains("served") ? 1 : 0;
             }
         }
-        assertTrue(served > 0.6 * made, "and most are served: " + served + " of " + made);
+        assertTrue(served > 0.6 * requestsSent, "and a majority is served: " + served + " of " + requestsSent);
     }
 
-    private void ask(Dispatcher dispatcher, List<Asked> all) {
-        Asked asked = new Asked(loop);
-        all.add(asked);
-        made++;
-        int kind = random.nextInt(2);
-        String id = "r" + made;
-        ProxyRequest order = new ProxyRequest(
+    private void sendRequest(Dispatcher dispatcher, List<ClientRequest> requests) {
+        ClientRequest client = new ClientRequest(loop);
+        requests.add(client);
+        requestsSent++;
+        int requestClass = random.nextInt(2);
+        String id = "r" + requestsSent;
+        ProxyRequest request = new ProxyRequest(
                 id,
-                kind == 0 ? "GET" : "POST",
+                requestClass == 0 ? "GET" : "POST",
                 "/k",
                 HeaderFields.NONE,
                 new byte[0],
-                kind,
+                requestClass,
                 0,
                 null,
-                DEADLINE,
+                DEADLINE_MICROS,
                 -1,
                 false);
-        arrivals.add(new Arrival(loop.now(), () -> dispatcher.dispatch(order, asked)));
+        arrivals.add(new Arrival(loop.now(), () -> dispatcher.dispatch(request, client)));
     }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/FakeTransport.java
@@ -0,0 +1,63 @@
+package loadbalancer.proxy;
+
+import java.util.ArrayList;
+import java.util.List;
+import loadbalancer.policy.Policy.Outcome;
+
+/** A transport without sockets: records the attempts, which end when the test says so. */
+final class FakeTransport implements AttemptTransport {
+    /** An attempt that has been handed over. */
+    static final class StartedAttempt implements AttemptTransport.Attempt {
+        final AttemptTransport.Listener listener;
+        final long wait;
+        final long before;
+        boolean connecting;
+        AttemptTransport.AttemptEffect effect = AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
+        boolean stopped;
+
+        StartedAttempt(AttemptTransport.Listener listener, long wait, long before) {
+            this.before = before;
+            this.listener = listener;
+            this.wait = wait;
+        }
+
+        @Override
+        public AttemptTransport.AttemptEffect cancel() {
+            stopped = true;
+            return effect;
+        }
+
+        @Override
+        public boolean withdraw() {
+            stopped |= connecting;
+            return connecting;
+        }
+    }
+
+    final List<StartedAttempt> started = new ArrayList<>();
+    final List<ProxyRequest> requests = new ArrayList<>();
+    boolean failsWithinSend;
+    long updatedAt; // of the last endpoint update
+
+    @Override
+    public void updateEndpoints(EndpointUpdate update, long now) {
+        updatedAt = now;
+    }
+
+    @Override
+    public Attempt send(String server, ProxyRequest request, long wait, long before, Listener listener) {
+        StartedAttempt next = new StartedAttempt(listener, wait, before);
+        started.add(next);
+        requests.add(request);
+        if (failsWithinSend) {
+            listener.ended(Outcome.NOT_SENT, null, null);
+        }
+        return next;
+    }
+
+    @Override
+    public void probe(String server, boolean report, Listener listener) {}
+
+    @Override
+    public void closeIdle(String server) {}
+}
--- a/src/test/java/loadbalancer/proxy/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -10,19 +10,19 @@
 class SendGuardTest {
     private static final long NEVER = Long.MAX_VALUE;
 
-    private static SendPermit look(long now, long before, long stopAt, boolean moved) {
+    private static SendPermit decide(long now, long before, long stopAt, boolean moved) {
         return SendGuard.decide(now, NEVER, before, stopAt, moved, NEVER);
     }
 
     @Test
-    void whatWaitedForItsConnectionIsLookedAtBeforeItsFirstByte() {
-        assertTrue(look(99, 100, DrainGrace.NEVER, false).granted());
-        assertEquals(Outcome.NOT_SENT, look(100, 100, DrainGrace.NEVER, false).refusal());
-        assertTrue(look(99, NEVER, 100, false).granted(), "within its grace");
-        assertEquals(Outcome.CONNECT_FAILED, look(100, NEVER, 100, false).refusal());
+    void anAttemptIsCheckedRightBeforeItsFirstByte() {
+        assertTrue(decide(99, 100, DrainGrace.NEVER, false).granted());
+        assertEquals(Outcome.NOT_SENT, decide(100, 100, DrainGrace.NEVER, false).refusal());
+        assertTrue(decide(99, NEVER, 100, false).granted(), "within its grace");
+        assertEquals(Outcome.CONNECT_FAILED, decide(100, NEVER, 100, false).refusal());
         assertEquals(
-                Outcome.CONNECT_FAILED, look(0, 100, DrainGrace.NEVER, true).refusal());
-        assertEquals(Outcome.NOT_SENT, look(100, 100, 100, true).refusal(), "nor may another take it");
+                Outcome.CONNECT_FAILED, decide(0, 100, DrainGrace.NEVER, true).refusal());
+        assertEquals(Outcome.NOT_SENT, decide(100, 100, 100, true).refusal(), "nor may another run it");
     }
 
     @Test
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aPermitHoldsNoLongerThanTheLeastOfWhatItRestsOn() {
+    void aPermitExpiresAtTheEarliestOfItsLimits() {
         assertEquals(10, SendGuard.decide(0, 10, 20, 30, false, 40).until());
         assertEquals(10, SendGuard.decide(0, 20, 10, 30, false, 40).until());
         assertEquals(10, SendGuard.decide(0, 20, 30, 10, false, 40).until());
--- a/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
+++ b/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A loop in virtual time: runs what is due, in order, when a test lets time pass. */
+/** An event loop in virtual time: runs the tasks that are due, in order, when a test lets time pass. */
 final class VirtualTimeScheduler implements Scheduler, Clock {
-    private record Entry(long at, long number, Runnable task) {}
+    private record Entry(long dueAt, long number, Runnable task) {}
 
     private final PriorityQueue<Entry> entries =
-            new PriorityQueue<>(Comparator.comparingLong(Entry::at).thenComparingLong(Entry::number));
+            new PriorityQueue<>(Comparator.comparingLong(Entry::dueAt).thenComparingLong(Entry::number));
     private long now = 1_000_000;
-    private long number;
+    private long nextNumber;
 
     @Override
     public long now() {
@@ -24,23 +24,24 @@
 
     @Override
     public Timer schedule(long delay, Runnable task) {
-        Entry entry = new Entry(now + Math.max(0, delay), number++, task);
+        Entry entry = new Entry(now + Math.max(0, delay), nextNumber++, task);
         entries.add(entry);
         return () -> entries.remove(entry);
     }
 
-    /** Time passes and nothing runs, as while a collection takes the thread; what is due runs late. */
+    /** Time passes and nothing runs, as during a garbage collection; tasks that are due run late. */
     void stall(long micros) {
         now += micros;
     }
 
+    /** Time passes, and the tasks that become due run. */
     void pass(long micros) {
         long until = now + micros;
-        while (!entries.isEmpty() && entries.peek().at() <= until) {
+        while (!entries.isEmpty() && entries.peek().dueAt() <= until) {
             Entry next = entries.poll();
-            now = Math.max(now, next.at());
+            now = Math.max(now, next.dueAt());
             next.task().run();
         }
-        now = Math.max(now, until); // a task may have stood still
+        now = Math.max(now, until); // a task may have stalled
     }
 }
