--- a/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
@@ -59,7 +59,7 @@
                         lastPollBegan + STALE_LIST_MICROS, DrainGrace.stopAt(DrainGrace.NEVER, lastPollBegan, grace));
     }
 
-    /** Whether operators are to be told that a heartbeat was so late; not each time while stalls go on. */
+    /** Whether a heartbeat that late is to be logged; not each time while stalls go on. */
     boolean shouldReport(long lateness, long now) {
         boolean report = lateness > REPORT_MIN_MICROS && now - reportedAt >= REPORT_INTERVAL_MICROS;
         if (report) {
--- a/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -2,7 +2,7 @@
 
 /**
  * A client's request, whatever protocol it was received by: what is forwarded to an upstream unchanged, and
- * what the policy is told of it.
+ * what the policy learns of it.
  *
  * @param id the client's own name for the request
  * @param method the HTTP method
--- a/src/main/java/loadbalancer/proxy/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -7,7 +7,7 @@
 /** Validates a request before it is accepted, whatever protocol it was received by. No I/O and no clock. */
 public final class RequestValidator {
     private static final int MAX_NAME_LENGTH = 256; // characters of an id or a key
-    private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is held for so long at most
+    private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is held no longer than that
     private static final long MAX_COST_MICROS = 600_000_000; // a longer estimate is ignored
     private static final List<String> SINGLE_FIELDS = List.of(
             "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
--- a/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
@@ -23,7 +23,7 @@
         assertEquals(List.of(), client.responses);
         scheduler.pass(1);
         assertEquals(List.of("failed"), client.responses, "6 ms before its client's time is over");
-        dispatch(); // the wake has come: nothing has lain unread
+        dispatch(); // the wake has run: nothing has lain unread
         assertEquals(50_000, transport.started.get(1).wait);
     }
 
--- a/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
+++ b/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
@@ -4,9 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import loadbalancer.policy.JsqDasPolicy;
 import loadbalancer.policy.Policy;
@@ -24,45 +22,9 @@
     private static final int SERVERS = 4;
 
     private static SettingsReader.Boot boot() {
-        Map<String, String> values = new HashMap<>(
-                Map.of("Balancers", "1", "Quantum", "1000", "MembershipMode", "push", "Classes.count", "2"));
-        for (int i = 0; i < 2; i++) {
-            values.putAll(Map.of(
-                    "Classes." + i + ".Name",
-                    "c" + i,
-                    "Classes." + i + ".Idempotency",
-                    i == 0 ? "safe" : "unsafe",
-                    "Classes." + i + ".GoalTime",
-                    "200000",
-                    "Classes." + i + ".GiveUp",
-                    Long.toString(DEADLINE_MICROS),
-                    "Classes." + i + ".Gain",
-                    "4",
-                    "Classes." + i + ".LateShare",
-                    "0.25"));
-        }
-        values.putAll(Map.of(
-                "Limits.TryLimit",
-                "3",
-                "Limits.MayDuplicate",
-                "true",
-                "Limits.Cancel",
-                "true",
-                "Limits.Probes",
-                "false",
-                "Rules.AnswerSlack",
-                "8000",
-                "Rules.DrainGrace",
-                "1000000",
-                "Rules.ColdFrom",
-                "0.3",
-                "Rules.RampTime",
-                "1",
-                "Rules.OverloadFactor",
-                "3",
-                "Rules.Fall",
-                "1"));
-        return SettingsReader.read(values, (path, what) -> new IllegalArgumentException(path + what));
+        return TestSettings.boot(
+                new TestSettings.RequestClass("c0", "safe", 200_000, DEADLINE_MICROS),
+                new TestSettings.RequestClass("c1", "unsafe", 200_000, DEADLINE_MICROS));
     }
 
     /** One client's request: when it was sent, and the responses to it. */
@@ -164,53 +126,72 @@
         for (int seed = 0; seed < 400; seed++) {
             random = new SplittableRandom(seed);
             arrivals.clear();
-            JsqDasPolicy policy = new JsqDasPolicy(boot().settings(), seed);
-            Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), policy, line -> {});
-            dispatcher.attach(new Servers(), EndpointSource.NONE);
-            dispatcher.startStallDetection();
-            List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
-            for (int i = 0; i < SERVERS; i++) {
-                endpoints.add(
-                        new EndpointUpdate.Endpoint(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
-            }
-            dispatcher.updateEndpoints(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, endpoints));
+            Dispatcher dispatcher = startDispatcher(seed);
             List<ClientRequest> requests = new ArrayList<>();
-            int stallAt = random.nextInt(300);
-            long stallBegan = 0;
-            long stallEnded = 0;
-            for (int step = 0; step < 300; step++) {
-                if (step == stallAt) {
-                    stallBegan = loop.now();
-                    long length = 100_000 + random.nextLong(900_000);
-                    for (int i = 0; i < 20; i++) { // clients go on sending
-                        loop.stall(length / 20);
-                        sendRequest(dispatcher, requests);
-                    }
-                    stallEnded = loop.now();
-                    runIteration();
-                } else {
-                    if (random.nextInt(4) == 0) {
-                        sendRequest(dispatcher, requests);
-                    }
-                    run(1_000 + random.nextLong(4_000));
-                }
-            }
+            Stall stall = runWithOneStall(dispatcher, requests);
             run(2 * DEADLINE_MICROS);
             for (ClientRequest request : requests) {
-                String result =
-                        "seed " + seed + ": " + request.responses + " " + (request.respondedAt - request.sentAt);
-                assertEquals(1, request.responses.size(), result);
-                long deadline = request.sentAt + DEADLINE_MICROS;
-                boolean overlapsStall = request.sentAt <= stallEnded && deadline >= stallBegan;
-                // Right behind the stall at the latest, where its deadline passed meanwhile.
-                long latest = Math.max(deadline + SLACK_MICROS, overlapsStall ? stallEnded + 2_000 : 0);
-                assertTrue(request.respondedAt <= latest, result);
+                assertOneResponseInTime(request, stall, seed);
                 served += request.responses.contains("served") ? 1 : 0;
             }
         }
         assertTrue(served > 0.6 * requestsSent, "and a majority is served: " + served + " of " + requestsSent);
     }
 
+    private Dispatcher startDispatcher(int seed) {
+        JsqDasPolicy policy = new JsqDasPolicy(boot().settings(), seed);
+        Dispatcher dispatcher = new Dispatcher(loop, loop, boot(), policy, line -> {});
+        dispatcher.attach(new Servers(), EndpointSource.NONE);
+        dispatcher.startStallDetection();
+        List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < SERVERS; i++) {
+            endpoints.add(
+                    new EndpointUpdate.Endpoint(new Policy.Server("s" + i, Policy.State.UP, 0, 1, 0, 0, 0), null));
+        }
+        dispatcher.updateEndpoints(Policy.ListKind.COMPLETE, new EndpointUpdate(1, true, endpoints));
+        return dispatcher;
+    }
+
+    /** When the event loop was stalled. */
+    private record Stall(long began, long ended) {}
+
+    private Stall runWithOneStall(Dispatcher dispatcher, List<ClientRequest> requests) {
+        Stall stall = null;
+        int stallAt = random.nextInt(300);
+        for (int step = 0; step < 300; step++) {
+            if (step == stallAt) {
+                stall = stall(dispatcher, requests);
+                runIteration();
+            } else {
+                if (random.nextInt(4) == 0) {
+                    sendRequest(dispatcher, requests);
+                }
+                run(1_000 + random.nextLong(4_000));
+            }
+        }
+        return stall;
+    }
+
+    private Stall stall(Dispatcher dispatcher, List<ClientRequest> requests) {
+        long began = loop.now();
+        long length = 100_000 + random.nextLong(900_000);
+        for (int i = 0; i < 20; i++) { // clients go on sending
+            loop.stall(length / 20);
+            sendRequest(dispatcher, requests);
+        }
+        return new Stall(began, loop.now());
+    }
+
+    private static void assertOneResponseInTime(ClientRequest request, Stall stall, int seed) {
+        String result = "seed " + seed + ": " + request.responses + " " + (request.respondedAt - request.sentAt);
+        assertEquals(1, request.responses.size(), result);
+        long deadline = request.sentAt + DEADLINE_MICROS;
+        boolean overlapsStall = request.sentAt <= stall.ended() && deadline >= stall.began();
+        // Right behind the stall at the latest, where its deadline passed meanwhile.
+        long latest = Math.max(deadline + SLACK_MICROS, overlapsStall ? stall.ended() + 2_000 : 0);
+        assertTrue(request.respondedAt <= latest, result);
+    }
+
     private void sendRequest(Dispatcher dispatcher, List<ClientRequest> requests) {
         ClientRequest client = new ClientRequest(loop);
         requests.add(client);
--- /dev/null
+++ b/src/test/java/loadbalancer/proxy/PendingRequestTest.java
@@ -0,0 +1,104 @@
+package loadbalancer.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loadbalancer.policy.Policy;
+import org.junit.jupiter.api.Test;
+
+/** The states of a request and of its attempts. */
+class PendingRequestTest {
+    private final Invariants invariants = new Invariants(line -> {});
+    private final PendingRequest pending = pending(Policy.Effect.SAFE);
+
+    private PendingRequest pending(Policy.Effect effect) {
+        ProxyRequest request =
+                new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false);
+        return new PendingRequest("1", request, new RecordingResponseWriter(), 2, effect, invariants);
+    }
+
+    private long illegalTransitions() {
+        return invariants.count(Invariants.Violation.ILLEGAL_TRANSITION);
+    }
+
+    @Test
+    void aRequestIsActiveOnceThePolicyIsNotifiedAndThenClosedOnce() {
+        assertFalse(pending.isKnownToPolicy());
+        pending.activate();
+        assertTrue(pending.isKnownToPolicy());
+        assertFalse(pending.isClosed());
+        assertTrue(pending.close());
+        assertTrue(pending.isClosed() && pending.isKnownToPolicy() && pending.isFinished());
+        assertEquals(0, illegalTransitions());
+    }
+
+    @Test
+    void aRequestThatIsClosedBeforeThePolicyIsNotifiedStaysUnknownToIt() {
+        assertTrue(pending.close());
+        assertFalse(pending.isKnownToPolicy());
+    }
+
+    @Test
+    void aSecondCloseOrActivationChangesNothingAndIsCounted() {
+        pending.activate();
+        pending.activate();
+        assertEquals(1, illegalTransitions());
+        pending.close();
+        assertFalse(pending.close());
+        pending.activate();
+        assertTrue(pending.isClosed());
+        assertEquals(3, illegalTransitions());
+    }
+
+    @Test
+    void aRequestIsFinishedWhenItIsClosedAndItsLastAttemptHasEnded() {
+        ProxyAttempt attempt = pending.addAttempt(0);
+        pending.close();
+        assertFalse(pending.isFinished());
+        attempt.end(false);
+        assertTrue(pending.isFinished());
+    }
+
+    @Test
+    void aSecondEndOfAnAttemptChangesNothingAndIsCounted() {
+        ProxyAttempt attempt = pending.addAttempt(0);
+        attempt.end(true);
+        attempt.end(false);
+        assertTrue(attempt.neverRan());
+        assertEquals(0, pending.attemptsInFlight());
+        assertEquals(1, illegalTransitions());
+    }
+
+    @Test
+    void anAttemptThatEndedWithinItsSendDoesNotStart() {
+        ProxyAttempt attempt = pending.addAttempt(0);
+        attempt.end(true);
+        FakeTransport.StartedAttempt handle = new FakeTransport.StartedAttempt(null, 0, 0);
+        attempt.start(handle);
+        assertFalse(attempt.cancelMayHaveRun());
+        assertFalse(handle.stopped);
+        assertEquals(0, illegalTransitions());
+    }
+
+    @Test
+    void anUnsafeRequestMayRunTwiceWhileAnotherAttemptIsNotProvenNeverToHaveRun() {
+        PendingRequest unsafe = pending(Policy.Effect.UNSAFE);
+        ProxyAttempt first = unsafe.addAttempt(0);
+        assertFalse(unsafe.mayRunTwice(first));
+        ProxyAttempt second = unsafe.addAttempt(0);
+        assertTrue(unsafe.mayRunTwice(second));
+        first.end(true);
+        assertFalse(unsafe.mayRunTwice(second));
+    }
+
+    @Test
+    void attemptsBeyondTheLimitAndOfClosedRequestsAreNotAllowed() {
+        assertTrue(pending.allows(pending.addAttempt(0)));
+        ProxyAttempt second = pending.addAttempt(0);
+        assertTrue(pending.allows(second));
+        assertFalse(pending.allows(pending.addAttempt(0)));
+        pending.close();
+        assertFalse(pending.allows(second));
+    }
+}
--- a/src/test/java/loadbalancer/proxy/TestSettings.java
+++ b/src/test/java/loadbalancer/proxy/TestSettings.java
@@ -4,57 +4,54 @@
 import java.util.Map;
 import loadbalancer.settings.SettingsReader;
 
-/** Settings of one class, {@code read}, with a deadline of 100 ms and up to 3 attempts. */
+/** Settings of one balancer with up to 3 attempts, hedged requests and cancellation; times in µs. */
 final class TestSettings {
+    private static final Map<String, String> LIMITS = Map.of(
+            "Limits.TryLimit", "3",
+            "Limits.MayDuplicate", "true",
+            "Limits.Cancel", "true",
+            "Limits.Probes", "false");
+
+    private static final Map<String, String> RULES = Map.of(
+            "Rules.AnswerSlack", "8000",
+            "Rules.DrainGrace", "1000000",
+            "Rules.ColdFrom", "0.3",
+            "Rules.RampTime", "1",
+            "Rules.OverloadFactor", "3",
+            "Rules.Fall", "1");
+
+    /** A request class; {@code idempotency} as the settings word it. */
+    record RequestClass(String name, String idempotency, long latencyObjective, long deadline) {}
+
     private TestSettings() {}
 
+    /** One class, {@code read}, that is safe to retry, with a deadline of 100 ms. */
     static SettingsReader.Boot boot() {
         return boot("safe");
     }
 
+    /** The same class with another idempotency. */
     static SettingsReader.Boot boot(String idempotency) {
-        Map<String, String> values = new HashMap<>(Map.of(
-                "Balancers",
-                "1",
-                "Quantum",
-                "1000",
-                "MembershipMode",
-                "push",
-                "Classes.count",
-                "1",
-                "Classes.0.Name",
-                "read",
-                "Classes.0.Idempotency",
-                idempotency,
-                "Classes.0.GoalTime",
-                "20000",
-                "Classes.0.GiveUp",
-                "100000",
-                "Classes.0.Gain",
-                "4",
-                "Classes.0.LateShare",
-                "0.25"));
-        values.putAll(Map.of(
-                "Limits.TryLimit",
-                "3",
-                "Limits.MayDuplicate",
-                "true",
-                "Limits.Cancel",
-                "true",
-                "Limits.Probes",
-                "false",
-                "Rules.AnswerSlack",
-                "8000",
-                "Rules.DrainGrace",
-                "1000000",
-                "Rules.ColdFrom",
-                "0.3",
-                "Rules.RampTime",
-                "1",
-                "Rules.OverloadFactor",
-                "3",
-                "Rules.Fall",
-                "1"));
+        return boot(new RequestClass("read", idempotency, 20_000, 100_000));
+    }
+
+    /** The classes given. */
+    static SettingsReader.Boot boot(RequestClass... classes) {
+        Map<String, String> values = new HashMap<>(LIMITS);
+        values.putAll(RULES);
+        values.put("Balancers", "1");
+        values.put("Quantum", "1000");
+        values.put("MembershipMode", "push");
+        values.put("Classes.count", Integer.toString(classes.length));
+        for (int i = 0; i < classes.length; i++) {
+            String prefix = "Classes." + i + ".";
+            values.put(prefix + "Name", classes[i].name());
+            values.put(prefix + "Idempotency", classes[i].idempotency());
+            values.put(prefix + "GoalTime", Long.toString(classes[i].latencyObjective()));
+            values.put(prefix + "GiveUp", Long.toString(classes[i].deadline()));
+            values.put(prefix + "Gain", "4");
+            values.put(prefix + "LateShare", "0.25");
+        }
         return SettingsReader.read(values, (path, what) -> new IllegalArgumentException(path + what));
     }
 }
