--- a/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -19,6 +19,7 @@
  * @param length bytes of {@code body} and {@code rest} together; -1 if unknown
  * @param passes whether its downstream forwards long responses while they are received
  */
+@SuppressWarnings("ArrayRecordComponent") // bodies are shared, not copied, and never changed
 public record ProxyRequest(
         String id,
         String method,
--- a/src/main/java/loadbalancer/proxy/RequestMetrics.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -49,7 +49,7 @@
     private final Counts all = new Counts();
     private Counts[] byClass;
     private Counts[] byTenant;
-    private final long[] outcomes = new long[Policy.Outcome.values().length];
+    private final EnumMap<Policy.Outcome, Long> attemptsByOutcome = new EnumMap<>(Policy.Outcome.class);
     private long rejected;
     private long failed;
     private long disconnected;
@@ -154,7 +154,8 @@
 
     /** Counts an attempt by its outcome. */
     public void ended(Policy.Outcome outcome) {
-        outcomes[outcome.ordinal()]++;
+        Long count = attemptsByOutcome.get(outcome);
+        attemptsByOutcome.put(outcome, count == null ? 1 : count + 1);
     }
 
     private double worth(ProxyRequest request) {
@@ -179,13 +180,7 @@
 
     /** Attempts by outcome; outcomes that have not happened are left out. */
     public Map<Policy.Outcome, Long> attempts() {
-        Map<Policy.Outcome, Long> attempts = new EnumMap<>(Policy.Outcome.class);
-        for (Policy.Outcome outcome : Policy.Outcome.values()) {
-            if (outcomes[outcome.ordinal()] > 0) {
-                attempts.put(outcome, outcomes[outcome.ordinal()]);
-            }
-        }
-        return attempts;
+        return new EnumMap<>(attemptsByOutcome);
     }
 
     /** The counts in one line, for the end of a run. */
--- a/src/main/java/loadbalancer/proxy/UpstreamResponse.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamResponse.java
@@ -11,6 +11,7 @@
  * @param rest the bytes that follow {@code body} where the response is long; null where there are none
  * @param length bytes of {@code body} and {@code rest} together; -1 if unknown
  */
+@SuppressWarnings("ArrayRecordComponent") // bodies are shared, not copied, and never changed
 public record UpstreamResponse(int status, HeaderFields fields, byte[] body, BodyStream rest, long length) {
     /** A complete one. */
     public UpstreamResponse(int status, HeaderFields fields, byte[] body) {
