--- a/src/main/java/loadbalancer/eventloop/MillisecondTimer.java
+++ b/src/main/java/loadbalancer/eventloop/MillisecondTimer.java
@@ -12,41 +12,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One event loop that sleeps until its next timer is due. Netty's selector waits whole milliseconds, rounds
- * to the nearest, and where it wakes up to half of one too early it looks at its sockets again and again
- * until the timer is due: hundreds of turns that do nothing, on the core that other balancers share. Here the
- * wait is rounded up, and timers run up to a millisecond late.
+ * A group of one event loop whose wait for the next timer is rounded up to whole milliseconds.
+ *
+ * <p>Netty's selector waits whole milliseconds and rounds to the nearest. Where it wakes up to half a millisecond early
+ * it polls its sockets without waiting until the timer is due: hundreds of iterations without any work, on a core that
+ * other processes share. Here timers run up to a millisecond late instead.
  */
 public final class MillisecondTimer extends MultiThreadIoEventLoopGroup {
-    private static final long MS = 1_000_000;
-    private static final long QUIET_MS = 100;
-    private static final long END_MOST_MS = 1_000;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000;
+    private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 100;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
 
+    /** A loop with Netty's default select strategy. */
     public MillisecondTimer() {
         this(DefaultSelectStrategyFactory.INSTANCE);
     }
 
-    /** With a strategy of its own, as tests that count turns have. */
+    /** A loop with a select strategy of its own, by which tests count iterations. */
     MillisecondTimer(SelectStrategyFactory strategy) {
         super(1, NioIoHandler.newFactory(SelectorProvider.provider(), strategy));
     }
 
     /**
-     * Ends the loop and all its channels, and does not wait for that; from any thread. Netty closes channels
-     * in the turn behind the one in which the end is asked for, and without a time of quiet there is no such
-     * turn where it is asked for while tasks run: the connections stayed open.
+     * Shuts the loop down, closes its channels, and does not wait for that; from any thread. Netty closes channels in
+     * the iteration behind the one in which the shutdown is requested; without a quiet period there is no such
+     * iteration where it is requested while tasks run, and the connections would stay open.
      */
     public void end() {
-        shutdownGracefully(QUIET_MS, END_MOST_MS, TimeUnit.MILLISECONDS);
+        shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    protected IoEventLoop newChild(Executor executor, IoHandlerFactory handler, Object... none) {
+    protected IoEventLoop newChild(Executor executor, IoHandlerFactory handler, Object... unused) {
         return new SingleThreadIoEventLoop(this, executor, handler) {
             @Override
             protected long delayNanos(long now) {
-                long left = super.delayNanos(now);
-                return left <= 0 ? left : left + (MS - left % MS) % MS;
+                long delay = super.delayNanos(now);
+                if (delay <= 0) {
+                    return delay;
+                }
+                long untilWhole = (NANOS_PER_MILLISECOND - delay % NANOS_PER_MILLISECOND) % NANOS_PER_MILLISECOND;
+                return delay + untilWhole;
             }
         };
     }
--- a/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
+++ b/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
@@ -5,25 +5,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Timers of an event loop that may stand still: one that runs late lets the loop pass over its sockets first.
- * A wait that is interrupted by a stall of the process (SIGSTOP, a machine that gives it no turn) comes back
- * with its timers due and with none of the sockets that have become ready meanwhile: an attempt was given up
- * whose answer had come, a connection at rest was closed on the request in it, and a request was taken for
- * new that had lain there for as long. For the loop's own thread, but for {@link #after}.
+ * Timers that, when they run late, let the event loop read its sockets first.
+ *
+ * <p>After a stall of the process (SIGSTOP, a machine without a free core) the selector returns with the timers due and
+ * with none of the sockets that became readable meanwhile. Without the extra pass an attempt would time out whose
+ * response has arrived, an idle connection would be closed on the request in it, and the age of a request would be
+ * counted from after the stall.
+ *
+ * <p>For the loop's own thread, except {@link #after}.
  */
 public final class ReadBeforeTimers {
-    /** From so much on a timer is late, in ns: no turn of a loop that keeps up takes that long. */
+    /** A timer that runs later than this, in ns, is late: no iteration of a loop that keeps up takes so long. */
     static final long LATE = 5_000_000;
-    // Passes that a timer waits for at most: a loop that is always late still comes to its timers.
-    private static final int PASSES = 3;
+    /** Passes over the sockets that a timer waits for at most, so that it also runs on a loop that is always late. */
+    private static final int MAX_PASSES = 3;
 
     private ReadBeforeTimers() {}
 
-    /** A task that has been asked for. */
+    /** A scheduled task. */
     public static final class Handle {
         private final EventLoop loop;
         private final Runnable task;
-        private long due;
+        private long due; // System.nanoTime()
         private int passes;
         private volatile Future<?> future;
         private volatile boolean cancelled;
@@ -32,37 +35,37 @@
             this.loop = loop;
             this.task = task;
             this.due = System.nanoTime() + nanos;
-            this.future = loop.schedule(this::due, nanos, TimeUnit.NANOSECONDS);
+            this.future = loop.schedule(this::runOrReschedule, nanos, TimeUnit.NANOSECONDS);
         }
 
-        // What is scheduled from within a turn runs in the next one, behind the pass over the sockets.
-        private void due() {
+        // A task scheduled within an iteration runs in the next one, behind the pass over the sockets.
+        private void runOrReschedule() {
             if (cancelled) {
                 return;
             }
-            // Again where it stood still between that pass and here.
+            // Checked on each pass: the process may have been stalled between the pass and this task.
             long now = System.nanoTime();
-            if (now - due > LATE && passes++ < PASSES) {
+            if (now - due > LATE && passes++ < MAX_PASSES) {
                 due = now;
-                future = loop.schedule(this::due, 0, TimeUnit.NANOSECONDS);
+                future = loop.schedule(this::runOrReschedule, 0, TimeUnit.NANOSECONDS);
             } else {
                 task.run();
             }
         }
 
-        /** Does nothing where it has run already. */
+        /** Cancels the task; no effect once it has run. From any thread. */
         public void cancel() {
             cancelled = true;
             future.cancel(false);
         }
     }
 
-    /** Runs {@code task} on the loop's thread once, after that time. May be called from any thread. */
+    /** Runs {@code task} once on the loop's thread, after {@code delay}. May be called from any thread. */
     public static Handle after(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
         return new Handle(loop, unit.toNanos(Math.max(0, delay)), task);
     }
 
-    /** Runs {@code task} again and again, each time so long after its last end, as long as the loop lives. */
+    /** Runs {@code task} repeatedly, each time {@code delay} after its last end, until the loop shuts down. */
     public static void every(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
         after(loop, delay, unit, () -> {
             try {
--- a/src/main/java/loadbalancer/lifecycle/HotRestart.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestart.java
@@ -4,57 +4,60 @@
 import java.util.Set;
 
 /**
- * Which processes that may succeed this one are there, and what follows for it. Decides without I/O: whoever
- * holds the connections to them tells it what they say and when they end. Lines that it does not know say
- * nothing: the other process may be of another version. For one thread.
+ * The predecessor's side of a hot restart: which processes may succeed this one, and what follows from their
+ * messages. A message that it does not know is ignored, since the other process may be of another version.
+ *
+ * <p>Decides without I/O: the caller reports messages and disconnects of the connections that it holds. For one
+ * thread.
  */
 public final class HotRestart {
-    /** A line: a process has started and may succeed; what follows is the version of this talk. */
+    /** Message: a process has started and may succeed; followed by a space and the protocol's version. */
     public static final String HELLO = "hello";
-    /** A line: it accepts clients from here on. */
+    /** Message: the sender accepts clients from here on. */
     public static final String READY = "ready";
 
-    /** What this process is to do. */
+    /** What this process does after a message or a disconnect. */
     public enum Step {
+        /** Nothing changes. */
         NOTHING,
-        /** Descriptors and memory are shared from here on. */
+        /** File descriptors and memory are shared with another process from here on. */
         SHARE,
-        /** Clients belong to the other one. */
+        /** A successor accepts the clients from here on. */
         HAND_OVER,
-        /** The one that took the clients is gone: they are this one's again. */
+        /** The successor has ended: this process accepts clients, as it did before. */
         TAKE_BACK,
-        /** Nobody else is there any more. */
+        /** No other process is left. */
         ALONE
     }
 
-    private final Set<Object> here = new HashSet<>();
-    private Object successor;
+    private final Set<Object> peers = new HashSet<>();
+    private Object successor; // of the peers, the first that was ready; null while there is none
 
-    /** What a process has said; {@code from} stands for its connection. */
-    public Step received(Object from, String line) {
-        String word = line.strip().split(" ", 2)[0];
-        if (word.equals(HELLO)) {
-            return here.add(from) && here.size() == 1 ? Step.SHARE : Step.NOTHING;
+    /** Handles a message; {@code peer} identifies the connection, and with it the process. */
+    public Step received(Object peer, String line) {
+        String message = line.strip().split(" ", 2)[0];
+        if (message.equals(HELLO)) {
+            return peers.add(peer) && peers.size() == 1 ? Step.SHARE : Step.NOTHING;
         }
-        if (word.equals(READY) && here.contains(from) && successor == null) {
-            successor = from;
+        if (message.equals(READY) && peers.contains(peer) && successor == null) {
+            successor = peer;
             return Step.HAND_OVER;
         }
         return Step.NOTHING;
     }
 
-    /** Its connection, and so the process, has ended. */
-    public Step disconnected(Object from) {
-        boolean known = here.remove(from);
-        if (from == successor) {
+    /** Handles the end of a peer's connection, and with it of the process. */
+    public Step disconnected(Object peer) {
+        boolean known = peers.remove(peer);
+        if (peer == successor) {
             successor = null;
             return Step.TAKE_BACK;
         }
-        return known && here.isEmpty() ? Step.ALONE : Step.NOTHING;
+        return known && peers.isEmpty() ? Step.ALONE : Step.NOTHING;
     }
 
-    /** Whether another process is there. */
+    /** Whether another process shares this one's resources. */
     public boolean hasPeer() {
-        return !here.isEmpty();
+        return !peers.isEmpty();
     }
 }
--- a/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -13,6 +13,7 @@
 import io.netty.handler.codec.LineBasedFrameDecoder;
 import io.netty.handler.codec.string.StringDecoder;
 import io.netty.handler.codec.string.StringEncoder;
+import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.UnixDomainSocketAddress;
 import java.nio.file.Files;
@@ -22,24 +23,34 @@
 import loadbalancer.lifecycle.HotRestart.Step;
 
 /**
- * The talk between a process and the one that succeeds it, over a Unix-domain socket in the folder that both
- * share. Each end of a connection is the end of a process, told by the kernel. All but the constructor runs
- * on the event loop; where the socket can't be had, nobody is told anything, and both go on alone.
+ * Carries the messages of a hot restart between a process and its successor, one line each, over a Unix-domain socket
+ * at a path that both know. The kernel closes a process's connection when the process ends, so that a closed
+ * connection stands for an ended process.
+ *
+ * <p>All but the constructor runs on the event loop. Where the socket can't be used, neither process learns of the
+ * other and both go on independently.
  */
 public final class HotRestartChannel {
-    private static final String VERSION = "1";
-    private static final int LINE_MOST = 1_024;
-    private static final int PATH_MOST = 100; // bytes: what the address of such a socket holds
+    private static final String PROTOCOL_VERSION = "1";
+    private static final int MAX_LINE_BYTES = 1_024;
+    /** A Unix-domain socket's address holds little more than 100 bytes. */
+    private static final int MAX_PATH_LENGTH = 100;
 
     private final EventLoop loop;
     private final Path path;
     private final Consumer<Step> steps;
     private final Consumer<String> log;
-    private final HotRestart succession = new HotRestart();
-    private Channel predecessor;
+    private final HotRestart hotRestart = new HotRestart();
+    private Channel predecessor; // null while there is none
     private boolean ready;
 
-    /** {@code steps} is told what to do, on the loop; {@code log} must not block. */
+    /**
+     * Creates a channel that is not connected yet.
+     *
+     * @param path where the serving process listens and its successor connects
+     * @param steps receives what this process has to do, on the loop
+     * @param log must not block
+     */
     public HotRestartChannel(EventLoop loop, Path path, Consumer<Step> steps, Consumer<String> log) {
         this.loop = loop;
         this.path = path;
@@ -47,10 +58,10 @@
         this.log = log;
     }
 
-    /** Looks for a predecessor; {@code then} runs in any case, with whether there is one. */
-    public void begin(Consumer<Boolean> then) {
+    /** Connects to a predecessor; {@code onConnected} is called in any case, with whether there is one. */
+    public void begin(Consumer<Boolean> onConnected) {
         if (!Files.exists(path)) {
-            then.accept(false);
+            onConnected.accept(false);
             return;
         }
         ChannelFuture connected = new Bootstrap()
@@ -59,29 +70,29 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LINE_MOST), new StringEncoder());
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new StringEncoder());
                     }
                 })
                 .connect(UnixDomainSocketAddress.of(path));
-        connected.addListener(done -> {
-            if (done.isSuccess()) {
+        connected.addListener(result -> {
+            if (result.isSuccess()) {
                 predecessor = connected.channel();
                 predecessor.closeFuture().addListener(closed -> {
                     predecessor = null;
                     steps.accept(Step.ALONE);
                 });
-                predecessor.writeAndFlush(HotRestart.HELLO + " " + VERSION + "\n");
+                predecessor.writeAndFlush(HotRestart.HELLO + " " + PROTOCOL_VERSION + "\n");
             }
-            then.accept(done.isSuccess()); // refused: left behind by a process that is gone
+            onConnected.accept(result.isSuccess()); // refused: the socket file of a process that has ended
         });
     }
 
-    /** Whether another process shares what this one may use. */
+    /** Whether another process shares this one's resources. */
     public boolean hasPeer() {
-        return predecessor != null || succession.hasPeer();
+        return predecessor != null || hotRestart.hasPeer();
     }
 
-    /** This process takes clients: the predecessor is told, and successors find this one from here on. */
+    /** This process accepts clients: notifies the predecessor and listens for successors. Idempotent. */
     public void ready() {
         if (ready) {
             return;
@@ -93,10 +104,11 @@
         }
     }
 
+    // Binds beside the path and then moves there, so that the path always leads to a process that listens.
     private void listen() {
         Path own = path.resolveSibling(
                 path.getFileName() + "." + ProcessHandle.current().pid());
-        if (own.toString().length() > PATH_MOST) {
+        if (own.toString().length() > MAX_PATH_LENGTH) {
             log.accept("upgrades go by signals alone: too long a path: " + own);
             return;
         }
@@ -113,32 +125,37 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new LineBasedFrameDecoder(LINE_MOST), new StringDecoder(), new Successor());
+                                .addLast(
+                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
+                                        new StringDecoder(),
+                                        new SuccessorHandler());
                     }
                 })
                 .bind(UnixDomainSocketAddress.of(own))
-                .addListener(bound -> {
-                    try {
-                        if (!bound.isSuccess()) {
-                            throw new IOException(bound.cause());
-                        }
-                        Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-                    } catch (IOException e) {
-                        log.accept("upgrades go by signals alone: " + e);
-                    }
-                });
+                .addListener(bound -> publish(own, bound));
+    }
+
+    private void publish(Path own, Future<?> bound) {
+        try {
+            if (!bound.isSuccess()) {
+                throw new IOException(bound.cause());
+            }
+            Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        } catch (IOException e) {
+            log.accept("upgrades go by signals alone: " + e);
+        }
     }
 
-    /** A process that may succeed this one. */
-    private final class Successor extends SimpleChannelInboundHandler<String> {
+    /** The connection of a process that may succeed this one. */
+    private final class SuccessorHandler extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
-            steps.accept(succession.received(context.channel(), line));
+            steps.accept(hotRestart.received(context.channel(), line));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            steps.accept(succession.disconnected(context.channel()));
+            steps.accept(hotRestart.disconnected(context.channel()));
         }
 
         @Override
--- a/src/main/java/loadbalancer/lifecycle/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -1,56 +1,67 @@
 package loadbalancer.lifecycle;
 
 /**
- * What a balancer is at, and what follows from it: whether it says that it is ready, takes connections and
- * keeps them. Evacuation, the orderly stop and handing over to a successor wind connections down in one way:
- * answers end their connections first, and those that rest go later, since each close may cross a request.
- * Decides without I/O; times in ns of one monotonic clock that all calls share. For one thread.
+ * The life cycle of a balancer's process, and what follows from its state: whether it reports readiness, accepts
+ * connections and keeps them open.
+ *
+ * <p>Evacuation, hot restart and graceful shutdown drain connections in the same way: responses close their
+ * connections first; idle connections are closed later, since each such close may cross a request on its way.
+ *
+ * <p>Decides without I/O. Times are ns of one monotonic clock that all calls share. For one thread.
  */
 public final class LifeCycle {
-    /** What a balancer is at. */
+    /** The states of a process. */
     public enum State {
-        /** It can't serve yet. */
+        /** It can't serve yet: no endpoint list, or the warm-up still runs. */
         STARTING,
-        /** It takes clients. */
+        /** It serves clients. */
         READY,
-        /** Operators have sent its clients away, and some may still come. */
+        /** Operators are moving its clients elsewhere; some may still arrive. */
         EVACUATING,
-        /** None are left that came before. */
+        /** The evacuation has ended: no connection from before it is left idle. */
         EVACUATED,
-        /** A successor takes the clients; what is held is answered. */
+        /** A successor accepts the clients; requests in flight are answered. */
         HANDING_OVER,
-        /** It ends once all is answered. */
+        /** A graceful shutdown: it ends once all requests are answered. */
         STOPPING
     }
 
-    /** What came of an operator's call. */
+    /** The result of an operator's command. */
     public enum Verdict {
+        /** Carried out. */
         DONE,
+        /** Nothing to do: the state is the one asked for. */
         ALREADY,
+        /** Not possible in this state. */
         NOT_POSSIBLE
     }
 
-    private static final long MS = 1_000_000;
-    /** Clients go on coming for so long after they have been sent away, in ns. */
-    public static final long LINGER = 600 * MS;
+    private static final long MILLISECOND = 1_000_000; // in ns
+    /** For so long after a drain has begun clients may still open connections and send requests, in ns. */
+    public static final long LINGER = 600 * MILLISECOND;
 
-    private static final long RESTED = 500 * MS; // who rests so long hardly asks just then
-    private static final long EVACUATE = 1_600 * MS; // after that nobody rests
-    private static final long LATE_REST = 200 * MS; // of who comes all the same
-    private static final long HAND_OVER = 2_000 * MS;
+    /** A client that has been idle for so long is unlikely to send a request just then. */
+    private static final long DRAIN_IDLE_TIME = 500 * MILLISECOND;
+
+    private static final long EVACUATION_TIME = 1_600 * MILLISECOND;
+    /** Idle time of connections that arrive after an evacuation. */
+    private static final long EVACUATED_IDLE_TIME = 200 * MILLISECOND;
+
+    private static final long HAND_OVER_TIME = 2_000 * MILLISECOND;
     private static final long NO_LIMIT = Long.MAX_VALUE;
 
     private State state = State.STARTING;
-    private long since; // ns: the present state's beginning
-    private boolean prepared; // it could serve
-    private boolean succeeded; // a successor takes what comes
-    private boolean called; // nothing more comes before it ends
+    private long since; // when the state was entered, ns
+    private boolean prepared; // has all that serving needs
+    private boolean succeeded; // a successor accepts new connections
+    private boolean listenerClosed; // as part of a graceful shutdown
 
-    /** {@code now}: its beginning. */
+    /** A process that starts at {@code now}. */
     public LifeCycle(long now) {
         since = now;
     }
 
+    /** The present state. */
     public State state() {
         return state;
     }
@@ -61,7 +72,7 @@
         return Verdict.DONE;
     }
 
-    /** All is there that serving needs; returns whether it takes clients from here on. */
+    /** Records that the process could serve; returns whether it serves clients from here on. */
     public boolean prepared(long now) {
         prepared = true;
         if (state == State.STARTING) {
@@ -70,7 +81,7 @@
         return state == State.READY;
     }
 
-    /** Operators send its clients away; before it is ready there are none, and it does not become ready. */
+    /** Starts an evacuation; a process that is still starting has no clients, and does not become ready either. */
     public Verdict evacuate(long now) {
         return switch (state) {
             case STARTING -> enter(State.EVACUATED, now);
@@ -80,7 +91,7 @@
         };
     }
 
-    /** Operators want it to take clients again. */
+    /** Ends an evacuation: the process serves clients once it can. */
     public Verdict rejoin(long now) {
         return switch (state) {
             case EVACUATING, EVACUATED -> enter(prepared ? State.READY : State.STARTING, now);
@@ -89,7 +100,7 @@
         };
     }
 
-    /** A successor is ready and takes the clients; false where this one is not to hand over any more. */
+    /** A successor is ready and accepts the clients; false where this process is handing over or stopping already. */
     public boolean handOver(long now) {
         succeeded = true;
         if (state == State.STOPPING || state == State.HANDING_OVER) {
@@ -99,7 +110,7 @@
         return true;
     }
 
-    /** The successor has gone before this one has: it takes clients again. False where it is stopping. */
+    /** The successor has ended: this process accepts clients as before. False where it was not handing over. */
     public boolean takeBack(long now) {
         if (state != State.HANDING_OVER) {
             return false;
@@ -109,67 +120,79 @@
         return true;
     }
 
-    /** It is to end; told twice, it counts once. */
+    /** Starts a graceful shutdown; idempotent. */
     public void stop(long now) {
         if (state != State.STOPPING) {
             enter(State.STOPPING, now);
         }
     }
 
-    /** It is about to end, and what came before has been read: see {@link ShutdownDrain}. */
+    /** The listener has been closed by a graceful shutdown: see {@link ShutdownDrain}. */
     public void listenerClosed() {
-        called = state == State.STOPPING;
+        listenerClosed = state == State.STOPPING;
     }
 
-    /** Time passes; returns whether an evacuation has come to its end with that. */
+    /** Applies the passing of time; returns whether an evacuation has ended by it. */
     public boolean advance(long now) {
-        if (state == State.EVACUATING && now - since >= EVACUATE) {
+        if (state == State.EVACUATING && now - since >= EVACUATION_TIME) {
             enter(State.EVACUATED, now);
             return true;
         }
         return false;
     }
 
-    // ---------------------------------------------------------------- what follows
-
-    /** What it says to whoever asks whether it takes clients. */
+    /** Whether the process reports itself ready. */
     public boolean ready() {
         return state == State.READY;
     }
 
     /**
-     * Whether it accepts connections.
+     * Whether the process accepts connections.
      *
-     * @param shared the listener is not its own: whoever is ready accepts
+     * @param shared whether the listener is shared with another process; then only a ready process accepts
      */
     public boolean accepts(boolean shared) {
         return switch (state) {
             case STARTING -> !shared;
             case READY, EVACUATING, EVACUATED -> true;
             case HANDING_OVER -> false;
-            case STOPPING -> !succeeded && !called;
+            case STOPPING -> !succeeded && !listenerClosed;
         };
     }
 
-    /** Whether it may leave by itself once nothing is held: a successor has had the clients for a while. */
+    /** Whether the process may end without a signal once it holds no connection: its successor has taken over. */
     public boolean hasLeft(long now) {
-        return state == State.HANDING_OVER && now - since >= HAND_OVER || state == State.STOPPING && succeeded;
+        return (state == State.HANDING_OVER && now - since >= HAND_OVER_TIME) || (state == State.STOPPING && succeeded);
     }
 
-    /** Whether an answer leaves its connection open, where nothing else speaks against it. */
+    /** Whether a response leaves its connection open, unless the request or the response asks for a close. */
     public boolean keepsConnections() {
         return state == State.STARTING || state == State.READY;
     }
 
-    /** How long a client's connection may be at rest, in ns; {@link Long#MAX_VALUE}: as long as any time. */
+    /** How long a client's connection may be idle, in ns; {@link Long#MAX_VALUE}: no limit by the state. */
     public long maxIdleTime(long now) {
         long age = now - since;
         return switch (state) {
             case STARTING, READY -> NO_LIMIT;
-            case EVACUATING -> age < LINGER ? NO_LIMIT : age < EVACUATE ? RESTED : 0;
-            case EVACUATED -> LATE_REST;
-            case HANDING_OVER -> age < LINGER ? NO_LIMIT : age < HAND_OVER ? RESTED : 0;
-            case STOPPING -> called ? 0 : succeeded ? RESTED : NO_LIMIT;
+            case EVACUATING -> drainIdleTime(age, EVACUATION_TIME);
+            case EVACUATED -> EVACUATED_IDLE_TIME;
+            case HANDING_OVER -> drainIdleTime(age, HAND_OVER_TIME);
+            case STOPPING -> stoppingIdleTime();
         };
     }
+
+    private static long drainIdleTime(long age, long drainTime) {
+        if (age < LINGER) {
+            return NO_LIMIT;
+        }
+        return age < drainTime ? DRAIN_IDLE_TIME : 0;
+    }
+
+    private long stoppingIdleTime() {
+        if (listenerClosed) {
+            return 0;
+        }
+        return succeeded ? DRAIN_IDLE_TIME : NO_LIMIT;
+    }
 }
--- a/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
+++ b/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
@@ -1,61 +1,94 @@
 package loadbalancer.lifecycle;
 
 /**
- * The end of an orderly stop: when the listener is closed, and when the process may go. A time alone does not
- * tell: a process that stood still wakes with its times over and with connections and requests that its
- * machine has accepted meanwhile. So it looks again and again, each time behind a pass of the loop over its
- * sockets, and goes on only where passes have found nothing new. What it is patient with is counted in looks,
- * not in time: a stall uses up none. Decides without I/O or clock; for one thread.
+ * The last part of a graceful shutdown: decides when the listener is closed and when the process may end.
+ *
+ * <p>Elapsed time alone is no evidence: a process that was stalled wakes with its timers due while connections and
+ * requests that the kernel accepted meanwhile are still unread. The caller therefore observes repeatedly, each time
+ * behind a pass of the event loop over its sockets, and the drain advances only after passes that found nothing new.
+ * Its limits are counted in observations, so that a stall uses up none of them.
+ *
+ * <p>Decides without I/O or clock. For one thread.
  */
 public final class ShutdownDrain {
-    /** What is to be done at a look. */
+    /** What the caller does after an observation. */
     public enum Step {
+        /** Observe once more. */
         GO_ON,
+        /** Close the listener, then observe once more. */
         CLOSE_LISTENER,
+        /** The process may end. */
         END
     }
 
     /**
-     * What the loop has seen by now.
+     * The state of the client connections behind one pass over the sockets.
      *
-     * @param comers connections that clients have opened, so far
-     * @param reads times that bytes of clients were read, so far
-     * @param owed final answers that are owed now
-     * @param halves connections now that have sent part of a request
-     * @param resting connections now that may yet send one
-     * @param unsent connections now whose answers have not left whole
+     * @param acceptedConnections connections accepted since the start
+     * @param reads reads of clients' bytes since the start
+     * @param pendingResponses final responses that have not been handed to their connections
+     * @param partialRequests open connections that have sent part of a request
+     * @param idleConnections open connections that may still send a request
+     * @param unsentResponses open connections whose responses have not been written completely
      */
-    public record Observation(long comers, long reads, int owed, int halves, int resting, int unsent) {}
-
-    private static final int QUIET = 2; // looks in a row that found nothing new
-    private static final int COMERS_MOST = 80; // looks before the listener is closed all the same
-    private static final int HALVES_MOST = 80; // looks for the rest of a request to come
-    private static final int UNSENT_MOST = 400; // looks for answers to leave
-
-    private Observation last;
-    private boolean closed; // the listener
-    private int looks; // in this part of the end
-    private int quiet;
-
-    /** Another look, behind a pass over the sockets; after {@link Step#END} none follows. */
-    public Step observe(Observation now) {
-        boolean same = last != null && last.comers() == now.comers() && last.reads() == now.reads();
-        quiet = same ? quiet + 1 : 0;
-        looks++;
-        last = now;
-        if (!closed) {
-            if (quiet < QUIET && looks < COMERS_MOST) {
-                return Step.GO_ON;
-            }
-            closed = true;
-            looks = 0;
-            quiet = 0;
-            return Step.CLOSE_LISTENER;
+    public record Observation(
+            long acceptedConnections,
+            long reads,
+            int pendingResponses,
+            int partialRequests,
+            int idleConnections,
+            int unsentResponses) {}
+
+    private enum Phase {
+        ACCEPTING,
+        LISTENER_CLOSED
+    }
+
+    /** Consecutive observations without anything new that end a phase. */
+    private static final int UNCHANGED_OBSERVATIONS = 2;
+    /** Observations after which the listener is closed even if connections keep being accepted. */
+    private static final int MAX_ACCEPTING_OBSERVATIONS = 80;
+    /** Observations for which the rest of a partial request is awaited. */
+    private static final int MAX_PARTIAL_REQUEST_OBSERVATIONS = 80;
+    /** Observations for which unsent responses are awaited. */
+    private static final int MAX_UNSENT_RESPONSE_OBSERVATIONS = 400;
+
+    private Phase phase = Phase.ACCEPTING;
+    private Observation previous;
+    private int observations; // in this phase
+    private int unchangedObservations; // in a row, in this phase
+
+    /** Takes an observation made behind a pass over the sockets; none may follow after {@link Step#END}. */
+    public Step observe(Observation current) {
+        unchangedObservations = isUnchanged(current) ? unchangedObservations + 1 : 0;
+        observations++;
+        previous = current;
+        if (phase == Phase.ACCEPTING) {
+            return observeAccepting();
+        }
+        return isDrained(current) && unchangedObservations >= UNCHANGED_OBSERVATIONS ? Step.END : Step.GO_ON;
+    }
+
+    private boolean isUnchanged(Observation current) {
+        return previous != null
+                && previous.acceptedConnections() == current.acceptedConnections()
+                && previous.reads() == current.reads();
+    }
+
+    private Step observeAccepting() {
+        if (unchangedObservations < UNCHANGED_OBSERVATIONS && observations < MAX_ACCEPTING_OBSERVATIONS) {
+            return Step.GO_ON;
         }
-        boolean over = now.owed() == 0
-                && now.resting() == 0
-                && (now.halves() == 0 || looks >= HALVES_MOST)
-                && (now.unsent() == 0 || looks >= UNSENT_MOST);
-        return over && quiet >= QUIET ? Step.END : Step.GO_ON;
+        phase = Phase.LISTENER_CLOSED;
+        observations = 0;
+        unchangedObservations = 0;
+        return Step.CLOSE_LISTENER;
+    }
+
+    private boolean isDrained(Observation current) {
+        return current.pendingResponses() == 0
+                && current.idleConnections() == 0
+                && (current.partialRequests() == 0 || observations >= MAX_PARTIAL_REQUEST_OBSERVATIONS)
+                && (current.unsentResponses() == 0 || observations >= MAX_UNSENT_RESPONSE_OBSERVATIONS);
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
@@ -7,40 +7,41 @@
 import loadbalancer.lifecycle.HotRestart.Step;
 import org.junit.jupiter.api.Test;
 
+/** Which step follows from what the other processes say. */
 class HotRestartTest {
-    private final HotRestart succession = new HotRestart();
+    private final HotRestart hotRestart = new HotRestart();
 
     @Test
     void oneThatDiesBeforeItIsReadyChangesNothing() {
-        assertEquals(Step.SHARE, succession.received("b", "hello 1"));
-        assertTrue(succession.hasPeer());
-        assertEquals(Step.ALONE, succession.disconnected("b"));
-        assertFalse(succession.hasPeer());
+        assertEquals(Step.SHARE, hotRestart.received("b", "hello 1"));
+        assertTrue(hotRestart.hasPeer());
+        assertEquals(Step.ALONE, hotRestart.disconnected("b"));
+        assertFalse(hotRestart.hasPeer());
     }
 
     @Test
     void oneThatDiesAfterItWasReadyGivesTheClientsBack() {
-        succession.received("b", "hello 1");
-        assertEquals(Step.HAND_OVER, succession.received("b", "ready"));
-        assertEquals(Step.NOTHING, succession.received("b", "ready"));
-        assertEquals(Step.TAKE_BACK, succession.disconnected("b"));
+        hotRestart.received("b", "hello 1");
+        assertEquals(Step.HAND_OVER, hotRestart.received("b", "ready"));
+        assertEquals(Step.NOTHING, hotRestart.received("b", "ready"));
+        assertEquals(Step.TAKE_BACK, hotRestart.disconnected("b"));
     }
 
     @Test
     void twoAtOnceAndTheFirstThatIsReadyTakesTheClients() {
-        succession.received("b", "hello 1");
-        assertEquals(Step.NOTHING, succession.received("c", "hello 1"));
-        assertEquals(Step.HAND_OVER, succession.received("c", "ready"));
-        assertEquals(Step.NOTHING, succession.disconnected("b"));
-        assertTrue(succession.hasPeer());
+        hotRestart.received("b", "hello 1");
+        assertEquals(Step.NOTHING, hotRestart.received("c", "hello 1"));
+        assertEquals(Step.HAND_OVER, hotRestart.received("c", "ready"));
+        assertEquals(Step.NOTHING, hotRestart.disconnected("b"));
+        assertTrue(hotRestart.hasPeer());
     }
 
     @Test
     void strangersAndOtherVersionsSayNothing() {
-        assertEquals(Step.NOTHING, succession.received("x", "ready"));
-        assertEquals(Step.NOTHING, succession.received("x", "GET / HTTP/1.1"));
-        assertEquals(Step.NOTHING, succession.disconnected("x"));
-        assertEquals(Step.SHARE, succession.received("b", "hello 7 and more"));
-        assertEquals(Step.NOTHING, succession.received("b", "state {}"));
+        assertEquals(Step.NOTHING, hotRestart.received("x", "ready"));
+        assertEquals(Step.NOTHING, hotRestart.received("x", "GET / HTTP/1.1"));
+        assertEquals(Step.NOTHING, hotRestart.disconnected("x"));
+        assertEquals(Step.SHARE, hotRestart.received("b", "hello 7 and more"));
+        assertEquals(Step.NOTHING, hotRestart.received("b", "state {}"));
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
+++ b/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
@@ -11,6 +11,7 @@
 import loadbalancer.lifecycle.LifeCycle.Verdict;
 import org.junit.jupiter.api.Test;
 
+/** The states of a process and what follows from each. */
 class LifeCycleTest {
     private static final long MS = 1_000_000;
 
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void anEvacuationSendsClientsAwayAtOnceAndClosesWhatRestsLate() {
+    void anEvacuationEndsReadinessAtOnceAndClosesIdleConnectionsLater() {
         LifeCycle life = ready();
         assertTrue(life.ready() && life.keepsConnections());
         assertEquals(Verdict.DONE, life.evacuate(0));
@@ -41,7 +42,7 @@
     }
 
     @Test
-    void oneThatWasSentAwayBeforeItWasReadyBecomesReadyByRejoiningOnly() {
+    void evacuatedBeforeItWasReadyItBecomesReadyByRejoiningOnly() {
         LifeCycle life = new LifeCycle(0);
         assertEquals(Verdict.DONE, life.evacuate(0));
         assertFalse(life.prepared(1));
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void itHandsOverAndTakesBackWhereTheSuccessorIsGone() {
+    void itHandsOverAndTakesBackWhenTheSuccessorEnds() {
         LifeCycle life = ready();
         assertTrue(life.handOver(0));
         assertFalse(life.accepts(true) || life.ready() || life.keepsConnections());
@@ -80,7 +81,7 @@
     }
 
     @Test
-    void oneThatIsToldToStopTakesConnectionsForAWhileAndNothingTurnsItBack() {
+    void aStoppingProcessAcceptsConnectionsForAWhileAndStaysStopping() {
         LifeCycle life = ready();
         life.evacuate(0);
         life.stop(100 * MS);
