--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -14,10 +14,13 @@
 import loadbalancer.simulator.SimulatorAdapter;
 import loadbalancer.simulator.SimulatorProtocolException;
 
-/** Starts a real balancer, or the adapter on standard input and output. */
+/** The program's entry point. */
 public final class Main {
+    private static final int BUFFER_BYTES = 1 << 16;
+
     private Main() {}
 
+    /** {@code serve} runs a balancer; {@code wirehost} runs the policy for a simulator on standard input and output. */
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("serve")) {
             System.exit(LoadBalancerServer.serve(System.getenv()));
@@ -28,8 +31,8 @@
         }
         try (BufferedReader in = new BufferedReader(
                         new InputStreamReader(new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
-                        1 << 16);
-                OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
+                        BUFFER_BYTES);
+                OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES)) {
             new SimulatorAdapter(JsqDasPolicy::new, in, out).run();
         } catch (SimulatorProtocolException | IOException e) {
             System.err.println("loadbalancer: " + e.getMessage());
--- /dev/null
+++ b/src/main/java/loadbalancer/package-info.java
@@ -0,0 +1,2 @@
+/** The entry point of the load balancer: see the packages for its parts. */
+package loadbalancer;
--- a/src/main/java/loadbalancer/server/ClassArchiveTraining.java
+++ b/src/main/java/loadbalancer/server/ClassArchiveTraining.java
@@ -12,8 +12,8 @@
 import loadbalancer.policy.JsqDasPolicy;
 
 /**
- * Starts a balancer, lets it rehearse and ends it: the build does so once, for the JVM to archive the classes
- * that a start loads. Guards against slow restarts: half of the time until it listened went into those.
+ * Starts a balancer, lets it warm up and ends it. The build runs this once, for the JVM to archive the classes that a
+ * start loads (class data sharing): loading them took half of the time until a process listened.
  */
 public final class ClassArchiveTraining {
     private static final String CONFIG = """
@@ -31,8 +31,9 @@
             "state": "in_service"}]}}
         """;
 
-    // What only an upgrade needs: there is no descriptor to inherit here.
-    private static final List<String> UPGRADE = List.of(
+    /** What only a hot restart loads: this start has no descriptor to inherit. */
+    private static final List<String> HOT_RESTART_CLASSES = List.of(
+            "loadbalancer.server.HotRestartCoordinator$1",
             "loadbalancer.lifecycle.HotRestartChannel",
             "loadbalancer.lifecycle.HotRestart",
             "loadbalancer.lifecycle.HotRestart$Step",
@@ -46,27 +47,30 @@
             "sun.nio.ch.UnixDomainSockets",
             "sun.nio.ch.InheritedChannel$InheritedServerSocketChannelImpl");
 
+    private static final long READY_TIMEOUT_MILLIS = TimeUnit.SECONDS.toMillis(30);
+
     private ClassArchiveTraining() {}
 
-    private static void call(InetSocketAddress door) throws IOException {
-        try (Socket caller = new Socket(door.getAddress(), door.getPort())) {
+    private static void askReadiness(InetSocketAddress managementAddress) throws IOException {
+        try (Socket caller = new Socket(managementAddress.getAddress(), managementAddress.getPort())) {
             caller.getOutputStream()
                     .write("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             caller.getInputStream().readAllBytes();
         }
     }
 
+    /** Ends the JVM with 0 if the balancer became ready, else with 1. */
     public static void main(String[] args) throws Exception {
         ReloadSignal.onEach(() -> {});
-        LoadBalancerServer node = new LoadBalancerServer(
+        LoadBalancerServer server = new LoadBalancerServer(
                 Config.of(Map.of(), JSON.std.mapFrom(CONFIG)), JsqDasPolicy::new, true, line -> {});
-        node.start();
-        boolean ready = node.awaitReady(TimeUnit.SECONDS.toMillis(30));
-        call(node.door());
-        for (String name : UPGRADE) {
+        server.start();
+        boolean ready = server.awaitReady(READY_TIMEOUT_MILLIS);
+        askReadiness(server.managementAddress());
+        for (String name : HOT_RESTART_CLASSES) {
             Class.forName(name);
         }
-        node.stop();
+        server.stop();
         System.exit(ready ? 0 : 1);
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/server/GracefulShutdown.java
@@ -0,0 +1,95 @@
+package loadbalancer.server;
+
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.eventloop.ReadBeforeTimers;
+import loadbalancer.lifecycle.LifeCycle;
+import loadbalancer.lifecycle.ShutdownDrain;
+
+/**
+ * Ends the process in order: answers what has been accepted, closes the listener once nothing new arrives, and lets
+ * responses leave before the loop ends. {@link #stop} and {@link #await} are for any thread but the loop's.
+ */
+final class GracefulShutdown {
+    private static final long LINGER_MILLIS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.LINGER);
+    /** The platform kills a process no sooner than 0.7 s and the longest deadline after SIGTERM. */
+    private static final long LAST_RESPONSE_MICROS = 600_000;
+
+    private static final long OBSERVATION_INTERVAL_MILLIS = 5;
+    /** For the last responses to reach their clients. */
+    private static final long FLUSH_MILLIS = 20;
+
+    private final ServerComponents server;
+    private final CountDownLatch stopped = new CountDownLatch(1);
+
+    GracefulShutdown(ServerComponents server) {
+        this.server = server;
+    }
+
+    /** Shuts down and returns when all requests have been answered. */
+    void stop() {
+        server.loop.execute(() -> {
+            server.lifeCycle.stop(System.nanoTime());
+            server.dispatcher.beginShutdown(LAST_RESPONSE_MICROS);
+            server.extension.stopping();
+        });
+        ShutdownDrain drain = new ShutdownDrain();
+        ReadBeforeTimers.after(server.loop, LINGER_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
+        await();
+        server.log.accept("stopped: " + server.dispatcher.summary() + "; " + server.budget.summary());
+        // With an inherited listener the end of the loop would close standard error too, and with it the last lines.
+        if (!server.config.inherited()) {
+            server.group.end();
+        }
+    }
+
+    /** Waits for the end of a shutdown, whoever began it. */
+    void await() {
+        try {
+            stopped.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Applies the passing of time to the life cycle; called at intervals, on the loop. */
+    void advanceLifeCycle() {
+        if (server.lifeCycle.advance(System.nanoTime())) {
+            server.log.accept("evacuated: " + server.listener.open() + " connections left to answer");
+        }
+        if (!server.lifeCycle.ready()) {
+            server.listener.applyLifeCycle();
+        }
+        if (server.lifeCycle.hasLeft(System.nanoTime()) && server.listener.open() == 0) {
+            server.dispatcher.whenIdle(stopped::countDown);
+        }
+    }
+
+    // Each time behind a pass over the sockets.
+    private void observe(ShutdownDrain drain) {
+        // A response that is being streamed takes as long as it takes.
+        int streamedResponses = server.listener.passes() ? 1 : 0;
+        int pendingResponses = server.dispatcher.pendingResponses() + streamedResponses;
+        ShutdownDrain.Step step = drain.observe(server.listener.observe(pendingResponses));
+        if (step == ShutdownDrain.Step.END) {
+            end();
+            return;
+        }
+        if (step == ShutdownDrain.Step.CLOSE_LISTENER) {
+            server.lifeCycle.listenerClosed();
+            server.listener.close();
+            server.listener.applyLifeCycle();
+            server.extension.close();
+        }
+        ReadBeforeTimers.after(server.loop, OBSERVATION_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
+    }
+
+    private void end() {
+        if (server.extension == NoExtension.INSTANCE) {
+            server.loop.schedule(stopped::countDown, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
+        } else {
+            server.loop.schedule(server.extension::end, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
+            server.loop.schedule(stopped::countDown, 2 * FLUSH_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+}
--- a/src/main/java/loadbalancer/server/NettyScheduler.java
+++ b/src/main/java/loadbalancer/server/NettyScheduler.java
@@ -5,7 +5,7 @@
 import loadbalancer.eventloop.ReadBeforeTimers;
 import loadbalancer.proxy.Scheduler;
 
-/** The real event loop, as the core sees it. */
+/** Netty's event loop as the scheduler of {@code proxy}; delays in µs. */
 record NettyScheduler(EventLoop loop) implements Scheduler {
     @Override
     public void execute(Runnable task) {
--- a/src/main/java/loadbalancer/server/ReloadSignal.java
+++ b/src/main/java/loadbalancer/server/ReloadSignal.java
@@ -4,14 +4,14 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Takes SIGHUP, by which operators say that the configuration has been replaced. Guards against the JVM's own
- * handling, which ends the process. The platform has no public interface for signals; the one that every JDK
- * carries is reached by its name, as the compiler warns of each direct use.
+ * Handles SIGHUP, by which operators ask for a configuration reload, in place of the JVM's own handler, which ends the
+ * process. Java has no public interface for signals: {@code sun.misc.Signal}, which every JDK has, is used by
+ * reflection, since the compiler warns of each direct use.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
 
-    /** Runs {@code action} at each SIGHUP, on a thread of its own; false where the platform has none. */
+    /** Runs {@code action} at each SIGHUP, on a thread of its own; false where the platform has no SIGHUP. */
     static boolean onEach(Runnable action) {
         InvocationHandler handler = (proxy, method, arguments) -> switch (method.getName()) {
             case "handle" -> {
--- a/src/main/java/loadbalancer/server/ServerExtension.java
+++ b/src/main/java/loadbalancer/server/ServerExtension.java
@@ -11,50 +11,60 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * What a node may be given beside HTTP/1.1. The archive that serves on the platform holds none, and a node
- * without one loads nothing of it.
+ * A protocol beside HTTP/1.1 that a balancer may be started with. The archive that is deployed contains none, and a
+ * balancer without one loads no class of it.
  */
 public interface ServerExtension {
-    /** What a node lends it, all of it for the event loop's thread; {@code log} must not block. */
-    record Lent(EventLoop loop, Config config, Dispatcher dispatcher, BodyMemoryBudget room, Consumer<String> log) {}
+    /**
+     * What an extension may use of the balancer, all of it on the event loop.
+     *
+     * @param loop the event loop
+     * @param config as the balancer was started
+     * @param dispatcher takes clients' requests
+     * @param bodyMemory the memory that all clients' bodies may use
+     * @param log takes a line; must not block
+     */
+    record Lent(
+            EventLoop loop, Config config, Dispatcher dispatcher, BodyMemoryBudget bodyMemory, Consumer<String> log) {}
 
-    /** What it has become in one node; all but {@link #listen} is called on the event loop. */
+    /** The extension in one balancer; all but {@link #listen} is called on the event loop. */
     interface Part {
-        /** The carrier to use, which may be {@code usual} itself or something in front of it. */
+        /** The transport that attempts use: {@code usual} itself, or one that may hand attempts on to it. */
         AttemptTransport transport(AttemptTransport usual);
 
         /**
-         * Listens; not for the loop's thread.
+         * Starts to listen; not for the loop's thread.
          *
-         * @return where, or null where it has no listener
+         * @return the address in use, or null where it has no listener
+         * @throws IOException if the address can't be listened on
          */
         InetSocketAddress listen() throws IOException;
 
-        /** What answers over HTTP/1.1 say of it (Alt-Svc, RFC 7838); null: nothing. */
+        /** What responses over HTTP/1.1 say of this listener (Alt-Svc, RFC 7838); null: nothing. */
         String advertisement(InetSocketAddress at);
 
-        /** Requests of its own before clients come; runs {@code done} once, whether they went well or not. */
+        /** Sends requests of its own before clients arrive; runs {@code done} once, however they went. */
         void warmUp(InetSocketAddress at, Runnable done);
 
-        /** The node takes requests from here on. */
+        /** The balancer serves clients from here on. */
         void ready();
 
-        /** Takes over what can change in service. */
+        /** Takes over the certificates of a reloaded configuration. */
         void reloadCertificates(Config fresh);
 
-        /** Other settings hold from here on. */
+        /** Takes over reloaded settings. */
         void reload(SettingsReader.Boot to);
 
-        /** The node is about to stop: clients are told. */
+        /** The balancer is about to stop or to be evacuated: clients are notified. */
         void stopping();
 
-        /** Takes nothing more. */
+        /** Accepts nothing more. */
         void close();
 
-        /** All that was taken has been answered. */
+        /** All requests have been answered: closes what is open. */
         void end();
     }
 
-    /** Null where a configuration doesn't ask for it. Before the loop has begun to work. */
-    Part of(Lent lent);
+    /** Creates the extension's part in a balancer; null where the configuration doesn't ask for it. */
+    Part of(Lent server);
 }
--- a/src/main/java/loadbalancer/server/SignalHandlers.java
+++ b/src/main/java/loadbalancer/server/SignalHandlers.java
@@ -6,76 +6,78 @@
 import loadbalancer.logging.AsyncLogWriter;
 
 /**
- * What SIGTERM and SIGHUP do, whenever they come: taken from the first moment on, and carried out once there
- * is something to carry them out on. Guards against a process that is ended by a new configuration which
- * reached it within its start, and against one that ends between its first connection and its last word.
- * Signals come on threads of their own.
+ * Handles SIGTERM (graceful shutdown) and SIGHUP (configuration reload) from the first moment of the process on. A
+ * signal that arrives within the start is carried out behind it: a SIGHUP would otherwise end the process, and a SIGTERM
+ * would end it between its first connection and its last response.
+ *
+ * <p>Signals are handled on threads of their own.
  */
 final class SignalHandlers {
     private final AsyncLogWriter log;
-    private final Supplier<Config> again;
-    private LoadBalancerServer node; // once it listens; under this lock, like the rest
-    private boolean failed;
-    private boolean hangup; // came before
+    private final Supplier<Config> reloaded;
+    private LoadBalancerServer running; // null until it listens; guarded by this, as are the others
+    private boolean startFailed;
+    private boolean reloadRequested;
 
-    SignalHandlers(AsyncLogWriter log, Supplier<Config> again) {
+    /** {@code reloaded} reads the configuration after a SIGHUP. */
+    SignalHandlers(AsyncLogWriter log, Supplier<Config> reloaded) {
         this.log = log;
-        this.again = again;
+        this.reloaded = reloaded;
     }
 
-    /** Takes them from here on; false where the platform has no SIGHUP. */
-    boolean listen() {
-        Runtime.getRuntime().addShutdownHook(new Thread(this::end));
+    /** Installs the handlers; false where the platform has no SIGHUP. */
+    boolean install() {
+        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown));
         return ReloadSignal.onEach(this::reload);
     }
 
-    /** Starts {@code fresh}, whole or not at all before a signal is carried out; returns its address. */
-    InetSocketAddress starting(LoadBalancerServer fresh) throws Exception {
-        InetSocketAddress at;
-        boolean asked;
+    /** Starts {@code server}, completely or not at all before a signal is carried out; returns its address. */
+    InetSocketAddress start(LoadBalancerServer server) throws Exception {
+        InetSocketAddress address;
+        boolean reloadPending;
         synchronized (this) {
-            at = fresh.start();
-            node = fresh;
-            asked = hangup;
+            address = server.start();
+            running = server;
+            reloadPending = reloadRequested;
         }
-        if (asked) {
-            fresh.reload(again); // it may have read the file before it was replaced
+        if (reloadPending) {
+            server.reload(reloaded); // it may have read the file before it was replaced
         }
-        return at;
+        return address;
     }
 
-    /** There will be none. */
-    synchronized void failed() {
-        failed = true;
+    /** There will be no server: the process ends with an exit code of its own. */
+    synchronized void startFailed() {
+        startFailed = true;
     }
 
-    // Not under the lock: a file that can't be read for now must not keep the end waiting.
+    // Reloads outside the lock: a file that can't be read for now must not delay a shutdown.
     private void reload() {
-        LoadBalancerServer running;
+        LoadBalancerServer server;
         synchronized (this) {
-            hangup = true;
-            running = node;
+            reloadRequested = true;
+            server = running;
         }
-        if (running != null) {
-            running.reload(again);
+        if (server != null) {
+            server.reload(reloaded);
         }
     }
 
-    private void end() {
-        LoadBalancerServer ending;
+    private void shutDown() {
+        LoadBalancerServer server;
         synchronized (this) {
-            if (failed) {
-                return; // with an exit code of its own
+            if (startFailed) {
+                return;
             }
-            ending = node;
+            server = running;
         }
-        if (ending == null) {
+        if (server == null) {
             log.accept("stopped before it listened");
         } else {
-            ending.stop();
+            server.stop();
         }
-        log.close(LoadBalancerServer.LAST_LINES_MS);
-        // Without this the exit code would tell of the signal, not of the orderly end.
+        log.close(LoadBalancerServer.LOG_CLOSE_MILLIS);
+        // Without this the exit code would be the signal's, not that of a graceful shutdown.
         Runtime.getRuntime().halt(0);
     }
 }
--- a/src/main/java/loadbalancer/server/WarmUp.java
+++ b/src/main/java/loadbalancer/server/WarmUp.java
@@ -27,49 +27,62 @@
 import loadbalancer.upstream.http1.Http1ConnectionPool;
 
 /**
- * Takes requests of its own through the whole path, over this node's own address, before clients come. Guards
- * against a cold start: with nothing compiled yet a node took hundreds of milliseconds for its first
- * requests, fell behind at once under a full load, and answered some after their deadlines. It has a module,
- * a dispatcher and connections of its own, which end with it, so that the real ones learn nothing from it.
+ * Sends requests through the complete path, from this process as client over its own listener to itself as upstream,
+ * before clients arrive. With nothing compiled yet the first requests take hundreds of milliseconds: under full load a
+ * process without warm-up falls behind at once and answers some requests after their deadlines.
+ *
+ * <p>The warm-up has a policy, a dispatcher and connections of its own, which end with it, so that the real ones learn
+ * nothing from it. On the event loop.
  */
 final class WarmUp implements WarmUpRequests {
-    private static final String TOKEN = "Rehearsal"; // a header with what no stranger knows
+    /** A header whose value no client knows. */
+    private static final String TOKEN_HEADER = "Rehearsal";
 
+    private static final String ID_PREFIX = "rehearsal-";
+    private static final String CLIENT_SERVER = ID_PREFIX + 0; // the server to which the client's side sends
     private static final int REQUESTS = 300;
-    private static final int AT_ONCE = 8;
-    private static final int DECLINED = 3; // every third is turned away in the last part
+    private static final int CONCURRENT_REQUESTS = 8;
+    private static final int REJECT_INTERVAL = 3; // in the second half each third is rejected by the upstream's side
     private static final int SERVERS = 8;
-    private static final long MOST_MS = 4_000; // where the machine is busy
-    private static final long WAIT = 1_000_000; // µs for one request
+    private static final int BODY_BYTES = 200;
+    private static final long MAX_MILLIS = 4_000; // on a busy machine
+    private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
 
     private final EventLoop loop;
     private final SettingsReader.Boot boot;
-    private final Runnable then;
+    private final Runnable onEnd;
     private final String token;
     private final Dispatcher dispatcher;
-    private final Http1ConnectionPool back;
-    private final Http1ConnectionPool front;
-    private int begun;
-    private int ended;
-    private int hops;
-    private boolean over;
+    private final Http1ConnectionPool upstreamPool; // the dispatcher's
+    private final Http1ConnectionPool clientPool;
+    private int startedRequests;
+    private int completedRequests;
+    private int upstreamRequests;
+    private boolean ended;
 
     /**
-     * {@code then} runs on the loop when it is over; {@code through}: a socket to dial in place of TCP, or
-     * null.
+     * Creates a warm-up that has not started.
+     *
+     * @param ownSocket a socket to connect to in place of the clients' address, or null
+     * @param onEnd runs once on the loop when the warm-up is over, however it went
      */
-    WarmUp(EventLoop loop, Config config, SocketAddress through, Runnable then) {
+    WarmUp(EventLoop loop, Config config, SocketAddress ownSocket, Runnable onEnd) {
         this.loop = loop;
         this.boot = config.boot();
-        this.then = then;
+        this.onEnd = onEnd;
         this.token = Long.toHexString(new SplittableRandom(config.seed() ^ System.nanoTime()).nextLong());
         Policy policy = new JsqDasPolicy(boot.settings(), config.seed());
         dispatcher = new Dispatcher(new NettyScheduler(loop), Clock.system(), boot, policy, line -> {});
         ConnectionBudget budget = new ConnectionBudget(config.connections(), System.nanoTime());
-        IdleTimeout rest = IdleTimeout.trusting(boot.idleClose());
-        back = new Http1ConnectionPool(loop, boot, budget, dispatcher::now, PendingUpdates.NONE, through, rest);
-        front = new Http1ConnectionPool(loop, boot, budget, dispatcher::now, PendingUpdates.NONE, through, rest);
-        dispatcher.attach(back, EndpointSource.NONE);
+        IdleTimeout idleTimeout = IdleTimeout.trusting(boot.idleClose());
+        upstreamPool = pool(budget, ownSocket, idleTimeout);
+        clientPool = pool(budget, ownSocket, idleTimeout);
+        dispatcher.attach(upstreamPool, EndpointSource.NONE);
+    }
+
+    private Http1ConnectionPool pool(ConnectionBudget budget, SocketAddress ownSocket, IdleTimeout idleTimeout) {
+        return new Http1ConnectionPool(
+                loop, boot, budget, dispatcher::now, PendingUpdates.NONE, ownSocket, idleTimeout);
     }
 
     @Override
@@ -79,83 +92,99 @@
 
     @Override
     public boolean knows(HeaderFields fields) {
-        return token.equals(fields.get(TOKEN));
+        return token.equals(fields.get(TOKEN_HEADER));
     }
 
+    /** Starts the requests; {@code self}: the clients' address of this process. */
     void start(InetSocketAddress self) {
-        List<EndpointUpdate.Endpoint> targets = new ArrayList<>();
+        EndpointUpdate endpoints = new EndpointUpdate(0, true, endpoints(self));
+        clientPool.updateEndpoints(endpoints, dispatcher.now());
+        dispatcher.updateEndpoints(Policy.ListKind.PERSISTED, endpoints);
+        loop.schedule(this::end, MAX_MILLIS, TimeUnit.MILLISECONDS);
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
+            sendNext();
+        }
+    }
+
+    private List<EndpointUpdate.Endpoint> endpoints(InetSocketAddress self) {
+        List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             Policy.Server server = new Policy.Server(
-                    "rehearsal-" + i,
+                    ID_PREFIX + i,
                     Policy.State.UP,
                     0,
                     1,
                     0,
                     i % 2,
                     boot.settings().zone());
-            targets.add(new EndpointUpdate.Endpoint(server, self));
-        }
-        EndpointUpdate all = new EndpointUpdate(0, true, targets);
-        front.updateEndpoints(all, dispatcher.now());
-        dispatcher.updateEndpoints(Policy.ListKind.PERSISTED, all);
-        loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        for (int i = 0; i < AT_ONCE; i++) {
-            next();
+            endpoints.add(new EndpointUpdate.Endpoint(server, self));
         }
+        return endpoints;
     }
 
     @Override
     public boolean declines() {
-        hops++;
-        return begun > REQUESTS / 2 && hops % DECLINED == 0;
+        upstreamRequests++;
+        return startedRequests > REQUESTS / 2 && upstreamRequests % REJECT_INTERVAL == 0;
     }
 
-    private void next() {
-        if (begun >= REQUESTS) {
+    private void sendNext() {
+        if (startedRequests >= REQUESTS) {
             return;
         }
-        int number = begun++ % boot.classes().size();
-        Policy.Effect effect = boot.settings().classes().get(number).effect();
+        int requestClass = startedRequests % boot.classes().size();
+        startedRequests++;
+        clientPool.send(
+                CLIENT_SERVER,
+                request(requestClass),
+                REQUEST_TIMEOUT_MICROS,
+                Long.MAX_VALUE,
+                (outcome, response, load) -> completed());
+    }
+
+    private ProxyRequest request(int requestClass) {
+        String id = ID_PREFIX + startedRequests;
+        Policy.Effect effect = boot.settings().classes().get(requestClass).effect();
         HttpHeaders headers = new DefaultHttpHeaders()
-                .set(TOKEN, token)
-                .set("Req-Id", "rehearsal-" + begun)
-                .set("Req-Kind", boot.classes().get(number))
-                .set("Req-Cost", Integer.toString(begun));
+                .set(TOKEN_HEADER, token)
+                .set("Req-Id", id)
+                .set("Req-Kind", boot.classes().get(requestClass))
+                .set("Req-Cost", Integer.toString(startedRequests));
         if (effect == Policy.Effect.KEYED) {
-            headers.set("Idempotency-Key", "rehearsal-" + begun);
+            headers.set("Idempotency-Key", id);
         }
-        String method = effect == Policy.Effect.SAFE ? "GET" : "POST";
-        byte[] body = new byte[effect == Policy.Effect.SAFE ? 0 : 200];
-        ProxyRequest order = new ProxyRequest(
-                "rehearsal-" + begun,
-                method,
+        boolean safe = effect == Policy.Effect.SAFE;
+        return new ProxyRequest(
+                id,
+                safe ? "GET" : "POST",
                 PATH,
                 new Http1HeaderFields(headers),
-                body,
-                number,
+                new byte[safe ? 0 : BODY_BYTES],
+                requestClass,
                 0,
                 null,
-                WAIT,
+                REQUEST_TIMEOUT_MICROS,
                 -1,
                 false);
-        front.send("rehearsal-0", order, WAIT, Long.MAX_VALUE, (outcome, answer, load) -> {
-            ended++;
-            if (ended >= REQUESTS) {
-                end();
-            } else if (!over) {
-                loop.execute(this::next);
-            }
-        });
+    }
+
+    private void completed() {
+        completedRequests++;
+        if (completedRequests >= REQUESTS) {
+            end();
+        } else if (!ended) {
+            loop.execute(this::sendNext);
+        }
     }
 
     private void end() {
-        if (!over) {
-            over = true;
-            begun = REQUESTS;
+        if (!ended) {
+            ended = true;
+            startedRequests = REQUESTS; // no more are sent
             dispatcher.retire();
-            front.close();
-            back.close();
-            then.run();
+            clientPool.close();
+            upstreamPool.close();
+            onEnd.run();
         }
     }
 }
--- a/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
+++ b/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
@@ -11,116 +11,117 @@
 import loadbalancer.settings.SettingsReader;
 import loadbalancer.upstream.http3.Http3AttemptTransport;
 
-/** HTTP/3 for a node: to clients, to upstreams, or both, as its configuration says. */
+/** HTTP/3 (RFC 9114) to clients, to upstreams, or both, as the configuration says. */
 public final class Http3ServerExtension implements ServerExtension {
     @Override
-    public Part of(Lent lent) {
-        return lent.config().http3() == null ? null : new InNode(lent);
+    public Part of(Lent server) {
+        return server.config().http3() == null ? null : new Http3Part(server);
     }
 
-    private static final class InNode implements Part {
-        private static final int ADVERTISED = 3600; // s that clients keep it in mind
+    /** HTTP/3 in one balancer. */
+    private static final class Http3Part implements Part {
+        private static final int ALT_SVC_MAX_AGE_SECONDS = 3600;
 
-        private final Lent lent;
-        private final Http3Settings told;
-        private final Http3Listener server; // null where no client speaks it
-        private TlsIdentity identity; // shown to clients
-        private Http3AttemptTransport upstreams; // null where no upstream does
+        private final Lent server;
+        private final Http3Settings settings;
+        private final Http3Listener listener; // null where it is off for clients
+        private TlsIdentity identity; // presented to clients
+        private Http3AttemptTransport upstreams; // null where it is off for upstreams
 
-        InNode(Lent lent) {
-            this.lent = lent;
-            told = lent.config().http3();
-            identity = told.identity();
-            server = told.listen() == null
+        Http3Part(Lent server) {
+            this.server = server;
+            settings = server.config().http3();
+            identity = settings.identity();
+            listener = settings.listen() == null
                     ? null
                     : new Http3Listener(
-                            lent.loop(),
-                            lent.config().boot(),
-                            lent.dispatcher(),
-                            lent.room(),
-                            told.identity(),
-                            new Http3Listener.Limits(told.sessions(), told.streams(), told.idle()),
-                            lent.log());
+                            server.loop(),
+                            server.config().boot(),
+                            server.dispatcher(),
+                            server.bodyMemory(),
+                            settings.identity(),
+                            new Http3Listener.Limits(settings.sessions(), settings.streams(), settings.idle()),
+                            server.log());
         }
 
         @Override
         public AttemptTransport transport(AttemptTransport usual) {
-            if (told.trust().isEmpty()) {
+            if (settings.trust().isEmpty()) {
                 return usual;
             }
             upstreams = new Http3AttemptTransport(
-                    lent.loop(),
-                    lent.config().boot(),
-                    lent.dispatcher()::now,
-                    lent.dispatcher(),
+                    server.loop(),
+                    server.config().boot(),
+                    server.dispatcher()::now,
+                    server.dispatcher(),
                     usual,
                     new Http3AttemptTransport.Limits(
-                            told.upstream(), told.trust(), told.serverName(), told.idle(), true),
-                    lent.log());
+                            settings.upstream(), settings.trust(), settings.serverName(), settings.idle(), true),
+                    server.log());
             return upstreams;
         }
 
         @Override
         public InetSocketAddress listen() throws IOException {
-            return server == null ? null : server.listen(told.listen());
+            return listener == null ? null : listener.listen(settings.listen());
         }
 
         @Override
         public String advertisement(InetSocketAddress at) {
-            return told.advertise() ? "h3=\":" + at.getPort() + "\"; ma=" + ADVERTISED : null;
+            return settings.advertise() ? "h3=\":" + at.getPort() + "\"; ma=" + ALT_SVC_MAX_AGE_SECONDS : null;
         }
 
         @Override
         public void warmUp(InetSocketAddress at, Runnable done) {
-            if (server == null) {
+            if (listener == null) {
                 done.run();
             } else {
-                new Http3WarmUp(lent.loop(), lent.config(), told, at, lent.dispatcher()::now, done).start();
+                new Http3WarmUp(server.loop(), server.config(), settings, at, server.dispatcher()::now, done).start();
             }
         }
 
         @Override
         public void ready() {
-            if (server != null) {
-                server.ready();
+            if (listener != null) {
+                listener.ready();
             }
         }
 
         @Override
         public void reloadCertificates(Config fresh) {
-            TlsIdentity other = fresh.http3() == null ? null : fresh.http3().identity();
-            if (server != null && other != null && !other.equals(identity)) {
-                identity = other;
-                server.renew(other);
-                lent.log().accept("http3: new connections are shown another certificate");
+            TlsIdentity renewed = fresh.http3() == null ? null : fresh.http3().identity();
+            if (listener != null && renewed != null && !renewed.equals(identity)) {
+                identity = renewed;
+                listener.renew(renewed);
+                server.log().accept("http3: new connections are shown another certificate");
             }
         }
 
         @Override
         public void reload(SettingsReader.Boot to) {
-            if (server != null) {
-                server.reload(to);
+            if (listener != null) {
+                listener.reload(to);
             }
         }
 
         @Override
         public void stopping() {
-            if (server != null) {
-                server.stopping();
+            if (listener != null) {
+                listener.stopping();
             }
         }
 
         @Override
         public void close() {
-            if (server != null) {
-                server.close();
+            if (listener != null) {
+                listener.close();
             }
         }
 
         @Override
         public void end() {
-            if (server != null) {
-                server.end();
+            if (listener != null) {
+                listener.end();
             }
             if (upstreams != null) {
                 upstreams.end();
