--- a/src/main/java/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/loadbalancer/server/LoadBalancerServer.java
@@ -101,7 +101,7 @@
         reload.reload(source);
     }
 
-    /** Shuts down gracefully, as after SIGTERM, and returns when all requests are answered; not for the loop's thread. */
+    /** Shuts down gracefully, as after SIGTERM; returns when all requests are answered. Not for the loop's thread. */
     void stop() {
         shutdown.stop();
     }
--- a/src/main/java/loadbalancer/server/SignalHandlers.java
+++ b/src/main/java/loadbalancer/server/SignalHandlers.java
@@ -7,8 +7,8 @@
 
 /**
  * Handles SIGTERM (graceful shutdown) and SIGHUP (configuration reload) from the first moment of the process on. A
- * signal that arrives within the start is carried out behind it: a SIGHUP would otherwise end the process, and a SIGTERM
- * would end it between its first connection and its last response.
+ * signal that arrives within the start is carried out behind it: a SIGHUP would otherwise end the process, and a
+ * SIGTERM would end it between its first connection and its last response.
  *
  * <p>Signals are handled on threads of their own.
  */
--- a/src/main/java/loadbalancer/server/http3/package-info.java
+++ b/src/main/java/loadbalancer/server/http3/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/3 as an extension of a balancer: what the composition root needs to listen, warm up, reload and stop with it. */
+/** HTTP/3 as an extension of a balancer: listening, warm-up, reload and stop, as the composition root calls them. */
 package loadbalancer.server.http3;
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -14,8 +14,12 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Collectors;
+import loadbalancer.IgnoredSignals.Signal;
+import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -30,29 +34,43 @@
 
     private record Run(int exit, String out, String err) {}
 
-    private static Run run(String input, String... arguments) throws IOException, InterruptedException {
+    private final List<Process> children = new CopyOnWriteArrayList<>();
+
+    @TempDir
+    private Path folder;
+
+    /** Behind a time-out too: the end of a child ends the read that waits for its output. */
+    @AfterEach
+    void endChildren() throws InterruptedException {
+        for (Process child : children) {
+            child.destroyForcibly().waitFor();
+        }
+    }
+
+    private Process start(ProcessBuilder builder) throws IOException {
+        Process child = builder.start();
+        children.add(child);
+        return child;
+    }
+
+    private Run run(String input, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
                 CLASS_PATH,
                 "loadbalancer.Main"));
         command.addAll(List.of(arguments));
-        Path in = Files.createTempFile("loadbalancer", ".in");
-        Path out = Files.createTempFile("loadbalancer", ".out");
-        Path err = Files.createTempFile("loadbalancer", ".err");
+        Path in = folder.resolve("in");
+        Path out = folder.resolve("out");
+        Path err = folder.resolve("err");
         Files.writeString(in, input);
-        int exit = new ProcessBuilder(command)
-                .redirectInput(in.toFile())
-                .redirectOutput(out.toFile())
-                .redirectError(err.toFile())
-                .start()
+        int exit = start(new ProcessBuilder(command)
+                        .redirectInput(in.toFile())
+                        .redirectOutput(out.toFile())
+                        .redirectError(err.toFile()))
                 .waitFor();
-        Run run = new Run(
+        return new Run(
                 exit, Files.readString(out, StandardCharsets.UTF_8), Files.readString(err, StandardCharsets.UTF_8));
-        for (Path file : List.of(in, out, err)) {
-            Files.delete(file);
-        }
-        return run;
     }
 
     @ParameterizedTest
@@ -107,12 +125,12 @@
             assertEquals(1, process.waitFor());
             assertTrue(err.startsWith("loadbalancer: can't listen on "), err);
             assertEquals(1, err.lines().count(), err);
-            Files.delete(config);
         }
     }
 
     @Test
     void sigtermEndsABalancerWithExitCodeZero() throws IOException, InterruptedException {
+        IgnoredSignals.assertNotIgnored(Signal.SIGTERM);
         Path config = config("127.0.0.1:0");
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
@@ -121,39 +139,38 @@
             process.destroy(); // SIGTERM
             assertEquals(0, process.waitFor());
         }
-        Files.delete(config);
     }
 
     /** By itself a JVM ends on SIGHUP. */
     @Test
     void sighupTakesOverTheConfigurationAndEndsNothing() throws IOException, InterruptedException {
+        IgnoredSignals.assertNotIgnored(Signal.SIGHUP);
         Path config = config("127.0.0.1:0");
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             err.readLine();
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
-            hangup(process);
+            sendHangup(process);
             assertEquals(
-                    "loadbalancer: configuration taken over: discovery at 127.0.0.1:7", nextWith("configuration", err));
+                    "loadbalancer: configuration taken over: discovery at 127.0.0.1:7",
+                    nextLineWith("configuration", err));
             Files.writeString(config, "{");
-            hangup(process);
-            String line = nextWith("configuration", err);
+            sendHangup(process);
+            String line = nextLineWith("configuration", err);
             assertTrue(line.startsWith("loadbalancer: configuration not taken over: can't read"), line);
             process.destroy();
             assertEquals(0, process.waitFor());
         }
-        Files.delete(config);
     }
 
-    private static void hangup(Process process) throws IOException, InterruptedException {
+    private void sendHangup(Process process) throws IOException, InterruptedException {
         assertEquals(
                 0,
-                new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid())
-                        .start()
+                start(new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()))
                         .waitFor());
     }
 
-    private static String nextWith(String word, BufferedReader lines) throws IOException {
+    private static String nextLineWith(String word, BufferedReader lines) throws IOException {
         String line = lines.readLine();
         while (line != null && !line.contains(word)) {
             line = lines.readLine();
@@ -161,9 +178,8 @@
         return line;
     }
 
-    private static Path config(String listen) throws IOException {
-        Path config = Files.createTempFile("loadbalancer", ".json");
-        return Files.writeString(config, """
+    private Path config(String listen) throws IOException {
+        return Files.writeString(folder.resolve("config.json"), """
             {"listen": "%s", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964", "settings": {
               "Balancers": 1, "Quantum": 5000, "MembershipMode": "ask",
               "Classes": [{"Name": "a", "Idempotency": "safe", "GoalTime": 600000, "GiveUp": 1200000}],
@@ -173,7 +189,7 @@
             """.formatted(listen));
     }
 
-    private static Process serve(String config) throws IOException {
+    private Process serve(String config) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -185,6 +201,6 @@
             builder.environment().put("ROUTER_CONFIG", config);
         }
         builder.environment().put("ROUTER_NAME", "n1");
-        return builder.start();
+        return start(builder);
     }
 }
--- a/src/test/java/loadbalancer/server/HotRestartProcessesTest.java
+++ b/src/test/java/loadbalancer/server/HotRestartProcessesTest.java
@@ -22,17 +22,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.CopyOnWriteArrayList;
+import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One process succeeds another in service: two of them, with a listener that neither owns. */
+/** Hot restart with two processes and a listener that neither owns. */
 @Timeout(120)
 class HotRestartProcessesTest extends ServerFixture {
-    /** What starts balancers as the platform does. */
+    private final List<Process> platforms = new CopyOnWriteArrayList<>();
+
+    /** Behind a time-out too: the end of a platform and its children ends the read that waits for their output. */
+    @AfterEach
+    void endPlatforms() throws InterruptedException {
+        for (Process platform : platforms) {
+            platform.descendants().forEach(ProcessHandle::destroyForcibly);
+            platform.destroyForcibly().waitFor();
+        }
+    }
+
+    /** Starts balancers as the platform does: they inherit a listening socket that it holds. */
     private final class Platform implements Closeable {
         private final Path folder = Files.createTempDirectory("up");
         private final Process process;
-        private final BufferedReader said;
+        private final BufferedReader output;
         private final int port;
 
         Platform() throws IOException {
@@ -44,25 +57,26 @@
             builder.environment().put("TMPDIR", folder.toString());
             builder.environment().put("ROUTER_INHERITED_FD", "0");
             process = builder.redirectError(folder.resolve("log").toFile()).start();
-            said = process.inputReader();
-            port = Integer.parseInt(said.readLine().replace("port ", ""));
+            platforms.add(process);
+            output = process.inputReader();
+            port = Integer.parseInt(output.readLine().replace("port ", ""));
             at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         }
 
-        /** Starts another one; returns where it is to be asked, and its process. */
+        /** Starts a balancer; returns its management address and its process. */
         Started start(Map<String, Object> settings) throws IOException {
-            int free;
+            int managementPort;
             try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                free = socket.getLocalPort();
+                managementPort = socket.getLocalPort();
             }
-            Path config = folder.resolve("config" + free + ".json");
+            Path config = folder.resolve("config" + managementPort + ".json");
             Map<String, Object> json = new HashMap<>(Map.of(
                     "name",
                     "n1",
                     "listen",
                     "127.0.0.1:" + port,
                     "management",
-                    "127.0.0.1:" + free,
+                    "127.0.0.1:" + managementPort,
                     "discovery",
                     discovery.address(),
                     "seed",
@@ -75,13 +89,14 @@
             Files.writeString(config, JSON.std.asString(json));
             String java =
                     Path.of(System.getProperty("java.home"), "bin", "java").toString();
-            tell("ROUTER_CONFIG=" + config + " " + java + " -XX:TieredStopAtLevel=1 -cp '"
+            command("ROUTER_CONFIG=" + config + " " + java + " -XX:TieredStopAtLevel=1 -cp '"
                     + System.getProperty("java.class.path") + "' loadbalancer.Main serve");
-            long pid = Long.parseLong(said.readLine().replace("started ", ""));
-            return new Started(new InetSocketAddress(InetAddress.getLoopbackAddress(), free), ProcessHandle.of(pid));
+            long pid = Long.parseLong(output.readLine().replace("started ", ""));
+            return new Started(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), managementPort), ProcessHandle.of(pid));
         }
 
-        private void tell(String line) throws IOException {
+        private void command(String line) throws IOException {
             OutputStream out = process.getOutputStream();
             // In /bin/sh a variable before exec's command is not always handed on: env does it.
             out.write(("env " + line + "\n").getBytes(StandardCharsets.UTF_8));
@@ -109,12 +124,12 @@
         }
     }
 
-    private record Started(InetSocketAddress door, Optional<ProcessHandle> handle) {
+    private record Started(InetSocketAddress managementAddress, Optional<ProcessHandle> handle) {
         boolean ready() {
-            try (Client caller = new Client(door)) {
+            try (Client caller = new Client(managementAddress)) {
                 return caller.send("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
             } catch (IOException e) {
-                return false; // it does not listen yet, or not any more
+                return false; // it does not listen yet, or no longer
             }
         }
 
@@ -131,7 +146,7 @@
         }
     }
 
-    private static boolean perl() {
+    private static boolean hasPerl() {
         try {
             return new ProcessBuilder("perl", "-e", "1").start().waitFor() == 0;
         } catch (IOException | InterruptedException e) {
@@ -139,7 +154,7 @@
         }
     }
 
-    private static String ask(int number) {
+    private static String request(int number) {
         return SAFE.replace("r1", "r" + number);
     }
 
@@ -150,24 +165,24 @@
     }
 
     @Test
-    void clientsNeverNoticeAndWhatTheOldOneHoldsIsAnswered() throws Exception {
-        assumeTrue(perl(), "no perl to hold the listening socket");
+    void clientsNeverNoticeAndRequestsInFlightAtThePredecessorAreAnswered() throws Exception {
+        assumeTrue(hasPerl(), "no perl to hold the listening socket");
         try (Platform platform = new Platform()) {
             Started old = serving(platform);
-            Client kept = new Client(at).send(ask(1));
+            Client kept = new Client(at).send(request(1));
             assertTrue(kept.answerAfter(upstream).startsWith("HTTP/1.1 200"));
-            Client held = new Client(at).send(ask(2));
+            Client held = new Client(at).send(request(2));
             ScriptedUpstream.Got got = upstream.next();
             Started next = platform.start(settings());
             next.awaitReady();
             while (old.ready()) {
                 Thread.sleep(5);
             }
-            String last = kept.send(ask(3)).answerAfter(upstream);
+            String last = kept.send(request(3)).answerAfter(upstream);
             assertTrue(last.startsWith("HTTP/1.1 200"), last);
             assertTrue(last.toLowerCase().contains("connection: close"), last);
             for (int i = 4; i < 20; i++) {
-                try (Client fresh = new Client(at).send(ask(i))) {
+                try (Client fresh = new Client(at).send(request(i))) {
                     String head = fresh.answerAfter(upstream);
                     assertTrue(head.startsWith("HTTP/1.1 200"), head);
                     assertTrue(!head.toLowerCase().contains("connection: close"), "by the old one: " + head);
@@ -181,20 +196,20 @@
             assertTrue(next.ready());
             String log = platform.log();
             assertTrue(log.contains("handing over") && log.contains("stopped: "), log);
-            // And once more: who was new is old now.
+            // A second hot restart: the successor is the predecessor now.
             Started third = platform.start(settings());
             third.awaitReady();
             next.handle().ifPresent(ProcessHandle::destroy);
             next.awaitEnd();
-            try (Client fresh = new Client(at).send(ask(30))) {
+            try (Client fresh = new Client(at).send(request(30))) {
                 assertTrue(fresh.answerAfter(upstream).startsWith("HTTP/1.1 200"));
             }
         }
     }
 
     @Test
-    void anUpgradeThatFailsLeavesTheOldOneAsItWas() throws Exception {
-        assumeTrue(perl(), "no perl to hold the listening socket");
+    void aFailedHotRestartLeavesThePredecessorServing() throws Exception {
+        assumeTrue(hasPerl(), "no perl to hold the listening socket");
         try (Platform platform = new Platform()) {
             Started old = serving(platform);
             platform.start(Map.of("Quantum", 1)).awaitEnd(); // it can't start
@@ -203,12 +218,12 @@
             while (old.ready()) {
                 Thread.sleep(5);
             }
-            next.handle().ifPresent(ProcessHandle::destroyForcibly); // with the clients in its hands
+            next.handle().ifPresent(ProcessHandle::destroyForcibly); // behind the hand-over
             next.awaitEnd();
             old.awaitReady();
             List<Integer> answered = new ArrayList<>();
             for (int i = 2; i < 10; i++) {
-                try (Client fresh = new Client(at).send(ask(i))) {
+                try (Client fresh = new Client(at).send(request(i))) {
                     String head = fresh.answerAfter(upstream);
                     assertTrue(head.startsWith("HTTP/1.1 200"), head);
                     answered.add(i);
