--- a/src/test/java/loadbalancer/server/Certificates.java
+++ b/src/test/java/loadbalancer/server/Certificates.java
@@ -4,10 +4,11 @@
 import io.netty.pkitesting.X509Bundle;
 import loadbalancer.http3.TlsIdentity;
 
-/** Certificates for tests, made anew for each run: for 127.0.0.1 and the name box.test. */
+/** Self-signed certificates for tests, generated in each run, for 127.0.0.1 and the name box.test. */
 public final class Certificates {
     private Certificates() {}
 
+    /** A certificate and its key, different at each call. */
     public static X509Bundle selfSigned() {
         try {
             return new CertificateBuilder()
--- a/src/test/java/loadbalancer/server/Http3Fixture.java
+++ b/src/test/java/loadbalancer/server/Http3Fixture.java
@@ -17,7 +17,7 @@
 import loadbalancer.server.http3.Http3ServerExtension;
 import org.junit.jupiter.api.AfterEach;
 
-/** A node that speaks HTTP/3 to clients, and to upstreams whose list names an address for it. */
+/** A balancer with HTTP/3 to clients, and to upstreams whose entry in the endpoint list has an address for it. */
 abstract class Http3Fixture extends ServerFixture {
     static final X509Bundle OURS = Certificates.selfSigned();
     static final X509Bundle THEIRS = Certificates.selfSigned();
@@ -25,9 +25,9 @@
     final List<Http3TestClient> open = new ArrayList<>();
     Http3ConnectionLimiter.Limits sessions =
             new Http3ConnectionLimiter.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
-    int streams = 100;
-    int connect = 500_000; // µs
-    String http3; // the upstream's address
+    int streams = 100; // concurrent ones of a client's connection
+    int connect = 500_000; // time-out of a connect to an upstream, µs
+    String http3; // the upstream's address for HTTP/3; null: it has none
 
     @Override
     String target(String state) {
@@ -48,7 +48,7 @@
                 new Http3ConnectionPlan.Limits(2, 100, 1_000_000, 4_000_000));
     }
 
-    Config with(Http3Settings told) throws IOException {
+    Config with(Http3Settings http3Settings) throws IOException {
         Map<String, Object> settings = settings();
         @SuppressWarnings("unchecked")
         Map<String, Object> limits = (Map<String, Object>) settings.get("Limits");
@@ -62,7 +62,7 @@
                 plain.connections(),
                 plain.known(),
                 plain.boot(),
-                told,
+                http3Settings,
                 null,
                 false,
                 java.util.Set.of());
--- a/src/test/java/loadbalancer/server/Http3StandInServer.java
+++ b/src/test/java/loadbalancer/server/Http3StandInServer.java
@@ -36,22 +36,23 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.http3.codec.FinalFrame;
 
-/** An upstream over HTTP/3 that does what the test says with each request. */
+/** An HTTP/3 server for tests: queues each request for the test, which then answers or breaks its stream. */
 final class Http3StandInServer implements Closeable {
     private static final EventLoopGroup GROUP = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-    /** A request that has come whole. */
-    static final class Got {
+    /** A request, or its head alone, and the stream to answer on. */
+    static final class ReceivedRequest {
         final Http3Headers head;
         final String body;
         final QuicStreamChannel stream;
 
-        Got(Http3Headers head, String body, QuicStreamChannel stream) {
+        ReceivedRequest(Http3Headers head, String body, QuicStreamChannel stream) {
             this.head = head;
             this.body = body;
             this.stream = stream;
         }
 
+        /** A header or pseudo-header field's value. */
         String field(String name) {
             return String.valueOf(head.get(name));
         }
@@ -62,9 +63,9 @@
             if (name != null) {
                 out.add(name, value);
             }
-            FinalFrame end = new FinalFrame();
-            stream.pipeline().addFirst(end);
-            end.last();
+            FinalFrame finalFrame = new FinalFrame();
+            stream.pipeline().addFirst(finalFrame);
+            finalFrame.last();
             stream.write(new DefaultHttp3HeadersFrame(out));
             stream.writeAndFlush(new DefaultHttp3DataFrame(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII)));
         }
@@ -73,10 +74,12 @@
             answer(200, null, null, text);
         }
 
+        /** Resets both directions of the stream with an HTTP/3 error code (RFC 9114, section 8.1). */
         void reset(int code) {
             stream.shutdown(code);
         }
 
+        /** Announces that streams from {@code id} on are not processed (RFC 9114, section 5.2). */
         void goAway(long id) {
             Http3.getLocalControlStream(stream.parent()).writeAndFlush(new DefaultHttp3GoAwayFrame(id));
         }
@@ -88,17 +91,23 @@
 
     final Set<QuicChannel> connections = ConcurrentHashMap.newKeySet();
     private final Channel udp;
-    private final BlockingQueue<Got> requests = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Got> heads = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> requests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> heads = new LinkedBlockingQueue<>();
     final BlockingQueue<String> cancelled = new LinkedBlockingQueue<>();
-    /** The code with which it asks for no more once it has a head, before it reads on; -1: it reads on. */
+    /** The error code of the STOP_SENDING that it sends behind each head; -1: it sends none. */
     volatile int stopAtHead = -1;
 
     Http3StandInServer(X509Bundle identity, int port, int streams) throws Exception {
         this(identity, port, streams, 1 << 17);
     }
 
-    /** {@code window}: bytes of a stream that it takes and no more. */
+    /**
+     * Listens.
+     *
+     * @param port 0: any
+     * @param streams concurrent streams that a connection may have
+     * @param window the initial flow-control window of a stream, bytes
+     */
     Http3StandInServer(X509Bundle identity, int port, int streams, int window) throws Exception {
         QuicSslContext context = QuicSslContextBuilder.forServer(
                         identity.getKeyPair().getPrivate(), null, identity.getCertificatePath())
@@ -123,7 +132,7 @@
                                                 new ChannelInitializer<QuicStreamChannel>() {
                                                     @Override
                                                     protected void initChannel(QuicStreamChannel stream) {
-                                                        stream.pipeline().addLast(new Reader());
+                                                        stream.pipeline().addLast(new RequestReader());
                                                     }
                                                 }));
                             }
@@ -142,22 +151,23 @@
         return "127.0.0.1:" + port();
     }
 
-    /** The next request; fails where none comes. */
-    Got next() throws InterruptedException {
-        Got got = requests.poll(20, TimeUnit.SECONDS);
-        if (got == null) {
-            throw new AssertionError("no request came");
-        }
-        return got;
+    /** The next complete request; fails where none arrives. */
+    ReceivedRequest next() throws InterruptedException {
+        return next(requests, "no request arrived");
+    }
+
+    /** The next head, whether its body follows or not; fails where none arrives. */
+    ReceivedRequest nextHead() throws InterruptedException {
+        return next(heads, "no head arrived");
     }
 
-    /** The next head, whether the rest comes or not. */
-    Got nextHead() throws InterruptedException {
-        Got got = heads.poll(20, TimeUnit.SECONDS);
-        if (got == null) {
-            throw new AssertionError("no head came");
+    private static ReceivedRequest next(BlockingQueue<ReceivedRequest> queue, String complaint)
+            throws InterruptedException {
+        ReceivedRequest request = queue.poll(20, TimeUnit.SECONDS);
+        if (request == null) {
+            throw new AssertionError(complaint);
         }
-        return got;
+        return request;
     }
 
     boolean isEmpty() {
@@ -170,7 +180,7 @@
         udp.close().awaitUninterruptibly(5, TimeUnit.SECONDS);
     }
 
-    private final class Reader extends Http3RequestStreamInboundHandler {
+    private final class RequestReader extends Http3RequestStreamInboundHandler {
         private Http3Headers head;
         private final StringBuilder body = new StringBuilder();
 
@@ -180,7 +190,7 @@
             if (stopAtHead >= 0) {
                 ((QuicStreamChannel) context.channel()).shutdownInput(stopAtHead);
             }
-            heads.add(new Got(head, "", (QuicStreamChannel) context.channel()));
+            heads.add(new ReceivedRequest(head, "", (QuicStreamChannel) context.channel()));
         }
 
         @Override
@@ -192,14 +202,14 @@
         @Override
         protected void channelInputClosed(ChannelHandlerContext context) {
             if (head != null) {
-                requests.add(new Got(head, body.toString(), (QuicStreamChannel) context.channel()));
+                requests.add(new ReceivedRequest(head, body.toString(), (QuicStreamChannel) context.channel()));
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (cause instanceof QuicStreamResetException reset) {
-                // A stream may be reset before its head has come.
+                // A stream may be reset before its head has arrived.
                 CharSequence id = head == null ? "no head" : head.get("req-id");
                 cancelled.add(id + " 0x" + Long.toHexString(reset.applicationProtocolCode()));
             }
--- a/src/test/java/loadbalancer/server/Http3UpstreamTest.java
+++ b/src/test/java/loadbalancer/server/Http3UpstreamTest.java
@@ -23,20 +23,20 @@
 class Http3UpstreamTest extends Http3Fixture {
     private static final int HANDSHAKE_MICROS = 15_000_000;
 
-    private Http3StandInServer box;
+    private Http3StandInServer server;
 
     // A handshake takes longer than the usual connect timeout on a busy machine: HTTP/1.1 would stand in.
-    private void startWithBox(int allowed) throws Exception {
+    private void startWithServer(int allowed) throws Exception {
         connect = HANDSHAKE_MICROS;
-        box = new Http3StandInServer(THEIRS, 0, allowed);
-        http3 = box.address();
+        server = new Http3StandInServer(THEIRS, 0, allowed);
+        http3 = server.address();
         start();
     }
 
     @AfterEach
-    void closeBox() {
-        if (box != null) {
-            box.close();
+    void closeServer() {
+        if (server != null) {
+            server.close();
         }
     }
 
@@ -47,9 +47,9 @@
 
     @Test
     void httpOneGoesOnOverHttp3AndBack() throws Exception {
-        startWithBox(100);
+        startWithServer(100);
         try (Client client = plain(this, "r1")) {
-            Http3StandInServer.Got got = box.next();
+            Http3StandInServer.ReceivedRequest got = server.next();
             assertEquals("POST", got.field(":method"));
             assertEquals("backend.local", got.field(":authority"));
             assertEquals("seat", got.body);
@@ -66,10 +66,10 @@
 
     @Test
     void bothSidesSpeakHttp3() throws Exception {
-        startWithBox(100);
+        startWithServer(100);
         Http3TestClient client = client();
         Http3TestClient.Got got = client.book("r1");
-        Http3StandInServer.Got asked = box.next();
+        Http3StandInServer.ReceivedRequest asked = server.next();
         assertEquals("seat", asked.body);
         assertEquals("backend.local", asked.field(":authority"));
         asked.answer("done");
@@ -79,25 +79,25 @@
 
     @Test
     void oneConnectionCarriesManyAndOneAnswerEach() throws Exception {
-        startWithBox(100);
+        startWithServer(100);
         Http3TestClient client = client();
-        List<Http3TestClient.Got> gots = new ArrayList<>();
+        List<Http3TestClient.Got> responses = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            gots.add(client.get("r" + i));
+            responses.add(client.get("r" + i));
         }
         for (int i = 0; i < 100; i++) {
-            Http3StandInServer.Got asked = box.next();
+            Http3StandInServer.ReceivedRequest asked = server.next();
             asked.answer(asked.field("req-id"));
         }
         for (int i = 0; i < 100; i++) {
-            assertEquals("200 r" + i, gots.get(i).end());
+            assertEquals("200 r" + i, responses.get(i).end());
         }
-        assertEquals(1, box.connections.size());
+        assertEquals(1, server.connections.size());
     }
 
     @Test
     void requestsBeyondTheCongestionWindowComeWhole() throws Exception {
-        startWithBox(100);
+        startWithServer(100);
         String body = "seat".repeat(1_000);
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -106,7 +106,7 @@
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", body).replace("r1", "r" + i));
         }
         for (int i = 0; i < 60; i++) {
-            Http3StandInServer.Got asked = box.next();
+            Http3StandInServer.ReceivedRequest asked = server.next();
             assertEquals(body, asked.body);
             asked.answer("ok");
         }
@@ -116,84 +116,84 @@
         }
     }
 
-    /** What the module is told where the box ends one attempt so. */
-    private String told(java.util.function.Consumer<Http3StandInServer.Got> ending) throws Exception {
-        startWithBox(100);
+    /** The outcome that the policy gets where the server ends an attempt in this way. */
+    private String outcomeOf(java.util.function.Consumer<Http3StandInServer.ReceivedRequest> ending) throws Exception {
+        startWithServer(100);
         try (Client client = plain(this, "r1")) {
-            ending.accept(box.next());
-            String told = module.next();
+            ending.accept(server.next());
+            String outcome = module.next();
             assertEquals(502, client.status()); // the scripted module fails what was not served
-            assertTrue(box.isEmpty());
-            return told;
+            assertTrue(server.isEmpty());
+            return outcome;
         }
     }
 
     @Test
     void aRejectedRequestNeverRan() throws Exception {
-        assertEquals("FULL", told(got -> got.reset(0x10b)));
+        assertEquals("FULL", outcomeOf(got -> got.reset(0x10b)));
     }
 
     @Test
     void aStreamResetAfterTheRequestMayHaveRun() throws Exception {
-        assertEquals("RESET", told(got -> got.reset(0x10c)));
+        assertEquals("RESET", outcomeOf(got -> got.reset(0x10c)));
     }
 
     @Test
     void aStreamResetAsInternalErrorMayHaveRun() throws Exception {
-        assertEquals("RESET", told(got -> got.reset(0x102)));
+        assertEquals("RESET", outcomeOf(got -> got.reset(0x102)));
     }
 
     @Test
     void aStreamAboveTheGoAwayNeverRan() throws Exception {
-        assertEquals("NOT_SENT", told(got -> got.goAway(0)));
+        assertEquals("NOT_SENT", outcomeOf(got -> got.goAway(0)));
     }
 
     @Test
     void aConnectionThatClosesMayHaveRunWhatItHeld() throws Exception {
-        assertEquals("RESET", told(Http3StandInServer.Got::closeConnection));
+        assertEquals("RESET", outcomeOf(Http3StandInServer.ReceivedRequest::closeConnection));
     }
 
     @Test
     void whatTheUpstreamDeclinesNeverRan() throws Exception {
-        assertEquals("FULL", told(got -> got.answer(503, "srv-declined", "1", "no")));
+        assertEquals("FULL", outcomeOf(got -> got.answer(503, "srv-declined", "1", "no")));
     }
 
     @Test
     void anAnswerThatBreaksItsLengthIsNone() throws Exception {
-        assertEquals("RESET", told(got -> got.answer(200, "content-length", "9", "done")));
+        assertEquals("RESET", outcomeOf(got -> got.answer(200, "content-length", "9", "done")));
     }
 
     @Test
     void anAnswerLongerThanIsHeldIsNone() throws Exception {
-        assertEquals("RESET", told(got -> got.answer("y".repeat(70_000))));
+        assertEquals("RESET", outcomeOf(got -> got.answer("y".repeat(70_000))));
     }
 
     /**
-     * It is blocked by the box's window when the box ends it: its last byte has never left. The box ends it
+     * It is blocked by the server's window when the server ends it: its last byte has never left. The server ends it
      * from where it reads the head, and the rest is many windows long: whatever it reads opens its window
      * further, and a request that has left whole may have run.
      */
     @Test
     void aRequestThatIsNotWholeNeverRan() throws Exception {
-        box = new Http3StandInServer(THEIRS, 0, 100, 1_000);
-        box.stopAtHead = 0x10c; // STOP_SENDING alone
-        http3 = box.address();
+        server = new Http3StandInServer(THEIRS, 0, 100, 1_000);
+        server.stopAtHead = 0x10c; // STOP_SENDING alone
+        http3 = server.address();
         start();
         try (Client client = new Client(at)) {
             client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat".repeat(12_000)));
-            box.nextHead();
+            server.nextHead();
             assertEquals("CONNECT_FAILED", module.next());
             assertEquals(502, client.status());
         }
-        assertTrue(box.isEmpty());
+        assertTrue(server.isEmpty());
     }
 
     @Test
     void whatIsGivenUpIsCancelledAtTheUpstreamAndMayHaveRun() throws Exception {
         module.timeout = 300_000;
-        startWithBox(100);
+        startWithServer(100);
         try (Client client = plain(this, "r1")) {
-            Http3StandInServer.Got got = box.next();
+            Http3StandInServer.ReceivedRequest got = server.next();
             assertEquals("TIMEOUT", module.next());
             assertEquals(502, client.status());
             got.answer("too late"); // nobody hears it
@@ -203,7 +203,7 @@
 
     private String next(Client client) throws Exception {
         client.send(post("book", "Req-Deadline-Ms: 20000\r\n", "seat").replace("r1", "r2"));
-        box.next().answer("in time");
+        server.next().answer("in time");
         String head = client.answer();
         assertEquals("in time", new String(client.body, java.nio.charset.StandardCharsets.US_ASCII));
         return head;
@@ -211,16 +211,16 @@
 
     @Test
     void whereNoStreamIsLeftNothingWasSent() throws Exception {
-        startWithBox(1);
+        startWithServer(1);
         Http3TestClient client = client();
-        List<Http3StandInServer.Got> held = new ArrayList<>();
+        List<Http3StandInServer.ReceivedRequest> held = new ArrayList<>();
         for (int i = 0; i < 2; i++) { // one for each of the two connections
             client.book("r" + i);
-            held.add(box.next());
+            held.add(server.next());
         }
         assertEquals("502 failed", client.book("r2").end());
         assertEquals("NOT_SENT", module.next());
-        assertTrue(box.isEmpty());
+        assertTrue(server.isEmpty());
         held.forEach(h -> h.answer("ok"));
     }
 
@@ -228,38 +228,38 @@
     @Test
     void thoseBeyondTheLimitThatWaitedWereNotSentAndTheRestGoesOn() throws Exception {
         connect = HANDSHAKE_MICROS;
-        box = new Http3StandInServer(THEIRS, 0, 3);
+        server = new Http3StandInServer(THEIRS, 0, 3);
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (UdpRelay relay = new UdpRelay(
                 group.next(),
-                new InetSocketAddress("127.0.0.1", box.port()),
+                new InetSocketAddress("127.0.0.1", server.port()),
                 new RelayScript(1, RelayScript.Faults.NONE))) {
             relay.hole(UdpRelay.Hole.TO_SERVER);
             http3 = Addresses.text(relay.open());
             start();
             Http3TestClient client = client();
-            List<Http3TestClient.Got> gots = new ArrayList<>();
+            List<Http3TestClient.Got> responses = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                gots.add(client.get("r" + i));
+                responses.add(client.get("r" + i));
                 module.requests.take();
             }
             relay.hole(UdpRelay.Hole.NONE); // the handshake goes on with its next attempt
             Channel waited = null;
             for (int i = 0; i < 3; i++) {
-                Http3StandInServer.Got asked = box.next();
+                Http3StandInServer.ReceivedRequest asked = server.next();
                 waited = asked.stream.parent();
                 asked.answer(asked.field("req-id"));
             }
             int served = 0;
-            for (Http3TestClient.Got got : gots) {
+            for (Http3TestClient.Got got : responses) {
                 served += got.end().startsWith("200 ") ? 1 : 0;
             }
             assertEquals(3, served);
-            // The box raises its limit when it gets to it: until then one may go on a second connection.
+            // The server raises its limit when it gets to it: until then a request may take a second connection.
             Map<Channel, List<Long>> streams = new HashMap<>();
             for (int i = 0; i < 20; i++) {
                 Http3TestClient.Got got = client.get("n" + i);
-                Http3StandInServer.Got asked = box.next();
+                Http3StandInServer.ReceivedRequest asked = server.next();
                 streams.computeIfAbsent(asked.stream.parent(), c -> new ArrayList<>())
                         .add(asked.stream.streamId());
                 asked.answer(asked.field("req-id"));
@@ -280,23 +280,23 @@
     /** Rule 3: the connection stands, and nothing new is sent on it after the grace. */
     @Test
     void aDrainedUpstreamGetsNothingNewOnItsConnection() throws Exception {
-        startWithBox(100);
+        startWithServer(100);
         Http3TestClient client = client();
         Http3TestClient.Got held = client.book("held");
-        Http3StandInServer.Got before = box.next();
+        Http3StandInServer.ReceivedRequest before = server.next();
         onLoop(() -> module.actions.fetchList());
         discovery.next().answer(200, "", list(42, true, "terminating"));
         assertEquals("COMPLETE [s1=DRAINING]", module.next());
-        long told = System.nanoTime();
+        long drainedAt = System.nanoTime();
         String end = "200";
         for (int i = 0; end.startsWith("200"); i++) {
             Http3TestClient.Got got = client.get("r" + i);
-            while (box.isEmpty() && !got.ended.isDone()) {
+            while (server.isEmpty() && !got.ended.isDone()) {
                 Thread.onSpinWait();
             }
-            if (!box.isEmpty()) {
-                assertTrue(System.nanoTime() - told < TimeUnit.SECONDS.toNanos(10));
-                box.next().answer("ok");
+            if (!server.isEmpty()) {
+                assertTrue(System.nanoTime() - drainedAt < TimeUnit.SECONDS.toNanos(10));
+                server.next().answer("ok");
             }
             end = got.end();
         }
@@ -311,27 +311,27 @@
             assertEquals("502 failed", client.get("n" + i).end());
             assertEquals("NOT_SENT", module.next());
         }
-        assertTrue(box.isEmpty());
+        assertTrue(server.isEmpty());
         before.answer("done"); // what was there before goes on to its end
         assertEquals("200 done", held.end());
     }
 
     @Test
     void aGoAwayLetsWhatItCoversFinish() throws Exception {
-        startWithBox(100);
+        startWithServer(100);
         try (Client client = plain(this, "r1")) {
-            Http3StandInServer.Got got = box.next();
+            Http3StandInServer.ReceivedRequest got = server.next();
             got.goAway(4);
             // Another connection for what comes now; the first one's answer still counts.
             try (Client second = plain(this, "r2")) {
-                Http3StandInServer.Got other = box.next();
+                Http3StandInServer.ReceivedRequest other = server.next();
                 while (other.stream.parent() == got.stream.parent()) {
-                    // It crossed the GOAWAY: never processed, says the box, and the module is told so.
+                    // It crossed the GOAWAY: never processed, and the policy gets that outcome.
                     assertEquals("NOT_SENT", module.next());
                     assertEquals(502, second.status());
                     second.send(
                             post("book", "Req-Deadline-Ms: 20000\r\n", "seat").replace("r1", "r3"));
-                    other = box.next();
+                    other = server.next();
                 }
                 other.answer("two");
                 assertEquals(200, second.status());
@@ -343,31 +343,31 @@
 
     @Test
     void aConnectionThatDiesWithAHundredStreamsGivesEachOneAnswer() throws Exception {
-        startWithBox(200);
+        startWithServer(200);
         Http3TestClient client = client();
-        List<Http3TestClient.Got> gots = new ArrayList<>();
+        List<Http3TestClient.Got> responses = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            gots.add(client.book("r" + i));
+            responses.add(client.book("r" + i));
         }
-        Http3StandInServer.Got last = null;
+        Http3StandInServer.ReceivedRequest last = null;
         for (int i = 0; i < 100; i++) {
-            last = box.next();
+            last = server.next();
         }
         last.closeConnection();
-        for (Http3TestClient.Got got : gots) {
+        for (Http3TestClient.Got got : responses) {
             assertEquals("502 failed", got.end());
             assertEquals(1, got.heads);
         }
-        assertTrue(box.isEmpty());
+        assertTrue(server.isEmpty());
         assertTrue(upstream.isEmpty());
     }
 
     @Test
     void withoutAHandshakeHttp1StandsInAndHttp3ComesBack() throws Exception {
-        Http3StandInServer gone = new Http3StandInServer(THEIRS, 0, 100);
-        http3 = gone.address();
-        int port = gone.port();
-        gone.close();
+        Http3StandInServer closed = new Http3StandInServer(THEIRS, 0, 100);
+        http3 = closed.address();
+        int port = closed.port();
+        closed.close();
         start();
         try (Client first = plain(this, "r1")) {
             assertEquals("CONNECT_FAILED", module.next());
@@ -377,12 +377,12 @@
             assertEquals(200, Integer.parseInt(second.answerAfter(upstream).split(" ")[1]));
         }
         module.next();
-        box = new Http3StandInServer(THEIRS, port, 100);
+        server = new Http3StandInServer(THEIRS, port, 100);
         // A trial begins beside the requests that HTTP/1.1 carries; after it HTTP/3 carries them again.
-        for (int i = 0; box.isEmpty(); i++) {
+        for (int i = 0; server.isEmpty(); i++) {
             try (Client next = plain(this, "n" + i)) {
                 int request = i;
-                while (box.isEmpty() && upstream.isEmpty()) {
+                while (server.isEmpty() && upstream.isEmpty()) {
                     Thread.onSpinWait();
                 }
                 assertTrue(request < 1_000_000);
@@ -390,7 +390,7 @@
                     assertEquals(
                             200, Integer.parseInt(next.answerAfter(upstream).split(" ")[1]));
                 } else {
-                    box.next().answer("ok");
+                    server.next().answer("ok");
                     assertEquals(200, next.status());
                     return;
                 }
@@ -400,35 +400,35 @@
 
     @Test
     void anUpstreamThatShowsAnotherCertificateIsNotTrusted() throws Exception {
-        box = new Http3StandInServer(OURS, 0, 100);
-        http3 = box.address();
+        server = new Http3StandInServer(OURS, 0, 100);
+        http3 = server.address();
         start();
         try (Client first = plain(this, "r1")) {
             assertEquals("CONNECT_FAILED", module.next());
             assertEquals(502, first.status());
         }
-        assertTrue(box.isEmpty());
+        assertTrue(server.isEmpty());
     }
 
     /** Requests that waited for the handshake, and then many more than the upstream allows at once. */
     @Test
     void streamsThatEndedMakeRoomForOthers() throws Exception {
-        startWithBox(6);
+        startWithServer(6);
         Http3TestClient client = client();
-        List<Http3TestClient.Got> gots = new ArrayList<>();
+        List<Http3TestClient.Got> responses = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            gots.add(client.get("w" + i));
+            responses.add(client.get("w" + i));
         }
         for (int i = 0; i < 4; i++) {
-            Http3StandInServer.Got asked = box.next();
+            Http3StandInServer.ReceivedRequest asked = server.next();
             asked.answer(asked.field("req-id"));
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals("200 w" + i, gots.get(i).end());
+            assertEquals("200 w" + i, responses.get(i).end());
         }
         for (int i = 0; i < 60; i++) {
             Http3TestClient.Got got = client.get("r" + i);
-            Http3StandInServer.Got asked = box.next();
+            Http3StandInServer.ReceivedRequest asked = server.next();
             asked.answer(asked.field("req-id"));
             assertEquals("200 r" + i, got.end());
         }
@@ -437,24 +437,24 @@
 
     @Test
     void theUpstreamsLimitOfStreamsIsKept() throws Exception {
-        startWithBox(3);
+        startWithServer(3);
         Http3TestClient client = client();
-        List<Http3TestClient.Got> gots = new ArrayList<>();
+        List<Http3TestClient.Got> responses = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            gots.add(client.get("r" + i));
+            responses.add(client.get("r" + i));
         }
-        List<Http3StandInServer.Got> asked = new ArrayList<>();
+        List<Http3StandInServer.ReceivedRequest> asked = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            asked.add(box.next());
+            asked.add(server.next());
         }
         Http3TestClient.Got fourth = client.get("r3"); // a second connection
-        Http3StandInServer.Got other = box.next();
+        Http3StandInServer.ReceivedRequest other = server.next();
         assertNotEquals(asked.get(0).stream.parent(), other.stream.parent());
         other.answer("r3");
         assertEquals("200 r3", fourth.end());
         asked.forEach(a -> a.answer(a.field("req-id")));
         for (int i = 0; i < 3; i++) {
-            assertEquals("200 r" + i, gots.get(i).end());
+            assertEquals("200 r" + i, responses.get(i).end());
         }
     }
 }
--- a/src/test/java/loadbalancer/server/RaceConditionsTest.java
+++ b/src/test/java/loadbalancer/server/RaceConditionsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What crosses on the way of a request, forced by peers that hold and order: see docs/crossings.md. */
+/** Race conditions of a request with its client, its upstream or a shutdown, in an order that the peers force. */
 @Timeout(120)
 class RaceConditionsTest extends ServerFixture {
     private static final String EMPTY = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -71,9 +71,9 @@
                 client.send(request(kind, "half").substring(0, 40));
             }
             client.close();
-            List<String> told = new ArrayList<>(List.of(module.next(), module.next()));
-            told.sort(null);
-            assertEquals(List.of("NOT_SENT closed", "gone"), told);
+            List<String> events = new ArrayList<>(List.of(module.next(), module.next()));
+            events.sort(null);
+            assertEquals(List.of("NOT_SENT closed", "gone"), events);
             held.release();
             Socket first = held.next();
             awaitRested("s1");
@@ -92,25 +92,25 @@
         Future<List<String>> heads;
         try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, false);
-            Client gone = new Client(at).send(request("book", "gone"));
+            Client leaving = new Client(at).send(request("book", "gone"));
             try (Client stays = new Client(at)) {
                 module.requests.poll(20, TimeUnit.SECONDS);
                 stays.send(request("book", "stays"));
                 module.requests.poll(20, TimeUnit.SECONDS);
                 CompletableFuture<Void> ended = CompletableFuture.runAsync(node::stop);
-                gone.close();
-                List<String> told = new ArrayList<>(List.of(module.next(), module.next()));
-                told.sort(null);
-                assertEquals(List.of("NOT_SENT closed", "gone"), told);
+                leaving.close();
+                List<String> events = new ArrayList<>(List.of(module.next(), module.next()));
+                events.sort(null);
+                assertEquals(List.of("NOT_SENT closed", "gone"), events);
                 heads = held.answer(EMPTY);
                 assertEquals(200, stays.status());
                 ended.get(60, TimeUnit.SECONDS);
                 node = null;
             }
         }
-        List<String> came = heads.get(60, TimeUnit.SECONDS);
-        assertEquals(1, came.size(), came.toString());
-        assertTrue(came.get(0).contains("Req-Id: stays\r\n"), came.toString());
+        List<String> received = heads.get(60, TimeUnit.SECONDS);
+        assertEquals(1, received.size(), received.toString());
+        assertTrue(received.get(0).contains("Req-Id: stays\r\n"), received.toString());
     }
 
     /** Its upstream hangs: what was read before and behind the word to end is answered, each in its time. */
@@ -146,8 +146,8 @@
                 client.close();
             }
             for (int i = 0; i < 40; i++) {
-                String told = module.next();
-                assertTrue(told.equals("gone") || told.equals("NOT_SENT closed"), told);
+                String event = module.next();
+                assertTrue(event.equals("gone") || event.equals("NOT_SENT closed"), event);
             }
             held.release();
             Socket first = held.next();
@@ -260,16 +260,16 @@
         "pay,900000,200000,false",
         "book,70000,70000,false"
     })
-    void anUploadWhoseClientHasLeftIsNotSentOn(String kind, int length, int came, boolean cancels) throws Exception {
+    void anUploadWhoseClientHasLeftIsNotSentOn(String kind, int length, int sent, boolean cancels) throws Exception {
         Future<List<String>> heads;
         try (UnacceptingListener held = new UnacceptingListener()) {
             startHeld(held, cancels);
-            Client client = new Client(at).send(upload(kind, "gone", length) + "x".repeat(came));
+            Client client = new Client(at).send(upload(kind, "gone", length) + "x".repeat(sent));
             assertTrue(module.requests.poll(20, TimeUnit.SECONDS).contains(" k1 "));
             client.close();
-            List<String> told = new ArrayList<>(List.of(module.next(), module.next()));
-            told.sort(null);
-            assertEquals(List.of("NOT_SENT closed", "gone"), told);
+            List<String> events = new ArrayList<>(List.of(module.next(), module.next()));
+            events.sort(null);
+            assertEquals(List.of("NOT_SENT closed", "gone"), events);
             heads = held.answer(EMPTY);
             awaitRested("s1");
             try (Client other = new Client(at).send(request("read", "next"))) {
@@ -347,11 +347,11 @@
             assertEquals(200, client.status());
             assertEquals("OK closed", module.next());
             awaitRested("s1");
-            CountDownLatch goesOn = new CountDownLatch(1);
-            block(goesOn);
+            CountDownLatch resume = new CountDownLatch(1);
+            block(resume);
             client.send(request(kind, "second"));
             first.socket().close();
-            goesOn.countDown();
+            resume.countDown();
             ScriptedUpstream.Got second = upstream.next();
             assertEquals("second", second.header("Req-Id"));
             second.answer(200, "", "ok");
@@ -360,9 +360,9 @@
         }
     }
 
-    /** The loop stands still for less than a drain's grace: what waits for the list's news then leaves. */
+    /** The loop is stalled for less than the drain grace: what waits for list updates is sent behind it. */
     @Test
-    void behindAStandstillTheConnectionThatRestsIsUsed() throws IOException, InterruptedException {
+    void behindAStallTheIdleConnectionIsUsed() throws IOException, InterruptedException {
         start();
         try (Client client = new Client(at)) {
             client.send(request("read", "first"));
@@ -370,11 +370,11 @@
             first.answer(200, "", "ok");
             assertEquals(200, client.status());
             awaitRested("s1");
-            CountDownLatch goesOn = new CountDownLatch(1);
-            block(goesOn);
+            CountDownLatch resume = new CountDownLatch(1);
+            block(resume);
             client.send(request("book", "second"));
             TimeUnit.MILLISECONDS.sleep(300); // the time itself is what has to pass
-            goesOn.countDown();
+            resume.countDown();
             ScriptedUpstream.Got second = upstream.next();
             second.answer(200, "", "ok");
             assertEquals(200, client.status());
@@ -392,10 +392,11 @@
             try (Client client = new Client(at)) {
                 client.send("POST /api/k1 HTTP/1.1\r\nReq-Id: r1\r\nReq-Kind: book\r\n"
                         + "Req-Deadline-Ms: 20000\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
-                Socket box = server.accept();
-                box.setSoTimeout(20_000);
-                ScriptedUpstream.head(box.getInputStream());
-                box.getOutputStream()
+                Socket connection = server.accept();
+                connection.setSoTimeout(20_000);
+                ScriptedUpstream.head(connection.getInputStream());
+                connection
+                        .getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + "y".repeat(length))
                                 .getBytes());
                 assertEquals("RESET", module.next(), "it keeps to no rule: not proof that nothing ran");
--- a/src/test/java/loadbalancer/server/ScriptedUpstream.java
+++ b/src/test/java/loadbalancer/server/ScriptedUpstream.java
@@ -19,14 +19,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The other side of a connection, for tests: hands each request over, and answers what the test says. */
+/**
+ * An HTTP/1.1 server for tests: queues each complete request for the test, which then answers on its connection. One
+ * thread for each connection.
+ */
 final class ScriptedUpstream implements Closeable {
-    /** A request as it came, and the connection to answer on. */
+    /** A complete request, and the connection to answer on, by the order in which connections were accepted. */
     record Got(String head, byte[] body, Socket socket, int connection) {
+        /** The request line. */
         String line() {
             return head.substring(0, head.indexOf("\r\n"));
         }
 
+        /** A header field's value; null where there is none. */
         String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
@@ -36,6 +41,7 @@
             return null;
         }
 
+        /** Writes bytes as they are. */
         void raw(String text) throws IOException {
             raw(text.getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -63,7 +69,7 @@
             socket.close();
         }
 
-        /** Waits for the other side to end the connection. */
+        /** Waits for the peer to close the connection; false where it does not. */
         boolean closedByPeer() {
             try {
                 socket.setSoTimeout(20_000);
@@ -75,7 +81,7 @@
     }
 
     private final ServerSocket server;
-    private final Thread accepter;
+    private final Thread acceptor;
     private final BlockingQueue<Got> requests = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connections = new AtomicInteger();
@@ -83,7 +89,7 @@
 
     ScriptedUpstream() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        accepter = run(() -> {
+        acceptor = run(() -> {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
@@ -93,16 +99,16 @@
         });
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private Thread run(Work work) {
+    private Thread run(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                Thread.currentThread().interrupt(); // the socket has ended, and so does its reader
+                Thread.currentThread().interrupt(); // the socket is closed, and its reader ends
             }
         });
         thread.setDaemon(true);
@@ -141,20 +147,9 @@
                 }
                 line.append((char) c);
             }
-            int size = Integer.parseInt(line.toString().strip().split(";")[0], 16);
+            int size = Integer.parseInt(line.toString().strip().split(";")[0], 16); // without chunk extensions
             if (size == 0) {
-                line.setLength(0);
-                int ends = 0; // up to the empty line, behind trailers if any
-                while (ends < 2) {
-                    int c = in.read();
-                    ends = c == '\n' ? ends + 1 : c == '\r' ? ends : 0;
-                    ends = c == '\n' && line.length() == 0 ? 2 : ends;
-                    if (c == '\n') {
-                        line.setLength(0);
-                    } else if (c != '\r') {
-                        line.append((char) c);
-                    }
-                }
+                skipTrailers(in);
                 return all.toByteArray();
             }
             all.write(in.readNBytes(size));
@@ -162,6 +157,25 @@
         }
     }
 
+    // Up to and with the empty line.
+    private static void skipTrailers(InputStream in) throws IOException {
+        StringBuilder line = new StringBuilder();
+        while (true) {
+            int c = in.read();
+            if (c < 0) {
+                throw new IOException("it ends within");
+            }
+            if (c == '\n') {
+                if (line.length() == 0) {
+                    return;
+                }
+                line.setLength(0);
+            } else if (c != '\r') {
+                line.append((char) c);
+            }
+        }
+    }
+
     /** Reads up to the empty line; null at the end of the stream. */
     static String head(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
@@ -183,7 +197,7 @@
         return connections.get();
     }
 
-    /** The next request; fails where none comes. */
+    /** The next request; fails where none arrives. */
     Got next() throws InterruptedException {
         Got got = requests.poll(20, TimeUnit.SECONDS);
         if (got == null) {
@@ -200,8 +214,8 @@
     public void close() throws IOException {
         server.close();
         try {
-            // One that is in accept() meanwhile may still take a connection, which nobody would answer.
-            accepter.join(TimeUnit.SECONDS.toMillis(20));
+            // A pending accept() may still accept a connection, which nobody would answer.
+            acceptor.join(TimeUnit.SECONDS.toMillis(20));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/loadbalancer/server/ServerFixture.java
+++ b/src/test/java/loadbalancer/server/ServerFixture.java
@@ -24,17 +24,28 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A real balancer over loopback sockets, with a module that does what the test says. */
+/**
+ * A real balancer over loopback sockets, with a policy, an upstream and a discovery service that do what the test says.
+ */
 abstract class ServerFixture {
-    /** A module that notes what it is told and sends each request where {@code onRequest} says. */
+    /**
+     * A policy that records its events and sends each request to {@link #server}; null: to none.
+     *
+     * <p>Events as {@link #next} returns them: {@code <list kind> [<server>=<state>, ...]} for an endpoint list, {@code
+     * <outcome>[ <requests in flight>][ closed]} for an attempt's end, {@code gone} for a client that disconnected,
+     * {@code probed <outcome> <requests in flight or ->} for a health check, {@code retuned [<former class>, ...]} for
+     * reloaded settings.
+     */
     static class Scripted implements Policy {
         final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+        /** Each request as {@code <class> <key> <work> <resubmission>}. */
         final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        volatile long timeout;
-        volatile long within; // 0: no matter when
-        volatile boolean cancels = true; // what its client has left
+
+        volatile long timeout; // of each attempt, µs; 0: none
+        volatile long within; // µs in which an attempt may be sent; 0: at any time
+        volatile boolean cancels = true; // the attempts of a client that disconnected
         volatile Runnable onOutcome = () -> {};
-        volatile boolean broken;
+        volatile boolean broken; // throws at each request
         volatile String server = "s1";
         volatile Policy.Actions actions;
 
@@ -111,10 +122,11 @@
         @Override
         public void wake(long now, Actions out) {}
 
+        /** The next event; fails where none arrives. */
         String next() throws InterruptedException {
             String event = told.poll(20, TimeUnit.SECONDS);
             if (event == null) {
-                throw new AssertionError("the module was told nothing");
+                throw new AssertionError("no event reached the policy");
             }
             return event;
         }
@@ -138,7 +150,7 @@
             return this;
         }
 
-        /** The head of the next answer; its body is kept. Null at the end of the connection. */
+        /** The head of the next response, whose body is kept; null at the end of the connection. */
         String answer() throws IOException {
             String head = ScriptedUpstream.head(in);
             if (head != null) {
@@ -148,7 +160,7 @@
             return head;
         }
 
-        /** The same, where an upstream has to answer first. */
+        /** The same, after answering its request at {@code upstream}. */
         String answerAfter(ScriptedUpstream upstream) throws IOException, InterruptedException {
             upstream.next().answer(200, "", "ok");
             return answer();
@@ -169,13 +181,13 @@
 
     final Scripted module = new Scripted();
     final List<String> log = new ArrayList<>();
-    boolean rehearse;
-    boolean pushed; // lists come from an agent
-    String endpoint;
+    boolean rehearse; // the balancer warms up first
+    boolean pushed; // discovery pushes endpoint lists
+    String endpoint; // of s1; null: the scripted upstream's
     ScriptedUpstream upstream;
     ScriptedUpstream discovery;
     LoadBalancerServer node;
-    InetSocketAddress at;
+    InetSocketAddress at; // the clients' address
 
     @BeforeEach
     void open() throws IOException {
@@ -212,39 +224,9 @@
         Map<String, Object> settings = new HashMap<>();
         settings.put("Balancers", 1);
         settings.put("Classes", List.of(kind("read", "safe"), kind("pay", "keyed"), kind("book", "unsafe")));
-        settings.put(
-                "Limits",
-                new HashMap<>(Map.of(
-                        "TryLimit",
-                        3,
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "DialTimeout",
-                        500_000,
-                        "IdleClose",
-                        30_000_000)));
+        settings.put("Limits", limits());
         settings.put("MembershipMode", "ask");
-        settings.put(
-                "Rules",
-                Map.of(
-                        "AnswerSlack",
-                        8_000,
-                        "DrainGrace",
-                        1_000_000,
-                        "AskWithin",
-                        10_000_000,
-                        "ColdFrom",
-                        0.3,
-                        "RampTime",
-                        8_400_000,
-                        "OverloadFactor",
-                        3.0,
-                        "Fall",
-                        1_000_000));
+        settings.put("Rules", rules());
         settings.put("Quantum", 2_000);
         settings.put("Areas", List.of("podrum"));
         settings.put("Kinds", List.of("puni", "slabi"));
@@ -252,6 +234,30 @@
         return settings;
     }
 
+    private static Map<String, Object> limits() {
+        Map<String, Object> limits = new HashMap<>();
+        limits.put("TryLimit", 3);
+        limits.put("MayDuplicate", true);
+        limits.put("Cancel", true);
+        limits.put("Probes", true);
+        limits.put("DialTimeout", 500_000);
+        limits.put("IdleClose", 30_000_000);
+        return limits;
+    }
+
+    private static Map<String, Object> rules() {
+        Map<String, Object> rules = new HashMap<>();
+        rules.put("AnswerSlack", 8_000);
+        rules.put("DrainGrace", 1_000_000);
+        rules.put("AskWithin", 10_000_000);
+        rules.put("ColdFrom", 0.3);
+        rules.put("RampTime", 8_400_000);
+        rules.put("OverloadFactor", 3.0);
+        rules.put("Fall", 1_000_000);
+        return rules;
+    }
+
+    /** The scripted upstream as an entry of an endpoint list. */
     String target(String state) {
         return "{\"uid\":\"s1\",\"endpoint\":\"" + (endpoint == null ? upstream.address() : endpoint)
                 + "\",\"az\":\"podrum\","
@@ -259,6 +265,7 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
+    /** An endpoint list of the scripted upstream alone. */
     String list(int rev, boolean all, String state) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + target(state) + "]}\n";
     }
@@ -294,8 +301,8 @@
     void start(Map<String, Object> limits, int sockets) throws IOException, InterruptedException {
         Map<String, Object> settings = settings();
         @SuppressWarnings("unchecked")
-        Map<String, Object> all = (Map<String, Object>) settings.get("Limits");
-        all.putAll(limits);
+        Map<String, Object> allLimits = (Map<String, Object>) settings.get("Limits");
+        allLimits.putAll(limits);
         settings.put("MembershipMode", pushed ? "push" : "ask");
         node = new LoadBalancerServer(config(sockets, settings, 0), (s, seed) -> module, rehearse, line -> {
             synchronized (log) {
@@ -311,10 +318,10 @@
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    // The upstream's own reader takes the end of the stream; the socket tells of it by refusing what is sent.
+    // The upstream's reader consumes the end of the stream: a closed connection shows by refusing what is sent.
     static boolean closesSoon(ScriptedUpstream.Got got) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (System.nanoTime() < deadline) {
             try {
                 got.raw("\r\n");
             } catch (IOException e) {
@@ -330,9 +337,9 @@
     }
 
     boolean connected(String server) {
-        CompletableFuture<Boolean> told = new CompletableFuture<>();
-        onLoop(() -> told.complete(module.actions.isConnected(server)));
-        return told.join();
+        CompletableFuture<Boolean> connected = new CompletableFuture<>();
+        onLoop(() -> connected.complete(module.actions.isConnected(server)));
+        return connected.join();
     }
 
     /** Waits until a connection to that upstream may carry the next request. */
@@ -342,7 +349,7 @@
         }
     }
 
-    /** Returns once the loop stands still, until the latch is let go. */
+    /** Stalls the loop until the latch is released; returns once it is stalled. */
     void block(CountDownLatch goesOn) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         onLoop(() -> {
--- a/src/test/java/loadbalancer/server/StallBeforeSendTest.java
+++ b/src/test/java/loadbalancer/server/StallBeforeSendTest.java
@@ -38,21 +38,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The thread stands still for longer than a drain's grace, right before a request that is ready leaves. */
+/** The thread is stalled for longer than the drain grace, right before a request that is ready is written. */
 @Timeout(60)
 class StallBeforeSendTest {
-    private static final long GRACE = 1_000_000;
+    private static final long DRAIN_GRACE_MICROS = 1_000_000;
     private static final byte[] BODY = "abcdefgh".getBytes(StandardCharsets.US_ASCII);
 
-    private enum Way {
+    private enum Route {
         DIALLED,
         RESTED,
         UPLOAD
     }
 
-    /** What is looked at before a request leaves: the first time, time has passed meanwhile. */
-    private final class StandsStillOnce implements PendingUpdates {
-        private Runnable meanwhile;
+    /** What is asked before a request is written: the first time it stalls, or runs {@code duringStall}. */
+    private final class StallOnce implements PendingUpdates {
+        private Runnable duringStall;
         private boolean over = true;
         private long holds = Long.MAX_VALUE; // where it is not over
 
@@ -63,8 +63,8 @@
 
         @Override
         public long graceHolds() {
-            Runnable now = meanwhile;
-            meanwhile = null;
+            Runnable now = duringStall;
+            duringStall = null;
             if (now != null) {
                 now.run();
             }
@@ -77,8 +77,8 @@
         }
     }
 
-    /** The rest of a long body, whose first bytes are with the order. */
-    private static final class Rest implements BodyStream {
+    /** The rest of a long body, whose first bytes are with the request. */
+    private static final class LongBody implements BodyStream {
         private boolean started;
 
         @Override
@@ -102,14 +102,14 @@
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final StandsStillOnce news = new StandsStillOnce();
-    private final BlockingQueue<Policy.Outcome> ends = new LinkedBlockingQueue<>();
-    private final List<Rest> rests = new ArrayList<>();
+    private final StallOnce updates = new StallOnce();
+    private final BlockingQueue<Policy.Outcome> outcomes = new LinkedBlockingQueue<>();
+    private final List<LongBody> bodies = new ArrayList<>();
     private ScriptedUpstream upstream;
     private InetSocketAddress at; // in place of its own, or null
     private Http1ConnectionPool upstreams;
-    private long stoodFor; // µs, on top of the system's clock; of the loop
-    private long standsBehindLook; // and what is added behind the next look at it
+    private long stalledMicros; // on top of the system's clock; the loop's
+    private long stallBehindRead; // added behind the next read of the clock
 
     private static SettingsReader.Boot boot() {
         Map<String, String> values = new HashMap<>(Map.of(
@@ -145,7 +145,7 @@
                 "Rules.AnswerSlack",
                 "8000",
                 "Rules.DrainGrace",
-                Long.toString(GRACE),
+                Long.toString(DRAIN_GRACE_MICROS),
                 "Rules.ColdFrom",
                 "0.3",
                 "Rules.RampTime",
@@ -158,9 +158,9 @@
     }
 
     private long now() {
-        long read = TimeUnit.NANOSECONDS.toMicros(System.nanoTime()) + stoodFor;
-        stoodFor += standsBehindLook;
-        standsBehindLook = 0;
+        long read = TimeUnit.NANOSECONDS.toMicros(System.nanoTime()) + stalledMicros;
+        stalledMicros += stallBehindRead;
+        stallBehindRead = 0;
         return read;
     }
 
@@ -173,8 +173,8 @@
                     boot(),
                     new ConnectionBudget(ConnectionLimits.of(1024), System.nanoTime()),
                     this::now,
-                    news);
-            listed(1, Policy.State.UP, now());
+                    updates);
+            updateEndpoints(1, Policy.State.UP, now());
         });
     }
 
@@ -189,7 +189,7 @@
         group.next().submit(task).sync();
     }
 
-    private void listed(long rev, Policy.State state, long when) {
+    private void updateEndpoints(long rev, Policy.State state, long when) {
         upstreams.updateEndpoints(
                 new EndpointUpdate(
                         rev,
@@ -201,26 +201,26 @@
     }
 
     private void send(String id, long before, boolean upload) throws InterruptedException {
-        ProxyRequest order =
+        ProxyRequest request =
                 new ProxyRequest(id, "POST", "/" + id, HeaderFields.NONE, BODY, 0, 0, null, 20_000_000, -1, false);
         onLoop(() -> {
-            rests.add(new Rest());
+            bodies.add(new LongBody());
             upstreams.send(
                     "s1",
-                    upload ? order.withBodyStream(rests.get(rests.size() - 1), 2 * BODY.length) : order,
+                    upload ? request.withBodyStream(bodies.get(bodies.size() - 1), 2 * BODY.length) : request,
                     10_000_000,
                     before == 0 ? Long.MAX_VALUE : now() + before,
-                    (outcome, answer, load) -> ends.add(outcome));
+                    (outcome, answer, load) -> outcomes.add(outcome));
         });
     }
 
     private Policy.Outcome end() throws InterruptedException {
-        return ends.poll(30, TimeUnit.SECONDS);
+        return outcomes.poll(30, TimeUnit.SECONDS);
     }
 
     // A connection that has been used, where one is to be, and has rested for long enough to be used again.
-    private void ready(Way way) throws IOException, InterruptedException {
-        if (way == Way.RESTED) {
+    private void ready(Route route) throws IOException, InterruptedException {
+        if (route == Route.RESTED) {
             send("before", 0, false);
             upstream.next().answer(200, "", "ok");
             assertEquals(Policy.Outcome.OK, end());
@@ -233,23 +233,23 @@
 
     @ParameterizedTest
     @EnumSource
-    void nothingLeavesForAnUpstreamWhoseDrainLiesUnread(Way way) throws IOException, InterruptedException {
-        ready(way);
-        onLoop(() -> news.meanwhile = () -> {
-            long told = now();
-            stoodFor += GRACE + 300_000;
-            group.next().execute(() -> listed(2, Policy.State.DRAINING, told));
+    void nothingLeavesForAnUpstreamWhoseDrainLiesUnread(Route route) throws IOException, InterruptedException {
+        ready(route);
+        onLoop(() -> updates.duringStall = () -> {
+            long drainedAt = now();
+            stalledMicros += DRAIN_GRACE_MICROS + 300_000;
+            group.next().execute(() -> updateEndpoints(2, Policy.State.DRAINING, drainedAt));
         });
-        send("late", 0, way == Way.UPLOAD);
+        send("late", 0, route == Route.UPLOAD);
         Policy.Outcome end = end();
         assertTrue(end.neverRan(), end::toString);
         assertNothingCame();
-        assertTrue(rests.stream().noneMatch(Rest::started));
+        assertTrue(bodies.stream().noneMatch(LongBody::started));
     }
 
     // What has been written to a connection has come before one that is opened behind it is served.
     private void assertNothingCame() throws IOException, InterruptedException {
-        onLoop(() -> listed(3, Policy.State.UP, now()));
+        onLoop(() -> updateEndpoints(3, Policy.State.UP, now()));
         send("after", 0, false);
         ScriptedUpstream.Got got = upstream.next();
         assertEquals("POST /after HTTP/1.1", got.line());
@@ -260,64 +260,64 @@
 
     @ParameterizedTest
     @EnumSource
-    void itGoesOnceWhereNothingHasChanged(Way way) throws IOException, InterruptedException {
-        ready(way);
-        onLoop(() -> news.meanwhile = () -> stoodFor += GRACE + 300_000);
-        send("once", 0, way == Way.UPLOAD);
+    void itGoesOnceWhereNothingHasChanged(Route route) throws IOException, InterruptedException {
+        ready(route);
+        onLoop(() -> updates.duringStall = () -> stalledMicros += DRAIN_GRACE_MICROS + 300_000);
+        send("once", 0, route == Route.UPLOAD);
         ScriptedUpstream.Got got = upstream.next();
         assertEquals("POST /once HTTP/1.1", got.line());
-        assertEquals(way == Way.UPLOAD ? 2 * BODY.length : BODY.length, got.body().length);
+        assertEquals(route == Route.UPLOAD ? 2 * BODY.length : BODY.length, got.body().length);
         got.answer(200, "", "ok");
         assertEquals(Policy.Outcome.OK, end());
         assertNothingCame();
     }
 
-    /** It stands still behind the last look but one, with the request on its way to the system call. */
+    /** It is stalled behind the last check but one, with the request on its way to the system call. */
     @ParameterizedTest
     @EnumSource
-    void nothingLeavesBehindAStopRightBeforeTheSystemCall(Way way) throws IOException, InterruptedException {
-        ready(way);
-        onLoop(() -> news.meanwhile = () -> {
-            news.over = false;
-            news.holds = now() + GRACE / 2;
-            standsBehindLook = GRACE;
+    void nothingLeavesBehindAStopRightBeforeTheSystemCall(Route route) throws IOException, InterruptedException {
+        ready(route);
+        onLoop(() -> updates.duringStall = () -> {
+            updates.over = false;
+            updates.holds = now() + DRAIN_GRACE_MICROS / 2;
+            stallBehindRead = DRAIN_GRACE_MICROS;
         });
-        send("late", 0, way == Way.UPLOAD);
+        send("late", 0, route == Route.UPLOAD);
         Policy.Outcome end = end();
         assertTrue(end.neverRan(), end::toString);
-        assertTrue(rests.stream().noneMatch(Rest::started));
-        onLoop(() -> news.holds = Long.MAX_VALUE);
+        assertTrue(bodies.stream().noneMatch(LongBody::started));
+        onLoop(() -> updates.holds = Long.MAX_VALUE);
         assertNothingCame();
     }
 
     /** The upstream resets the connection right before the first bytes leave: the rest is still to be had. */
     @Test
     void aLongBodyWhoseConnectionBreaksAtItsFirstBytesIsNotHandedOver() throws IOException, InterruptedException {
-        try (ServerSocket box = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             onLoop(() -> {
-                at = new InetSocketAddress(box.getInetAddress(), box.getLocalPort());
-                listed(2, Policy.State.UP, now());
-                news.meanwhile = () -> {
-                    try (Socket socket = box.accept()) {
+                at = new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
+                updateEndpoints(2, Policy.State.UP, now());
+                updates.duringStall = () -> {
+                    try (Socket socket = listener.accept()) {
                         socket.setSoLinger(true, 0);
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
                     }
                 };
-                news.over = false;
+                updates.over = false;
             });
             send("broken", 0, true);
             Policy.Outcome end = end();
             assertTrue(end.neverRan(), end::toString);
             onLoop(() -> {});
-            assertTrue(rests.stream().noneMatch(Rest::started));
+            assertTrue(bodies.stream().noneMatch(LongBody::started));
         }
     }
 
     @Test
     void itIsNotSentOnceItsTimeIsOver() throws IOException, InterruptedException {
-        onLoop(() -> news.meanwhile = () -> stoodFor += GRACE);
-        send("late", GRACE / 2, false);
+        onLoop(() -> updates.duringStall = () -> stalledMicros += DRAIN_GRACE_MICROS);
+        send("late", DRAIN_GRACE_MICROS / 2, false);
         assertEquals(Policy.Outcome.NOT_SENT, end());
         assertNothingCame();
     }
