--- a/src/test/java/loadbalancer/server/RaceConditionsTest.java
+++ b/src/test/java/loadbalancer/server/RaceConditionsTest.java
@@ -5,15 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Future;
@@ -27,25 +24,7 @@
 
 /** Race conditions of a request with its client, its upstream or a shutdown, in an order that the peers force. */
 @Timeout(120)
-class RaceConditionsTest extends ServerFixture {
-    private static final String EMPTY = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-
-    private static String request(String kind, String id) {
-        return switch (kind) {
-            case "read" -> SAFE.replace("r1", id);
-            case "pay" ->
-                post("pay", "Idempotency-Key: k\r\nReq-Deadline-Ms: 20000\r\n", "x")
-                        .replace("r1", id);
-            default -> post("book", "Req-Deadline-Ms: 20000\r\n", "x").replace("r1", id);
-        };
-    }
-
-    private void startHeld(UnacceptingListener held, boolean cancels) throws IOException, InterruptedException {
-        endpoint = held.address();
-        module.cancels = cancels;
-        start(Map.of("DialTimeout", 30_000_000, "Cancel", cancels), 1024);
-    }
-
+class RaceConditionsTest extends RaceConditionsFixture {
     /** Its connection comes up when nobody waits any more: the next request is the first to go over it. */
     @ParameterizedTest
     @CsvSource({
@@ -248,93 +227,6 @@
         }
     }
 
-    private static String upload(String kind, String id, int length) {
-        return request(kind, id).replace("Content-Length: 1\r\n\r\nx", "Content-Length: " + length + "\r\n\r\n");
-    }
-
-    /** A long body lies in the socket while its attempt waits, and the end of its client behind it. */
-    @ParameterizedTest
-    @CsvSource({
-        "book,300000,300000,true",
-        "book,300000,300000,false",
-        "pay,900000,200000,false",
-        "book,70000,70000,false"
-    })
-    void anUploadWhoseClientHasLeftIsNotSentOn(String kind, int length, int sent, boolean cancels) throws Exception {
-        Future<List<String>> heads;
-        try (UnacceptingListener held = new UnacceptingListener()) {
-            startHeld(held, cancels);
-            Client client = new Client(at).send(upload(kind, "gone", length) + "x".repeat(sent));
-            assertTrue(module.requests.poll(20, TimeUnit.SECONDS).contains(" k1 "));
-            client.close();
-            List<String> events = new ArrayList<>(List.of(module.next(), module.next()));
-            events.sort(null);
-            assertEquals(List.of("NOT_SENT closed", "gone"), events);
-            heads = held.answer(EMPTY);
-            awaitRested("s1");
-            try (Client other = new Client(at).send(request("read", "next"))) {
-                assertEquals(200, other.status());
-            }
-            node.stop();
-            node = null;
-        }
-        List<String> all = heads.get(60, TimeUnit.SECONDS);
-        assertEquals(1, all.size(), all.toString());
-        assertTrue(all.get(0).contains("Req-Id: next\r\n"), all.toString());
-    }
-
-    /** What is held of long bodies that wait is given back, however they end: the next one's end is seen. */
-    @Test
-    void whatIsHeldOfLongBodiesIsGivenBackAndTheyComeUnchanged() throws IOException, InterruptedException {
-        start();
-        module.server = null;
-        for (int i = 0; i < 6; i++) { // together more than may be held
-            try (Client client = new Client(at)) {
-                // Its own time must not be what tells the module.
-                client.send(upload("book", "r" + i, 900_000).replace("20000", "120000"));
-                client.send("x".repeat(900_000));
-                module.requests.poll(20, TimeUnit.SECONDS);
-                String number = Integer.toString(i + 1, Character.MAX_RADIX);
-                if (i % 2 == 0) {
-                    onLoop(() -> module.actions.reject(number, 0));
-                    assertEquals(503, client.status());
-                }
-            }
-            if (i % 2 == 1) {
-                assertEquals("gone", module.next());
-            }
-        }
-        List<Client> waiting = new ArrayList<>();
-        for (int i = 0; i < 4; i++) {
-            Client client = new Client(at).send(upload("book", "w" + i, 900_000));
-            byte[] body = new byte[900_000];
-            Arrays.fill(body, (byte) ('a' + i));
-            Thread writing = new Thread(() -> {
-                try {
-                    client.socket.getOutputStream().write(body);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            });
-            writing.start();
-            waiting.add(client);
-            module.requests.poll(20, TimeUnit.SECONDS);
-        }
-        for (int i = 0; i < 4; i++) {
-            String number = Integer.toString(i + 7, Character.MAX_RADIX);
-            onLoop(() -> module.actions.send(number, "s1", 0));
-            ScriptedUpstream.Got got = upstream.next();
-            byte[] body = got.body();
-            assertEquals(900_000, body.length);
-            for (byte b : body) {
-                assertEquals('a' + i, b);
-            }
-            got.answer(200, "", "ok");
-            assertEquals(200, waiting.get(i).status());
-            waiting.get(i).close();
-        }
-    }
-
     /** A request and its upstream's end lie in the sockets, the request in front: nothing is written. */
     @ParameterizedTest
     @ValueSource(strings = {"book", "read"})
