--- a/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
+++ b/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aRehearsalComesBeforeReadinessAndReachesNeitherModuleNorUpstream() throws IOException, InterruptedException {
+    void theWarmUpPrecedesReadinessAndReachesNeitherPolicyNorUpstream() throws IOException, InterruptedException {
         rehearse = true;
         start();
         try (Client client = new Client(at)) {
@@ -83,7 +83,7 @@
             }
         }
         assertEquals(503, ready);
-        assertNull(idle.answer()); // dropped at rest
+        assertNull(idle.answer()); // closed while idle
         got.answer(200, "", "late but whole");
         String head = held.answer();
         assertTrue(head.startsWith("HTTP/1.1 200"), head);
@@ -113,7 +113,7 @@
         throw new AssertionError("taken");
     }
 
-    /** The loop wrote its lines itself, and stood still with its requests where nobody read them. */
+    /** The event loop must not write log lines itself: it would stall, with its requests, where nobody reads them. */
     @Test
     @Timeout(120)
     void requestsGoOnWhileNobodyReadsTheLog() throws IOException, InterruptedException {
--- a/src/test/java/loadbalancer/server/SettingsRangeTest.java
+++ b/src/test/java/loadbalancer/server/SettingsRangeTest.java
@@ -24,20 +24,20 @@
 
 /**
  * Settings of the range that customers have, as the variants in deploy/sites do: the balancer with its own
- * module serves under the four rules before upstreams that fail in turn.
+ * policy serves under the four rules before upstreams that fail in turn.
  */
 @Timeout(120)
 class SettingsRangeTest {
-    private static final int BOXES = 4; // two cells, and two zones where there are any
+    private static final int UPSTREAMS = 4; // two cells, and two zones where there are any
     private static final int CLIENTS = 6;
-    private static final int EACH = 40;
+    private static final int REQUESTS_PER_CLIENT = 40;
 
-    /** One that an upstream has read whole. */
-    private record Run(int box, boolean ran, long at) {}
+    /** An attempt whose request an upstream has read completely. */
+    private record Run(int upstream, boolean ran, long at) {}
 
     private final Map<String, List<Run>> runs = new ConcurrentHashMap<>();
-    private final List<ScriptedUpstream> boxes = new ArrayList<>();
-    private final AtomicInteger number = new AtomicInteger();
+    private final List<ScriptedUpstream> upstreams = new ArrayList<>();
+    private final AtomicInteger requestNumber = new AtomicInteger();
     private volatile boolean over;
 
     private static Map<String, Object> kind(
@@ -117,14 +117,14 @@
     }
 
     // Each tenth one of them in turn; what is declined or whose connection is refused never ran.
-    private void serve(int box) {
+    private void serve(int upstream) {
         while (!over) {
             try {
-                ScriptedUpstream.Got got = boxes.get(box).next();
-                int n = number.incrementAndGet() % 10;
+                ScriptedUpstream.Got got = upstreams.get(upstream).next();
+                int n = requestNumber.incrementAndGet() % 10;
                 boolean ran = n != 3;
                 runs.computeIfAbsent(got.header("Req-Id"), id -> new CopyOnWriteArrayList<>())
-                        .add(new Run(box, ran, System.nanoTime()));
+                        .add(new Run(upstream, ran, System.nanoTime()));
                 switch (n) {
                     case 3 -> got.answer(503, "Srv-Declined: 1\r\n", "");
                     case 5 -> got.answer(500, "", "");
@@ -141,12 +141,12 @@
 
     private String list(int rev, boolean all, int from, String state, List<String> areas) {
         StringBuilder text = new StringBuilder("{\"rev\":" + rev + ",\"all\":" + all + ",\n  \"targets\":[");
-        for (int i = from; i < (all ? BOXES : from + 1); i++) {
+        for (int i = from; i < (all ? UPSTREAMS : from + 1); i++) {
             text.append(i > from ? "," : "")
                     .append("\n{\"uid\":\"b")
                     .append(i)
                     .append("\",\"endpoint\":\"")
-                    .append(boxes.get(i).address())
+                    .append(upstreams.get(i).address())
                     .append("\",\"model\":\"only\",\"pod_group\":")
                     .append(i / 2)
                     .append(areas.isEmpty() ? "" : ",\"az\":\"" + areas.get(i % areas.size()) + "\"")
@@ -159,8 +159,8 @@
 
     private void play(Map<String, Object> settings, List<String> areas, List<Map<String, Object>> classes)
             throws Exception {
-        for (int i = 0; i < BOXES; i++) {
-            boxes.add(new ScriptedUpstream());
+        for (int i = 0; i < UPSTREAMS; i++) {
+            upstreams.add(new ScriptedUpstream());
         }
         ScriptedUpstream discovery = new ScriptedUpstream();
         ExecutorService threads = Executors.newCachedThreadPool();
@@ -188,22 +188,24 @@
             watch.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + ServerFixture.chunk(list(2, true, 0, "in_service", areas)));
             assertTrue(node.awaitReady(60_000));
-            for (int i = 0; i < BOXES; i++) {
-                int box = i;
-                threads.submit(() -> serve(box));
+            for (int i = 0; i < UPSTREAMS; i++) {
+                int upstream = i;
+                threads.submit(() -> serve(upstream));
             }
             AtomicInteger served = new AtomicInteger();
             clients(threads, at, classes, "a", served);
             watch.raw(ServerFixture.chunk(list(3, false, 0, "terminating", areas)));
-            long told = System.nanoTime();
+            long drainedAt = System.nanoTime();
             TimeUnit.MILLISECONDS.sleep(1_050); // the grace itself
             clients(threads, at, classes, "b", served);
-            assertTrue(served.get() > CLIENTS * EACH, "served " + served + " of " + 2 * CLIENTS * EACH);
-            long after = told + TimeUnit.MILLISECONDS.toNanos(1_050);
+            assertTrue(
+                    served.get() > CLIENTS * REQUESTS_PER_CLIENT,
+                    "served " + served + " of " + 2 * CLIENTS * REQUESTS_PER_CLIENT);
+            long after = drainedAt + TimeUnit.MILLISECONDS.toNanos(1_050);
             assertEquals(
                     List.of(),
                     runs.entrySet().stream()
-                            .filter(e -> e.getValue().stream().anyMatch(r -> r.box() == 0 && r.at() > after))
+                            .filter(e -> e.getValue().stream().anyMatch(r -> r.upstream() == 0 && r.at() > after))
                             .map(Map.Entry::getKey)
                             .toList(),
                     "sent to the drained one");
@@ -212,8 +214,8 @@
             node.stop();
             threads.shutdownNow();
             discovery.close();
-            for (ScriptedUpstream box : boxes) {
-                box.close();
+            for (ScriptedUpstream upstream : upstreams) {
+                upstream.close();
             }
         }
     }
@@ -229,8 +231,8 @@
         for (int c = 0; c < CLIENTS; c++) {
             String name = mark + c + "-";
             all.add(threads.submit(() -> {
-                for (int i = 0; i < EACH; i++) {
-                    ask(at, classes.get(i % classes.size()), name + i, served);
+                for (int i = 0; i < REQUESTS_PER_CLIENT; i++) {
+                    sendRequest(at, classes.get(i % classes.size()), name + i, served);
                 }
                 return null;
             }));
@@ -240,7 +242,7 @@
         }
     }
 
-    private void ask(InetSocketAddress at, Map<String, Object> kind, String id, AtomicInteger served)
+    private void sendRequest(InetSocketAddress at, Map<String, Object> kind, String id, AtomicInteger served)
             throws IOException {
         String effect = (String) kind.get("Idempotency");
         boolean safe = effect.equals("safe");
@@ -251,9 +253,9 @@
                     + (effect.equals("keyed") ? "Idempotency-Key: " + id + "\r\n" : "")
                     + (safe ? "\r\n" : "Content-Length: 1\r\n\r\nx"));
             int status = client.status();
-            List<Run> seen = runs.getOrDefault(id, List.of());
-            List<Run> ran = seen.stream().filter(Run::ran).toList();
-            String what = id + " " + kind + ": " + status + ", " + seen;
+            List<Run> attempts = runs.getOrDefault(id, List.of());
+            List<Run> ran = attempts.stream().filter(Run::ran).toList();
+            String what = id + " " + kind + ": " + status + ", " + attempts;
             assertTrue(status == 200 || status == 502 || status == 503, what);
             if (status == 200) {
                 served.incrementAndGet();
@@ -261,16 +263,16 @@
             }
             boolean all = kind.get("DedupScope").equals("all");
             if (effect.equals("unsafe")) {
-                assertTrue(ran.isEmpty() || seen.indexOf(ran.get(0)) == seen.size() - 1, what);
+                assertTrue(ran.isEmpty() || attempts.indexOf(ran.get(0)) == attempts.size() - 1, what);
             }
             if (status == 503 && !safe && !(effect.equals("keyed") && all)) {
                 assertTrue(ran.isEmpty(), "refused though it may have run: " + what);
             }
             if (effect.equals("keyed") && kind.get("DedupScope").equals("cell")) {
-                assertTrue(ran.stream().map(r -> r.box() / 2).distinct().count() <= 1, what);
+                assertTrue(ran.stream().map(r -> r.upstream() / 2).distinct().count() <= 1, what);
             }
             if (effect.equals("keyed") && kind.get("DedupScope").equals("zone")) {
-                assertTrue(ran.stream().map(r -> r.box() % 2).distinct().count() <= 1, what);
+                assertTrue(ran.stream().map(r -> r.upstream() % 2).distinct().count() <= 1, what);
             }
         }
     }
