--- a/src/test/java/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/server/DiscoveryClientTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.util.List;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.Config;
 import org.junit.jupiter.api.Test;
@@ -221,8 +222,11 @@
             assertTrue(second.isEmpty());
         }
         synchronized (log) {
-            assertEquals("configuration not taken over: no good", log.get(0));
-            assertTrue(log.get(1).startsWith("configuration taken over: discovery at 127."), log.toString());
+            // A stall of a busy machine may be logged at any time.
+            List<String> lines =
+                    log.stream().filter(line -> !line.startsWith("stood still")).toList();
+            assertEquals("configuration not taken over: no good", lines.get(0));
+            assertTrue(lines.get(1).startsWith("configuration taken over: discovery at 127."), log.toString());
         }
     }
 
--- a/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
+++ b/src/test/java/loadbalancer/server/ServerLifeCycleTest.java
@@ -1,5 +1,6 @@
 package loadbalancer.server;
 
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,6 +15,7 @@
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.config.Config;
 import loadbalancer.logging.AsyncLogWriter;
@@ -32,9 +34,13 @@
             port = free.getLocalPort();
         }
         node = new LoadBalancerServer(config(1024, settings(), port), (s, seed) -> module, false, line -> {});
+        CountDownLatch interrupted = new CountDownLatch(1);
+        // The bind must not be done before the starting thread waits for it, however slow that is.
+        node.loop().execute(() -> assertDoesNotThrow(() -> interrupted.await()));
         Thread.currentThread().interrupt();
         assertThrows(IOException.class, node::start);
         assertTrue(Thread.interrupted());
+        interrupted.countDown();
         node.loop().submit(() -> {}).get(20, TimeUnit.SECONDS); // the bind has been carried out
         InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         try (Client client = new Client(to)) {
