--- a/src/test/java/loadbalancer/cli/CliTest.java
+++ b/src/test/java/loadbalancer/cli/CliTest.java
@@ -43,7 +43,7 @@
         "demo --seconds x, 2, Invalid value",
         "demo --scenario no-such-file, 1, no-such-file"
     })
-    void theCommandLineTellsWhatItTakes(String arguments, int exit, String words)
+    void theCommandLineReportsUsageAndErrors(String arguments, int exit, String words)
             throws IOException, InterruptedException {
         Process process = start(arguments.split(" "));
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aScenarioWithProblemsNamesThemAllAndStartsNothing() throws IOException, InterruptedException {
+    void aFaultyScenarioReportsAllProblemsAndStartsNothing() throws IOException, InterruptedException {
         Path file = Files.createTempFile("scenario", ".toml");
         Files.writeString(file, "rate = 0\nlasting = 5\n");
         Process process = start("demo", "--scenario", file.toString());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void sigintEndsADemoWithItsTallyAndLeavesNoChild() throws IOException, InterruptedException {
+    void sigintEndsADemoWithItsReportAndLeavesNoChildProcess() throws IOException, InterruptedException {
         Process demo = start("demo", "--plain", "--seconds", "120", "--rate", "50");
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(demo.getInputStream(), StandardCharsets.UTF_8))) {
--- a/src/test/java/loadbalancer/cli/ServeTest.java
+++ b/src/test/java/loadbalancer/cli/ServeTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A balancer told by a file, from its start over a reload to its end. */
+/** A balancer that is configured by a file, from its start over a reload to its end. */
 class ServeTest {
-    private static HttpServer box(String name) throws IOException {
+    private static HttpServer startServer(String name) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", exchange -> {
             byte[] body = name.getBytes(StandardCharsets.US_ASCII);
@@ -34,7 +34,7 @@
         return server;
     }
 
-    private static String file(String id, HttpServer box) {
+    private static String file(String id, HttpServer server) {
         return """
             [node]
             listen = "127.0.0.1:0"
@@ -47,7 +47,7 @@
             effect = "safe"
             aim = "1s"
             deadline = "20s"
-            """.formatted(id, box.getAddress().getPort());
+            """.formatted(id, server.getAddress().getPort());
     }
 
     private static String line(BufferedReader in, String words) throws IOException {
@@ -61,7 +61,7 @@
         throw new AssertionError("no line with '" + words + "' in: " + seen);
     }
 
-    private static void hangup(Process process) throws IOException, InterruptedException {
+    private static void signalReload(Process process) throws IOException, InterruptedException {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -71,48 +71,30 @@
 
     @Test
     @Timeout(120)
-    void aFileIsServedReplacedHalfWrittenAndReplacedWhole() throws IOException, InterruptedException {
+    void aConfigurationFileIsServedAndReloadedOnlyWhenComplete() throws IOException, InterruptedException {
         Path file = Files.createTempFile("serve", ".toml");
-        HttpServer first = box("first");
-        HttpServer second = box("second");
+        HttpServer first = startServer("first");
+        HttpServer second = startServer("second");
         Files.writeString(file, file("a", first));
         Process process = CliTest.start("serve", "--config", file.toString());
-        try (BufferedReader in =
+        try (BufferedReader log =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            String door = line(in, "management on ").replaceAll(".*management on ", "");
-            String at = line(in, "listening on ").replaceAll(".*listening on ", "");
-            int[] number = new int[1];
-            HttpClient client =
-                    HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-            HttpRequest.Builder ask = HttpRequest.newBuilder(URI.create("http://" + at + "/k"))
-                    .header("Req-Kind", "read")
-                    .header("Req-Deadline-Ms", "20000");
-            assertEquals("first", ask(client, ask, number));
-            String whole = file("b", second);
-            Files.writeString(file, whole.substring(0, whole.length() - 12));
-            hangup(process);
-            String complaint = line(in, "configuration not taken over");
+            String management = line(log, "management on ").replaceAll(".*management on ", "");
+            Client client = new Client(line(log, "listening on ").replaceAll(".*listening on ", ""));
+            assertEquals("first", client.get());
+            String complete = file("b", second);
+            Files.writeString(file, complete.substring(0, complete.length() - 12));
+            signalReload(process);
+            String complaint = line(log, "configuration not taken over");
             assertTrue(complaint.contains(file + ":11: not TOML"), complaint);
-            assertEquals("first", ask(client, ask, number));
-            Files.writeString(file, whole);
-            hangup(process);
-            assertTrue(line(in, "configuration taken over").contains("1 upstreams"));
-            // The list is changed on the loop; what was asked before that may still go to the first one.
-            String answer = "first";
-            while (answer.equals("first")) {
-                answer = ask(client, ask, number);
-            }
-            assertEquals("second", answer);
-            String ready = call("ready", door);
-            while (ready.equals("1 not ready: starting")) { // it serves before its rehearsal is over
-                ready = call("ready", door);
-            }
-            assertEquals("0 ready", ready);
-            assertEquals("0 evacuating", call("evacuate", door));
-            assertEquals("1 not ready: evacuating", call("ready", door));
-            assertEquals("0 taking clients", call("rejoin", door));
+            assertEquals("first", client.get());
+            Files.writeString(file, complete);
+            signalReload(process);
+            assertTrue(line(log, "configuration taken over").contains("1 upstreams"));
+            client.awaitOtherThan("first", "second");
+            assertManagementCalls(management);
             process.toHandle().destroy();
-            assertTrue(line(in, "stopped: ").contains("0 unanswered"));
+            assertTrue(line(log, "stopped: ").contains("0 unanswered"));
             assertTrue(process.waitFor(30, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
         } finally {
@@ -123,22 +105,55 @@
         }
     }
 
-    private static String call(String name, String door) throws IOException, InterruptedException {
-        Process process = CliTest.start(name, door);
+    private static void assertManagementCalls(String management) throws IOException, InterruptedException {
+        String ready = call("ready", management);
+        while (ready.equals("1 not ready: starting")) { // it serves before its warm-up is over
+            ready = call("ready", management);
+        }
+        assertEquals("0 ready", ready);
+        assertEquals("0 evacuating", call("evacuate", management));
+        assertEquals("1 not ready: evacuating", call("ready", management));
+        assertEquals("0 taking clients", call("rejoin", management));
+    }
+
+    private static String call(String name, String management) throws IOException, InterruptedException {
+        Process process = CliTest.start(name, management);
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return process.waitFor() + " " + out.strip();
     }
 
-    private static String ask(HttpClient client, HttpRequest.Builder ask, int[] number)
-            throws IOException, InterruptedException {
-        HttpResponse<String> answer = client.send(
-                ask.setHeader("Req-Id", "r" + number[0]++).GET().build(), HttpResponse.BodyHandlers.ofString());
-        assertEquals(200, answer.statusCode(), answer.body());
-        return answer.body();
+    /** A client that sends one request after the other. */
+    private static final class Client {
+        private final HttpClient client =
+                HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+        private final HttpRequest.Builder request;
+        private int number;
+
+        Client(String address) {
+            request = HttpRequest.newBuilder(URI.create("http://" + address + "/k"))
+                    .header("Req-Kind", "read")
+                    .header("Req-Deadline-Ms", "20000");
+        }
+
+        String get() throws IOException, InterruptedException {
+            HttpResponse<String> response = client.send(
+                    request.setHeader("Req-Id", "r" + number++).GET().build(), HttpResponse.BodyHandlers.ofString());
+            assertEquals(200, response.statusCode(), response.body());
+            return response.body();
+        }
+
+        /** The list changes on the event loop: requests sent before that may still go to the former server. */
+        void awaitOtherThan(String former, String next) throws IOException, InterruptedException {
+            String body = former;
+            while (body.equals(former)) {
+                body = get();
+            }
+            assertEquals(next, body);
+        }
     }
 
     @Test
-    void checkNamesProblemsAndConfigPrintsAFileThatItFindsInOrder() throws IOException, InterruptedException {
+    void checkReportsProblemsAndAcceptsWhatConfigPrints() throws IOException, InterruptedException {
         Path file = Files.createTempFile("check", ".toml");
         try {
             Process config = CliTest.start("config");
--- a/src/test/java/loadbalancer/cli/SignalsTest.java
+++ b/src/test/java/loadbalancer/cli/SignalsTest.java
@@ -68,7 +68,7 @@
     }
 
     /** Reads until each of these has been said, in any order; returns what was. */
-    private String heard(String... words) throws IOException {
+    private String awaitOutput(String... words) throws IOException {
         StringBuilder seen = new StringBuilder();
         while (!Stream.of(words).allMatch(w -> seen.indexOf(w) >= 0)) {
             String line = out.readLine();
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aNewConfigurationWithinTheStartIsTakenOverAndEndsNothing() throws IOException, InterruptedException {
+    void aReloadDuringTheStartIsAppliedAndDoesNotEndTheProcess() throws IOException, InterruptedException {
         try (var writer = Files.newBufferedWriter(pipe)) { // opens once the process reads
             signal("HUP");
             // Replaced meanwhile: what is read again is another pipe.
@@ -89,20 +89,20 @@
             writer.write(FILE);
         }
         Files.writeString(pipe, FILE); // once it reads again
-        heard("configuration taken over", "listening on ");
+        awaitOutput("configuration taken over", "listening on ");
         signal("HUP"); // waits for a file that nobody writes
         signal("TERM");
         signal("TERM");
-        assertTrue(heard("stopped: ").contains("0 unanswered"));
+        assertTrue(awaitOutput("stopped: ").contains("0 unanswered"));
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
     @Test
-    void theWordToEndWithinTheStartEndsItInOrder() throws IOException, InterruptedException {
+    void sigtermDuringTheStartEndsItGracefully() throws IOException, InterruptedException {
         try (var writer = Files.newBufferedWriter(pipe)) {
             signal("TERM");
-            heard("stopped before it listened");
+            awaitOutput("stopped before it listened");
             assertTrue(process.waitFor(60, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
             writer.write("");
--- a/src/test/java/loadbalancer/testbed/DepartedClientsTest.java
+++ b/src/test/java/loadbalancer/testbed/DepartedClientsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * No request of a client that has closed its connection is sent on, over any connection and however it ended:
+ * No request of a client that has closed its connection is forwarded, over any connection and however it closed:
  * the incident of 2 December 2026, docs/incidents.
  */
 class DepartedClientsTest {
@@ -27,12 +27,13 @@
         "LONG_BODY, FIN, 4",
         "LONG_BODY, RESET, 2"
     })
-    void nothingIsSentOnAfterItsClientHasLeft(DepartedClients.Arrival arrival, DepartedClients.Close close, int rounds)
+    void noRequestIsForwardedAfterItsClientClosed(
+            DepartedClients.Arrival arrival, DepartedClients.Close close, int rounds)
             throws IOException, InterruptedException {
         try (DepartedClients run = new DepartedClients(DemoTest.CLASS_PATH, 3, rounds)) {
             DepartedClients.Outcome outcome = run.play(arrival, close);
             assertTrue(outcome.left() > 0);
-            assertEquals(List.of(), outcome.sentOn(), outcome::summary);
+            assertEquals(List.of(), outcome.forwarded(), outcome::summary);
         }
     }
 }
--- a/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
+++ b/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
@@ -20,7 +20,7 @@
     private static final int CLIENTS = 100;
     private static final int WAITING = 20;
     private static final long SETTLE_MILLIS = 300;
-    private static final long MOST_MILLIS = 4_000; // those at rest are closed after 5 s, which would help
+    private static final long MAX_MILLIS = 4_000; // those at rest are closed after 5 s, which would help
 
     private static Testbed testbed() throws InterruptedException {
         Scenario scenario = new Scenario(
@@ -29,16 +29,17 @@
                 0,
                 0,
                 0,
-                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-                List.of(new Scenario.Boxes("server", 1, 512, 1, 10_000, "a", "m", 1)),
-                List.of(new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, 1_000, 1_000_000, 2_000_000, 1, 1, 0)),
+                new Scenario.SlowStart(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.ServerGroup("server", 1, 512, 1, 10_000, "a", "m", 1)),
+                List.of(new Scenario.RequestClass(
+                        "order", Policy.Effect.UNSAFE, 1, 1_000, 1_000_000, 2_000_000, 1, 1, 0)),
                 List.of());
         return new Testbed(DemoTest.CLASS_PATH, scenario, List.of());
     }
 
     /** One descriptor is free at a time: each client in the queue gets it soon, not a second later. */
     @Test
-    void aFailedAcceptIsTriedAgainSoon() throws IOException, InterruptedException {
+    void aFailedAcceptIsRetriedSoon() throws IOException, InterruptedException {
         try (Testbed testbed = testbed();
                 BalancerMember member = BalancerMember.start(DemoTest.CLASS_PATH, testbed.configuration(0, 1))) {
             member.awaitReady();
@@ -54,17 +55,17 @@
             member.line("accept failed: ");
             Thread.sleep(SETTLE_MILLIS);
             int accepted =
-                    (int) clients.stream().filter(ClientSocket::hasAnswer).count();
+                    (int) clients.stream().filter(ClientSocket::hasResponse).count();
             assertTrue(accepted > 0 && accepted + WAITING < CLIENTS, () -> accepted + " were accepted");
             long begin = System.nanoTime();
-            ClientSocket before = clients.get(0);
+            ClientSocket previous = clients.get(0);
             for (ClientSocket next : clients.subList(accepted, accepted + WAITING)) {
-                before.close();
-                assertEquals(200, next.answer().status());
-                before = next;
+                previous.close();
+                assertEquals(200, next.response().status());
+                previous = next;
             }
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
-            assertTrue(millis < MOST_MILLIS, () -> "it took " + millis + " ms");
+            assertTrue(millis < MAX_MILLIS, () -> "it took " + millis + " ms");
             assertTrue(member.log().stream().noneMatch(line -> line.startsWith("\tat ")), "no stack trace");
         }
     }
--- a/src/test/java/loadbalancer/testbed/FaultSoakTest.java
+++ b/src/test/java/loadbalancer/testbed/FaultSoakTest.java
@@ -12,7 +12,7 @@
     @ParameterizedTest
     @Timeout(300)
     @ValueSource(longs = {1, 2})
-    void nothingGoesWrongUnderFaultsThatOverlap(long seed) throws IOException, InterruptedException {
+    void overlappingFaultsCauseNoViolation(long seed) throws IOException, InterruptedException {
         try (FaultSoak soak = new FaultSoak(DemoTest.CLASS_PATH, seed, 4, 8)) {
             FaultSoak.Outcome outcome = soak.play();
             assertTrue(outcome.isClean(), () -> outcome.summary() + " | " + outcome.violations());
--- a/src/test/java/loadbalancer/testbed/FleetRunTest.java
+++ b/src/test/java/loadbalancer/testbed/FleetRunTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Several processes of the program together, of which some are stalled, killed and stopped under load. */
+/** Several processes of the program together, of which some are stalled, killed and shut down under load. */
 class FleetRunTest {
     private static final String PLAN = """
         name = "few"
@@ -35,14 +35,14 @@
         deadline = "15s"
         """;
 
-    private static FleetRun.Result play(String plan) throws IOException, InterruptedException, Problems.Bad {
+    private static FleetRunResult play(String plan) throws IOException, InterruptedException, Problems.Bad {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         List<Long> before = children();
         try (FleetRun run = new FleetRun(
                 ScenarioReader.fleet("few.toml", plan),
                 DemoTest.CLASS_PATH,
                 new PrintStream(out, true, StandardCharsets.UTF_8))) {
-            FleetRun.Result result = run.play();
+            FleetRunResult result = run.play();
             assertTrue(result.isClean(), () -> result.json() + " " + result.breaches() + out);
             return result;
         } finally {
@@ -58,11 +58,11 @@
                 .collect(Collectors.toList());
     }
 
-    /** One of four each: the rules are kept over all of them, and every order has an end. */
+    /** One process of four each: the rules are kept over all of them, and every request has an outcome. */
     @Test
     @Timeout(240)
     void stalledKilledAndStoppedProcessesKeepTheRulesTogether() throws Exception {
-        FleetRun.Result result = play(PLAN + """
+        FleetRunResult result = play(PLAN + """
             [[trouble]]
             at = "1s"
             what = "stall"
@@ -90,17 +90,17 @@
     }
 
     @Test
-    void everyProblemOfAPlanIsToldWithItsLine() {
+    void everyProblemOfAPlanIsReportedWithItsLine() {
         Problems.Bad bad = assertThrows(
                 Problems.Bad.class,
                 () -> ScenarioReader.fleet(
                         "few.toml",
                         PLAN.replace("processes = 4", "processes = 0").replace("uneven = 0.5", "uneven = 9\nwaves = 2")
                                 + "[[trouble]]\nat = \"1s\"\nwhat = \"trip\"\n"));
-        String told = bad.getMessage();
-        assertTrue(told.contains("6: fleet.processes: not between 1 and 300: 0"), told);
-        assertTrue(told.contains("7: fleet.uneven: not between 0 and 3"), told);
-        assertTrue(told.contains("fleet.waves"), told);
-        assertTrue(told.contains("trouble[0].what: not one of stall, kill, stop: 'trip'"), told);
+        String message = bad.getMessage();
+        assertTrue(message.contains("6: fleet.processes: not between 1 and 300: 0"), message);
+        assertTrue(message.contains("7: fleet.uneven: not between 0 and 3"), message);
+        assertTrue(message.contains("fleet.waves"), message);
+        assertTrue(message.contains("trouble[0].what: not one of stall, kill, stop: 'trip'"), message);
     }
 }
--- a/src/test/java/loadbalancer/testbed/LedgerTest.java
+++ b/src/test/java/loadbalancer/testbed/LedgerTest.java
@@ -6,81 +6,81 @@
 import java.util.List;
 import loadbalancer.policy.Policy.Effect;
 import loadbalancer.testbed.Ledger.Breach;
-import loadbalancer.testbed.Ledger.Final;
+import loadbalancer.testbed.Ledger.RequestOutcome;
 import org.junit.jupiter.api.Test;
 
 class LedgerTest {
     private final Ledger ledger = new Ledger();
 
-    private List<Breach> found() {
+    private List<Breach> breaches() {
         return ledger.findings().stream().map(Ledger.Finding::breach).toList();
     }
 
     @Test
-    void whatIsInOrderIsNoFinding() {
-        ledger.asked("safe", Effect.SAFE, 1);
-        ledger.ran("safe", "a", true, 2);
-        ledger.ran("safe", "b", true, 3);
-        ledger.answered("safe", Final.SERVED, 4);
-        ledger.asked("keyed", Effect.KEYED, 1);
-        ledger.ran("keyed", "a", true, 2);
-        ledger.ran("keyed", "a2", false, 3);
-        ledger.answered("keyed", Final.FAILED, 4);
-        ledger.asked("unsafe", Effect.UNSAFE, 1);
-        ledger.answered("unsafe", Final.REFUSED, 2);
-        assertEquals(List.of(), found());
+    void requestsThatKeepTheRulesAreNoFindings() {
+        ledger.recordSent("safe", Effect.SAFE, 1);
+        ledger.recordExecution("safe", "a", true, 2);
+        ledger.recordExecution("safe", "b", true, 3);
+        ledger.recordOutcome("safe", RequestOutcome.SERVED, 4);
+        ledger.recordSent("keyed", Effect.KEYED, 1);
+        ledger.recordExecution("keyed", "a", true, 2);
+        ledger.recordExecution("keyed", "a2", false, 3);
+        ledger.recordOutcome("keyed", RequestOutcome.FAILED, 4);
+        ledger.recordSent("unsafe", Effect.UNSAFE, 1);
+        ledger.recordOutcome("unsafe", RequestOutcome.REFUSED, 2);
+        assertEquals(List.of(), breaches());
     }
 
     @Test
-    void aSecondBookingIsFoundWithItsHistory() {
-        ledger.asked("o1", Effect.UNSAFE, 1);
-        ledger.ran("o1", "a", true, 2);
-        ledger.ran("o1", "b", true, 3);
-        assertEquals(List.of(Breach.BOOKED_TWICE), found());
+    void aSecondExecutionIsFoundWithItsHistory() {
+        ledger.recordSent("o1", Effect.UNSAFE, 1);
+        ledger.recordExecution("o1", "a", true, 2);
+        ledger.recordExecution("o1", "b", true, 3);
+        assertEquals(List.of(Breach.BOOKED_TWICE), breaches());
         assertEquals(
                 List.of("1 asked, UNSAFE", "2 booked on a", "3 booked on b"),
                 ledger.findings().get(0).history());
     }
 
     @Test
-    void aKeyThatTwoCellsBookIsBookedTwice() {
-        ledger.asked("o1", Effect.KEYED, 1);
-        ledger.ran("o1", "a", true, 2);
-        ledger.ran("o1", "b", true, 3);
-        assertEquals(List.of(Breach.BOOKED_TWICE), found());
+    void anIdempotentRequestExecutedByTwoCellsIsFound() {
+        ledger.recordSent("o1", Effect.KEYED, 1);
+        ledger.recordExecution("o1", "a", true, 2);
+        ledger.recordExecution("o1", "b", true, 3);
+        assertEquals(List.of(Breach.BOOKED_TWICE), breaches());
     }
 
     @Test
-    void aRefusalIsAPromiseBeforeAndAfter() {
-        ledger.asked("o1", Effect.UNSAFE, 1);
-        ledger.ran("o1", "a", true, 2);
-        ledger.answered("o1", Final.REFUSED, 3);
-        ledger.asked("o2", Effect.KEYED, 1);
-        ledger.answered("o2", Final.REFUSED, 2);
-        ledger.ran("o2", "a", true, 3);
-        assertEquals(List.of(Breach.REFUSED_AFTER_IT_RAN, Breach.REFUSED_AFTER_IT_RAN), found());
+    void anExecutionBeforeOrAfterARefusalIsFound() {
+        ledger.recordSent("o1", Effect.UNSAFE, 1);
+        ledger.recordExecution("o1", "a", true, 2);
+        ledger.recordOutcome("o1", RequestOutcome.REFUSED, 3);
+        ledger.recordSent("o2", Effect.KEYED, 1);
+        ledger.recordOutcome("o2", RequestOutcome.REFUSED, 2);
+        ledger.recordExecution("o2", "a", true, 3);
+        assertEquals(List.of(Breach.REFUSED_AFTER_IT_RAN, Breach.REFUSED_AFTER_IT_RAN), breaches());
     }
 
     @Test
-    void answersAreOneAndStandForSomething() {
-        ledger.asked("o1", Effect.SAFE, 1);
-        ledger.answered("o1", Final.NONE, 2);
-        ledger.asked("o2", Effect.SAFE, 1);
-        ledger.answered("o2", Final.SERVED, 2);
-        ledger.asked("o3", Effect.SAFE, 1);
-        ledger.answered("o3", Final.FAILED, 2);
-        ledger.answered("o3", Final.FAILED, 3);
-        ledger.asked("o4", Effect.SAFE, 1);
-        ledger.sentAfterDrain("o4", "a", 5_000, 2);
+    void missingDuplicateAndFalseResponsesAreFound() {
+        ledger.recordSent("o1", Effect.SAFE, 1);
+        ledger.recordOutcome("o1", RequestOutcome.NONE, 2);
+        ledger.recordSent("o2", Effect.SAFE, 1);
+        ledger.recordOutcome("o2", RequestOutcome.SERVED, 2);
+        ledger.recordSent("o3", Effect.SAFE, 1);
+        ledger.recordOutcome("o3", RequestOutcome.FAILED, 2);
+        ledger.recordOutcome("o3", RequestOutcome.FAILED, 3);
+        ledger.recordSent("o4", Effect.SAFE, 1);
+        ledger.recordSendAfterDrain("o4", "a", 5_000, 2);
         assertEquals(
                 List.of(Breach.UNANSWERED, Breach.SERVED_UNBOOKED, Breach.ANSWERED_TWICE, Breach.SENT_AFTER_DRAIN),
-                found());
+                breaches());
         assertTrue(ledger.history("o4").get(1).contains("5 ms after the grace"));
     }
 
     @Test
-    void aRunThatNobodyAskedForIsFound() {
-        ledger.ran("ghost", "a", true, 2);
-        assertEquals(List.of(Breach.BOOKED_TWICE), found());
+    void anExecutionWithoutARequestIsFound() {
+        ledger.recordExecution("ghost", "a", true, 2);
+        assertEquals(List.of(Breach.BOOKED_TWICE), breaches());
     }
 }
--- a/src/test/java/loadbalancer/testbed/PausedProcessesTest.java
+++ b/src/test/java/loadbalancer/testbed/PausedProcessesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whatever the machines of processes that stand still accepted gets its one answer when they go on. */
+/** Each request that the machine of a paused process accepted gets its one response when the process continues. */
 class PausedProcessesTest {
     /** In service with two hundred requests in the sockets of each. */
     @ParameterizedTest
@@ -22,10 +22,11 @@
         "SIGTERM, 60, 25",
         "STOPPING, 60, 25"
     })
-    void nothingIsLost(PausedProcesses.When when, int kept, int fresh) throws IOException, InterruptedException {
+    void everyRequestAcceptedDuringThePauseIsServedOnce(PausedProcesses.PausePoint point, int kept, int fresh)
+            throws IOException, InterruptedException {
         PausedProcesses.Size size = new PausedProcesses.Size(3, kept, fresh);
         try (PausedProcesses run = new PausedProcesses(DemoTest.CLASS_PATH, size)) {
-            PausedProcesses.Outcome outcome = run.play(when);
+            PausedProcesses.Outcome outcome = run.play(point);
             assertTrue(outcome.isClean(), () -> outcome.summary() + " | " + outcome.log());
         }
     }
--- a/src/test/java/loadbalancer/testbed/ReferenceBalancer.java
+++ b/src/test/java/loadbalancer/testbed/ReferenceBalancer.java
@@ -28,8 +28,8 @@
         KNOWS_NOTHING
     }
 
-    private final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    private final List<InetSocketAddress> boxes = new ArrayList<>();
+    private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+    private final List<InetSocketAddress> servers = new ArrayList<>();
     private final AtomicInteger requests = new AtomicInteger();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final Fault fault;
@@ -37,11 +37,11 @@
     ReferenceBalancer(String known, Fault fault) throws IOException {
         this.fault = fault;
         for (Object target : (List<?>) JSON.std.mapFrom(known).get("targets")) {
-            boxes.add(Addresses.parse((String) ((Map<?, ?>) target).get("endpoint")));
+            servers.add(Addresses.parse((String) ((Map<?, ?>) target).get("endpoint")));
         }
         run(() -> {
             while (true) {
-                Socket client = server.accept();
+                Socket client = listener.accept();
                 sockets.add(client);
                 run(() -> serve(client));
             }
@@ -72,27 +72,27 @@
                 return;
             }
             int number = requests.incrementAndGet();
-            boolean odd = number % 20 == 0 && new String(request, StandardCharsets.ISO_8859_1).startsWith("POST");
-            if (odd && fault == Fault.FORGETS) {
+            boolean affected = number % 20 == 0 && new String(request, StandardCharsets.ISO_8859_1).startsWith("POST");
+            if (affected && fault == Fault.FORGETS) {
                 continue;
             }
-            byte[] answer = fault == Fault.KNOWS_NOTHING ? null : ask(request, number);
+            byte[] response = fault == Fault.KNOWS_NOTHING ? null : forward(request, number);
             if (fault == Fault.KNOWS_NOTHING) {
-                answer = "HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+                response = "HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
             }
-            if (odd && fault == Fault.DOUBLES) {
-                answer = ask(request, number + 1);
+            if (affected && fault == Fault.DOUBLES) {
+                response = forward(request, number + 1);
             }
-            if (odd && fault == Fault.REFUSES_WHAT_RAN) {
-                answer = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+            if (affected && fault == Fault.REFUSES_WHAT_RAN) {
+                response = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
             }
-            client.getOutputStream().write(answer);
+            client.getOutputStream().write(response);
         }
     }
 
-    private byte[] ask(byte[] request, int number) throws IOException {
-        InetSocketAddress box = boxes.get(number % boxes.size());
-        try (Socket socket = new Socket(box.getAddress(), box.getPort())) {
+    private byte[] forward(byte[] request, int number) throws IOException {
+        InetSocketAddress server = servers.get(number % servers.size());
+        try (Socket socket = new Socket(server.getAddress(), server.getPort())) {
             socket.getOutputStream().write(request);
             return message(new BufferedInputStream(socket.getInputStream()));
         }
@@ -115,12 +115,12 @@
 
     @Override
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
+        return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
     @Override
     public boolean isAlive() {
-        return !server.isClosed();
+        return !listener.isClosed();
     }
 
     @Override
@@ -142,7 +142,7 @@
     @Override
     public void close() {
         try {
-            server.close();
+            listener.close();
             for (Socket socket : sockets) {
                 socket.close();
             }
--- a/src/test/java/loadbalancer/testbed/ScenarioReaderTest.java
+++ b/src/test/java/loadbalancer/testbed/ScenarioReaderTest.java
@@ -32,7 +32,7 @@
         """;
 
     @Test
-    void everyProblemIsToldAtOnceInTheOrderOfTheFile() {
+    void everyProblemIsReportedAtOnceInFileOrder() {
         String text = """
             rate = "many"
             lastin = "2s"
@@ -75,7 +75,7 @@
 
     /** Scenario files of 2 December 2026 go on meaning the same. */
     @Test
-    void theRecordedFileIsReadAsItWas() throws IOException, Problems.Bad {
+    void theRecordedScenarioFileIsReadUnchanged() throws IOException, Problems.Bad {
         String text;
         try (InputStream in = ScenarioReaderTest.class.getResourceAsStream("recorded-surge.toml")) {
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -85,15 +85,17 @@
         assertEquals(2_180, scenario.rate());
         assertEquals(
                 List.of("fast", "slow"),
-                scenario.boxes().stream().map(Scenario.Boxes::name).toList());
+                scenario.serverGroups().stream().map(Scenario.ServerGroup::name).toList());
         assertEquals(
                 List.of(150_000L, 250_000L, 600_000L),
-                scenario.kinds().stream().map(Scenario.Kind::aim).toList());
+                scenario.classes().stream()
+                        .map(Scenario.RequestClass::latencyObjectiveMicros)
+                        .toList());
         assertEquals(11, scenario.faults().size());
     }
 
     @Test
-    void whatIsMissingIsNamed() {
+    void missingKeysAreReported() {
         assertEquals(
                 List.of(
                         "f.toml:1: rate: missing",
@@ -106,7 +108,7 @@
     }
 
     @Test
-    void whatIsNotTomlIsToldWithItsLine() {
+    void aSyntaxErrorIsReportedWithItsLine() {
         assertEquals(
                 "f.toml:2: not TOML",
                 assertThrows(Problems.Bad.class, () -> ScenarioReader.read("f.toml", "rate = 1\nlasting = = 2\n"))
@@ -116,9 +118,9 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameScriptAndAnotherSeedAnother() throws Problems.Bad {
+    void theSameSeedGivesTheSameScheduleAndAnotherSeedAnother() throws Problems.Bad {
         Scenario scenario = ScenarioReader.read("f.toml", SMALL);
-        List<ArrivalSchedule.Order> first = ArrivalSchedule.of(scenario);
+        List<ArrivalSchedule.ScheduledRequest> first = ArrivalSchedule.of(scenario);
         assertEquals(first, ArrivalSchedule.of(scenario));
         assertEquals(false, first.equals(ArrivalSchedule.of(ScenarioReader.read("f.toml", "seed = 2\n" + SMALL))));
         assertEquals(400, first.size(), 80);
--- a/src/test/java/loadbalancer/testbed/UdpRelayTest.java
+++ b/src/test/java/loadbalancer/testbed/UdpRelayTest.java
@@ -15,7 +15,7 @@
     /** A run closes it as it ends, and whoever holds the run does so once more, after its loops. */
     @Test
     @Timeout(60)
-    void itMayBeClosedAgainOnceItsLoopHasEnded() throws InterruptedException {
+    void aSecondCloseAfterTheEventLoopEndedDoesNothing() throws InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         UdpRelay relay = new UdpRelay(
                 group.next(),
--- a/src/testbed/java/loadbalancer/cli/AdminCommands.java
+++ b/src/testbed/java/loadbalancer/cli/AdminCommands.java
@@ -10,16 +10,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** The operators' calls, as commands: what a balancer answers, and an exit code that tells yes from no. */
+/** The operators' calls to a running balancer: each prints its response, and the exit code says yes or no. */
 final class AdminCommands {
-    private static final int WAIT_MS = 5_000;
+    private static final int TIMEOUT_MILLIS = 5_000;
 
     private AdminCommands() {}
 
+    /** A request to the management address of a balancer. */
     private abstract static class Call implements Callable<Integer> {
         @Parameters(paramLabel = "ADDRESS", description = "what `management` says, as 127.0.0.1:8081")
         private String address;
 
+        /** The method and path. */
         abstract String line();
 
         @Override
@@ -32,14 +34,14 @@
                 return 2;
             }
             try (Socket socket = new Socket()) {
-                socket.connect(to, WAIT_MS);
-                socket.setSoTimeout(WAIT_MS);
+                socket.connect(to, TIMEOUT_MILLIS);
+                socket.setSoTimeout(TIMEOUT_MILLIS);
                 socket.getOutputStream()
                         .write((line() + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Length: 0\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                ByteArrayOutputStream answer = new ByteArrayOutputStream();
-                socket.getInputStream().transferTo(answer);
-                String[] parts = answer.toString(StandardCharsets.UTF_8).split("\r\n\r\n", 2);
+                ByteArrayOutputStream response = new ByteArrayOutputStream();
+                socket.getInputStream().transferTo(response);
+                String[] parts = response.toString(StandardCharsets.UTF_8).split("\r\n\r\n", 2);
                 boolean yes = parts[0].startsWith("HTTP/1.1 2");
                 (yes ? System.out : System.err).println(parts.length < 2 ? "no answer" : parts[1].strip());
                 return yes ? 0 : 1;
--- a/src/testbed/java/loadbalancer/cli/Cli.java
+++ b/src/testbed/java/loadbalancer/cli/Cli.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line of the whole product; the served archive has {@code serve} and {@code wirehost} only. */
+/** The command line of the whole product; the archive that is deployed has {@code serve} and {@code wirehost} only. */
 @Command(
         name = "loadbalancer",
         mixinStandardHelpOptions = true,
@@ -61,11 +61,12 @@
         return CommandLine.ExitCode.USAGE;
     }
 
+    /** Runs a command and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
-    /** The exit code; exceptions are told in one line. */
+    /** Runs a command and returns its exit code; an exception is reported by one line. */
     static int run(String... args) {
         return new CommandLine(new Cli())
                 .setExecutionExceptionHandler((e, command, parsed) -> {
@@ -75,7 +76,7 @@
                 .execute(args);
     }
 
-    /** Where the balancer's classes are: beside this archive, or on the class path as it is. */
+    /** Where the balancer's classes are: in the archive next to this one, or on the class path as it is. */
     static String served() {
         try {
             Path own = Path.of(Cli.class
@@ -93,7 +94,7 @@
         return System.getProperty("java.class.path");
     }
 
-    /** Boxes, discovery, a balancer and load on this machine. */
+    /** Servers, discovery, a balancer and load on this machine. */
     @Command(
             name = "demo",
             mixinStandardHelpOptions = true,
@@ -147,13 +148,13 @@
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                return code; // on its way down: the signal gives the exit code
+                return code; // the process is being shut down: the signal sets the exit code
             }
             return code;
         }
     }
 
-    /** What the balancer costs on this machine. */
+    /** Measures the balancer's cost on this machine. */
     @Command(
             name = "bench",
             mixinStandardHelpOptions = true,
@@ -187,7 +188,7 @@
                 split = ",",
                 defaultValue = "8,100",
                 description = "how many (default ${DEFAULT-VALUE})")
-        private List<Integer> boxes;
+        private List<Integer> servers;
 
         @Option(names = "--json", paramLabel = "FILE", description = "writes the figures there as well")
         private File json;
@@ -196,7 +197,7 @@
         public Integer call() throws IOException, InterruptedException {
             var result = new Benchmark(
                             System.out, served(), System.getProperty("java.class.path"), seconds, rounds, rate)
-                    .run(boxes);
+                    .run(servers);
             if (json != null) {
                 Files.writeString(json.toPath(), Benchmark.json(result));
             }
@@ -204,7 +205,7 @@
         }
     }
 
-    /** A balancer, told by a file or as the platform does. */
+    /** A balancer, configured by a file or as the platform does it. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -226,20 +227,20 @@
                 try {
                     return ConfigFile.read(config.toPath());
                 } catch (IOException | Problems.Bad e) {
-                    throw new Config.Bad(told(config, e));
+                    throw new Config.Bad(describe(config, e));
                 }
             };
             return LoadBalancerServer.serve(read, read, new Http3ServerExtension());
         }
     }
 
-    private static String told(File file, Exception e) {
+    private static String describe(File file, Exception e) {
         return e instanceof Problems.Bad
                 ? e.getMessage()
                 : "can't read " + file + " (" + e.getClass().getSimpleName() + ")";
     }
 
-    /** Whether a file can be used. */
+    /** Checks a configuration file. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
@@ -257,13 +258,13 @@
                 System.out.println(file + ": in order");
                 return 0;
             } catch (IOException | Problems.Bad e) {
-                System.err.println(told(file, e));
+                System.err.println(describe(file, e));
                 return 1;
             }
         }
     }
 
-    /** The defaults. */
+    /** Prints the default configuration. */
     @Command(
             name = "config",
             mixinStandardHelpOptions = true,
@@ -278,7 +279,7 @@
         }
     }
 
-    /** The decisions on the simulator's wire. */
+    /** The decision module on the simulator's protocol. */
     @Command(
             name = "wirehost",
             mixinStandardHelpOptions = true,
--- a/src/testbed/java/loadbalancer/cli/FleetCommand.java
+++ b/src/testbed/java/loadbalancer/cli/FleetCommand.java
@@ -6,12 +6,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Callable;
 import loadbalancer.testbed.FleetRun;
+import loadbalancer.testbed.FleetRunResult;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Many processes of the program together. */
+/** Runs of many processes of the program together. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -56,7 +57,7 @@
                     FleetRun.of(plan.toPath(), processes, seed, System.getProperty("java.class.path"), System.out)) {
                 Thread hook = new Thread(run::close);
                 Runtime.getRuntime().addShutdownHook(hook);
-                FleetRun.Result result = run.play();
+                FleetRunResult result = run.play();
                 Runtime.getRuntime().removeShutdownHook(hook);
                 System.out.println(result.json());
                 FleetRun.examples(result).forEach(e -> System.out.println("  " + e));
--- a/src/testbed/java/loadbalancer/cli/PausedProcessesCommand.java
+++ b/src/testbed/java/loadbalancer/cli/PausedProcessesCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Processes of the program that stand still with requests in their sockets. */
+/** Pauses processes of the program with requests in their sockets. */
 @Command(
         name = "standstills",
         mixinStandardHelpOptions = true,
@@ -30,7 +30,7 @@
     private int processes;
 
     @Option(names = "--at", paramLabel = "POINT", split = ",", description = "${COMPLETION-CANDIDATES} (default all)")
-    private List<PausedProcesses.When> points = List.of(PausedProcesses.When.values());
+    private List<PausedProcesses.PausePoint> points = List.of(PausedProcesses.PausePoint.values());
 
     @Option(
             names = "--kept",
@@ -50,12 +50,12 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         int code = 0;
-        for (PausedProcesses.When when : points) {
+        for (PausedProcesses.PausePoint point : points) {
             try (PausedProcesses run = new PausedProcesses(
                     System.getProperty("java.class.path"), new PausedProcesses.Size(processes, kept, fresh))) {
                 Thread hook = new Thread(run::close);
                 Runtime.getRuntime().addShutdownHook(hook);
-                PausedProcesses.Outcome outcome = run.play(when);
+                PausedProcesses.Outcome outcome = run.play(point);
                 Runtime.getRuntime().removeShutdownHook(hook);
                 System.out.println(outcome.summary());
                 outcome.examples().forEach(e -> System.out.println("  " + e));
--- a/src/testbed/java/loadbalancer/cli/SoakCommand.java
+++ b/src/testbed/java/loadbalancer/cli/SoakCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Processes of the program under faults that overlap in time. */
+/** Runs processes of the program under faults that overlap in time. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
--- a/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
+++ b/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
@@ -11,15 +11,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.proxy.Addresses;
 
-/** The real balancer as a process of its own, told of a scenario as the platform would tell it. */
+/** The real balancer as a process of its own, configured for a scenario as the platform would do it. */
 final class BalancerProcess implements TestedBalancer {
     private static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC",
@@ -59,7 +57,7 @@
         BalancerProcess started = null;
         try {
             Path config = folder.resolve("config.json");
-            Files.writeString(config, JSON.std.asString(config(scenario, known)));
+            Files.writeString(config, JSON.std.asString(BalancerJson.of(scenario, known)));
             List<String> command = new ArrayList<>();
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(FLAGS);
@@ -97,7 +95,7 @@
      * The same, told by the one configuration file, and with HTTP/3 on both sides.
      *
      * @param classPath what holds the tools as well
-     * @param identity a certificate and its key in PEM, for the balancer and its boxes
+     * @param identity a certificate and its key in PEM, for the balancer and its servers
      */
     static BalancerProcess http3(
             String classPath, Scenario scenario, InetSocketAddress discovery, String[] identity, long seconds)
@@ -129,13 +127,13 @@
     }
 
     /** A bare pass-through to these addresses, under the same options. */
-    static BalancerProcess bare(String classPath, List<InetSocketAddress> boxes, long seconds)
+    static BalancerProcess bare(String classPath, List<InetSocketAddress> servers, long seconds)
             throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(FLAGS);
         command.addAll(List.of("-cp", classPath, PassThrough.class.getName()));
-        boxes.forEach(b -> command.add(Addresses.text(b)));
+        servers.forEach(b -> command.add(Addresses.text(b)));
         return ready(
                 new BalancerProcess(
                         new ProcessBuilder(command).redirectErrorStream(true).start(),
@@ -181,21 +179,22 @@
 
     private void awaitReady(long seconds) throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        boolean told = listening.await(seconds, TimeUnit.SECONDS);
-        while (told && address != null && System.nanoTime() < until && process.isAlive()) {
-            HttpURLConnection ask = (HttpURLConnection) URI.create("http://" + Addresses.text(address) + "/-/ready")
-                    .toURL()
-                    .openConnection();
-            ask.setConnectTimeout(1_000);
-            ask.setReadTimeout(1_000);
+        boolean listeningInTime = listening.await(seconds, TimeUnit.SECONDS);
+        while (listeningInTime && address != null && System.nanoTime() < until && process.isAlive()) {
+            HttpURLConnection connection =
+                    (HttpURLConnection) URI.create("http://" + Addresses.text(address) + "/-/ready")
+                            .toURL()
+                            .openConnection();
+            connection.setConnectTimeout(1_000);
+            connection.setReadTimeout(1_000);
             try {
-                if (ask.getResponseCode() == 200) {
+                if (connection.getResponseCode() == 200) {
                     return;
                 }
             } catch (IOException e) {
-                TimeUnit.MILLISECONDS.sleep(20); // it takes in few strangers while it rehearses
+                TimeUnit.MILLISECONDS.sleep(20); // during its warm-up it accepts few connections
             } finally {
-                ask.disconnect();
+                connection.disconnect();
             }
             TimeUnit.MILLISECONDS.sleep(50);
         }
@@ -276,80 +275,4 @@
             folder.toFile().deleteOnExit();
         }
     }
-
-    /** The configuration that stands for a scenario. */
-    static Map<String, Object> config(Scenario scenario, String known) throws IOException {
-        Map<String, Object> settings = new LinkedHashMap<>();
-        settings.put("Balancers", 1);
-        settings.put("MembershipMode", "ask");
-        settings.put("Quantum", 2_000);
-        settings.put(
-                "Areas",
-                new ArrayList<>(new TreeSet<>(
-                        scenario.boxes().stream().map(Scenario.Boxes::zone).toList())));
-        settings.put(
-                "Kinds",
-                scenario.boxes().stream().map(Scenario.Boxes::model).distinct().toList());
-        List<Map<String, Object>> classes = new ArrayList<>();
-        for (Scenario.Kind kind : scenario.kinds()) {
-            Map<String, Object> c = new LinkedHashMap<>();
-            c.put("Name", kind.name());
-            c.put("Idempotency", kind.effect().name().toLowerCase(java.util.Locale.ROOT));
-            c.put("DedupScope", "cell");
-            c.put("KeyTtl", kind.window());
-            c.put("GoalTime", kind.aim());
-            c.put("GiveUp", kind.deadline());
-            c.put("Gain", kind.worth());
-            c.put("LateShare", kind.lateShare());
-            classes.add(c);
-        }
-        settings.put("Classes", classes);
-        settings.put(
-                "Limits",
-                Map.of(
-                        "TryLimit",
-                        3,
-                        "MayDuplicate",
-                        true,
-                        "Cancel",
-                        true,
-                        "Probes",
-                        true,
-                        "DialTimeout",
-                        500_000,
-                        "IdleClose",
-                        30_000_000,
-                        "RetryAfter",
-                        true,
-                        "MaxRetryAfter",
-                        2_000_000));
-        settings.put(
-                "Rules",
-                Map.of(
-                        "AnswerSlack",
-                        8_000,
-                        "DrainGrace",
-                        Demo.GRACE,
-                        "AskWithin",
-                        10_000_000,
-                        "ColdFrom",
-                        scenario.cold().from(),
-                        "RampTime",
-                        scenario.cold().ramp(),
-                        "OverloadFactor",
-                        scenario.cold().overload(),
-                        "Fall",
-                        scenario.cold().fall()));
-        settings.put("Stats", Map.of("How", "answers", "Fields", List.of("outstanding")));
-        settings.put("WorthBy", "work");
-        return Map.of(
-                "seed",
-                Long.toHexString(scenario.seed()),
-                "limits",
-                Map.of("sockets", 1024),
-                "settings",
-                settings,
-                "known",
-                JSON.std.mapFrom(known));
-    }
 }
--- a/src/testbed/java/loadbalancer/testbed/BalancerToml.java
+++ b/src/testbed/java/loadbalancer/testbed/BalancerToml.java
@@ -6,26 +6,32 @@
 import java.util.stream.Collectors;
 import loadbalancer.proxy.Addresses;
 
-/** The configuration file of a balancer that stands for a scenario. No I/O. */
+/** Writes the configuration file that a balancer needs for a scenario. Does no I/O. */
 final class BalancerToml {
     private BalancerToml() {}
 
-    static String of(Scenario s, InetSocketAddress discovery) {
-        return of(s, discovery, "rig", 0, 1);
+    /** The file of a single balancer. */
+    static String of(Scenario scenario, InetSocketAddress discovery) {
+        return of(scenario, discovery, "rig", 0, 1);
     }
 
-    /** One of so many, by its place among them. */
-    static String of(Scenario s, InetSocketAddress discovery, String name, int rank, int balancers) {
+    /** The file of one of several balancers, by its rank among them. */
+    static String of(Scenario scenario, InetSocketAddress discovery, String name, int rank, int balancers) {
         StringBuilder out = new StringBuilder();
-        List<String> zones =
-                s.boxes().stream().map(Scenario.Boxes::zone).distinct().sorted().toList();
-        List<String> models =
-                s.boxes().stream().map(Scenario.Boxes::model).distinct().toList();
+        List<String> zones = scenario.serverGroups().stream()
+                .map(Scenario.ServerGroup::zone)
+                .distinct()
+                .sorted()
+                .toList();
+        List<String> models = scenario.serverGroups().stream()
+                .map(Scenario.ServerGroup::model)
+                .distinct()
+                .toList();
         line(out, "[node]");
         line(out, "name = \"" + name + "\"");
         line(out, "listen = \"127.0.0.1:0\"");
         line(out, "management = \"127.0.0.1:0\"");
-        line(out, "seed = " + (s.seed() + rank));
+        line(out, "seed = " + (scenario.seed() + rank));
         line(out, "balancers = " + balancers);
         line(out, "rank = " + rank);
         line(out, "zone = \"" + zones.get(0) + "\"");
@@ -34,30 +40,30 @@
         line(out, "address = \"" + Addresses.text(discovery) + "\"");
         line(out, "zones = " + list(zones));
         line(out, "models = " + list(models));
-        for (Scenario.Kind kind : s.kinds()) {
+        for (Scenario.RequestClass requestClass : scenario.classes()) {
             line(out, "[[class]]");
-            line(out, "name = \"" + kind.name() + "\"");
-            line(out, "effect = \"" + kind.effect().name().toLowerCase(Locale.ROOT) + "\"");
-            line(out, "window = \"" + kind.window() + "us\"");
-            line(out, "aim = \"" + kind.aim() + "us\"");
-            line(out, "deadline = \"" + kind.deadline() + "us\"");
-            line(out, "worth = " + kind.worth());
-            line(out, "late = " + kind.lateShare());
+            line(out, "name = \"" + requestClass.name() + "\"");
+            line(out, "effect = \"" + requestClass.effect().name().toLowerCase(Locale.ROOT) + "\"");
+            line(out, "window = \"" + requestClass.keyTtlMicros() + "us\"");
+            line(out, "aim = \"" + requestClass.latencyObjectiveMicros() + "us\"");
+            line(out, "deadline = \"" + requestClass.deadlineMicros() + "us\"");
+            line(out, "worth = " + requestClass.priorityWeight());
+            line(out, "late = " + requestClass.lateShare());
         }
         line(out, "[retries]");
         line(out, "probes = true");
         line(out, "[rules]");
-        line(out, "drain-grace = \"" + Demo.GRACE + "us\"");
-        line(out, "cold-from = " + s.cold().from());
-        line(out, "cold-ramp = \"" + s.cold().ramp() + "us\"");
-        line(out, "cold-overload = " + s.cold().overload());
-        line(out, "cold-fall = \"" + s.cold().fall() + "us\"");
+        line(out, "drain-grace = \"" + Demo.DRAIN_GRACE_MICROS + "us\"");
+        line(out, "cold-from = " + scenario.slowStart().initialSpeed());
+        line(out, "cold-ramp = \"" + scenario.slowStart().rampMicros() + "us\"");
+        line(out, "cold-overload = " + scenario.slowStart().overloadFactor());
+        line(out, "cold-fall = \"" + scenario.slowStart().overloadMicros() + "us\"");
         return out.toString();
     }
 
-    /** The same with HTTP/3 on both sides; names the files cert.pem and key.pem beside it. */
-    static String http3(Scenario s, InetSocketAddress discovery) {
-        StringBuilder out = new StringBuilder(of(s, discovery));
+    /** The same with HTTP/3 on both sides; refers to the files cert.pem and key.pem next to it. */
+    static String http3(Scenario scenario, InetSocketAddress discovery) {
+        StringBuilder out = new StringBuilder(of(scenario, discovery));
         line(out, "[http3]");
         line(out, "listen = \"127.0.0.1:0\"");
         line(out, "certificate = \"cert.pem\"");
--- a/src/testbed/java/loadbalancer/testbed/Demo.java
+++ b/src/testbed/java/loadbalancer/testbed/Demo.java
@@ -4,8 +4,11 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.io.InputStream;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.CountDownLatch;
@@ -16,28 +19,34 @@
 import loadbalancer.proxy.Clock;
 
 /**
- * Plays a scenario: boxes, discovery and load here, the balancer as a process of its own; shows how it goes
- * and
- * ends with the tally. {@link #play} is for one thread; {@link #abort} may come from another.
+ * Plays a scenario: stand-in servers, discovery and load in this process, the balancer as a process of its own.
+ * Shows its progress and ends with a report. {@link #play} is for one thread and may be called once;
+ * {@link #abort} may be called from another.
  */
 public final class Demo implements AutoCloseable {
-    /** µs after a drain was told within which requests may still be sent: rule 3. */
-    static final long GRACE = 1_000_000;
+    /** µs after a drain was announced within which requests may still be sent (rule 3). */
+    static final long DRAIN_GRACE_MICROS = 1_000_000;
 
-    static final long SLACK = 50_000; // of each of the rules' time limits on sockets
-    private static final long LEAD = 200_000; // µs from readiness to the first order
-    private static final long READY_S = 60;
-    private static final int LINES = 60; // of the balancer's log that are shown at most
+    /** µs by which each time limit of the rules may be exceeded on sockets. */
+    static final long RULE_SLACK_MICROS = 50_000;
+
+    private static final long LEAD_MICROS = 200_000; // µs from readiness to the first request
+    private static final long READY_SECONDS = 60;
+    private static final long ABORT_SECONDS = 5;
+    private static final int CLOSE_MILLIS = 2_000;
+    private static final int MAX_LOG_LINES = 60; // of the balancer's log
+
+    private static final String DEFAULT_SCENARIO = "demo.toml";
 
     /** How a run ended. */
-    public enum End {
+    public enum RunResult {
         CLEAN(0),
         BROKEN(1),
         INTERRUPTED(130);
 
         private final int code;
 
-        End(int code) {
+        RunResult(int code) {
             this.code = code;
         }
 
@@ -47,189 +56,157 @@
         }
     }
 
-    /** Where the balancer comes from; in tests another one than the real. */
-    interface Balancers {
+    /** Starts the balancer; tests provide another than the real one. */
+    interface BalancerFactory {
         TestedBalancer start(Scenario scenario, String known, InetSocketAddress discovery)
                 throws IOException, InterruptedException;
     }
 
     private final Scenario scenario;
-    private final Balancers balancers;
+    private final BalancerFactory balancerFactory;
     private final PrintStream out;
-    private final boolean terminal;
+    private final ProgressDisplay display;
     private final Clock clock = Clock.system();
     private final Ledger ledger = new Ledger();
     private final RequestCounts counts;
-    private final EventLoopGroup boxLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup serverLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoopGroup loadLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final CountDownLatch over = new CountDownLatch(1);
-    private final CountDownLatch told = new CountDownLatch(1);
+    private final CountDownLatch loadDone = new CountDownLatch(1);
+    private final CountDownLatch reported = new CountDownLatch(1);
     private final AtomicBoolean aborted = new AtomicBoolean();
     private final Http3Run http3; // null where all speak HTTP/1.1
     private volatile TestedBalancer balancer;
     private StandInFleet fleet;
 
-    Demo(Scenario scenario, Balancers balancers, PrintStream out, boolean terminal) {
-        this(scenario, balancers, null, out, terminal);
+    Demo(Scenario scenario, BalancerFactory balancerFactory, PrintStream out, ProgressDisplay.Mode mode) {
+        this(scenario, balancerFactory, null, out, mode);
     }
 
-    /** Half of the clients and boxes speak HTTP/3 where {@code http3} isn't null. */
-    Demo(Scenario scenario, Balancers balancers, Http3Run http3, PrintStream out, boolean terminal) {
+    /** {@code http3}: null if nobody speaks it, otherwise half of the clients and of the servers do. */
+    Demo(
+            Scenario scenario,
+            BalancerFactory balancerFactory,
+            Http3Run http3,
+            PrintStream out,
+            ProgressDisplay.Mode mode) {
         this.http3 = http3;
         this.scenario = scenario;
-        this.balancers = balancers;
+        this.balancerFactory = balancerFactory;
         this.out = out;
-        this.terminal = terminal;
         this.counts = new RequestCounts(scenario);
+        this.display = new ProgressDisplay(out, mode, counts);
     }
 
-    /** Plays to the end, and tells of it on the stream. */
-    End play() throws IOException, InterruptedException {
-        List<ArrivalSchedule.Order> script = ArrivalSchedule.of(scenario);
-        fleet = new StandInFleet(scenario, script, boxLoops.next(), clock, ledger, GRACE + SLACK);
+    /**
+     * Plays the scenario to its end and prints the report.
+     *
+     * @throws IOException where the balancer can't be started
+     */
+    RunResult play() throws IOException, InterruptedException {
+        List<ArrivalSchedule.ScheduledRequest> schedule = ArrivalSchedule.of(scenario);
+        fleet = new StandInFleet(
+                scenario, schedule, serverLoops.next(), clock, ledger, DRAIN_GRACE_MICROS + RULE_SLACK_MICROS);
         try {
             if (http3 != null) {
-                fleet.speakHttp3(http3.identity());
+                fleet.enableHttp3(http3.identity());
             }
             fleet.open();
-            out.printf(
-                    Locale.ROOT,
-                    "%s: %d boxes, %.0f requests a second for %.0f s, seed %d; the fleet can do " + "%.1f times that%n",
-                    scenario.name(),
-                    scenario.boxNames().size(),
-                    scenario.rate(),
-                    scenario.lasting() / 1e6,
-                    scenario.seed(),
-                    scenario.headroom());
-            balancer = balancers.start(scenario, fleet.list(), fleet.discoveryAt());
-            LoadGenerator load = new LoadGenerator(
-                    scenario, script, loadLoops.next(), clock, ledger, counts, List.of(balancer.address()));
-            if (http3 != null) {
-                load.through(http3.open(loadLoops.next(), balancer.http3()));
-            }
-            long begin = clock.now() + LEAD;
-            long cpu = balancer.cpuMicros();
-            fleet.script(begin);
-            load.start(begin, over::countDown);
-            watch(begin);
-            if (aborted.get()) {
-                load.stop();
-                over.await(5, TimeUnit.SECONDS);
-            }
-            long used = balancer.cpuMicros() - cpu;
-            load.close();
-            long memory = balancer.memoryKib();
-            boolean alive = balancer.isAlive();
-            int exit = balancer.stop();
-            List<StandInFleet.Standing> boxes = standings();
-            tell(used, boxes);
-            if (http3 != null) {
-                out.printf(
-                        Locale.ROOT, "most memory of the balancer: %.1f MiB; %s%n", memory / 1024.0, http3.summary());
-            }
-            boolean orderly = alive && exit == 0;
-            if (!orderly) {
-                out.println("the balancer " + (alive ? "ended with code " + exit : "died") + ": "
-                        + String.join(" | ", balancer.log()));
-            }
-            return aborted.get()
-                    ? End.INTERRUPTED
-                    : orderly && RunReport.isClean(counts, ledger, boxes) ? End.CLEAN : End.BROKEN;
+            printScenario();
+            balancer = balancerFactory.start(scenario, fleet.endpointList(), fleet.discoveryAt());
+            long usedCpuMicros = playLoad(schedule);
+            return finish(usedCpuMicros);
         } finally {
-            told.countDown();
+            reported.countDown();
             close();
         }
     }
 
-    private void tell(long used, List<StandInFleet.Standing> boxes) {
+    private void printScenario() {
+        out.printf(
+                Locale.ROOT,
+                "%s: %d boxes, %.0f requests a second for %.0f s, seed %d; the fleet can do %.1f times that%n",
+                scenario.name(),
+                scenario.serverNames().size(),
+                scenario.rate(),
+                scenario.durationMicros() / 1e6,
+                scenario.seed(),
+                scenario.headroom());
+    }
+
+    /** Plays the load with the faults; returns the CPU that the balancer used for it, in µs. */
+    private long playLoad(List<ArrivalSchedule.ScheduledRequest> schedule) throws InterruptedException {
+        LoadGenerator load = new LoadGenerator(
+                scenario, schedule, loadLoops.next(), clock, ledger, counts, List.of(balancer.address()));
+        if (http3 != null) {
+            load.through(http3.open(loadLoops.next(), balancer.http3()));
+        }
+        long begin = clock.now() + LEAD_MICROS;
+        long cpuBefore = balancer.cpuMicros();
+        fleet.scheduleFaults(begin);
+        load.start(begin, loadDone::countDown);
+        while (!loadDone.await(1, TimeUnit.SECONDS) && !aborted.get()) {
+            List<StandInFleet.ServerStatus> servers = serverStatuses();
+            display.show(clock.now() - begin, servers);
+        }
+        if (aborted.get()) {
+            load.stop();
+            loadDone.await(ABORT_SECONDS, TimeUnit.SECONDS);
+        }
+        long usedCpuMicros = balancer.cpuMicros() - cpuBefore;
+        load.close();
+        return usedCpuMicros;
+    }
+
+    /** Ends the balancer and prints the report. */
+    private RunResult finish(long usedCpuMicros) throws InterruptedException {
+        long memoryKib = balancer.memoryKib();
+        boolean alive = balancer.isAlive();
+        int exitCode = balancer.stop();
+        List<StandInFleet.ServerStatus> servers = serverStatuses();
+        report(usedCpuMicros, servers);
+        if (http3 != null) {
+            out.printf(Locale.ROOT, "most memory of the balancer: %.1f MiB; %s%n", memoryKib / 1024.0, http3.summary());
+        }
+        boolean endedInOrder = alive && exitCode == 0;
+        if (!endedInOrder) {
+            out.println("the balancer " + (alive ? "ended with code " + exitCode : "died") + ": "
+                    + String.join(" | ", balancer.log()));
+        }
+        if (aborted.get()) {
+            return RunResult.INTERRUPTED;
+        }
+        return endedInOrder && RunReport.isClean(counts, ledger, servers) ? RunResult.CLEAN : RunResult.BROKEN;
+    }
+
+    private void report(long usedCpuMicros, List<StandInFleet.ServerStatus> servers) {
         out.println();
-        RunReport.lines(counts, ledger, boxes).forEach(out::println);
+        RunReport.lines(counts, ledger, servers).forEach(out::println);
         long taken = Math.max(1, counts.all().taken);
-        if (used > 0) {
-            out.printf(Locale.ROOT, "CPU of the balancer: %.0f µs a request%n", (double) used / taken);
+        if (usedCpuMicros > 0) {
+            out.printf(Locale.ROOT, "CPU of the balancer: %.0f µs a request%n", (double) usedCpuMicros / taken);
         }
-        // All that it said, where something went wrong; its last words otherwise.
-        boolean clean = RunReport.isClean(counts, ledger, boxes);
+        // The whole log if something went wrong, otherwise only its last line.
+        boolean clean = RunReport.isClean(counts, ledger, servers);
         List<String> said = balancer.log();
-        said.subList(Math.max(0, said.size() - LINES), said.size()).stream()
+        said.subList(Math.max(0, said.size() - MAX_LOG_LINES), said.size()).stream()
                 .filter(l -> !clean || l.contains("stopped: "))
                 .forEach(out::println);
         out.flush();
     }
 
-    private List<StandInFleet.Standing> standings() throws InterruptedException {
+    private List<StandInFleet.ServerStatus> serverStatuses() throws InterruptedException {
         try {
-            return boxLoops.next().submit(() -> fleet.standings()).get();
+            return serverLoops.next().submit(() -> fleet.serverStatuses()).get();
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause());
         }
     }
 
-    private void watch(long begin) throws InterruptedException {
-        int height = 0;
-        while (!over.await(1, TimeUnit.SECONDS) && !aborted.get()) {
-            List<StandInFleet.Standing> boxes = standings();
-            RequestCounts.Recent recent = counts.recent();
-            RequestCounts.Line all = counts.all();
-            String line = String.format(
-                    Locale.ROOT,
-                    "%5.0f s %6d/s p50 %7.1f ms p99 %7.1f ms  worth %.3f  refused %d failed %d none %d",
-                    (clock.now() - begin) / 1e6,
-                    recent.ends(),
-                    recent.p50() / 1e3,
-                    recent.p99() / 1e3,
-                    all.worthInTime(),
-                    all.refused,
-                    all.failed,
-                    all.unanswered);
-            if (!terminal) {
-                StringBuilder odd = new StringBuilder();
-                boxes.stream()
-                        .filter(b -> !b.word().equals("up"))
-                        .forEach(b ->
-                                odd.append("  ").append(b.name()).append(' ').append(b.word()));
-                out.println(line + odd);
-                continue;
-            }
-            if (height > 0) {
-                out.print("\u001b[" + height + "A");
-            }
-            height = screen(line, boxes);
-        }
-    }
-
-    private int screen(String line, List<StandInFleet.Standing> boxes) {
-        int height = 1;
-        out.println("\u001b[2K" + line);
-        for (RequestCounts.Line of : counts.lines()) {
-            out.printf(
-                    Locale.ROOT,
-                    "\u001b[2K  %-16s worth %.3f  p50 %7.1f ms  p99 %7.1f ms%n",
-                    of.name,
-                    of.worthInTime(),
-                    of.latency.getValueAtPercentile(50) / 1e3,
-                    of.latency.getValueAtPercentile(99) / 1e3);
-            height++;
-        }
-        for (StandInFleet.Standing box : boxes.subList(0, Math.min(boxes.size(), 24))) {
-            out.printf(
-                    Locale.ROOT,
-                    "\u001b[2K  %-12s %-9s in flight %4d  served %8d%n",
-                    box.name(),
-                    box.word(),
-                    box.inFlight(),
-                    box.served());
-            height++;
-        }
-        out.flush();
-        return height;
-    }
-
-    /** Ends the run early; returns once the tally is out and no child is left, or after {@code seconds}. */
+    /** Ends the run early; returns once the report is printed and no process is left, or after {@code seconds}. */
     public void abort(long seconds) throws InterruptedException {
         aborted.set(true);
-        over.countDown();
-        if (!told.await(seconds, TimeUnit.SECONDS) && balancer != null) {
+        loadDone.countDown();
+        if (!reported.await(seconds, TimeUnit.SECONDS) && balancer != null) {
             balancer.close();
         }
     }
@@ -247,13 +224,13 @@
         if (balancer != null) {
             balancer.close();
         }
-        if (fleet != null && !boxLoops.isShuttingDown()) {
-            boxLoops.next().submit(fleet::close).awaitUninterruptibly(2_000);
+        if (fleet != null && !serverLoops.isShuttingDown()) {
+            serverLoops.next().submit(fleet::close).awaitUninterruptibly(CLOSE_MILLIS);
         }
         if (http3 != null) {
             http3.close();
         }
-        boxLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        serverLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         loadLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -268,44 +245,39 @@
      * @throws IllegalArgumentException with a line for each problem of the scenario
      */
     public static Demo of(
-            java.nio.file.Path file,
-            long seconds,
-            double rate,
-            String classPath,
-            Http3Run http3,
-            PrintStream out,
-            boolean terminal)
+            Path file, long seconds, double rate, String classPath, Http3Run http3, PrintStream out, boolean terminal)
             throws IOException {
+        ProgressDisplay.Mode mode = terminal ? ProgressDisplay.Mode.TERMINAL : ProgressDisplay.Mode.PLAIN;
         try {
-            Scenario scenario;
-            if (file == null) {
-                try (var in = Demo.class.getResourceAsStream("demo.toml")) {
-                    scenario = ScenarioReader.read(
-                            "demo.toml", new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8));
-                }
-            } else {
-                scenario = ScenarioReader.read(file);
-            }
-            Scenario played = scenario.with(seconds, rate);
+            Scenario played = read(file).withDurationAndRate(seconds, rate);
             if (http3 == null) {
                 return new Demo(
                         played,
-                        (s, known, discovery) -> BalancerProcess.start(classPath, s, known, discovery, READY_S),
+                        (s, known, discovery) -> BalancerProcess.start(classPath, s, known, discovery, READY_SECONDS),
                         out,
-                        terminal);
+                        mode);
             }
             return new Demo(
                     played,
                     (s, known, discovery) -> BalancerProcess.http3(
-                            System.getProperty("java.class.path"), s, discovery, http3.pem(), READY_S),
+                            System.getProperty("java.class.path"), s, discovery, http3.pem(), READY_SECONDS),
                     http3,
                     out,
-                    terminal);
+                    mode);
         } catch (Problems.Bad e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
+    private static Scenario read(Path file) throws IOException, Problems.Bad {
+        if (file != null) {
+            return ScenarioReader.read(file);
+        }
+        try (InputStream in = Demo.class.getResourceAsStream(DEFAULT_SCENARIO)) {
+            return ScenarioReader.read(DEFAULT_SCENARIO, new String(in.readAllBytes(), StandardCharsets.UTF_8));
+        }
+    }
+
     /** Plays it and returns the exit code. */
     public int run() throws IOException, InterruptedException {
         return play().code();
--- a/src/testbed/java/loadbalancer/testbed/DepartedClients.java
+++ b/src/testbed/java/loadbalancer/testbed/DepartedClients.java
@@ -16,23 +16,23 @@
 import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
- * Processes of the program that are held up (SIGSTOP) while clients send requests and close their
- * connections: none of these may reach a server. {@link #play} is for one thread and may be called once.
+ * Processes of the program that are paused (SIGSTOP) while clients send requests and close their connections: none
+ * of these requests may reach a server. {@link #play} is for one thread and may be called once.
  */
 public final class DepartedClients implements AutoCloseable {
-    /** Over which connections the requests come, and when. */
+    /** Over which connections the requests are sent, and when. */
     public enum Arrival {
-        /** One over a new connection, while the process is held. */
+        /** One over a new connection, while the process is paused. */
         SINGLE,
-        /** Twenty at once over new connections, while it is held. */
+        /** Twenty at once over new connections, while it is paused. */
         BURST,
-        /** Over connections that have been used before, while it is held. */
+        /** Over connections that have been used before, while it is paused. */
         KEPT,
-        /** Over new connections, right before it is held; the clients close while it is. */
+        /** Over new connections, right before the pause; the clients close during it. */
         BEFORE_HOLD,
-        /** Two on each new connection, the second sent ahead of the first one's response. */
+        /** Two on each new connection, the second sent before the first one's response. */
         PIPELINED,
-        /** With bodies too long to be held whole, all of which has been sent before the close. */
+        /** With bodies that are too long to be aggregated, and that are sent completely before the close. */
         LONG_BODY
     }
 
@@ -42,8 +42,13 @@
         RESET
     }
 
-    /** How many requests' clients left, and the histories of those that were sent on all the same. */
-    public record Outcome(Arrival arrival, Close close, int left, List<String> sentOn) {
+    /**
+     * What came of a run.
+     *
+     * @param left requests whose clients closed
+     * @param forwarded histories of those that were forwarded to a server after that
+     */
+    public record Outcome(Arrival arrival, Close close, int left, List<String> forwarded) {
         /** One line. */
         public String summary() {
             return String.format(
@@ -52,19 +57,19 @@
                     arrival,
                     close,
                     left,
-                    sentOn.size());
+                    forwarded.size());
         }
     }
 
     private static final int SHORT_BODY = 8;
-    private static final int LONG_BODY = 80 * 1024; // more than is held whole, less than sockets hold unread
+    private static final int LONG_BODY = 80 * 1024; // more than is aggregated, less than sockets buffer
     private static final int PER_BURST = 20;
     private static final int SERVERS = 20;
-    private static final long HOLD_LEAST_MILLIS = 170; // beyond the 0.1 s and the slack of the rules
-    private static final long HOLD_SPREAD_MILLIS = 120;
-    private static final long REST_MILLIS = 60; // for used connections to be at rest
-    private static final long SETTLE_MILLIS = 400; // for what is sent on to reach a server
-    private static final long WORK = 5_000; // µs
+    private static final long MIN_PAUSE_MILLIS = 170; // beyond the 0.1 s and the slack of the rules
+    private static final long PAUSE_SPREAD_MILLIS = 120;
+    private static final long REST_MILLIS = 60; // until used connections are idle
+    private static final long SETTLE_MILLIS = 400; // until what is forwarded reaches a server
+    private static final long WORK_MICROS = 5_000;
 
     private final Testbed testbed;
     private final int processes;
@@ -76,16 +81,16 @@
      * Opens the servers.
      *
      * @param classPath what holds the program with its tools
-     * @param rounds how often each process is held
+     * @param rounds how often each process is paused
      */
     public DepartedClients(String classPath, int processes, int rounds) throws InterruptedException {
         this.processes = processes;
         this.rounds = rounds;
-        List<ArrivalSchedule.Order> known = new ArrayList<>();
+        List<ArrivalSchedule.ScheduledRequest> schedule = new ArrayList<>();
         for (int i = 0; i < processes * rounds * 2 * PER_BURST; i++) {
-            known.add(new ArrivalSchedule.Order(i, "r" + i, 0, 0, "k", WORK));
+            schedule.add(new ArrivalSchedule.ScheduledRequest(i, "r" + i, 0, 0, "k", WORK_MICROS));
         }
-        testbed = new Testbed(classPath, scenario(), known);
+        testbed = new Testbed(classPath, scenario(), schedule);
     }
 
     private static Scenario scenario() {
@@ -95,13 +100,14 @@
                 0,
                 0,
                 0,
-                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-                List.of(new Scenario.Boxes("server", SERVERS, 512, 1, 10_000, "a", "m", 1)),
-                List.of(new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, WORK, 30_000_000, 60_000_000, 1, 1, 0)),
+                new Scenario.SlowStart(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.ServerGroup("server", SERVERS, 512, 1, 10_000, "a", "m", 1)),
+                List.of(new Scenario.RequestClass(
+                        "order", Policy.Effect.UNSAFE, 1, WORK_MICROS, 30_000_000, 60_000_000, 1, 1, 0)),
                 List.of());
     }
 
-    /** Starts the processes, holds each of them again and again, and tells what reached the servers. */
+    /** Starts the processes, pauses each of them as often as asked for, and returns what reached the servers. */
     public Outcome play(Arrival arrival, Close close) throws IOException, InterruptedException {
         testbed.start(processes);
         testbed.awaitReady();
@@ -120,10 +126,10 @@
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage() + testbed.log(), e.getCause());
         }
-        List<String> sentOn = testbed.ledger.findings().stream()
-                .map(f -> f.breach() + " " + f.order() + ": " + String.join(", ", f.history()))
+        List<String> forwarded = testbed.ledger.findings().stream()
+                .map(f -> f.breach() + " " + f.request() + ": " + String.join(", ", f.history()))
                 .toList();
-        return new Outcome(arrival, close, (int) testbed.ledger.count(Ledger.Final.LEFT), sentOn);
+        return new Outcome(arrival, close, (int) testbed.ledger.count(Ledger.RequestOutcome.LEFT), forwarded);
     }
 
     /** One process and its clients; on a thread of its own. */
@@ -144,12 +150,12 @@
 
         void run() throws IOException, InterruptedException {
             for (int round = 0; round < rounds; round++) {
-                List<ClientSocket> wires = before();
+                List<ClientSocket> sockets = connectAhead();
                 if (arrival != Arrival.BEFORE_HOLD) {
                     member.signal(BalancerMember.Signal.STOP);
                     member.awaitStopped();
                 }
-                List<ClientSocket> clients = arrival == Arrival.KEPT ? wires : connect();
+                List<ClientSocket> clients = arrival == Arrival.KEPT ? sockets : connect();
                 List<String> ids = new ArrayList<>();
                 for (ClientSocket client : clients) {
                     ids.add(send(client));
@@ -161,59 +167,59 @@
                     member.signal(BalancerMember.Signal.STOP);
                     member.awaitStopped();
                 }
-                clients.forEach(this::end);
-                ids.forEach(id -> testbed.ledger.left(id, testbed.clock.now()));
-                Thread.sleep(HOLD_LEAST_MILLIS + random.nextLong(HOLD_SPREAD_MILLIS));
+                clients.forEach(this::closeByPlan);
+                ids.forEach(id -> testbed.ledger.recordClientClose(id, testbed.clock.now()));
+                Thread.sleep(MIN_PAUSE_MILLIS + random.nextLong(PAUSE_SPREAD_MILLIS));
                 member.signal(BalancerMember.Signal.CONT);
                 Thread.sleep(SETTLE_MILLIS);
             }
         }
 
-        // Connections that are at rest, where such are wanted.
-        private List<ClientSocket> before() throws IOException, InterruptedException {
-            List<ClientSocket> wires = new ArrayList<>();
+        // Idle connections, if the requests are to use such.
+        private List<ClientSocket> connectAhead() throws IOException, InterruptedException {
+            List<ClientSocket> sockets = new ArrayList<>();
             if (arrival == Arrival.KEPT) {
-                wires = connect();
-                for (ClientSocket wire : wires) {
-                    String id = send(wire);
-                    ClientSocket.Answer answer = wire.answer();
-                    testbed.ledger.answered(id, Ledger.Final.SERVED, testbed.clock.now());
-                    if (answer.status() != 200 || !answer.stays()) {
+                sockets = connect();
+                for (ClientSocket socket : sockets) {
+                    String id = send(socket);
+                    ClientSocket.Response answer = socket.response();
+                    testbed.ledger.recordOutcome(id, Ledger.RequestOutcome.SERVED, testbed.clock.now());
+                    if (answer.status() != 200 || !answer.reusable()) {
                         throw new IOException("before the hold: " + answer);
                     }
                 }
                 Thread.sleep(REST_MILLIS);
             }
-            return wires;
+            return sockets;
         }
 
         private List<ClientSocket> connect() throws IOException {
-            List<ClientSocket> wires = new ArrayList<>();
+            List<ClientSocket> sockets = new ArrayList<>();
             int count = arrival == Arrival.SINGLE ? 1 : PER_BURST / (arrival == Arrival.PIPELINED ? 2 : 1);
             for (int i = 0; i < count; i++) {
-                wires.add(testbed.connect(address));
+                sockets.add(testbed.connect(address));
             }
-            return wires;
+            return sockets;
         }
 
-        private String send(ClientSocket wire) throws IOException {
+        private String send(ClientSocket socket) throws IOException {
             String id = "r" + requests.getAndIncrement();
-            testbed.ledger.asked(id, Policy.Effect.UNSAFE, testbed.clock.now());
+            testbed.ledger.recordSent(id, Policy.Effect.UNSAFE, testbed.clock.now());
             String body = "x".repeat(arrival == Arrival.LONG_BODY ? LONG_BODY : SHORT_BODY);
-            if (!wire.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\n"
+            if (!socket.send("POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\n"
                     + "Req-Deadline-Ms: 60000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)) {
                 throw new IOException("its machine does not take what is sent");
             }
             return id;
         }
 
-        private void end(ClientSocket wire) {
+        private void closeByPlan(ClientSocket socket) {
             if (close == Close.RESET) {
-                wire.reset();
+                socket.reset();
             } else {
-                wire.close();
+                socket.close();
             }
-            testbed.closed(wire);
+            testbed.closed(socket);
         }
     }
 
--- a/src/testbed/java/loadbalancer/testbed/FaultSoak.java
+++ b/src/testbed/java/loadbalancer/testbed/FaultSoak.java
@@ -18,15 +18,17 @@
 import loadbalancer.testbed.fleet.BalancerMember;
 
 /**
- * Processes of the program under load and faults that overlap in time: processes are held, killed, told to
- * end and to read their configuration again, servers and discovery fail, clients close at any point of a
- * request. The ledger and the program's own invariants say what went wrong. {@link #play} is for one thread
- * and may be called once.
+ * Processes of the program under load and faults that overlap in time: processes are paused, killed, shut down and
+ * reloaded, servers and discovery fail, clients close at any point of a request. The ledger and the program's own
+ * invariants say what went wrong. {@link #play} is for one thread and may be called once.
  */
 public final class FaultSoak implements AutoCloseable {
     /**
-     * What came of one seed; {@code notes}: what is allowed and still worth a look, as failures that the
-     * program gave because the module had not answered in time.
+     * What came of one seed. It has more than seven components as it is one line of the summary.
+     *
+     * @param left requests whose clients closed before a response
+     * @param violations of the rules, and faults of the run itself
+     * @param notes what is allowed and still worth a look, as last-resort responses
      */
     public record Outcome(
             long seed,
@@ -61,7 +63,7 @@
     }
 
     private static final int CLIENTS = 4; // of each process
-    private static final int MOST_REQUESTS = 4_000; // of one client
+    private static final int MAX_REQUESTS = 4_000; // of one client
     private static final int FAULT_THREADS = 32;
     private static final long SETTLE_MILLIS = 500;
     private static final List<String> BUGS = List.of(": invariant violated: ", ": fault ", "Exception");
@@ -72,7 +74,7 @@
     private final SoakPlan plan;
     private final Testbed testbed;
     private final List<SoakTarget> targets = new ArrayList<>();
-    private final List<String> mishaps = new CopyOnWriteArrayList<>();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
     private final ExecutorService clients = Executors.newCachedThreadPool();
     private final ScheduledExecutorService faults = Executors.newScheduledThreadPool(FAULT_THREADS);
     private final AtomicInteger restarts = new AtomicInteger();
@@ -85,25 +87,25 @@
      */
     public FaultSoak(String classPath, long seed, int processes, int seconds) throws InterruptedException {
         plan = SoakPlan.of(seed, processes, TimeUnit.SECONDS.toMicros(seconds));
-        List<ArrivalSchedule.Order> requests = new ArrayList<>();
-        List<Scenario.Kind> kinds = plan.scenario().kinds();
+        List<ArrivalSchedule.ScheduledRequest> requests = new ArrayList<>();
+        List<Scenario.RequestClass> classes = plan.scenario().classes();
         for (int client = 0; client < processes * CLIENTS; client++) {
-            for (int i = 0; i < MOST_REQUESTS; i++) {
-                int kind = i % kinds.size();
-                requests.add(new ArrivalSchedule.Order(
+            for (int i = 0; i < MAX_REQUESTS; i++) {
+                int kind = i % classes.size();
+                requests.add(new ArrivalSchedule.ScheduledRequest(
                         i,
                         SoakClient.id(client, i),
                         0,
                         kind,
                         "k",
-                        kinds.get(kind).work()));
+                        classes.get(kind).workMicros()));
             }
         }
         testbed = new Testbed(classPath, plan.scenario(), requests);
         testbed.countFromLastWatch();
     }
 
-    /** Starts the processes, plays load and faults, and tells what came of it. */
+    /** Starts the processes, plays load and faults, and returns what came of it. */
     public Outcome play() throws IOException, InterruptedException {
         testbed.start(plan.processes());
         testbed.awaitReady();
@@ -111,15 +113,15 @@
             targets.add(new SoakTarget(member));
         }
         long begin = testbed.clock.now();
-        testbed.servers.script(begin);
+        testbed.servers.scheduleFaults(begin);
         for (SoakPlan.ProcessFault fault : plan.faults()) {
-            faults.schedule(() -> befall(fault), fault.at(), TimeUnit.MICROSECONDS);
+            faults.schedule(() -> inject(fault), fault.atMicros(), TimeUnit.MICROSECONDS);
         }
         List<Future<?>> running = new ArrayList<>();
         for (int number = 0; number < plan.processes() * CLIENTS; number++) {
-            SoakClient client = new SoakClient(plan, number, MOST_REQUESTS, testbed, targets, mishaps);
+            SoakClient client = new SoakClient(plan, number, MAX_REQUESTS, testbed, targets, failures);
             running.add(clients.submit(() -> {
-                client.run(begin + plan.lasting());
+                client.run(begin + plan.durationMicros());
                 return null;
             }));
         }
@@ -138,11 +140,11 @@
     }
 
     private Outcome outcome() {
-        List<String> violations = new ArrayList<>(mishaps);
+        List<String> violations = new ArrayList<>(failures);
         testbed.ledger
                 .findings()
                 .forEach(f -> violations.add(
-                        f.breach() + " " + f.order() + ": " + String.join(", ", f.history()) + logged(f.order())));
+                        f.breach() + " " + f.request() + ": " + String.join(", ", f.history()) + logged(f.request())));
         testbed.log().stream()
                 .filter(line -> BUGS.stream().anyMatch(line::contains))
                 .forEach(violations::add);
@@ -150,11 +152,11 @@
         return new Outcome(
                 plan.seed(),
                 plan.processes(),
-                ledger.count(Ledger.Final.SERVED),
-                ledger.count(Ledger.Final.REFUSED),
-                ledger.count(Ledger.Final.FAILED),
-                ledger.count(Ledger.Final.LEFT),
-                ledger.count(Ledger.Final.LOST),
+                ledger.count(Ledger.RequestOutcome.SERVED),
+                ledger.count(Ledger.RequestOutcome.REFUSED),
+                ledger.count(Ledger.RequestOutcome.FAILED),
+                ledger.count(Ledger.RequestOutcome.LEFT),
+                ledger.count(Ledger.RequestOutcome.LOST),
                 violations,
                 notes());
     }
@@ -184,38 +186,38 @@
 
     // ---------------------------------------------------------------- faults of processes
 
-    private void befall(SoakPlan.ProcessFault fault) {
+    private void inject(SoakPlan.ProcessFault fault) {
         SoakTarget target = targets.get(fault.place());
         try {
             switch (fault.kind()) {
-                case HOLD -> hold(target, fault.lasting());
+                case PAUSE -> pause(target, fault.durationMicros());
                 case RELOAD -> reload(target, fault.place());
-                case KILL -> replace(target, fault.place(), true);
-                case TERMINATE -> replace(target, fault.place(), false);
+                case KILL -> replace(target, fault.place(), SoakPlan.Kind.KILL);
+                case TERMINATE -> replace(target, fault.place(), SoakPlan.Kind.TERMINATE);
                 default -> throw new IllegalStateException("no such fault: " + fault);
             }
         } catch (IOException | IllegalStateException e) {
-            mishaps.add("process " + fault.place() + ": " + e.getMessage());
+            failures.add("process " + fault.place() + ": " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void hold(SoakTarget target, long micros) throws IOException, InterruptedException {
-        BalancerMember member = target.beginHold();
+    private void pause(SoakTarget target, long micros) throws IOException, InterruptedException {
+        BalancerMember member = target.beginPause();
         if (member == null) {
-            return; // it is held, or down
+            return; // it is paused, or down
         }
         try {
             member.signal(BalancerMember.Signal.STOP);
             Thread.sleep(TimeUnit.MICROSECONDS.toMillis(micros));
             member.signal(BalancerMember.Signal.CONT);
         } catch (IOException e) {
-            if (target.isUp(member)) { // else it has ended meanwhile, as it was told
+            if (target.isUp(member)) { // otherwise it has been shut down meanwhile
                 throw e;
             }
         } finally {
-            target.endHold(micros);
+            target.endPause(micros);
         }
     }
 
@@ -234,22 +236,22 @@
         }
     }
 
-    private void replace(SoakTarget target, int place, boolean kill) throws IOException, InterruptedException {
-        BalancerMember member = target.beginEnd(kill);
+    private void replace(SoakTarget target, int place, SoakPlan.Kind kind) throws IOException, InterruptedException {
+        BalancerMember member = target.beginEnd(kind);
         if (member == null) {
             return; // it is down already
         }
         restarts.incrementAndGet();
         try {
-            member.signal(kill ? BalancerMember.Signal.KILL : BalancerMember.Signal.TERM);
+            member.signal(kind == SoakPlan.Kind.KILL ? BalancerMember.Signal.KILL : BalancerMember.Signal.TERM);
             int code = member.await();
-            target.ended();
-            if (!kill) {
+            target.terminated();
+            if (kind == SoakPlan.Kind.TERMINATE) {
                 checkEnd(place, member, code);
             }
             BalancerMember next = testbed.restart(place);
             next.awaitReady();
-            target.began(next);
+            target.restarted(next);
         } finally {
             restarts.decrementAndGet();
         }
@@ -257,9 +259,9 @@
 
     private void checkEnd(int place, BalancerMember member, int code) throws InterruptedException {
         if (code != 0) {
-            mishaps.add("process " + place + " ended with code " + code);
+            failures.add("process " + place + " ended with code " + code);
         } else if (!member.line("stopped: ").contains(" 0 unanswered")) {
-            mishaps.add("process " + place + ": " + member.line("stopped: "));
+            failures.add("process " + place + ": " + member.line("stopped: "));
         }
     }
 
--- a/src/testbed/java/loadbalancer/testbed/FleetRun.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetRun.java
@@ -27,76 +27,22 @@
 import loadbalancer.testbed.fleet.LoadSpread;
 
 /**
- * Many processes of the program before stand-in boxes and a discovery, with a load that is uneven by balancer
- * and troubles that befall some: stalled, killed, stopped and started again, by their ids. One ledger over
- * all. {@link #play} is for one thread and may be called once; {@link #close} from any, and it ends every
- * process that was started.
+ * Many processes of the program in front of stand-in servers and a discovery, with a load that is uneven over the
+ * balancers and faults that affect some of them: they are stalled, killed, stopped and restarted, by their
+ * process ids. One ledger covers all of them. {@link #play} is for one thread and may be called once;
+ * {@link #close} may be called from any, and ends every process that was started.
  */
 public final class FleetRun implements AutoCloseable {
-    private static final int WATCHING_S = 60; // until each process has its watch
-    private static final long LEAD = 200_000; // µs
+    private static final int WATCH_TIMEOUT_SECONDS = 60; // until each process has its watch
+    private static final long LEAD_MICROS = 200_000;
     private static final int EXAMPLES = 5;
-    private static final int CONNECTIONS = 20_000; // of clients: thin loads over many balancers rest in many
-
-    /**
-     * What came of it. Times in µs; {@code cpu} of all processes under load, without restarts; {@code queue}:
-     * the most that a box held at any look, ten a second.
-     */
-    public record Result(
-            FleetRunPlan plan,
-            LoadSpread spread,
-            long asked,
-            long served,
-            long refused,
-            long failed,
-            long lost,
-            long unanswered,
-            long connections,
-            long queue,
-            long p50,
-            long p90,
-            long p99,
-            long cpu,
-            long falls,
-            List<String> breaches) {
-        /** Whether the rules were kept, and something was asked. */
-        public boolean isClean() {
-            return asked > 0 && breaches.isEmpty() && falls == 0 && unanswered == 0;
-        }
-
-        /** One line of JSON. */
-        public String json() {
-            Scenario s = plan.scenario();
-            return String.format(
-                    Locale.ROOT,
-                    "{\"name\":\"%s\",\"seed\":%d,\"processes\":%d,\"boxes\":%d,"
-                            + "\"load\":%.2f,\"uneven\":%.2f,%s,\"asked\":%d,\"served\":%d,\"refused\":%d,"
-                            + "\"failed\":%d,"
-                            + "\"lost\":%d,\"unanswered\":%d,\"connections\":%.3f,\"queue\":%d,\"p50\":%d,\"p90\":%d,"
-                            + "\"p99\":%d,\"cpu\":%d,\"falls\":%d,\"breaches\":%d}",
-                    s.name(),
-                    s.seed(),
-                    plan.processes(),
-                    s.boxNames().size(),
-                    1 / s.headroom(),
-                    plan.uneven(),
-                    spread.json(),
-                    asked,
-                    served,
-                    refused,
-                    failed,
-                    lost,
-                    unanswered,
-                    (double) connections / Math.max(1, asked),
-                    queue,
-                    p50,
-                    p90,
-                    p99,
-                    cpu / Math.max(1, asked),
-                    falls,
-                    breaches.size());
-        }
-    }
+    private static final int CLIENT_CONNECTIONS = 20_000; // a thin load over many balancers keeps many idle ones
+    private static final long SEED_MASK = 0xdea1; // the shares draw other numbers than the schedule
+    private static final int FAULT_THREADS = 8;
+    private static final int POLL_MILLIS = 20;
+    private static final int SAMPLE_MILLIS = 100;
+    private static final int SAMPLES_PER_LINE = 10;
+    private static final int CLOSE_MILLIS = 2_000;
 
     private final FleetRunPlan plan;
     private final Scenario scenario;
@@ -106,37 +52,31 @@
     private final Ledger ledger = new Ledger();
     private final RequestCounts counts;
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final EventLoop boxLoop = loops.next();
+    private final EventLoop serverLoop = loops.next();
     private final EventLoop loadLoop = loops.next();
-    private final ScheduledExecutorService hands = Executors.newScheduledThreadPool(8);
-    private final List<ArrivalSchedule.Order> script;
-    private final StandInFleet boxes;
-    private final List<BalancerMember> members = new CopyOnWriteArrayList<>(); // by place: the present ones
+    private final ScheduledExecutorService faultExecutor = Executors.newScheduledThreadPool(FAULT_THREADS);
+    private final List<ArrivalSchedule.ScheduledRequest> schedule;
+    private final StandInFleet servers;
+    private final List<BalancerMember> members = new CopyOnWriteArrayList<>(); // the running ones, by place
     private final List<BalancerMember> former = new CopyOnWriteArrayList<>();
-    private final List<String> mishaps = new CopyOnWriteArrayList<>();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
     private LoadGenerator load;
     private long[] cpuBefore;
     private volatile boolean closed;
 
-    /** {@code classPath}: what holds the program with its tools; {@code out}: how it goes. */
+    /**
+     * @param classPath the classes of the program and the testbed
+     * @param out where progress is printed
+     */
     FleetRun(FleetRunPlan plan, String classPath, PrintStream out) {
         this.plan = plan;
-        Scenario of = plan.scenario();
-        this.scenario = new Scenario(
-                of.name(),
-                of.seed(),
-                of.lasting(),
-                of.rate(),
-                CONNECTIONS,
-                of.cold(),
-                of.boxes(),
-                of.kinds(),
-                of.faults());
+        this.scenario = plan.scenario().withConnections(CLIENT_CONNECTIONS);
         this.classPath = classPath;
         this.out = out;
         this.counts = new RequestCounts(scenario);
-        this.script = ArrivalSchedule.of(scenario);
-        this.boxes = new StandInFleet(scenario, script, boxLoop, clock, ledger, Demo.GRACE + Demo.SLACK);
+        this.schedule = ArrivalSchedule.of(scenario);
+        this.servers = new StandInFleet(
+                scenario, schedule, serverLoop, clock, ledger, Demo.DRAIN_GRACE_MICROS + Demo.RULE_SLACK_MICROS);
     }
 
     /**
@@ -149,25 +89,15 @@
             throws IOException {
         try {
             FleetRunPlan plan = ScenarioReader.fleet(file);
-            Scenario s = plan.scenario();
-            Scenario seeded = new Scenario(
-                    s.name(),
-                    seed < 0 ? s.seed() : seed,
-                    s.lasting(),
-                    s.rate(),
-                    s.connections(),
-                    s.cold(),
-                    s.boxes(),
-                    s.kinds(),
-                    s.faults());
+            Scenario scenario = plan.scenario();
             return new FleetRun(
                     new FleetRunPlan(
-                            seeded,
+                            seed < 0 ? scenario : scenario.withSeed(seed),
                             processes > 0 ? processes : plan.processes(),
                             plan.wave(),
                             plan.uneven(),
-                            plan.settle(),
-                            plan.troubles()),
+                            plan.settleMicros(),
+                            plan.faults()),
                     classPath,
                     out);
         } catch (Problems.Bad e) {
@@ -175,63 +105,83 @@
         }
     }
 
-    /** Starts them all, plays the load and the troubles, and tells what came of it. */
-    public Result play() throws IOException, InterruptedException {
-        boxes.open();
+    /**
+     * Starts all processes, plays the load and the faults, and returns what came of it.
+     *
+     * @throws IOException where a process does not start or does not watch discovery
+     */
+    public FleetRunResult play() throws IOException, InterruptedException {
+        servers.open();
         startAll();
-        Thread.sleep(plan.settle() / 1_000);
+        Thread.sleep(plan.settleMicros() / 1_000);
+        load = createLoad();
+        long connectionsBefore = onServerLoop(servers::connections);
+        cpuBefore = members.stream().mapToLong(BalancerMember::cpuMicros).toArray();
+        CountDownLatch loadDone = new CountDownLatch(1);
+        long begin = clock.now() + LEAD_MICROS;
+        servers.scheduleFaults(begin);
+        load.start(begin, loadDone::countDown);
+        scheduleFaults(begin);
+        long maxQueue = watch(loadDone, begin);
+        return result(connectionsBefore, maxQueue);
+    }
+
+    private LoadGenerator createLoad() throws InterruptedException {
         LoadShares shares = LoadShares.of(plan.processes(), plan.uneven(), scenario.seed());
-        SplittableRandom random = new SplittableRandom(scenario.seed() ^ 0xdea1);
-        int[] dealt = script.stream()
-                .mapToInt(o -> shares.balancer(random.nextDouble()))
+        SplittableRandom random = new SplittableRandom(scenario.seed() ^ SEED_MASK);
+        int[] memberOf = schedule.stream()
+                .mapToInt(request -> shares.balancer(random.nextDouble()))
                 .toArray();
-        List<InetSocketAddress> at = new ArrayList<>();
+        List<InetSocketAddress> addresses = new ArrayList<>();
         for (BalancerMember member : members) {
-            at.add(member.address());
+            addresses.add(member.address());
         }
-        load = new LoadGenerator(scenario, script, loadLoop, clock, ledger, counts, at, order -> dealt[order]);
-        long connections = onBoxes(boxes::connections);
-        cpuBefore = members.stream().mapToLong(BalancerMember::cpuMicros).toArray();
-        CountDownLatch over = new CountDownLatch(1);
-        long begin = clock.now() + LEAD;
-        boxes.script(begin);
-        load.start(begin, over::countDown);
-        troubles(begin);
-        long queue = watch(over, begin);
-        List<StandInFleet.Standing> boxesNow = onBoxes(boxes::standings);
+        return new LoadGenerator(
+                scenario, schedule, loadLoop, clock, ledger, counts, addresses, request -> memberOf[request]);
+    }
+
+    private FleetRunResult result(long connectionsBefore, long maxQueue) throws InterruptedException {
+        List<StandInFleet.ServerStatus> statuses = onServerLoop(servers::serverStatuses);
         LoadSpread spread = LoadSpread.of(
-                boxesNow.stream().mapToLong(StandInFleet.Standing::served).toArray(), boxes.weights());
+                statuses.stream().mapToLong(StandInFleet.ServerStatus::served).toArray(), servers.weights());
         long cpu = 0;
         for (int i = 0; i < members.size(); i++) {
             cpu += Math.max(0, members.get(i).cpuMicros() - cpuBefore[i]);
         }
         RequestCounts.Line all = counts.all();
-        List<String> breaches = new ArrayList<>(mishaps);
-        ledger.findings()
-                .forEach(f -> breaches.add(
-                        RunReport.words(f.breach()) + ": " + f.order() + ": " + String.join(", ", f.history())));
-        return new Result(
+        return new FleetRunResult(
                 plan,
                 spread,
                 all.taken,
                 all.inTime + all.late,
                 all.refused,
                 all.failed,
-                ledger.count(Ledger.Final.LOST),
-                ledger.count(Ledger.Final.NONE),
-                onBoxes(boxes::connections) - connections,
-                queue,
+                ledger.count(Ledger.RequestOutcome.LOST),
+                ledger.count(Ledger.RequestOutcome.NONE),
+                onServerLoop(servers::connections) - connectionsBefore,
+                maxQueue,
                 all.latency.getValueAtPercentile(50),
                 all.latency.getValueAtPercentile(90),
                 all.latency.getValueAtPercentile(99),
                 cpu,
-                boxesNow.stream().mapToLong(StandInFleet.Standing::falls).sum(),
-                breaches);
+                statuses.stream()
+                        .mapToLong(StandInFleet.ServerStatus::collapses)
+                        .sum(),
+                breaches());
+    }
+
+    private List<String> breaches() {
+        List<String> breaches = new ArrayList<>(failures);
+        for (Ledger.Finding finding : ledger.findings()) {
+            breaches.add(RunReport.phrase(finding.breach()) + ": " + finding.request() + ": "
+                    + String.join(", ", finding.history()));
+        }
+        return breaches;
     }
 
     private BalancerMember start(int place) throws IOException {
         BalancerMember member = BalancerMember.start(
-                classPath, BalancerToml.of(scenario, boxes.discoveryAt(), "n" + place, place, plan.processes()));
+                classPath, BalancerToml.of(scenario, servers.discoveryAt(), "n" + place, place, plan.processes()));
         if (closed) {
             member.close();
             throw new IOException("the run has ended");
@@ -240,7 +190,7 @@
     }
 
     private void startAll() throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         while (members.size() < plan.processes()) {
             int from = members.size();
             while (members.size() < Math.min(plan.processes(), from + plan.wave())) {
@@ -254,37 +204,37 @@
                     "%d of %d ready after %.1f s%n",
                     members.size(),
                     plan.processes(),
-                    (System.nanoTime() - begun) / 1e9);
+                    (System.nanoTime() - startedNanos) / 1e9);
         }
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WATCHING_S);
-        while (onBoxes(boxes::watches) < members.size()) {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WATCH_TIMEOUT_SECONDS);
+        while (onServerLoop(servers::watches) < members.size()) {
             if (System.nanoTime() > until) {
-                throw new IOException("not every balancer watches discovery: " + onBoxes(boxes::watches));
+                throw new IOException("not every balancer watches discovery: " + onServerLoop(servers::watches));
             }
-            Thread.sleep(20);
+            Thread.sleep(POLL_MILLIS);
         }
     }
 
-    private <T> T onBoxes(Callable<T> task) throws InterruptedException {
+    private <T> T onServerLoop(Callable<T> task) throws InterruptedException {
         try {
-            return boxLoop.submit(task).get();
+            return serverLoop.submit(task).get();
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause());
         }
     }
 
-    // Returns the most that a box has held.
-    private long watch(CountDownLatch over, long begin) throws InterruptedException {
-        long most = 0;
-        for (int look = 1; !over.await(100, TimeUnit.MILLISECONDS); look++) {
-            List<StandInFleet.Standing> now = onBoxes(boxes::standings);
-            most = Math.max(
-                    most,
+    /** Samples the servers until the load is done; returns the most requests that a server held. */
+    private long watch(CountDownLatch loadDone, long begin) throws InterruptedException {
+        long maxQueue = 0;
+        for (int sample = 1; !loadDone.await(SAMPLE_MILLIS, TimeUnit.MILLISECONDS); sample++) {
+            List<StandInFleet.ServerStatus> now = onServerLoop(servers::serverStatuses);
+            maxQueue = Math.max(
+                    maxQueue,
                     now.stream()
-                            .mapToLong(StandInFleet.Standing::inFlight)
+                            .mapToLong(StandInFleet.ServerStatus::inFlight)
                             .max()
                             .orElse(0));
-            if (look % 10 == 0) {
+            if (sample % SAMPLES_PER_LINE == 0) {
                 RequestCounts.Recent recent = counts.recent();
                 RequestCounts.Line all = counts.all();
                 out.printf(
@@ -299,45 +249,45 @@
                         all.unanswered);
             }
         }
-        return most;
+        return maxQueue;
     }
 
-    // ---------------------------------------------------------------- troubles
+    // ---------------------------------------------------------------- faults of processes
 
-    private void troubles(long begin) {
-        for (Fault trouble : plan.troubles()) {
-            for (int place : trouble.struck(plan.processes(), scenario.seed())) {
-                hands.schedule(
-                        () -> guarded(place, () -> befall(trouble, place)),
-                        Math.max(0, begin + trouble.at() - clock.now()),
+    private void scheduleFaults(long begin) {
+        for (Fault fault : plan.faults()) {
+            for (int place : fault.affected(plan.processes(), scenario.seed())) {
+                faultExecutor.schedule(
+                        () -> guarded(place, () -> inject(fault, place)),
+                        Math.max(0, begin + fault.atMicros() - clock.now()),
                         TimeUnit.MICROSECONDS);
             }
         }
     }
 
-    private interface Deed {
+    private interface FaultAction {
         void run() throws IOException, InterruptedException;
     }
 
-    private void guarded(int place, Deed deed) {
+    private void guarded(int place, FaultAction action) {
         try {
-            deed.run();
+            action.run();
         } catch (IOException | IllegalStateException e) {
             if (!closed) {
-                mishaps.add("n" + place + ": " + e.getMessage());
+                failures.add("n" + place + ": " + e.getMessage());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void befall(Fault trouble, int place) throws IOException, InterruptedException {
+    private void inject(Fault fault, int place) throws IOException, InterruptedException {
         BalancerMember member = members.get(place);
-        switch (trouble.what()) {
+        switch (fault.kind()) {
             case STALL -> {
                 load.broken(place, true);
                 member.signal(BalancerMember.Signal.STOP);
-                after(trouble.lasting(), place, () -> {
+                after(fault.durationMicros(), place, () -> {
                     member.signal(BalancerMember.Signal.CONT);
                     load.broken(place, false);
                 });
@@ -347,26 +297,26 @@
                 load.moved(place, null);
                 member.signal(BalancerMember.Signal.KILL);
                 member.await();
-                after(trouble.lasting(), place, () -> again(place, member));
+                after(fault.durationMicros(), place, () -> restart(place, member));
             }
             case STOP -> {
                 load.moved(place, null);
                 member.signal(BalancerMember.Signal.TERM);
                 int code = member.await();
                 if (code != 0 || !member.line("stopped: ").contains(" 0 unanswered")) {
-                    mishaps.add("n" + place + " ended with code " + code);
+                    failures.add("n" + place + " ended with code " + code);
                 }
-                after(trouble.lasting(), place, () -> again(place, member));
+                after(fault.durationMicros(), place, () -> restart(place, member));
             }
-            default -> throw new IllegalStateException(trouble.toString());
+            default -> throw new IllegalStateException(fault.toString());
         }
     }
 
-    private void after(long micros, int place, Deed deed) {
-        hands.schedule(() -> guarded(place, deed), micros, TimeUnit.MICROSECONDS);
+    private void after(long micros, int place, FaultAction action) {
+        faultExecutor.schedule(() -> guarded(place, action), micros, TimeUnit.MICROSECONDS);
     }
 
-    private void again(int place, BalancerMember before) throws IOException, InterruptedException {
+    private void restart(int place, BalancerMember before) throws IOException, InterruptedException {
         former.add(before);
         BalancerMember next = start(place);
         members.set(place, next);
@@ -379,20 +329,20 @@
     @Override
     public void close() {
         closed = true;
-        hands.shutdownNow();
+        faultExecutor.shutdownNow();
         members.forEach(BalancerMember::close);
         former.forEach(BalancerMember::close);
         if (load != null) {
             load.close();
         }
-        if (!boxLoop.isShuttingDown()) {
-            boxLoop.submit(boxes::close).awaitUninterruptibly(2_000);
+        if (!serverLoop.isShuttingDown()) {
+            serverLoop.submit(servers::close).awaitUninterruptibly(CLOSE_MILLIS);
         }
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Some of what went against the rules. */
-    public static List<String> examples(Result result) {
+    /** The first breaches of a result. */
+    public static List<String> examples(FleetRunResult result) {
         return result.breaches().stream().limit(EXAMPLES).toList();
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/FleetRunPlan.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetRunPlan.java
@@ -4,10 +4,11 @@
 import loadbalancer.testbed.fleet.Fault;
 
 /**
- * A run of many balancers before the boxes of a scenario, whose rate is that of the whole fleet. No I/O.
+ * The plan of a {@link FleetRun}: many balancers in front of the servers of a scenario, whose rate is that of the
+ * whole fleet. Does no I/O.
  *
- * @param wave processes that are started at once; the next ones when these are ready
- * @param uneven of the logarithm of what a balancer gets
- * @param settle µs between the last one's readiness and the load
+ * @param wave processes that are started at the same time; the next wave follows when these are ready
+ * @param uneven standard deviation of the logarithm of a balancer's share of the load; 0: all get the same
+ * @param settleMicros between the last process's readiness and the load
  */
-record FleetRunPlan(Scenario scenario, int processes, int wave, double uneven, long settle, List<Fault> troubles) {}
+record FleetRunPlan(Scenario scenario, int processes, int wave, double uneven, long settleMicros, List<Fault> faults) {}
--- a/src/testbed/java/loadbalancer/testbed/Http3Clients.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Clients.java
@@ -29,37 +29,37 @@
 import loadbalancer.http3.Http3ErrorCodes;
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.FinalFrame;
-import loadbalancer.testbed.Ledger.Final;
+import loadbalancer.testbed.Ledger.RequestOutcome;
 
-/** Clients over HTTP/3: some connections, each with as many streams as it is asked for. On an event loop. */
+/** Clients over HTTP/3: some connections, with a stream for each request. On one event loop. */
 final class Http3Clients {
-    /** One order as the load has it. */
-    interface Asking {
+    /** A request of the load. */
+    interface ClientRequest {
         Http3Headers head();
 
         /** Null where the request has none. */
         byte[] body();
 
-        /** Its request is about to be written. */
-        void asked();
+        /** The request is about to be written. */
+        void recordSent();
 
-        /** What has come of it; {@code text} is the answer's, or null. */
-        void ended(Final how, String text);
+        /** The request has ended; {@code text} is the body of its response, or null. */
+        void ended(RequestOutcome how, String text);
     }
 
-    private static final int FIRST = 20; // requests of each connection before the load
-    private static final long FIRST_S = 10;
+    private static final int WARM_UP_REQUESTS = 20; // requests of each connection before the load
+    private static final long WARM_UP_SECONDS = 10;
 
     private final EventLoop loop;
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
     private final QuicSslContext context;
     private final Connection[] connections;
     private Channel socket;
     private int next;
 
-    Http3Clients(EventLoop loop, InetSocketAddress to, X509Certificate trust, int connections) {
+    Http3Clients(EventLoop loop, InetSocketAddress target, X509Certificate trust, int connections) {
         this.loop = loop;
-        this.to = to;
+        this.target = target;
         this.connections = new Connection[connections];
         context = QuicSslContextBuilder.forClient()
                 .trustManager(trust)
@@ -68,15 +68,15 @@
     }
 
     /**
-     * Opens all connections and asks each of them whether the balancer is ready a few times: what follows
-     * measures a balancer, not a client that is being loaded and compiled. Not for the loop's thread.
+     * Opens all connections and sends some requests over each, so that what follows measures a balancer and not a
+     * client whose classes are being loaded and compiled. Blocks; not for the event loop's thread.
      */
     void open() throws InterruptedException {
         socket = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(Http3.newQuicClientCodecBuilder()
-                        .sslEngineProvider(q -> context.newEngine(q.alloc(), "127.0.0.1", to.getPort()))
+                        .sslEngineProvider(q -> context.newEngine(q.alloc(), "127.0.0.1", target.getPort()))
                         .maxIdleTimeout(30, TimeUnit.SECONDS)
                         .initialMaxData(1 << 22)
                         .initialMaxStreamDataBidirectionalLocal(1 << 17)
@@ -84,22 +84,22 @@
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel();
-        CountDownLatch warm = new CountDownLatch(connections.length * FIRST);
+        CountDownLatch warmedUp = new CountDownLatch(connections.length * WARM_UP_REQUESTS);
         loop.execute(() -> {
             for (int i = 0; i < connections.length; i++) {
-                ask(new First(warm, FIRST));
+                send(new WarmUpRequest(warmedUp, WARM_UP_REQUESTS));
             }
         });
-        warm.await(FIRST_S, TimeUnit.SECONDS);
+        warmedUp.await(WARM_UP_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** One of the first requests of a connection, and those behind it. */
-    private final class First implements Asking {
-        private final CountDownLatch warm;
+    /** A request that warms up the clients, and those that follow it. */
+    private final class WarmUpRequest implements ClientRequest {
+        private final CountDownLatch warmedUp;
         private final int left;
 
-        First(CountDownLatch warm, int left) {
-            this.warm = warm;
+        WarmUpRequest(CountDownLatch warmedUp, int left) {
+            this.warmedUp = warmedUp;
             this.left = left;
         }
 
@@ -114,23 +114,23 @@
         }
 
         @Override
-        public void asked() {}
+        public void recordSent() {}
 
         @Override
-        public void ended(Final how, String text) {
-            warm.countDown();
+        public void ended(RequestOutcome how, String text) {
+            warmedUp.countDown();
             if (left > 1) {
-                loop.execute(() -> ask(new First(warm, left - 1)));
+                loop.execute(() -> send(new WarmUpRequest(warmedUp, left - 1)));
             }
         }
     }
 
-    void ask(Asking asking) {
+    void send(ClientRequest request) {
         int at = next++ % connections.length;
-        if (connections[at] == null || connections[at].over) {
+        if (connections[at] == null || connections[at].closed) {
             connections[at] = new Connection();
         }
-        connections[at].ask(asking);
+        connections[at].send(request);
     }
 
     void close() {
@@ -144,9 +144,9 @@
     }
 
     private final class Connection {
-        private final ArrayDeque<Asking> waiting = new ArrayDeque<>();
+        private final ArrayDeque<ClientRequest> waiting = new ArrayDeque<>();
         private QuicChannel channel;
-        private boolean over;
+        private boolean closed;
 
         Connection() {
             QuicChannel.newBootstrap(socket)
@@ -156,69 +156,69 @@
                             quic.pipeline()
                                     .addLast(new Http3ClientConnectionHandler(
                                             null, null, null, CodecErrors.settings(), true));
-                            quic.closeFuture().addListener(closed -> over = true);
+                            quic.closeFuture().addListener(done -> closed = true);
                         }
                     })
-                    .remoteAddress(to)
+                    .remoteAddress(target)
                     .connect()
                     .addListener(done -> {
                         if (done.isSuccess()) {
                             channel = (QuicChannel) done.getNow();
-                            waiting.forEach(this::send);
+                            waiting.forEach(this::openStream);
                         } else {
-                            over = true;
-                            waiting.forEach(a -> a.ended(Final.NOT_TAKEN, null)); // nobody has seen them
+                            closed = true;
+                            waiting.forEach(a -> a.ended(RequestOutcome.NOT_TAKEN, null)); // no server has seen them
                         }
                         waiting.clear();
                     });
         }
 
-        void ask(Asking asking) {
+        void send(ClientRequest request) {
             if (channel == null) {
-                waiting.add(asking);
+                waiting.add(request);
             } else {
-                send(asking);
+                openStream(request);
             }
         }
 
-        private void send(Asking asking) {
-            Stream stream = new Stream(asking);
+        private void openStream(ClientRequest request) {
+            Stream stream = new Stream(request);
             Http3.newRequestStream(channel, stream).addListener(done -> {
                 if (done.isSuccess()) {
                     stream.write((QuicStreamChannel) done.getNow());
                 } else {
-                    stream.end(Final.NOT_TAKEN, null);
+                    stream.end(RequestOutcome.NOT_TAKEN, null);
                 }
             });
         }
     }
 
     private static final class Stream extends Http3RequestStreamInboundHandler {
-        private final Asking asking;
+        private final ClientRequest request;
         private final StringBuilder text = new StringBuilder();
         private String status;
         private boolean ended;
 
-        Stream(Asking asking) {
-            this.asking = asking;
+        Stream(ClientRequest request) {
+            this.request = request;
         }
 
         void write(QuicStreamChannel stream) {
-            asking.asked();
+            request.recordSent();
             FinalFrame last = new FinalFrame();
             stream.pipeline().addFirst(last);
             last.last();
-            stream.write(new DefaultHttp3HeadersFrame(asking.head()));
-            if (asking.body() != null) {
-                stream.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(asking.body())));
+            stream.write(new DefaultHttp3HeadersFrame(request.head()));
+            if (request.body() != null) {
+                stream.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(request.body())));
             }
             stream.flush();
         }
 
-        void end(Final how, String body) {
+        void end(RequestOutcome how, String body) {
             if (!ended) {
                 ended = true;
-                asking.ended(how, body);
+                request.ended(how, body);
             }
         }
 
@@ -237,28 +237,32 @@
         protected void channelInputClosed(ChannelHandlerContext context) {
             end(
                     status == null
-                            ? Final.NONE
+                            ? RequestOutcome.NONE
                             : switch (status) {
-                                case "200" -> Final.SERVED;
-                                case "503", "429" -> Final.REFUSED;
-                                default -> status.startsWith("4") ? Final.NOT_TAKEN : Final.FAILED;
+                                case "200" -> RequestOutcome.SERVED;
+                                case "503", "429" -> RequestOutcome.REFUSED;
+                                default -> status.startsWith("4") ? RequestOutcome.NOT_TAKEN : RequestOutcome.FAILED;
                             },
                     text.toString());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Rejected is a promise that nobody has looked at it (RFC 9114, section 4.1.1).
-            end(CodecErrors.code(cause) == Http3ErrorCodes.REQUEST_REJECTED ? Final.NOT_TAKEN : Final.NONE, null);
+            // H3_REQUEST_REJECTED promises that the request was not processed (RFC 9114, section 4.1.1).
+            end(
+                    CodecErrors.code(cause) == Http3ErrorCodes.REQUEST_REJECTED
+                            ? RequestOutcome.NOT_TAKEN
+                            : RequestOutcome.NONE,
+                    null);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            end(Final.NONE, null);
+            end(RequestOutcome.NONE, null);
         }
     }
 
-    /** A head with the fields of an order, lower case as HTTP/3 wants it. */
+    /** The header section of a request, with the pseudo-header fields only. */
     static Http3Headers head(String method, String path) {
         return new DefaultHttp3Headers(false)
                 .method(method)
--- a/src/testbed/java/loadbalancer/testbed/Http3Run.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Run.java
@@ -7,7 +7,7 @@
 import loadbalancer.http3.TlsIdentity;
 
 /**
- * HTTP/3 in a run: the certificate of balancer and boxes, made for it, and the path between clients and
+ * HTTP/3 in a run: the certificate of balancer and servers, made for it, and the path between clients and
  * balancer with its faults. For the thread of the run.
  */
 public final class Http3Run implements AutoCloseable {
--- a/src/testbed/java/loadbalancer/testbed/Http3Testbed.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3StandInListener.java
@@ -29,84 +29,90 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Function;
 import loadbalancer.http3.TlsIdentity;
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.FinalFrame;
 import loadbalancer.proxy.Clock;
 
 /** The HTTP/3 side of a {@link StandInServer}: each request is a {@link ServerExchange}. On its event loop. */
-final class Http3Testbed {
-    private static final int STREAMS = 200;
-    private static final int INTERNAL_ERROR = 0x102;
+final class Http3StandInListener {
+    private static final int MAX_STREAMS = 200;
+    private static final int IDLE_SECONDS = 30;
+    private static final int CONNECTION_WINDOW_BYTES = 1 << 22;
+    private static final int STREAM_WINDOW_BYTES = 1 << 17;
+    private static final int INTERNAL_ERROR = 0x102; // H3_INTERNAL_ERROR, RFC 9114, section 8.1
 
     private final EventLoop loop;
     private final Clock clock;
-    private final StandInServer taker;
+    private final StandInServer server;
     private final QuicSslContext context;
     private final Set<QuicChannel> connections = new HashSet<>();
     private Channel socket;
     private InetSocketAddress address;
 
-    Http3Testbed(EventLoop loop, Clock clock, TlsIdentity identity, StandInServer taker) {
+    Http3StandInListener(EventLoop loop, Clock clock, TlsIdentity identity, StandInServer server) {
         this.loop = loop;
         this.clock = clock;
-        this.taker = taker;
+        this.server = server;
         context = QuicSslContextBuilder.forServer(
                         identity.key(), null, identity.chain().toArray(X509Certificate[]::new))
                 .applicationProtocols(Http3.supportedApplicationProtocols())
                 .build();
     }
 
+    /** Where it listens; null before the first {@link #open}. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Listens, at the address that it had before if it had one. */
+    /** Listens, at the address that it had before if it had one. May be called from any thread. */
     ChannelFuture open() {
         return new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(Http3.newQuicServerCodecBuilder()
                         .sslContext(context)
-                        .maxIdleTimeout(30, TimeUnit.SECONDS)
-                        .initialMaxData(1 << 22)
-                        .initialMaxStreamDataBidirectionalRemote(1 << 17)
-                        .initialMaxStreamsBidirectional(STREAMS)
+                        .maxIdleTimeout(IDLE_SECONDS, TimeUnit.SECONDS)
+                        .initialMaxData(CONNECTION_WINDOW_BYTES)
+                        .initialMaxStreamDataBidirectionalRemote(STREAM_WINDOW_BYTES)
+                        .initialMaxStreamsBidirectional(MAX_STREAMS)
                         .handler(new ChannelInitializer<QuicChannel>() {
                             @Override
                             protected void initChannel(QuicChannel channel) {
-                                connections.add(channel);
-                                channel.closeFuture().addListener(closed -> connections.remove(channel));
-                                channel.pipeline()
-                                        .addLast(new Http3ServerConnectionHandler(
-                                                new ChannelInitializer<QuicStreamChannel>() {
-                                                    @Override
-                                                    protected void initChannel(QuicStreamChannel stream) {
-                                                        Stream line = new Stream(stream);
-                                                        stream.closeFuture().addListener(closed -> taker.gone(line));
-                                                        stream.pipeline()
-                                                                .addFirst(line.last)
-                                                                .addLast(line);
-                                                    }
-                                                },
-                                                null,
-                                                null,
-                                                CodecErrors.settings(),
-                                                true));
+                                accept(channel);
                             }
                         })
                         .build())
                 .bind(address == null ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : address)
-                .addListener((ChannelFuture done) -> {
-                    if (done.isSuccess()) {
-                        socket = done.channel();
+                .addListener((ChannelFuture bound) -> {
+                    if (bound.isSuccess()) {
+                        socket = bound.channel();
                         address = (InetSocketAddress) socket.localAddress();
                     }
                 });
     }
 
-    /** The process dies: its connections go unsaid with its socket. */
+    private void accept(QuicChannel connection) {
+        connections.add(connection);
+        connection.closeFuture().addListener(closed -> connections.remove(connection));
+        var streams = new ChannelInitializer<QuicStreamChannel>() {
+            @Override
+            protected void initChannel(QuicStreamChannel channel) {
+                accept(channel);
+            }
+        };
+        connection
+                .pipeline()
+                .addLast(new Http3ServerConnectionHandler(streams, null, null, CodecErrors.settings(), true));
+    }
+
+    private void accept(QuicStreamChannel channel) {
+        Stream stream = new Stream(channel);
+        channel.closeFuture().addListener(closed -> server.clientClosed(stream));
+        channel.pipeline().addFirst(stream.finalFrame).addLast(stream);
+    }
+
+    /** Ends it as if its process were killed: its connections end with its socket, without a CONNECTION_CLOSE. */
     void kill() {
         if (socket != null) {
             socket.close();
@@ -115,11 +121,12 @@
         connections.clear();
     }
 
+    /** One request stream. */
     private final class Stream extends Http3RequestStreamInboundHandler implements ServerExchange {
         private final QuicStreamChannel stream;
-        private final FinalFrame last = new FinalFrame();
+        private final FinalFrame finalFrame = new FinalFrame();
         private Http3Headers head;
-        private long begunAt;
+        private long firstByteAt;
 
         Stream(QuicStreamChannel stream) {
             this.stream = stream;
@@ -129,7 +136,7 @@
         protected void channelRead(ChannelHandlerContext context, Http3HeadersFrame frame) {
             if (head == null) {
                 head = frame.headers();
-                begunAt = clock.now();
+                firstByteAt = clock.now();
             }
         }
 
@@ -141,27 +148,30 @@
         @Override
         protected void channelInputClosed(ChannelHandlerContext context) {
             if (head != null) {
-                Function<String, String> field =
-                        n -> head.get(n) == null ? null : head.get(n).toString();
-                taker.take(
+                server.handle(
                         this,
-                        field.apply("req-id"),
-                        field.apply(":path"),
-                        String.valueOf(field.apply("idempotency-key")),
-                        begunAt);
+                        header("req-id"),
+                        header(":path"),
+                        String.valueOf(header("idempotency-key")),
+                        firstByteAt);
             }
         }
 
+        private String header(String name) {
+            CharSequence value = head.get(name);
+            return value == null ? null : value.toString();
+        }
+
         @Override
-        public void answer(int status, String text, boolean unseen) {
+        public void respond(int status, String text, Execution execution) {
             Http3Headers out = new DefaultHttp3Headers(false);
             out.status(Integer.toString(status))
                     .add("content-length", Integer.toString(text.length()))
-                    .add("srv-load", "TEXT inflight=" + taker.load());
-            if (unseen) {
+                    .add("srv-load", "TEXT inflight=" + server.inFlight());
+            if (execution == Execution.DECLINED) {
                 out.add("srv-declined", "1");
             }
-            last.last();
+            finalFrame.last();
             stream.write(new DefaultHttp3HeadersFrame(out));
             stream.writeAndFlush(new DefaultHttp3DataFrame(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII)));
         }
--- a/src/testbed/java/loadbalancer/testbed/IdempotencyKeys.java
+++ b/src/testbed/java/loadbalancer/testbed/IdempotencyKeys.java
@@ -3,22 +3,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What boxes of one cell remember together: the keys whose effect has happened, each for its window. */
+/** The idempotency keys that the servers of one cell remember together, each for its time to live. Does no I/O. */
 final class IdempotencyKeys {
-    private final Map<String, Long> until = new HashMap<>();
-    private long swept;
+    private static final long SWEEP_INTERVAL_MICROS = 1_000_000;
 
-    /** Whether this is the key's first use within its window; it is remembered from then on. */
-    boolean first(String key, long window, long now) {
-        if (now - swept > 1_000_000) {
-            swept = now;
-            until.values().removeIf(end -> end <= now);
+    private final Map<String, Long> expiresAt = new HashMap<>();
+    private long lastSweptAt;
+
+    /** Whether this is the first use of the key within its time to live; from then on it is remembered. */
+    boolean firstUse(String key, long ttlMicros, long now) {
+        if (now - lastSweptAt > SWEEP_INTERVAL_MICROS) {
+            lastSweptAt = now;
+            expiresAt.values().removeIf(end -> end <= now);
         }
-        Long end = until.get(key);
+        Long end = expiresAt.get(key);
         if (end != null && end > now) {
             return false;
         }
-        until.put(key, now + window);
+        expiresAt.put(key, now + ttlMicros);
         return true;
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/Ledger.java
+++ b/src/testbed/java/loadbalancer/testbed/Ledger.java
@@ -7,25 +7,25 @@
 import loadbalancer.policy.Policy;
 
 /**
- * The one book of all orders: when each was asked, where its work began, and which final answers came. Every
- * front's client and every kind of box writes here, so that what was booked twice, promised falsely or never
- * answered shows, with its history. Does no I/O; all of it may be called from any thread.
+ * The record of all requests of a run: when each was sent, where its execution started, and how it ended. All
+ * clients and all stand-in servers write to it, so that a request that was executed twice, refused after its
+ * execution or never answered is found, with its history. Does no I/O; may be called from any thread.
  */
 final class Ledger {
-    /** What a client got. */
-    enum Final {
+    /** How a request ended for its client. The names appear in histories. */
+    enum RequestOutcome {
         SERVED,
         REFUSED,
         FAILED,
         NOT_TAKEN,
         NONE,
-        /** None, because its balancer was killed, or stood still for its time, by the run's own script. */
+        /** No response, because the run itself killed its balancer or stalled it for too long. */
         LOST,
-        /** None, because it closed its connection before it came: nothing is owed. */
+        /** No response, because the client closed its connection before: none was pending any more. */
         LEFT
     }
 
-    /** What goes against the rules. */
+    /** Ways to break the rules. The names appear in reports. */
     enum Breach {
         BOOKED_TWICE,
         REFUSED_AFTER_IT_RAN,
@@ -37,19 +37,19 @@
         SENT_AFTER_CLOSE
     }
 
-    /** µs after a client's close until which a request may still be sent on. */
+    /** µs after a client's close within which its request may still be forwarded. */
     static final long CLOSE_GRACE = 100_000;
 
-    /** A breach, the order it concerns and all that was noted of it. */
-    record Finding(Breach breach, String order, List<String> history) {}
+    /** A breach, the request that it concerns, and the history of that request. */
+    record Finding(Breach breach, String request, List<String> history) {}
 
     private static final class Entry {
         final Policy.Effect effect;
         final List<String> history = new ArrayList<>(4);
-        int runs;
+        int executions;
         int effects;
-        int finals;
-        Final last = Final.NONE;
+        int outcomes;
+        RequestOutcome lastOutcome = RequestOutcome.NONE;
         long leftAt = Long.MAX_VALUE;
 
         Entry(Policy.Effect effect) {
@@ -59,102 +59,106 @@
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final List<Finding> findings = new ArrayList<>();
-    private final long[] finals = new long[Final.values().length];
-    private long runs;
+    private final long[] outcomes = new long[RequestOutcome.values().length];
+    private long executions;
     private long repeats;
 
-    /** An order is sent to the balancer. */
-    synchronized void asked(String order, Policy.Effect effect, long at) {
+    /** A client sends a request. */
+    synchronized void recordSent(String request, Policy.Effect effect, long at) {
         Entry entry = new Entry(effect);
         entry.history.add(at + " asked, " + effect);
-        entries.put(order, entry);
+        entries.put(request, entry);
     }
 
-    /** A box begins its work; {@code effect} is false where its cell knows the key and drops the repeat. */
-    synchronized void ran(String order, String box, boolean effect, long at) {
-        runs++;
-        Entry entry = entries.get(order);
+    /**
+     * A server starts to execute a request.
+     *
+     * @param effect false where its cell knows the idempotency key and drops the repeat
+     */
+    synchronized void recordExecution(String request, String server, boolean effect, long at) {
+        executions++;
+        Entry entry = entries.get(request);
         if (entry == null) {
             findings.add(new Finding(
-                    Breach.BOOKED_TWICE, order, List.of(at + " ran on " + box + ", and nobody asked for it")));
+                    Breach.BOOKED_TWICE, request, List.of(at + " ran on " + server + ", and nobody asked for it")));
             return;
         }
-        entry.runs++;
-        entry.history.add(at + (effect ? " booked on " : " dropped as a repeat on ") + box);
+        entry.executions++;
+        entry.history.add(at + (effect ? " booked on " : " dropped as a repeat on ") + server);
         if (effect) {
             entry.effects++;
         } else {
             repeats++;
         }
         if (entry.effect != Policy.Effect.SAFE && entry.effects > 1 && effect) {
-            find(Breach.BOOKED_TWICE, order, entry);
+            addFinding(Breach.BOOKED_TWICE, request, entry);
         }
-        if (entry.last == Final.REFUSED && entry.effect != Policy.Effect.SAFE) {
-            find(Breach.REFUSED_AFTER_IT_RAN, order, entry);
+        if (entry.lastOutcome == RequestOutcome.REFUSED && entry.effect != Policy.Effect.SAFE) {
+            addFinding(Breach.REFUSED_AFTER_IT_RAN, request, entry);
         }
     }
 
-    /** Its client has closed its connection before any response; that is its end. */
-    synchronized void left(String order, long at) {
-        Entry entry = entries.get(order);
+    /** The client of a request has closed its connection before any response, which ends the request. */
+    synchronized void recordClientClose(String request, long at) {
+        Entry entry = entries.get(request);
         entry.leftAt = at;
-        answered(order, Final.LEFT, at);
+        recordOutcome(request, RequestOutcome.LEFT, at);
     }
 
     /**
-     * A whole request has reached a server.
+     * A complete request has reached a server.
      *
-     * @param slack µs by which {@code at} may be later than it was sent: those of the rules, and the delay of
-     *     whoever noted it
+     * @param slack µs by which {@code at} may be later than the request was sent: those of the rules, and the
+     *     lag of the event loop that read it
      */
-    synchronized void reached(String order, String server, long slack, long at) {
-        Entry entry = entries.get(order);
+    synchronized void recordArrival(String request, String server, long slack, long at) {
+        Entry entry = entries.get(request);
         if (entry == null) {
             return;
         }
         entry.history.add(at + " reached " + server);
         if (at - entry.leftAt > CLOSE_GRACE + slack) {
-            find(Breach.SENT_AFTER_CLOSE, order, entry);
+            addFinding(Breach.SENT_AFTER_CLOSE, request, entry);
         }
     }
 
-    /** A note for its history that is no breach by itself. */
-    synchronized void note(String order, String what, long at) {
-        Entry entry = entries.get(order);
+    /** Adds to the history of a request what is no breach by itself. */
+    synchronized void note(String request, String what, long at) {
+        Entry entry = entries.get(request);
         if (entry != null) {
             entry.history.add(at + " " + what);
         }
     }
 
-    /** A client has its final answer, or none in time. */
-    synchronized void answered(String order, Final what, long at) {
-        Entry entry = entries.get(order);
-        finals[what.ordinal()]++;
+    /** A client has its final response, or got none in time. */
+    synchronized void recordOutcome(String request, RequestOutcome what, long at) {
+        Entry entry = entries.get(request);
+        outcomes[what.ordinal()]++;
         entry.history.add(at + " " + what);
-        entry.finals++;
-        entry.last = what;
-        if (entry.finals > 1) {
-            find(Breach.ANSWERED_TWICE, order, entry);
-        } else if (what == Final.NONE) {
-            find(Breach.UNANSWERED, order, entry);
-        } else if (what == Final.SERVED && entry.runs == 0) {
-            find(Breach.SERVED_UNBOOKED, order, entry);
-        } else if (what == Final.REFUSED && entry.effect != Policy.Effect.SAFE && entry.effects > 0) {
-            find(Breach.REFUSED_AFTER_IT_RAN, order, entry);
+        entry.outcomes++;
+        entry.lastOutcome = what;
+        if (entry.outcomes > 1) {
+            addFinding(Breach.ANSWERED_TWICE, request, entry);
+        } else if (what == RequestOutcome.NONE) {
+            addFinding(Breach.UNANSWERED, request, entry);
+        } else if (what == RequestOutcome.SERVED && entry.executions == 0) {
+            addFinding(Breach.SERVED_UNBOOKED, request, entry);
+        } else if (what == RequestOutcome.REFUSED && entry.effect != Policy.Effect.SAFE && entry.effects > 0) {
+            addFinding(Breach.REFUSED_AFTER_IT_RAN, request, entry);
         }
     }
 
-    /** A request reached a box that had been drained for longer than the rules allow. */
-    synchronized void sentAfterDrain(String order, String box, long late, long at) {
-        Entry entry = entries.get(order);
+    /** A request has reached a server {@code late} µs after the grace of its drain. */
+    synchronized void recordSendAfterDrain(String request, String server, long late, long at) {
+        Entry entry = entries.get(request);
         if (entry != null) {
-            entry.history.add(at + " sent to " + box + ", " + late / 1000 + " ms after the grace of its drain");
-            find(Breach.SENT_AFTER_DRAIN, order, entry);
+            entry.history.add(at + " sent to " + server + ", " + late / 1000 + " ms after the grace of its drain");
+            addFinding(Breach.SENT_AFTER_DRAIN, request, entry);
         }
     }
 
-    private void find(Breach breach, String order, Entry entry) {
-        findings.add(new Finding(breach, order, List.copyOf(entry.history)));
+    private void addFinding(Breach breach, String request, Entry entry) {
+        findings.add(new Finding(breach, request, List.copyOf(entry.history)));
     }
 
     synchronized List<Finding> findings() {
@@ -165,17 +169,25 @@
         return findings.stream().filter(f -> f.breach() == breach).count();
     }
 
-    synchronized long count(Final what) {
-        return finals[what.ordinal()];
+    synchronized long count(RequestOutcome what) {
+        return outcomes[what.ordinal()];
     }
 
-    /** Begun by boxes, and of these dropped as repeats. */
-    synchronized long[] runs() {
-        return new long[] {runs, repeats};
+    /**
+     * What servers executed.
+     *
+     * @param started executions that began, the repeats included
+     * @param repeats those that were dropped as their idempotency key was known
+     */
+    record Executions(long started, long repeats) {}
+
+    synchronized Executions executions() {
+        return new Executions(executions, repeats);
     }
 
-    synchronized List<String> history(String order) {
-        Entry entry = entries.get(order);
+    /** All that was noted of a request so far. */
+    synchronized List<String> history(String request) {
+        Entry entry = entries.get(request);
         return entry == null ? List.of() : List.copyOf(entry.history);
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/LoadGenerator.java
+++ b/src/testbed/java/loadbalancer/testbed/LoadGenerator.java
@@ -30,98 +30,97 @@
 import java.util.function.IntUnaryOperator;
 import loadbalancer.policy.Policy;
 import loadbalancer.proxy.Clock;
-import loadbalancer.testbed.Ledger.Final;
+import loadbalancer.testbed.Ledger.RequestOutcome;
 
 /**
- * Clients over HTTP/1.1 with open arrivals: each order is asked at its time, however the ones before it fare,
- * and its latency counts from that time, so that a stall is not left out of the figures. Where there are
- * several
- * addresses they are taken in turn. On one event loop.
+ * Clients over HTTP/1.1 with open arrivals: each request is sent when it is due, whatever became of the ones
+ * before, and its latency counts from that time, so that a stall is not left out of the figures (coordinated
+ * omission). Several addresses are used in rotation unless the caller says otherwise. On one event loop.
  */
 final class LoadGenerator {
     /**
-     * µs beyond an order's deadline after which its client has waited in vain: more than a noisy machine's.
+     * µs beyond a request's deadline after which its client gives up: more than the delays of a busy machine.
      */
-    static final long PATIENCE = 500_000;
+    static final long CLIENT_TIMEOUT_MICROS = 500_000;
 
-    private static final int BODY = 200;
+    private static final int BODY_BYTES = 200;
 
     private final Scenario scenario;
-    private final List<ArrivalSchedule.Order> script;
+    private final List<ArrivalSchedule.ScheduledRequest> schedule;
     private final EventLoop loop;
     private final Clock clock;
     private final Ledger ledger;
     private final RequestCounts counts;
-    private final List<InetSocketAddress> to; // null: nobody asks there for now
-    private final IntUnaryOperator dealt; // the place among these of an order, by its number
-    private final long[] brokenUntil; // what is there is dead or stands still, or was
+    private final List<InetSocketAddress> targets; // null: no requests there for now
+    private final IntUnaryOperator targetOf; // the index among these for the number of a request
+    private final long[] brokenUntil; // until when each target is, or was, killed or stalled
     private final List<ArrayDeque<Connection>> idle = new ArrayList<>();
-    private final ArrayDeque<Asking> waiting = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
     private final Set<Connection> connections = new HashSet<>();
-    private long begun;
+    private long startedAt;
     private int next;
-    private int open;
+    private int openRequests;
     private boolean stopped;
-    private Runnable then;
+    private Runnable onDone;
     private Http3Clients http3; // null where all clients speak HTTP/1.1
 
     LoadGenerator(
             Scenario scenario,
-            List<ArrivalSchedule.Order> script,
+            List<ArrivalSchedule.ScheduledRequest> schedule,
             EventLoop loop,
             Clock clock,
             Ledger ledger,
             RequestCounts counts,
-            List<InetSocketAddress> to) {
-        this(scenario, script, loop, clock, ledger, counts, to, order -> order % to.size());
+            List<InetSocketAddress> targets) {
+        this(scenario, schedule, loop, clock, ledger, counts, targets, request -> request % targets.size());
     }
 
     LoadGenerator(
             Scenario scenario,
-            List<ArrivalSchedule.Order> script,
+            List<ArrivalSchedule.ScheduledRequest> schedule,
             EventLoop loop,
             Clock clock,
             Ledger ledger,
             RequestCounts counts,
-            List<InetSocketAddress> to,
-            IntUnaryOperator dealt) {
-        this.dealt = dealt;
-        this.brokenUntil = new long[to.size()];
+            List<InetSocketAddress> targets,
+            IntUnaryOperator targetOf) {
+        this.targetOf = targetOf;
+        this.brokenUntil = new long[targets.size()];
         this.scenario = scenario;
-        this.script = script;
+        this.schedule = schedule;
         this.loop = loop;
         this.clock = clock;
         this.ledger = ledger;
         this.counts = counts;
-        this.to = new ArrayList<>(to);
-        to.forEach(t -> idle.add(new ArrayDeque<>()));
+        this.targets = new ArrayList<>(targets);
+        targets.forEach(t -> idle.add(new ArrayDeque<>()));
     }
 
-    /** Begins at {@code at}; {@code whenDone} runs on the loop once every order has its end. */
+    /** Starts the load at {@code at} (µs); {@code whenDone} runs on the loop once every request has ended. */
     void start(long at, Runnable whenDone) {
         loop.execute(() -> {
-            begun = at;
-            then = whenDone;
-            step();
+            startedAt = at;
+            onDone = whenDone;
+            sendDue();
         });
     }
 
-    /** Every second order is asked over HTTP/3, by these; before the start. */
+    /** Sends every second request over HTTP/3, by these clients; before the start. */
     void through(Http3Clients clients) {
         http3 = clients;
     }
 
-    /** That place is another address from here on; null: nobody asks there. */
+    /** Replaces the address of a target; null: no requests are sent to it. */
     void moved(int place, InetSocketAddress address) {
-        loop.execute(() -> to.set(place, address));
+        loop.execute(() -> targets.set(place, address));
     }
 
-    /** What is there is killed or stalled, or goes on: no answer in between is not its fault. */
+    /** A target is killed or stalled by the run, or works again: missing responses in between are its doing. */
     void broken(int place, boolean on) {
         loop.execute(() -> brokenUntil[place] = on ? Long.MAX_VALUE : clock.now());
     }
 
-    /** Asks nothing more; what is open goes on to its end. */
+    /** Sends no more requests; open ones go on to their end. */
     void stop() {
         loop.execute(() -> {
             stopped = true;
@@ -136,55 +135,60 @@
         }
     }
 
-    private void step() {
+    private void sendDue() {
         long now = clock.now();
-        while (!stopped && next < script.size() && begun + script.get(next).at() <= now) {
-            open++;
-            send(new Asking(script.get(next++)));
+        while (!stopped
+                && next < schedule.size()
+                && startedAt + schedule.get(next).atMicros() <= now) {
+            openRequests++;
+            send(new PendingRequest(schedule.get(next++)));
         }
-        if (!stopped && next < script.size()) {
-            loop.schedule(this::step, Math.max(1, begun + script.get(next).at() - clock.now()), TimeUnit.MICROSECONDS);
+        if (!stopped && next < schedule.size()) {
+            loop.schedule(
+                    this::sendDue,
+                    Math.max(1, startedAt + schedule.get(next).atMicros() - clock.now()),
+                    TimeUnit.MICROSECONDS);
         } else {
             ended();
         }
     }
 
     private void ended() {
-        if (open == 0 && (stopped || next >= script.size()) && then != null) {
-            Runnable once = then;
-            then = null;
+        if (openRequests == 0 && (stopped || next >= schedule.size()) && onDone != null) {
+            Runnable once = onDone;
+            onDone = null;
             once.run();
         }
     }
 
-    private void send(Asking asking) {
-        if (http3 != null && asking.order.number() % 2 == 1) {
-            http3.ask(asking);
+    private void send(PendingRequest pending) {
+        if (http3 != null && pending.request.number() % 2 == 1) {
+            http3.send(pending);
             return;
         }
-        int target = dealt.applyAsInt(asking.order.number());
-        for (int i = 0; to.get(target) == null && i < to.size(); i++) {
-            target = (target + 1) % to.size(); // clients know of those that are away
+        int target = targetOf.applyAsInt(pending.request.number());
+        for (int i = 0; targets.get(target) == null && i < targets.size(); i++) {
+            target = (target + 1) % targets.size(); // clients know which targets are down
         }
-        if (to.get(target) == null) {
-            asking.end(Final.NOT_TAKEN);
+        if (targets.get(target) == null) {
+            pending.end(RequestOutcome.NOT_TAKEN);
             return;
         }
-        asking.target = target;
+        pending.target = target;
         Connection connection = idle.get(target).pollLast();
         if (connection != null && connection.channel.isActive()) {
             connection.reused = true;
-            connection.ask(asking);
+            connection.send(pending);
         } else if (connection != null) {
-            send(asking);
+            send(pending);
         } else if (connections.size() < scenario.connections()) {
-            dial(asking, target);
+            dial(pending, target);
         } else {
-            waiting.add(asking);
+            waiting.add(pending);
         }
     }
 
-    private void dial(Asking asking, int target) {
+    private void dial(PendingRequest pending, int target) {
         Connection connection = new Connection(target);
         connections.add(connection);
         new Bootstrap()
@@ -199,120 +203,121 @@
                                 .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17), connection);
                     }
                 })
-                .connect(to.get(target))
+                .connect(targets.get(target))
                 .addListener((io.netty.channel.ChannelFuture done) -> {
                     connection.channel = done.channel();
                     if (done.isSuccess()) {
-                        connection.ask(asking);
+                        connection.send(pending);
                     } else {
                         connections.remove(connection);
-                        asking.end(Final.NOT_TAKEN); // nobody has seen it
+                        pending.end(RequestOutcome.NOT_TAKEN); // no server has seen it
                     }
                 });
     }
 
-    private final class Asking implements Http3Clients.Asking {
-        final ArrivalSchedule.Order order;
-        final Scenario.Kind kind;
-        boolean again;
-        boolean over;
+    private final class PendingRequest implements Http3Clients.ClientRequest {
+        final ArrivalSchedule.ScheduledRequest request;
+        final Scenario.RequestClass requestClass;
+        boolean retried;
+        boolean completed;
         int target;
-        Future<?> patience;
+        Future<?> timeout;
 
-        Asking(ArrivalSchedule.Order order) {
-            this.order = order;
-            this.kind = scenario.kinds().get(order.kind());
+        PendingRequest(ArrivalSchedule.ScheduledRequest request) {
+            this.request = request;
+            this.requestClass = scenario.classes().get(request.classIndex());
         }
 
-        long due() {
-            return begun + order.at();
+        long dueAt() {
+            return startedAt + request.atMicros();
         }
 
         DefaultFullHttpRequest message() {
-            boolean safe = kind.effect() == Policy.Effect.SAFE;
+            boolean safe = requestClass.effect() == Policy.Effect.SAFE;
             DefaultFullHttpRequest message = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/" + order.key(),
-                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY]));
-            long left = Math.max(1, (due() + kind.deadline() - clock.now()) / 1000);
+                    "/api/" + request.key(),
+                    safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[BODY_BYTES]));
+            long remainingMillis = Math.max(1, (dueAt() + requestClass.deadlineMicros() - clock.now()) / 1000);
             message.headers()
                     .set("Host", "boxes.local")
-                    .set("Req-Id", order.id())
-                    .set("Req-Kind", kind.name())
-                    .set("Req-Deadline-Ms", Long.toString(left))
-                    .set("Req-Cost", Long.toString(order.work()));
-            if (kind.effect() == Policy.Effect.KEYED) {
-                message.headers().set("Idempotency-Key", order.key());
+                    .set("Req-Id", request.id())
+                    .set("Req-Kind", requestClass.name())
+                    .set("Req-Deadline-Ms", Long.toString(remainingMillis))
+                    .set("Req-Cost", Long.toString(request.workMicros()));
+            if (requestClass.effect() == Policy.Effect.KEYED) {
+                message.headers().set("Idempotency-Key", request.key());
             }
             if (!safe) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY);
+                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY_BYTES);
             }
             return message;
         }
 
         @Override
         public Http3Headers head() {
-            boolean safe = kind.effect() == Policy.Effect.SAFE;
-            Http3Headers head = Http3Clients.head(safe ? "GET" : "POST", "/api/" + order.key());
-            long left = Math.max(1, (due() + kind.deadline() - clock.now()) / 1000);
-            head.add("req-id", order.id())
-                    .add("req-kind", kind.name())
-                    .add("req-deadline-ms", Long.toString(left))
-                    .add("req-cost", Long.toString(order.work()));
-            if (kind.effect() == Policy.Effect.KEYED) {
-                head.add("idempotency-key", order.key());
+            boolean safe = requestClass.effect() == Policy.Effect.SAFE;
+            Http3Headers head = Http3Clients.head(safe ? "GET" : "POST", "/api/" + request.key());
+            long remainingMillis = Math.max(1, (dueAt() + requestClass.deadlineMicros() - clock.now()) / 1000);
+            head.add("req-id", request.id())
+                    .add("req-kind", requestClass.name())
+                    .add("req-deadline-ms", Long.toString(remainingMillis))
+                    .add("req-cost", Long.toString(request.workMicros()));
+            if (requestClass.effect() == Policy.Effect.KEYED) {
+                head.add("idempotency-key", request.key());
             }
-            return safe ? head : head.add("content-length", Integer.toString(BODY));
+            return safe ? head : head.add("content-length", Integer.toString(BODY_BYTES));
         }
 
         @Override
         public byte[] body() {
-            return kind.effect() == Policy.Effect.SAFE ? null : new byte[BODY];
+            return requestClass.effect() == Policy.Effect.SAFE ? null : new byte[BODY_BYTES];
         }
 
-        /** Notes that it is on its way, and waits for its answer no longer than its client would. */
+        /** Records that it is being sent, and waits for its response no longer than its client would. */
         @Override
-        public void asked() {
-            asked(() -> {});
+        public void recordSent() {
+            recordSent(() -> {});
         }
 
-        void asked(Runnable whenInVain) {
-            ledger.asked(order.id(), kind.effect(), clock.now());
-            counts.taken(order.kind(), order.work());
-            patience = loop.schedule(
+        void recordSent(Runnable onTimeout) {
+            ledger.recordSent(request.id(), requestClass.effect(), clock.now());
+            counts.recordTaken(request.classIndex(), request.workMicros());
+            timeout = loop.schedule(
                     () -> {
-                        end(Final.NONE);
-                        whenInVain.run();
+                        end(RequestOutcome.NONE);
+                        onTimeout.run();
                     },
-                    due() + kind.deadline() + PATIENCE - clock.now(),
+                    dueAt() + requestClass.deadlineMicros() + CLIENT_TIMEOUT_MICROS - clock.now(),
                     TimeUnit.MICROSECONDS);
         }
 
         @Override
-        public void ended(Final how, String text) {
-            boolean own = how != Final.SERVED || order.id().equals(text);
+        public void ended(RequestOutcome how, String text) {
+            boolean own = how != RequestOutcome.SERVED || request.id().equals(text);
             if (!own) {
-                ledger.note(order.id(), "served with another's answer", clock.now());
+                ledger.note(request.id(), "served with another's answer", clock.now());
             }
-            end(own ? how : Final.FAILED);
+            end(own ? how : RequestOutcome.FAILED);
         }
 
-        void end(Final how) {
-            if (over) {
+        void end(RequestOutcome how) {
+            if (completed) {
                 return;
             }
-            over = true;
-            if (patience != null) {
-                patience.cancel(false);
+            completed = true;
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            long latency = clock.now() - due();
-            Final told = how == Final.NONE && brokenUntil[target] >= due() ? Final.LOST : how;
-            if (told != Final.NOT_TAKEN) {
-                ledger.answered(order.id(), told, clock.now());
+            long latency = clock.now() - dueAt();
+            RequestOutcome recorded =
+                    how == RequestOutcome.NONE && brokenUntil[target] >= dueAt() ? RequestOutcome.LOST : how;
+            if (recorded != RequestOutcome.NOT_TAKEN) {
+                ledger.recordOutcome(request.id(), recorded, clock.now());
             }
-            counts.ended(order.kind(), order.work(), told, latency);
-            open--;
+            counts.recordEnd(request.classIndex(), request.workMicros(), recorded, latency);
+            openRequests--;
             LoadGenerator.this.ended();
         }
     }
@@ -320,41 +325,43 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int target;
         private Channel channel;
-        private Asking asking;
+        private PendingRequest pending;
         private boolean reused;
 
         Connection(int target) {
             this.target = target;
         }
 
-        void ask(Asking what) {
-            asking = what;
-            if (!what.again) {
-                what.asked(channel::close);
+        void send(PendingRequest next) {
+            pending = next;
+            if (!next.retried) {
+                next.recordSent(channel::close);
             }
-            channel.writeAndFlush(what.message());
+            channel.writeAndFlush(next.message());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            Asking ended = asking;
-            asking = null;
+            PendingRequest ended = pending;
+            pending = null;
             int status = answer.status().code();
             boolean keep = HttpUtil.isKeepAlive(answer);
             if (ended != null) {
                 ended.ended(
                         status == 200
-                                ? Final.SERVED
+                                ? RequestOutcome.SERVED
                                 : status == 503 || status == 429
-                                        ? Final.REFUSED
-                                        : status >= 400 && status < 500 ? Final.NOT_TAKEN : Final.FAILED,
+                                        ? RequestOutcome.REFUSED
+                                        : status >= 400 && status < 500
+                                                ? RequestOutcome.NOT_TAKEN
+                                                : RequestOutcome.FAILED,
                         answer.content().toString(StandardCharsets.US_ASCII));
             }
             if (!keep) {
                 channel.close();
             } else if (!waiting.isEmpty()) {
                 reused = true;
-                ask(waiting.poll());
+                send(waiting.poll());
             } else {
                 idle.get(target).addLast(this);
             }
@@ -364,16 +371,16 @@
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(this);
             idle.get(target).remove(this);
-            Asking left = asking;
-            asking = null;
-            if (left != null && !left.over) {
-                // An end between two requests may cross the next one, which is then sent once more.
-                if (reused && !left.again && !stopped) {
-                    left.again = true;
-                    ledger.note(left.order.id(), "crossed the end of its connection", clock.now());
-                    dial(left, target);
+            PendingRequest lost = pending;
+            pending = null;
+            if (lost != null && !lost.completed) {
+                // The close of an idle connection may cross the next request, which is then retried.
+                if (reused && !lost.retried && !stopped) {
+                    lost.retried = true;
+                    ledger.note(lost.request.id(), "crossed the end of its connection", clock.now());
+                    dial(lost, target);
                 } else {
-                    left.end(Final.NONE);
+                    lost.end(RequestOutcome.NONE);
                 }
             }
             if (!waiting.isEmpty() && connections.size() < scenario.connections()) {
--- a/src/testbed/java/loadbalancer/testbed/LoopLag.java
+++ b/src/testbed/java/loadbalancer/testbed/LoopLag.java
@@ -6,14 +6,15 @@
 import loadbalancer.proxy.Clock;
 
 /**
- * How late an event loop of the rig's own has lately been: what a stand-in notes as it reads it may have lain
- * in its socket for so long, and is not to be taken for a fault of the program. On that loop.
+ * The recent lag of one of the testbed's own event loops: a message that a stand-in reads may have waited in its
+ * socket for so long, which must not be taken for a delay of the program. On that loop.
  */
 final class LoopLag {
-    private static final long EVERY = 5_000; // µs between two looks
-    private static final long KEPT = 1_000_000; // µs for which a lag is kept in view
+    private static final long SAMPLE_INTERVAL_MICROS = 5_000;
+    private static final long WINDOW_MICROS = 1_000_000; // for which a lag counts
 
-    private record Lag(long at, long micros) {}
+    /** How late a sample was. */
+    private record Lag(long atMicros, long micros) {}
 
     private final EventLoop loop;
     private final Clock clock;
@@ -25,19 +26,19 @@
         this.clock = clock;
     }
 
-    /** Begins to look, until the loop ends. May be called from any thread. */
+    /** Starts sampling, until the loop ends. May be called from any thread. */
     void start() {
-        loop.execute(this::expect);
+        loop.execute(this::scheduleSample);
     }
 
-    private void expect() {
-        expectedAt = clock.now() + EVERY;
+    private void scheduleSample() {
+        expectedAt = clock.now() + SAMPLE_INTERVAL_MICROS;
         loop.schedule(
                 () -> {
                     add(clock.now());
-                    expect();
+                    scheduleSample();
                 },
-                EVERY,
+                SAMPLE_INTERVAL_MICROS,
                 TimeUnit.MICROSECONDS);
     }
 
@@ -47,13 +48,13 @@
             lags.pollLast();
         }
         lags.add(new Lag(now, lag));
-        while (now - lags.peekFirst().at() > KEPT) {
+        while (now - lags.peekFirst().atMicros() > WINDOW_MICROS) {
             lags.pollFirst();
         }
     }
 
-    /** The worst of the last second, the present turn included, in µs. */
-    long micros(long now) {
+    /** The largest lag of the last second, the present iteration of the loop included, in µs. */
+    long maxMicros(long now) {
         long present = expectedAt == 0 ? 0 : Math.max(0, now - expectedAt);
         return Math.max(present, lags.isEmpty() ? 0 : lags.peekFirst().micros());
     }
--- a/src/testbed/java/loadbalancer/testbed/PassThrough.java
+++ b/src/testbed/java/loadbalancer/testbed/PassThrough.java
@@ -29,22 +29,22 @@
 import loadbalancer.proxy.Addresses;
 
 /**
- * The least that can stand between clients and boxes on the same library: whole messages, the next box in
- * turn,
- * kept connections; no table, no module, no rules. What a balancer costs is measured against it. One thread.
+ * The simplest proxy between clients and servers on the same library: complete messages, servers in rotation,
+ * idle connections kept open; no policy and no rules. The cost of a balancer is measured against it. On one
+ * thread.
  */
 public final class PassThrough {
-    private static final int MOST = 1 << 17;
+    private static final int MAX_BODY_BYTES = 1 << 17;
 
     private final EventLoop loop;
-    private final List<InetSocketAddress> boxes;
-    private final List<ArrayDeque<Box>> idle = new ArrayList<>();
+    private final List<InetSocketAddress> servers;
+    private final List<ArrayDeque<ServerConnection>> idle = new ArrayList<>();
     private int next;
 
-    private PassThrough(EventLoop loop, List<InetSocketAddress> boxes) {
+    private PassThrough(EventLoop loop, List<InetSocketAddress> servers) {
         this.loop = loop;
-        this.boxes = boxes;
-        boxes.forEach(b -> idle.add(new ArrayDeque<>()));
+        this.servers = servers;
+        servers.forEach(b -> idle.add(new ArrayDeque<>()));
     }
 
     /** Listens on a free port, passes on to the addresses in {@code args}, and ends with the process. */
@@ -61,7 +61,10 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), self.new Client());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        self.new ClientConnection());
                     }
                 })
                 .bind(new InetSocketAddress("127.0.0.1", 0))
@@ -71,7 +74,7 @@
         listener.closeFuture().sync();
     }
 
-    private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (request.uri().equals("/-/ready")) {
@@ -80,12 +83,12 @@
                 context.writeAndFlush(ready);
                 return;
             }
-            int box = next++ % boxes.size();
-            Box connection = idle.get(box).pollLast();
+            int server = next++ % servers.size();
+            ServerConnection connection = idle.get(server).pollLast();
             if (connection != null && connection.channel.isActive()) {
-                connection.pass(request.retain(), context.channel());
+                connection.forward(request.retain(), context.channel());
             } else {
-                dial(box, request.retain(), context.channel());
+                dial(server, request.retain(), context.channel());
             }
         }
 
@@ -96,7 +99,7 @@
     }
 
     private void dial(int number, FullHttpRequest request, Channel client) {
-        Box box = new Box(number);
+        ServerConnection server = new ServerConnection(number);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -104,14 +107,15 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), box);
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), server);
                     }
                 })
-                .connect(boxes.get(number))
+                .connect(servers.get(number))
                 .addListener((io.netty.channel.ChannelFuture done) -> {
                     if (done.isSuccess()) {
-                        box.channel = done.channel();
-                        box.pass(request, client);
+                        server.channel = done.channel();
+                        server.forward(request, client);
                     } else {
                         request.release();
                         client.close();
@@ -119,23 +123,23 @@
                 });
     }
 
-    private final class Box extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ServerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int number;
         private Channel channel;
         private Channel client;
 
-        Box(int number) {
+        ServerConnection(int number) {
             this.number = number;
         }
 
-        void pass(FullHttpRequest request, Channel from) {
+        void forward(FullHttpRequest request, Channel from) {
             client = from;
             channel.writeAndFlush(request);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-            client.writeAndFlush(answer.retain());
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+            client.writeAndFlush(response.retain());
             client = null;
             idle.get(number).addLast(this);
         }
