--- a/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
+++ b/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
@@ -21,48 +21,60 @@
 import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
- * Several processes of the program that stand still (SIGSTOP) for a while with requests in their sockets, at
- * a given point of their lives, before stand-in boxes and a discovery: whatever their machines accepted is
- * owed its one answer when they go on. One ledger over all. For one thread; {@link #close} from any, and it
- * ends every process that was started.
+ * Several processes of the program that are paused (SIGSTOP) for a while, at a given point of their lives, with
+ * requests in their sockets: for each request that their machine accepted, a response is due when they continue.
+ * One ledger covers all of them. For one thread; {@link #close} may be called from any, and ends every process
+ * that was started.
  */
 public final class PausedProcesses implements AutoCloseable {
-    /** Where in its life a process stands still. */
-    public enum When {
-        /** It listens, and rehearses. */
+    /** The point of its life at which a process is paused. */
+    public enum PausePoint {
+        /** It listens, and warms up. */
         START,
+        /** It serves. */
         SERVICE,
-        /** Another configuration, and SIGHUP, come meanwhile. */
+        /** Its configuration changes and SIGHUP is sent during the pause. */
         SIGHUP,
-        /** Half of the boxes drain meanwhile, for longer than the grace; requests came before that news. */
+        /** Half of the servers are drained during the pause, which exceeds the grace period of the drain. */
         DRAIN,
-        /** The rests of all its connections end meanwhile. */
+        /** All its idle connections time out during the pause. */
         RESTS,
-        /** Its clients are being sent away. */
+        /** It evacuates its clients. */
         EVACUATION,
-        /** SIGTERM comes meanwhile. */
+        /** SIGTERM is sent during the pause. */
         SIGTERM,
-        /** SIGTERM came before, by 50 to 300 ms, and its 0.6 s end meanwhile. */
+        /** SIGTERM was sent 50 to 300 ms before, and its shutdown delay of 0.6 s ends during the pause. */
         STOPPING
     }
 
-    /** How many processes, connections that each has had before, and new ones that come while it stands. */
-    public record Size(int processes, int kept, int fresh) {}
+    /**
+     * The size of a run.
+     *
+     * @param keptConnections that each process has had before its pause
+     * @param newConnections that are opened to each process during its pause
+     */
+    public record Size(int processes, int keptConnections, int newConnections) {}
 
     /**
-     * How many answers were owed, what came instead of some, how often, what broke a rule, and the histories
-     * of some such orders; {@code missed}: processes that came to their stall too late to be counted.
+     * What came of a run.
+     *
+     * @param pending how many responses were due when the processes continued
+     * @param missedMembers processes that were paused too late to be counted
+     * @param wrong what came instead of a response, and how often
+     * @param breaches of the rules, and how often
+     * @param examples the histories of some requests with breaches
      */
     public record Outcome(
-            When when,
-            int owed,
-            int missed,
+            PausePoint point,
+            int pending,
+            int missedMembers,
             Map<String, Integer> wrong,
             Map<String, Integer> breaches,
             List<String> examples,
             List<String> log) {
+        /** Whether some responses were due, each came, and no rule was broken. */
         public boolean isClean() {
-            return owed > 0 && wrong.isEmpty() && breaches.isEmpty();
+            return pending > 0 && wrong.isEmpty() && breaches.isEmpty();
         }
 
         /** One line. */
@@ -71,104 +83,105 @@
             return String.format(
                     Locale.ROOT,
                     "%-10s owed %d, served %d%s%s%s",
-                    when,
-                    owed,
-                    owed - other,
-                    missed == 0 ? "" : ", " + missed + " processes came too late",
+                    point,
+                    pending,
+                    pending - other,
+                    missedMembers == 0 ? "" : ", " + missedMembers + " processes came too late",
                     wrong.isEmpty() ? "" : ", instead " + wrong,
                     breaches.isEmpty() ? "" : ", breaches " + breaches);
         }
     }
 
-    private record Owed(String id, String what, ClientSocket wire) {}
+    /** A request whose response is due on a socket. */
+    private record PendingResponse(String id, String what, ClientSocket socket) {}
 
-    private static final long[] STALLS = {150, 700, 1_500}; // ms, in turn
-    private static final long DRAINED = 1_300; // ms from the news: the grace with its slack, and more
-    private static final long[] BEFORE = {50, 150, 300}; // ms from SIGTERM to the stall, in turn
-    private static final long NEARLY_RESTED = 4_300; // ms, of the 5 s that a rest may last
-    private static final int AT_ONCE = 20; // requests of those that only open connections
-    private static final long IN_TIME = 500_000_000; // ns from a cue whose own time is 0.6 s
+    private static final long[] PAUSE_MILLIS = {150, 700, 1_500}; // by place
+    private static final long DRAIN_PAUSE_MILLIS = 1_300; // from the announcement: the grace, its slack and more
+    private static final long[] SIGTERM_LEAD_MILLIS = {50, 150, 300}; // from SIGTERM to the pause, by place
+    private static final long IDLE_MILLIS = 4_300; // of the 5 s after which an idle connection is closed
+    private static final int BATCH_SIZE = 20; // requests at a time that only open connections
+    private static final long MAX_CUE_DELAY_NANOS = 500_000_000; // after an event whose own delay is 0.6 s
     private static final int EXAMPLES = 5;
-    private static final int BOXES = 20;
-    private static final long QUICK = 1_000; // µs of work, before the stall
-    private static final long LONG = 100_000; // and for what comes at it: answers are owed for a while
+    private static final int SERVERS = 20;
+    private static final long QUICK_WORK_MICROS = 1_000; // before the pause
+    private static final long LONG_WORK_MICROS = 100_000; // at the pause, so that responses are pending for a while
 
     private final Size size;
-    private final ExecutorService lives = Executors.newCachedThreadPool();
+    private final ExecutorService workers = Executors.newCachedThreadPool();
     private final Testbed testbed;
     private final Ledger ledger;
-    private final AtomicInteger quick = new AtomicInteger();
-    private final AtomicInteger late = new AtomicInteger();
+    private final AtomicInteger earlyRequests = new AtomicInteger();
+    private final AtomicInteger lateRequests = new AtomicInteger();
 
-    /** {@code classPath}: what holds the program with its tools. */
+    /** {@code classPath}: the classes of the program and the testbed. */
     public PausedProcesses(String classPath, Size size) throws InterruptedException {
         this.size = size;
-        Scenario.Kind kind =
-                new Scenario.Kind("order", Policy.Effect.UNSAFE, 1, QUICK, 30_000_000, 60_000_000, 1, 1, 0);
+        Scenario.RequestClass kind = new Scenario.RequestClass(
+                "order", Policy.Effect.UNSAFE, 1, QUICK_WORK_MICROS, 30_000_000, 60_000_000, 1, 1, 0);
         Scenario scenario = new Scenario(
                 "standstill",
                 7,
                 0,
                 0,
                 0,
-                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-                List.of(new Scenario.Boxes("box", BOXES, 512, 1, 10_000, "a", "m", 1)),
+                new Scenario.SlowStart(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.ServerGroup("box", SERVERS, 512, 1, 10_000, "a", "m", 1)),
                 List.of(kind),
                 List.of());
-        List<ArrivalSchedule.Order> script = new ArrayList<>();
-        for (int i = 0; i < size.processes() * (size.kept() + size.fresh()); i++) {
-            script.add(new ArrivalSchedule.Order(i, "q" + i, 0, 0, "k", QUICK));
-            script.add(new ArrivalSchedule.Order(i, "o" + i, 0, 0, "k", LONG));
+        List<ArrivalSchedule.ScheduledRequest> schedule = new ArrayList<>();
+        for (int i = 0; i < size.processes() * (size.keptConnections() + size.newConnections()); i++) {
+            schedule.add(new ArrivalSchedule.ScheduledRequest(i, "q" + i, 0, 0, "k", QUICK_WORK_MICROS));
+            schedule.add(new ArrivalSchedule.ScheduledRequest(i, "o" + i, 0, 0, "k", LONG_WORK_MICROS));
         }
-        testbed = new Testbed(classPath, scenario, script);
+        testbed = new Testbed(classPath, scenario, schedule);
         ledger = testbed.ledger;
     }
 
-    /** Starts the processes and lets each stand still once; may be called once. */
-    public Outcome play(When when) throws IOException, InterruptedException {
+    /** Starts the processes and pauses each of them once; may be called once. */
+    public Outcome play(PausePoint point) throws IOException, InterruptedException {
         testbed.start(size.processes());
-        if (when != When.START) {
+        if (point != PausePoint.START) {
             testbed.awaitReady();
         }
         CyclicBarrier drain = new CyclicBarrier(size.processes(), this::drainHalf);
-        List<Future<List<Owed>>> running = new ArrayList<>();
+        List<Future<List<PendingResponse>>> running = new ArrayList<>();
         for (int i = 0; i < testbed.members().size(); i++) {
-            Life life = new Life(when, i, drain);
-            running.add(lives.submit(life));
+            PausedMember pausedMember = new PausedMember(point, i, drain);
+            running.add(workers.submit(pausedMember));
         }
-        int owed = 0;
-        int missed = 0;
+        int pending = 0;
+        int missedMembers = 0;
         Map<String, Integer> wrong = new TreeMap<>();
         try {
-            for (Future<List<Owed>> life : running) {
-                List<Owed> of = life.get();
-                owed += of.size();
-                missed += of.isEmpty() ? 1 : 0;
-                answers(of, wrong);
+            for (Future<List<PendingResponse>> pausedMember : running) {
+                List<PendingResponse> of = pausedMember.get();
+                pending += of.size();
+                missedMembers += of.isEmpty() ? 1 : 0;
+                collectResponses(of, wrong);
             }
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage() + log(), e.getCause());
         }
-        after(when, wrong);
+        checkEnds(point, wrong);
         Map<String, Integer> breaches = new TreeMap<>();
         ledger.findings().forEach(f -> breaches.merge(f.breach().name().toLowerCase(Locale.ROOT), 1, Integer::sum));
         List<String> examples = ledger.findings().stream()
                 .limit(EXAMPLES)
-                .map(f -> f.order() + ": " + String.join(", ", f.history()))
+                .map(f -> f.request() + ": " + String.join(", ", f.history()))
                 .toList();
-        return new Outcome(when, owed, missed, wrong, breaches, examples, log());
+        return new Outcome(point, pending, missedMembers, wrong, breaches, examples, log());
     }
 
     private List<String> log() {
         return testbed.log();
     }
 
-    // What each has to say or do besides answers.
-    private void after(When when, Map<String, Integer> wrong) throws InterruptedException {
+    // What each process has to log or do besides responding.
+    private void checkEnds(PausePoint point, Map<String, Integer> wrong) throws InterruptedException {
         for (BalancerMember member : testbed.members()) {
-            if (when == When.SIGHUP) {
+            if (point == PausePoint.SIGHUP) {
                 member.line("configuration taken over");
-            } else if (when == When.SIGTERM || when == When.STOPPING) {
+            } else if (point == PausePoint.SIGTERM || point == PausePoint.STOPPING) {
                 int code = member.await();
                 if (code != 0 || !member.line("stopped: ").contains(" 0 unanswered")) {
                     wrong.merge("ended with code " + code, 1, Integer::sum);
@@ -180,7 +193,7 @@
     private void drainHalf() {
         try {
             testbed.onLoop(() -> {
-                for (int i = 0; i < BOXES / 2; i++) {
+                for (int i = 0; i < SERVERS / 2; i++) {
                     testbed.servers.drain("box-" + (i + 1));
                 }
                 return 0;
@@ -191,21 +204,21 @@
     }
 
     // What came in place of answers, and how often.
-    private void answers(List<Owed> all, Map<String, Integer> wrong) {
-        for (Owed owed : all) {
-            ClientSocket.Answer answer = owed.wire().answer();
-            boolean served = answer.status() == 200 && answer.text().equals(owed.id());
-            ledger.answered(
-                    owed.id(),
+    private void collectResponses(List<PendingResponse> all, Map<String, Integer> wrong) {
+        for (PendingResponse pending : all) {
+            ClientSocket.Response answer = pending.socket().response();
+            boolean served = answer.status() == 200 && answer.text().equals(pending.id());
+            ledger.recordOutcome(
+                    pending.id(),
                     served
-                            ? Ledger.Final.SERVED
+                            ? Ledger.RequestOutcome.SERVED
                             : answer.status() == 503
-                                    ? Ledger.Final.REFUSED
-                                    : answer.status() == 0 ? Ledger.Final.NONE : Ledger.Final.FAILED,
+                                    ? Ledger.RequestOutcome.REFUSED
+                                    : answer.status() == 0 ? Ledger.RequestOutcome.NONE : Ledger.RequestOutcome.FAILED,
                     testbed.clock.now());
             if (!served) {
                 wrong.merge(
-                        owed.what() + ": " + answer.status() + " "
+                        pending.what() + ": " + answer.status() + " "
                                 + answer.text().strip(),
                         1,
                         Integer::sum);
@@ -213,69 +226,70 @@
         }
     }
 
-    private static void send(ClientSocket wire, String text) throws IOException {
-        if (!wire.send(text)) {
+    private static void send(ClientSocket socket, String text) throws IOException {
+        if (!socket.send(text)) {
             throw new IOException("its machine does not take what is sent");
         }
     }
 
     /** One process's part, up to its waking; on a thread of its own. */
-    private final class Life implements Callable<List<Owed>> {
-        private final When when;
-        private final int number;
+    private final class PausedMember implements Callable<List<PendingResponse>> {
+        private final PausePoint point;
+        private final int place;
         private final CyclicBarrier drain;
         private final BalancerMember member;
-        private final List<ClientSocket> kept = new ArrayList<>();
-        private final List<Owed> all = new ArrayList<>();
-        private long stoodAt;
+        private final List<ClientSocket> keptSockets = new ArrayList<>();
+        private final List<PendingResponse> all = new ArrayList<>();
+        private long pausedAt;
 
-        Life(When when, int number, CyclicBarrier drain) {
-            this.when = when;
-            this.number = number;
+        PausedMember(PausePoint point, int place, CyclicBarrier drain) {
+            this.point = point;
+            this.place = place;
             this.drain = drain;
-            this.member = testbed.members().get(number);
+            this.member = testbed.members().get(place);
         }
 
         @Override
-        public List<Owed> call() throws IOException, InterruptedException, BrokenBarrierException {
+        public List<PendingResponse> call() throws IOException, InterruptedException, BrokenBarrierException {
             InetSocketAddress at = member.address();
-            if (when != When.START) {
-                keep(at);
+            if (point != PausePoint.START) {
+                openKeptConnections(at);
             }
             long cue = System.nanoTime();
-            before();
-            load(at);
+            prepare();
+            sendAndPause(at);
             long since = System.nanoTime();
-            boolean timely = when != When.EVACUATION && when != When.STOPPING || stoodAt - cue < IN_TIME;
-            long stands = STALLS[number % STALLS.length];
-            switch (when) {
+            boolean timely = point != PausePoint.EVACUATION && point != PausePoint.STOPPING
+                    || pausedAt - cue < MAX_CUE_DELAY_NANOS;
+            long pauseMillis = PAUSE_MILLIS[place % PAUSE_MILLIS.length];
+            switch (point) {
                 case SIGHUP -> {
-                    member.rewrite(testbed.configuration(number, size.processes())
+                    member.rewrite(testbed.configuration(place, size.processes())
                             .replace("aim = \"30000000us\"", "aim = \"20000000us\""));
                     member.signal(BalancerMember.Signal.HUP);
                 }
                 case SIGTERM -> member.signal(BalancerMember.Signal.TERM);
                 case DRAIN -> {
-                    drain.await(); // all stand, and requests came before the news
+                    drain.await(); // all are paused, and requests were sent before the announcement
                     since = System.nanoTime();
-                    stands = DRAINED;
+                    pauseMillis = DRAIN_PAUSE_MILLIS;
                 }
                 default -> {}
             }
-            Thread.sleep(Math.max(0, stands - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since)));
+            Thread.sleep(Math.max(0, pauseMillis - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since)));
             member.signal(BalancerMember.Signal.CONT);
             return timely ? all : List.of();
         }
 
-        // Some at once: what rests for longer than 5 s is closed.
-        private void keep(InetSocketAddress at) throws IOException {
-            List<Owed> open = new ArrayList<>();
-            for (int i = 0; i < size.kept(); i++) {
-                kept.add(testbed.connect(at));
-                open.add(ask("q" + quick.getAndIncrement(), kept.get(i), "to be kept"));
-                if (open.size() >= AT_ONCE || i == size.kept() - 1) {
+        // In batches, as connections that are idle for more than 5 s are closed.
+        private void openKeptConnections(InetSocketAddress at) throws IOException {
+            List<PendingResponse> open = new ArrayList<>();
+            for (int i = 0; i < size.keptConnections(); i++) {
+                keptSockets.add(testbed.connect(at));
+                open.add(sendRequest("q" + earlyRequests.getAndIncrement(), keptSockets.get(i), "to be kept"));
+                if (open.size() >= BATCH_SIZE || i == size.keptConnections() - 1) {
                     Map<String, Integer> wrong = new TreeMap<>();
-                    answers(open, wrong);
+                    collectResponses(open, wrong);
                     if (!wrong.isEmpty()) {
                         throw new IOException("before any stall: " + wrong);
                     }
@@ -284,47 +298,47 @@
             }
         }
 
-        private void before() throws IOException, InterruptedException {
-            if (when == When.RESTS) {
-                Thread.sleep(NEARLY_RESTED);
-            } else if (when == When.EVACUATION) {
-                ClientSocket door = testbed.connect(member.management());
-                send(door, "POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-                if (door.answer().status() != 200) {
+        private void prepare() throws IOException, InterruptedException {
+            if (point == PausePoint.RESTS) {
+                Thread.sleep(IDLE_MILLIS);
+            } else if (point == PausePoint.EVACUATION) {
+                ClientSocket adminSocket = testbed.connect(member.management());
+                send(adminSocket, "POST /api/evacuate HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+                if (adminSocket.response().status() != 200) {
                     throw new IOException("no evacuation");
                 }
-            } else if (when == When.STOPPING) {
+            } else if (point == PausePoint.STOPPING) {
                 member.signal(BalancerMember.Signal.TERM);
-                Thread.sleep(BEFORE[number % BEFORE.length]);
+                Thread.sleep(SIGTERM_LEAD_MILLIS[place % SIGTERM_LEAD_MILLIS.length]);
             }
         }
 
-        // At every point of a request's life: half of it before, all of it right before, and within.
-        private void load(InetSocketAddress at) throws IOException, InterruptedException {
-            List<Owed> split = new ArrayList<>();
+        // At each point of a request's life: in part before the pause, completely right before it, and during it.
+        private void sendAndPause(InetSocketAddress at) throws IOException, InterruptedException {
+            List<PendingResponse> split = new ArrayList<>();
             List<String> rests = new ArrayList<>();
-            for (int i = 0; i + 3 < kept.size(); i += 4) {
-                String id = "o" + late.getAndIncrement();
-                String[] order = order(id);
-                send(kept.get(i), order[0]);
-                rests.add(order[1]);
-                split.add(new Owed(id, "split over the stall", kept.get(i)));
-                all.add(late(kept.get(i + 1), "sent right before it"));
+            for (int i = 0; i + 3 < keptSockets.size(); i += 4) {
+                String id = "o" + lateRequests.getAndIncrement();
+                String[] request = request(id);
+                send(keptSockets.get(i), request[0]);
+                rests.add(request[1]);
+                split.add(new PendingResponse(id, "split over the stall", keptSockets.get(i)));
+                all.add(sendAtPause(keptSockets.get(i + 1), "sent right before it"));
             }
             member.signal(BalancerMember.Signal.STOP);
-            stoodAt = System.nanoTime();
+            pausedAt = System.nanoTime();
             for (int i = 0; i < split.size(); i++) {
-                send(split.get(i).wire(), rests.get(i));
+                send(split.get(i).socket(), rests.get(i));
                 all.add(split.get(i));
-                all.add(late(kept.get(4 * i + 2), "sent on a kept connection"));
+                all.add(sendAtPause(keptSockets.get(4 * i + 2), "sent on a kept connection"));
             }
-            for (int i = 0; i < size.fresh(); i++) {
-                all.add(late(testbed.connect(at), "sent on a new connection"));
+            for (int i = 0; i < size.newConnections(); i++) {
+                all.add(sendAtPause(testbed.connect(at), "sent on a new connection"));
             }
         }
 
-        private String[] order(String id) {
-            ledger.asked(id, Policy.Effect.UNSAFE, testbed.clock.now());
+        private String[] request(String id) {
+            ledger.recordSent(id, Policy.Effect.UNSAFE, testbed.clock.now());
             return new String[] {
                 "POST /api/k HTTP/1.1\r\nHost: x\r\nReq-Id: " + id + "\r\n"
                         + "Req-Kind: order\r\nReq-Deadline-Ms: 60000\r\nContent-Length: 8\r\n",
@@ -332,19 +346,19 @@
             };
         }
 
-        private Owed late(ClientSocket wire, String what) throws IOException {
-            return ask("o" + late.getAndIncrement(), wire, what);
+        private PendingResponse sendAtPause(ClientSocket socket, String what) throws IOException {
+            return sendRequest("o" + lateRequests.getAndIncrement(), socket, what);
         }
 
-        private Owed ask(String id, ClientSocket wire, String what) throws IOException {
-            send(wire, String.join("", order(id)));
-            return new Owed(id, what, wire);
+        private PendingResponse sendRequest(String id, ClientSocket socket, String what) throws IOException {
+            send(socket, String.join("", request(id)));
+            return new PendingResponse(id, what, socket);
         }
     }
 
     @Override
     public void close() {
         testbed.close();
-        lives.shutdownNow();
+        workers.shutdownNow();
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/RunReport.java
+++ b/src/testbed/java/loadbalancer/testbed/RunReport.java
@@ -4,22 +4,37 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The tally at the end of a run, and whether the rules were kept. Does no I/O. */
+/** The report at the end of a run: what clients got, and whether the rules were kept. Does no I/O. */
 final class RunReport {
-    private static final int SHOWN = 5; // findings of one sort whose history is told
+    private static final int MAX_SHOWN = 5; // findings of each kind whose history is shown
 
     private RunReport() {}
 
-    /** Whether nothing went against the rules, and every order was taken: all of them are well formed. */
-    static boolean isClean(RequestCounts counts, Ledger ledger, List<StandInFleet.Standing> boxes) {
+    /** Whether no rule was broken, no server collapsed and every request was accepted, as all are well formed. */
+    static boolean isClean(RequestCounts counts, Ledger ledger, List<StandInFleet.ServerStatus> servers) {
         return ledger.findings().isEmpty()
                 && counts.all().notTaken == 0
-                && boxes.stream().allMatch(b -> b.falls() == 0);
+                && servers.stream().allMatch(server -> server.collapses() == 0);
     }
 
-    static List<String> lines(RequestCounts counts, Ledger ledger, List<StandInFleet.Standing> boxes) {
-        List<String> out = new ArrayList<>();
-        out.add(String.format(
+    /** The lines of the report. */
+    static List<String> lines(RequestCounts counts, Ledger ledger, List<StandInFleet.ServerStatus> servers) {
+        List<String> lines = new ArrayList<>();
+        addCounts(lines, counts);
+        lines.add("");
+        addExecutions(lines, counts, ledger, servers);
+        addVerdict(lines, ledger, servers);
+        addFindings(lines, ledger);
+        for (StandInFleet.ServerStatus server : servers) {
+            if (server.collapses() > 0) {
+                lines.add("box " + server.name() + " was pushed over " + server.collapses() + " times while cold");
+            }
+        }
+        return lines;
+    }
+
+    private static void addCounts(List<String> lines, RequestCounts counts) {
+        lines.add(String.format(
                 Locale.ROOT,
                 "%-16s %8s %8s %7s %8s %7s %5s %9s %9s %9s %6s",
                 "class",
@@ -34,7 +49,7 @@
                 "p99.9 ms",
                 "worth"));
         for (RequestCounts.Line line : counts.lines()) {
-            out.add(String.format(
+            lines.add(String.format(
                     Locale.ROOT,
                     "%-16s %8d %8d %7d %8d %7d %5d %9.1f %9.1f %9.1f %6.3f",
                     line.name,
@@ -49,38 +64,44 @@
                     line.latency.getValueAtPercentile(99.9) / 1e3,
                     line.worthInTime()));
         }
-        long[] runs = ledger.runs();
-        out.add("");
-        out.add("runs begun by boxes: " + runs[0] + ", repeats dropped: " + runs[1]
-                + ", turned away by boxes: "
-                + boxes.stream().mapToLong(StandInFleet.Standing::declined).sum() + ", not taken: "
-                + counts.all().notTaken);
+    }
+
+    private static void addExecutions(
+            List<String> lines, RequestCounts counts, Ledger ledger, List<StandInFleet.ServerStatus> servers) {
+        Ledger.Executions executions = ledger.executions();
+        long declined =
+                servers.stream().mapToLong(StandInFleet.ServerStatus::declined).sum();
+        lines.add("runs begun by boxes: " + executions.started() + ", repeats dropped: " + executions.repeats()
+                + ", turned away by boxes: " + declined + ", not taken: " + counts.all().notTaken);
+    }
+
+    private static void addVerdict(List<String> lines, Ledger ledger, List<StandInFleet.ServerStatus> servers) {
         StringBuilder verdict = new StringBuilder();
         for (Ledger.Breach breach : Ledger.Breach.values()) {
             verdict.append(verdict.length() == 0 ? "" : ", ")
-                    .append(words(breach))
+                    .append(phrase(breach))
                     .append(": ")
                     .append(ledger.count(breach));
         }
-        verdict.append(", cold boxes pushed over: ")
-                .append(boxes.stream().mapToLong(StandInFleet.Standing::falls).sum());
-        out.add(verdict.toString());
+        long collapses =
+                servers.stream().mapToLong(StandInFleet.ServerStatus::collapses).sum();
+        lines.add(verdict.append(", cold boxes pushed over: ").append(collapses).toString());
+    }
+
+    private static void addFindings(List<String> lines, Ledger ledger) {
         for (Ledger.Breach breach : Ledger.Breach.values()) {
             ledger.findings().stream()
-                    .filter(f -> f.breach() == breach)
-                    .limit(SHOWN)
-                    .forEach(f -> {
-                        out.add("order " + f.order() + " " + words(breach) + ":");
-                        f.history().forEach(h -> out.add("    " + h));
+                    .filter(finding -> finding.breach() == breach)
+                    .limit(MAX_SHOWN)
+                    .forEach(finding -> {
+                        lines.add("order " + finding.request() + " " + phrase(breach) + ":");
+                        finding.history().forEach(event -> lines.add("    " + event));
                     });
         }
-        boxes.stream()
-                .filter(b -> b.falls() > 0)
-                .forEach(b -> out.add("box " + b.name() + " was pushed over " + b.falls() + " times while cold"));
-        return out;
     }
 
-    static String words(Ledger.Breach breach) {
+    /** The name of a breach as the report prints it. */
+    static String phrase(Ledger.Breach breach) {
         return breach.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/Scenario.java
+++ b/src/testbed/java/loadbalancer/testbed/Scenario.java
@@ -5,79 +5,114 @@
 import loadbalancer.policy.Policy;
 
 /**
- * A run to be played: boxes, classes of requests, load and a script of faults. Times are in µs; those of
- * faults
- * count from the beginning of the load. With its seed it says all that is left to chance.
+ * A run that is to be played: stand-in servers, request classes, load and a schedule of faults. Times are in µs;
+ * those of faults count from the beginning of the load. All random choices follow from the seed. Does no I/O.
+ *
+ * <p>It and some of its parts have more than seven components: each is a table of the scenario file, key by key.
+ *
+ * @param rate requests per second
+ * @param connections that the clients may have open
  */
 record Scenario(
         String name,
         long seed,
-        long lasting,
+        long durationMicros,
         double rate,
         int connections,
-        Cold cold,
-        List<Boxes> boxes,
-        List<Kind> kinds,
-        List<Fault> faults) {
+        SlowStart slowStart,
+        List<ServerGroup> serverGroups,
+        List<RequestClass> classes,
+        List<ServerFault> faults) {
     /**
-     * Boxes alike. {@code speed} divides the work; {@code cellSize} boxes in turn share what they remember.
+     * A group of equal servers.
+     *
+     * @param speed by which the work of a request is divided
+     * @param queueLimit requests that may wait for a core of one server
+     * @param zone where they are, for discovery; {@code model} likewise says what they are
+     * @param cellSize how many servers in a row share their idempotency keys
      */
-    record Boxes(String name, int count, int cores, double speed, int queue, String zone, String model, int cellSize) {}
+    record ServerGroup(
+            String name, int count, int cores, double speed, int queueLimit, String zone, String model, int cellSize) {}
 
-    /** How boxes start: at this share of their speed, rising evenly; more than factor times it fells one. */
-    record Cold(double from, long ramp, double overload, long fall, long down) {}
+    /**
+     * How servers start.
+     *
+     * @param initialSpeed the share of its full speed at which a server starts; it rises evenly
+     * @param rampMicros until it has its full speed
+     * @param overloadFactor how many times its present capacity it may be sent without harm
+     * @param overloadMicros how long it bears more than that before it collapses
+     * @param downMicros how long it is down then
+     */
+    record SlowStart(
+            double initialSpeed, long rampMicros, double overloadFactor, long overloadMicros, long downMicros) {}
 
-    /** A class of requests; {@code share} is its part of the load, {@code window} how long keys are known. */
-    record Kind(
+    /**
+     * A class of requests.
+     *
+     * @param share its part of the load, beside the shares of the other classes
+     * @param workMicros mean work of a request, in µs of one core at speed 1
+     * @param lateShare the part of its weight that a response behind the latency objective still earns
+     * @param keyTtlMicros how long servers remember its idempotency keys
+     */
+    record RequestClass(
             String name,
             Policy.Effect effect,
             double share,
-            long work,
-            long aim,
-            long deadline,
-            double worth,
+            long workMicros,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
+            double priorityWeight,
             double lateShare,
-            long window) {}
+            long keyTtlMicros) {}
 
-    /** What may befall boxes, or the discovery. */
-    enum What {
-        /** Takes requests, finishes none. */
+    /** The faults of servers and of discovery. */
+    enum ServerFaultKind {
+        /** Accepts requests and completes none. */
         STALL,
-        /** Leaves service in order: told to discovery, goes on with what it has. */
+        /** Is drained: discovery announces it, and it goes on with the requests that it has. */
         DRAIN,
-        /** The process dies: connections reset, new ones refused, work lost; comes back cold. */
+        /** Its process is killed: connections are reset, new ones refused, work is lost; it restarts in slow start. */
         KILL,
         /** Works at {@code amount} times its speed. */
         SLOW,
-        /** That share of its answers are 500, after their work. */
+        /** That share of its responses has status 500, after the work. */
         ERRORS,
-        /** That share of its answers are 500 at once, without the work; whether it ran is unknown outside. */
+        /** That share of its responses has status 500 at once, without the work, which a client can't know. */
         FAST_ERRORS,
-        /** Turns everything away. */
+        /** Declines every request. */
         REFUSE,
-        /** That share of its connections is reset once the request has run, in place of its answer. */
+        /** That share of its requests is executed, and then the connection is reset in place of a response. */
         RESET,
         /** Discovery is silent: watches stay open, calls hang. */
         DISCOVERY_SILENT,
         /** Discovery is down: connections are closed at once. */
         DISCOVERY_DOWN,
-        /** Watches that are open stay so and bring nothing more, as after a cut; new calls work. */
+        /** Open watches stay open and deliver nothing more, as after a network partition; new calls work. */
         WATCHES_CUT,
-        /** Discovery says that the box drains, while it serves on. */
+        /** Discovery announces a drain of a server that goes on serving. */
         DISCOVERY_LIES
     }
 
-    /** {@code what} befalls {@code boxes} (names, {@code *} at the end stands for any rest) for a while. */
-    record Fault(long at, String boxes, What what, long lasting, double amount) {
-        boolean strikes(String box) {
-            return boxes.endsWith("*") ? box.startsWith(boxes.substring(0, boxes.length() - 1)) : boxes.equals(box);
+    /**
+     * A fault of some servers, or of discovery.
+     *
+     * @param servers a name, or the beginning of names followed by {@code *}
+     * @param kind what happens
+     * @param amount the factor or share of some kinds
+     */
+    record ServerFault(long atMicros, String servers, ServerFaultKind kind, long durationMicros, double amount) {
+        /** Whether it affects the server of this name. */
+        boolean matches(String server) {
+            return servers.endsWith("*")
+                    ? server.startsWith(servers.substring(0, servers.length() - 1))
+                    : servers.equals(server);
         }
     }
 
-    /** The names of all boxes, in order. */
-    List<String> boxNames() {
+    /** The names of all servers, in order. */
+    List<String> serverNames() {
         List<String> names = new ArrayList<>();
-        for (Boxes group : boxes) {
+        for (ServerGroup group : serverGroups) {
             for (int i = 1; i <= group.count(); i++) {
                 names.add(group.name() + "-" + i);
             }
@@ -85,28 +120,42 @@
         return names;
     }
 
-    /** Work that the warm fleet does in a second over what the load brings in one. */
+    /** The capacity of all servers at full speed over the load. */
     double headroom() {
-        double can = boxes.stream()
-                .mapToDouble(b -> b.count() * b.cores() * b.speed())
+        double capacity = serverGroups.stream()
+                .mapToDouble(group -> group.count() * group.cores() * group.speed())
                 .sum();
-        double shares = kinds.stream().mapToDouble(Kind::share).sum();
-        double work =
-                kinds.stream().mapToDouble(k -> k.share() * k.work() / 1e6).sum() / shares;
-        return can / (rate * work);
+        double shares = classes.stream().mapToDouble(RequestClass::share).sum();
+        double work = classes.stream()
+                        .mapToDouble(each -> each.share() * each.workMicros() / 1e6)
+                        .sum()
+                / shares;
+        return capacity / (rate * work);
     }
 
-    /** The same for another time and, where {@code other} is above 0, at another rate. */
-    Scenario with(long seconds, double other) {
+    /** The same scenario with another duration and rate, each where it is above 0. */
+    Scenario withDurationAndRate(long seconds, double otherRate) {
         return new Scenario(
                 name,
                 seed,
-                seconds > 0 ? seconds * 1_000_000 : lasting,
-                other > 0 ? other : rate,
+                seconds > 0 ? seconds * 1_000_000 : durationMicros,
+                otherRate > 0 ? otherRate : rate,
                 connections,
-                cold,
-                boxes,
-                kinds,
+                slowStart,
+                serverGroups,
+                classes,
                 faults);
     }
+
+    /** The same scenario with another seed. */
+    Scenario withSeed(long otherSeed) {
+        return new Scenario(
+                name, otherSeed, durationMicros, rate, connections, slowStart, serverGroups, classes, faults);
+    }
+
+    /** The same scenario with so many connections of clients. */
+    Scenario withConnections(int otherConnections) {
+        return new Scenario(
+                name, seed, durationMicros, rate, otherConnections, slowStart, serverGroups, classes, faults);
+    }
 }
--- a/src/testbed/java/loadbalancer/testbed/ServerExchange.java
+++ b/src/testbed/java/loadbalancer/testbed/ServerExchange.java
@@ -1,9 +1,24 @@
 package loadbalancer.testbed;
 
-/** One request at a box, by whatever protocol: how it is answered, or ended without an answer. */
+/** One request at a stand-in server, whatever its protocol: how the server responds to it or aborts it. */
 interface ServerExchange {
-    /** {@code unseen}: turned away before any work. */
-    void answer(int status, String text, boolean unseen);
+    /**
+     * Sends the one response.
+     *
+     * @param status the HTTP status code
+     * @param text the body, in US-ASCII
+     * @param execution whether the response promises that the request was not executed
+     */
+    void respond(int status, String text, Execution execution);
 
+    /** Aborts the connection or stream without a response. */
     void reset();
+
+    /** What a response says about the request's execution. */
+    enum Execution {
+        /** Nothing: the request may have been executed. */
+        UNSPECIFIED,
+        /** It was declined before any work, which the response marks with a header field. */
+        DECLINED
+    }
 }
--- a/src/testbed/java/loadbalancer/testbed/ServerModel.java
+++ b/src/testbed/java/loadbalancer/testbed/ServerModel.java
@@ -7,24 +7,24 @@
 import java.util.PriorityQueue;
 
 /**
- * An order box without its sockets: cores, a queue, a speed that faults and a cold start lower, and the
- * collapse of a cold box that is pushed over. Does no I/O and reads no clock: times are µs of its caller's.
+ * A stand-in server without its sockets: cores, a queue, a speed that faults and slow start lower, and a collapse
+ * under too much load during slow start. Does no I/O and reads no clock: the caller passes times in µs.
  *
- * <p>Every running job has a core of its own and all cores are equally fast, so one figure, the work that a
- * core has done since the beginning, says when each job ends: at its start's figure plus its own work.
+ * <p>Every running job has a core of its own and all cores are equally fast. So one figure, the work that a core
+ * has completed since the beginning, says when each job ends: at its start's figure plus its own work.
  */
 final class ServerModel {
-    /** A request at a box; {@code work} in µs at speed 1. */
+    /** A request at the server; {@code work} in µs of a core at speed 1. */
     static final class Job {
-        final String order;
+        final String requestId;
         final long work;
         final Object context;
         private double end;
-        private boolean gone;
+        private boolean cancelled;
         private boolean running;
 
-        Job(String order, long work, Object context) {
-            this.order = order;
+        Job(String requestId, long work, Object context) {
+            this.requestId = requestId;
             this.work = work;
             this.context = context;
         }
@@ -34,138 +34,144 @@
         }
     }
 
-    /** What comes of time passing. */
-    interface Told {
-        /** Its work begins: from here on it has run. */
-        void begun(Job job, long at);
+    /** Is notified of what happens as time passes. */
+    interface Listener {
+        /** The execution of a job starts. */
+        void started(Job job, long at);
 
-        void done(Job job, long at);
+        /** The execution of a job is complete. */
+        void completed(Job job, long at);
     }
 
-    private static final double SLACK = 0.25; // of the budget of a fall, for chance
+    private static final long SLOW_START_STEP_MICROS = 10_000;
+    private static final double OVERLOAD_SLACK = 0.25; // of the overload that it bears, as arrivals are random
 
     private final int cores;
     private final double speed;
-    private final int queueMost;
-    private final Scenario.Cold cold;
+    private final int maxQueued;
+    private final Scenario.SlowStart slowStart;
     private final PriorityQueue<Job> running = new PriorityQueue<>(Comparator.comparingDouble((Job j) -> j.end));
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private long startedAt = Long.MIN_VALUE / 2; // long ago: warm
+    private long startedAt = Long.MIN_VALUE / 2; // long ago: at full speed
     private long last;
-    private double done; // work that a core would have done so far
+    private double completedWork; // work that a core that was always busy would have completed
     private double slowness = 1;
     private boolean stalled;
     private double pressure; // work sent beyond what the overload factor allows
 
-    ServerModel(Scenario.Boxes kind, Scenario.Cold cold, long now) {
-        this.cores = kind.cores();
-        this.speed = kind.speed();
-        this.queueMost = kind.queue();
-        this.cold = cold;
+    ServerModel(Scenario.ServerGroup group, Scenario.SlowStart slowStart, long now) {
+        this.cores = group.cores();
+        this.speed = group.speed();
+        this.maxQueued = group.queueLimit();
+        this.slowStart = slowStart;
         this.last = now;
     }
 
-    /** The share of its full speed that a start leaves it with. */
+    /** The share of its full speed that slow start leaves it with. */
     double warmth(long now) {
         long age = now - startedAt;
-        return age >= cold.ramp() ? 1 : cold.from() + (1 - cold.from()) * Math.max(0, age) / cold.ramp();
+        return age >= slowStart.rampMicros()
+                ? 1
+                : slowStart.initialSpeed() + (1 - slowStart.initialSpeed()) * Math.max(0, age) / slowStart.rampMicros();
     }
 
     private double speedAt(long now) {
         return stalled ? 0 : speed * slowness * warmth(now);
     }
 
-    /** Takes a job, runs it when a core is free, or turns it away where the queue is full. */
-    boolean arrive(Job job, long now, Told told) {
-        advance(now, told);
+    /** Accepts a job, which runs once a core is free; returns false where the queue is full. */
+    boolean arrive(Job job, long now, Listener listener) {
+        advance(now, listener);
         if (warmth(now) < 1) {
             pressure += job.work;
         }
-        if (running.size() >= cores && queue.size() >= queueMost) {
+        if (running.size() >= cores && queue.size() >= maxQueued) {
             return false;
         }
         queue.add(job);
-        begin(now, told);
+        begin(now, listener);
         return true;
     }
 
-    /** The client of a job has gone: where it has not begun it never will. */
-    void forget(Job job) {
-        job.gone = true;
+    /** The client of a job has closed: unless the job has started it never will. */
+    void cancel(Job job) {
+        job.cancelled = true;
     }
 
-    /** Lets time pass up to {@code now}: jobs end and others begin, in order. */
-    void advance(long now, Told told) {
+    /** Lets time pass up to {@code now}: jobs are completed and others started, in order of time. */
+    void advance(long now, Listener listener) {
         while (true) {
             double pace = speedAt(last);
             Job first = running.peek();
             long end = first == null || pace <= 0
                     ? Long.MAX_VALUE
-                    : last + Math.max(0, (long) Math.ceil((first.end - done) / pace));
+                    : last + Math.max(0, (long) Math.ceil((first.end - completedWork) / pace));
             long to = Math.min(now, end);
             if (warmth(last) < 1) {
-                to = Math.min(to, last + 10_000); // a speed that rises is taken in steps
+                to = Math.min(to, last + SLOW_START_STEP_MICROS); // the rising speed is approximated by steps
             }
-            done += (to - last) * pace;
+            completedWork += (to - last) * pace;
             pressure = Math.max(0, pressure - (to - last) * limit(last));
             last = Math.max(last, to);
             if (end <= to) {
                 running.poll();
                 first.running = false;
-                done = Math.max(done, first.end);
-                told.done(first, last);
-                begin(last, told);
+                completedWork = Math.max(completedWork, first.end);
+                listener.completed(first, last);
+                begin(last, listener);
             } else if (last >= now) {
                 return;
             }
         }
     }
 
-    private void begin(long now, Told told) {
+    private void begin(long now, Listener listener) {
         while (!stalled && running.size() < cores && !queue.isEmpty()) {
             Job next = queue.poll();
-            if (!next.gone) {
+            if (!next.cancelled) {
                 next.running = true;
-                next.end = done + next.work;
+                next.end = completedWork + next.work;
                 running.add(next);
-                told.begun(next, now);
+                listener.started(next, now);
             }
         }
     }
 
     private double limit(long now) {
-        return cold.overload() * cores * speed * warmth(now);
+        return slowStart.overloadFactor() * cores * speed * warmth(now);
     }
 
-    /** Whether a cold box has been sent too much for too long, and falls. */
-    boolean isPushedOver(long now) {
-        return warmth(now) < 1 && pressure > limit(now) * cold.fall() * (1 + SLACK);
+    /** Whether it has been sent too much for too long during slow start, and collapses. */
+    boolean isOverloadedWhileWarmingUp(long now) {
+        return warmth(now) < 1 && pressure > limit(now) * slowStart.overloadMicros() * (1 + OVERLOAD_SLACK);
     }
 
-    /** When to let time pass again at the latest; MAX_VALUE: not before something arrives. */
+    /** When {@link #advance} is due at the latest; MAX_VALUE: not before a job arrives. */
     long next() {
         double pace = speedAt(last);
         Job first = running.peek();
         if (first == null || pace <= 0) {
             return Long.MAX_VALUE;
         }
-        long end = last + (long) Math.ceil((first.end - done) / pace);
-        return warmth(last) < 1 ? Math.min(end, last + 10_000) : end;
+        long end = last + (long) Math.ceil((first.end - completedWork) / pace);
+        return warmth(last) < 1 ? Math.min(end, last + SLOW_START_STEP_MICROS) : end;
     }
 
-    void stall(boolean on, long now, Told told) {
-        advance(now, told);
+    /** Stalls it, or lets it continue. */
+    void stall(boolean on, long now, Listener listener) {
+        advance(now, listener);
         stalled = on;
-        begin(now, told);
+        begin(now, listener);
     }
 
-    void slow(double factor, long now, Told told) {
-        advance(now, told);
+    /** Sets a factor of its speed. */
+    void slow(double factor, long now, Listener listener) {
+        advance(now, listener);
         slowness = factor;
     }
 
-    /** The process dies: returns what it held. */
-    List<Job> die() {
+    /** Its process is killed; returns the jobs that are lost, the running ones first. */
+    List<Job> kill() {
         List<Job> held = new ArrayList<>(running);
         held.addAll(queue);
         running.clear();
@@ -173,7 +179,7 @@
         return held;
     }
 
-    /** A new process begins, cold. */
+    /** A new process starts, in slow start. */
     void start(long now) {
         startedAt = now;
         last = now;
@@ -182,6 +188,7 @@
         slowness = 1;
     }
 
+    /** Jobs that run or wait. */
     int inFlight() {
         return running.size() + queue.size();
     }
--- a/src/testbed/java/loadbalancer/testbed/SoakPlan.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakPlan.java
@@ -1,116 +1,126 @@
 package loadbalancer.testbed;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
 import loadbalancer.policy.Policy;
 
 /**
- * What a fault soak plays, drawn from its seed alone: the scenario with the faults of servers and discovery,
- * and the faults of each process, which overlap in time. No I/O. Times in µs from the beginning of the load.
+ * The plan of a {@link FaultSoak}, drawn from its seed alone: the scenario with the faults of servers and
+ * discovery, and the faults of each process, which overlap in time. Does no I/O. Times in µs from the beginning of
+ * the load.
  *
  * @param faults of processes, in order of time
  */
-record SoakPlan(long seed, int processes, long lasting, Scenario scenario, List<ProcessFault> faults) {
-    /** What may befall a process. */
+record SoakPlan(long seed, int processes, long durationMicros, Scenario scenario, List<ProcessFault> faults) {
+    /** The faults of a process. */
     enum Kind {
-        /** It gets no turn for {@code lasting} (SIGSTOP, SIGCONT). */
-        HOLD,
-        /** It dies (SIGKILL), and another is started in its place. */
+        /** It is paused for {@code durationMicros} (SIGSTOP, SIGCONT). */
+        PAUSE,
+        /** It is killed (SIGKILL), and another is started in its place. */
         KILL,
-        /** It is told to end (SIGTERM), and another is started in its place. */
+        /** It is shut down gracefully (SIGTERM), and another is started in its place. */
         TERMINATE,
-        /** It is told to read its configuration again (SIGHUP), which has changed. */
+        /** It reloads its configuration (SIGHUP), which has changed. */
         RELOAD
     }
 
     /** A fault of the process at that place. */
-    record ProcessFault(long at, int place, Kind kind, long lasting) {}
+    record ProcessFault(long atMicros, int place, Kind kind, long durationMicros) {}
 
     private static final int SERVERS = 20;
-    private static final long WORK = 5_000;
-    private static final long HOLD_LEAST = 20_000;
-    private static final long HOLD_MOST = 400_000;
-    private static final long BETWEEN_FAULTS = 900_000; // of one process, in the mean
-    private static final long BETWEEN_SERVER_FAULTS = 700_000;
-    private static final long SERVER_FAULT_LEAST = 300_000;
-    private static final long SERVER_FAULT_MOST = 2_500_000;
-    private static final double HOLDS = 0.75; // of the faults of processes
-    private static final double RELOADS = 0.12;
-    private static final double KILLS = 0.05; // the rest are told to end
-    private static final List<Scenario.What> SERVER_FAULTS = List.of(
-            Scenario.What.STALL,
-            Scenario.What.SLOW,
-            Scenario.What.ERRORS,
-            Scenario.What.FAST_ERRORS,
-            Scenario.What.RESET,
-            Scenario.What.REFUSE,
-            Scenario.What.KILL,
-            Scenario.What.DRAIN,
-            Scenario.What.DISCOVERY_DOWN);
+    private static final long WORK_MICROS = 5_000;
+    private static final long MIN_PAUSE_MICROS = 20_000;
+    private static final long MAX_PAUSE_MICROS = 400_000;
+    private static final long MEAN_FAULT_INTERVAL_MICROS = 900_000; // of one process
+    private static final long MEAN_SERVER_FAULT_INTERVAL_MICROS = 700_000;
+    private static final long MIN_SERVER_FAULT_MICROS = 300_000;
+    private static final long SERVER_FAULT_SPREAD_MICROS = 2_500_000;
+    private static final double PAUSE_SHARE = 0.75; // of the faults of processes
+    private static final double RELOAD_SHARE = 0.12;
+    private static final double KILL_SHARE = 0.05; // the rest are shut down
+    private static final List<Scenario.ServerFaultKind> SERVER_FAULTS = List.of(
+            Scenario.ServerFaultKind.STALL,
+            Scenario.ServerFaultKind.SLOW,
+            Scenario.ServerFaultKind.ERRORS,
+            Scenario.ServerFaultKind.FAST_ERRORS,
+            Scenario.ServerFaultKind.RESET,
+            Scenario.ServerFaultKind.REFUSE,
+            Scenario.ServerFaultKind.KILL,
+            Scenario.ServerFaultKind.DRAIN,
+            Scenario.ServerFaultKind.DISCOVERY_DOWN);
 
     /** The plan of that seed. */
-    static SoakPlan of(long seed, int processes, long lasting) {
+    static SoakPlan of(long seed, int processes, long durationMicros) {
         SplittableRandom random = new SplittableRandom(seed);
         Scenario scenario = new Scenario(
                 "soak",
                 seed,
-                lasting,
+                durationMicros,
                 0,
                 0,
-                new Scenario.Cold(1, 1, 1_000, 1_000_000, 1_000_000),
-                List.of(new Scenario.Boxes("server", SERVERS, 16, 1, 1_000, "a", "m", 4)),
+                new Scenario.SlowStart(1, 1, 1_000, 1_000_000, 1_000_000),
+                List.of(new Scenario.ServerGroup("server", SERVERS, 16, 1, 1_000, "a", "m", 4)),
                 List.of(
                         kind("read", Policy.Effect.SAFE, 0),
                         kind("book", Policy.Effect.UNSAFE, 0),
                         kind("pay", Policy.Effect.KEYED, 500_000)),
-                serverFaults(random.split(), lasting));
-        return new SoakPlan(seed, processes, lasting, scenario, processFaults(random.split(), processes, lasting));
+                serverFaults(random.split(), durationMicros));
+        return new SoakPlan(
+                seed, processes, durationMicros, scenario, processFaults(random.split(), processes, durationMicros));
     }
 
-    private static Scenario.Kind kind(String name, Policy.Effect effect, long window) {
-        return new Scenario.Kind(name, effect, 1, WORK, 500_000, 2_000_000, 1, 0.5, window);
+    private static Scenario.RequestClass kind(String name, Policy.Effect effect, long window) {
+        return new Scenario.RequestClass(name, effect, 1, WORK_MICROS, 500_000, 2_000_000, 1, 0.5, window);
     }
 
-    private static long wait(SplittableRandom random, long mean) {
+    private static long drawInterval(SplittableRandom random, long mean) {
         return (long) (-Math.log(1 - random.nextDouble()) * mean);
     }
 
-    private static List<Scenario.Fault> serverFaults(SplittableRandom random, long lasting) {
-        List<Scenario.Fault> faults = new ArrayList<>();
-        for (long at = wait(random, BETWEEN_SERVER_FAULTS); at < lasting; at += wait(random, BETWEEN_SERVER_FAULTS)) {
-            Scenario.What what = SERVER_FAULTS.get(random.nextInt(SERVER_FAULTS.size()));
-            double amount = what == Scenario.What.SLOW ? 0.1 : 0.3;
-            faults.add(new Scenario.Fault(
+    private static List<Scenario.ServerFault> serverFaults(SplittableRandom random, long durationMicros) {
+        List<Scenario.ServerFault> faults = new ArrayList<>();
+        for (long at = drawInterval(random, MEAN_SERVER_FAULT_INTERVAL_MICROS);
+                at < durationMicros;
+                at += drawInterval(random, MEAN_SERVER_FAULT_INTERVAL_MICROS)) {
+            Scenario.ServerFaultKind what = SERVER_FAULTS.get(random.nextInt(SERVER_FAULTS.size()));
+            double amount = what == Scenario.ServerFaultKind.SLOW ? 0.1 : 0.3;
+            faults.add(new Scenario.ServerFault(
                     at,
                     "server-" + (1 + random.nextInt(SERVERS)),
                     what,
-                    SERVER_FAULT_LEAST + random.nextLong(SERVER_FAULT_MOST),
+                    MIN_SERVER_FAULT_MICROS + random.nextLong(SERVER_FAULT_SPREAD_MICROS),
                     amount));
         }
         return faults;
     }
 
-    private static List<ProcessFault> processFaults(SplittableRandom random, int processes, long lasting) {
+    private static List<ProcessFault> processFaults(SplittableRandom random, int processes, long durationMicros) {
         List<ProcessFault> faults = new ArrayList<>();
         for (int place = 0; place < processes; place++) {
-            for (long at = wait(random, BETWEEN_FAULTS); at < lasting; at += wait(random, BETWEEN_FAULTS)) {
+            for (long at = drawInterval(random, MEAN_FAULT_INTERVAL_MICROS);
+                    at < durationMicros;
+                    at += drawInterval(random, MEAN_FAULT_INTERVAL_MICROS)) {
                 faults.add(new ProcessFault(
-                        at, place, draw(random), HOLD_LEAST + random.nextLong(HOLD_MOST - HOLD_LEAST)));
+                        at,
+                        place,
+                        draw(random),
+                        MIN_PAUSE_MICROS + random.nextLong(MAX_PAUSE_MICROS - MIN_PAUSE_MICROS)));
             }
         }
-        faults.sort(java.util.Comparator.comparingLong(ProcessFault::at));
+        faults.sort(Comparator.comparingLong(ProcessFault::atMicros));
         return faults;
     }
 
     private static Kind draw(SplittableRandom random) {
         double point = random.nextDouble();
-        if (point < HOLDS) {
-            return Kind.HOLD;
+        if (point < PAUSE_SHARE) {
+            return Kind.PAUSE;
         }
-        if (point < HOLDS + RELOADS) {
+        if (point < PAUSE_SHARE + RELOAD_SHARE) {
             return Kind.RELOAD;
         }
-        return point < HOLDS + RELOADS + KILLS ? Kind.KILL : Kind.TERMINATE;
+        return point < PAUSE_SHARE + RELOAD_SHARE + KILL_SHARE ? Kind.KILL : Kind.TERMINATE;
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/SoakTarget.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakTarget.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import loadbalancer.testbed.fleet.BalancerMember;
 
-/** One place among the processes of a soak: who stands there, and what befalls it. For any thread. */
+/** One place among the processes of a soak: its present process, and the faults of it. For any thread. */
 final class SoakTarget {
     private enum State {
         UP,
@@ -14,8 +14,8 @@
     private BalancerMember member;
     private State state = State.UP;
     private long endingAt; // System.nanoTime
-    private boolean held;
-    private long heldMicros;
+    private boolean paused;
+    private long pausedMicros;
     private boolean killing;
     private long killedAt = Long.MIN_VALUE; // System.nanoTime, when the last one had died
 
@@ -23,10 +23,12 @@
         this.member = member;
     }
 
-    /** Where clients connect; null where nobody listens, or it was told to end {@code patience} ns ago. */
-    synchronized InetSocketAddress address(long patience) throws InterruptedException {
-        boolean taken = state == State.UP || state == State.ENDING && System.nanoTime() - endingAt < patience;
-        return taken ? member.address() : null;
+    /**
+     * Where clients connect; null where nobody listens, or the process was told to end {@code patienceNanos} ago.
+     */
+    synchronized InetSocketAddress address(long patienceNanos) throws InterruptedException {
+        boolean accepting = state == State.UP || state == State.ENDING && System.nanoTime() - endingAt < patienceNanos;
+        return accepting ? member.address() : null;
     }
 
     /** Whether a process was being killed here at {@code since} (System.nanoTime) or later. */
@@ -34,11 +36,12 @@
         return killing || killedAt >= since;
     }
 
-    /** For how long processes were held here so far, in µs. */
-    synchronized long heldMicros() {
-        return heldMicros;
+    /** For how long processes were paused here so far, in µs. */
+    synchronized long pausedMicros() {
+        return pausedMicros;
     }
 
+    /** Whether that process is the present one and up. */
     synchronized boolean isUp(BalancerMember which) {
         return state == State.UP && member == which;
     }
@@ -48,40 +51,43 @@
         return state == State.UP ? member : null;
     }
 
-    /** It is about to be held; null where it is, or nobody stands here. One that is ending may be held. */
-    synchronized BalancerMember beginHold() {
-        if (held || state == State.DOWN) {
+    /** Begins a pause; null where it is paused or down. A process that is shutting down may be paused. */
+    synchronized BalancerMember beginPause() {
+        if (paused || state == State.DOWN) {
             return null;
         }
-        held = true;
+        paused = true;
         return member;
     }
 
-    synchronized void endHold(long micros) {
-        held = false;
-        heldMicros += micros;
+    /** The pause is over. */
+    synchronized void endPause(long micros) {
+        paused = false;
+        pausedMicros += micros;
     }
 
-    /** It is about to be killed or told to end; null where it is already. */
-    synchronized BalancerMember beginEnd(boolean kill) {
+    /** Begins its end; null where that has begun already. */
+    synchronized BalancerMember beginEnd(SoakPlan.Kind kind) {
         if (state != State.UP) {
             return null;
         }
-        killing = kill;
-        state = kill ? State.DOWN : State.ENDING;
+        killing = kind == SoakPlan.Kind.KILL;
+        state = killing ? State.DOWN : State.ENDING;
         endingAt = System.nanoTime();
         return member;
     }
 
-    synchronized void ended() {
+    /** The process has ended. */
+    synchronized void terminated() {
         killedAt = killing ? System.nanoTime() : killedAt;
         killing = false;
         state = State.DOWN;
     }
 
-    synchronized void began(BalancerMember next) {
+    /** Another process has become ready in its place. */
+    synchronized void restarted(BalancerMember next) {
         member = next;
         state = State.UP;
-        held = false;
+        paused = false;
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/StandInDiscovery.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInDiscovery.java
@@ -24,6 +24,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
@@ -31,16 +32,18 @@
 import loadbalancer.proxy.Clock;
 
 /**
- * The platform's discovery on a socket: the list, a watch, and its troubles. On one event loop. It notes
- * when it
- * told of a drain: from then on, or {@link #TOLD} after the drain at the latest, the rules' grace runs.
+ * A stand-in for the platform's discovery: it serves the endpoint list and watches of it, and has faults of its
+ * own. It records when it announced a drain: from then on, or {@link #NOTIFIED_AFTER_MICROS} after the drain at
+ * the latest, the grace period of the rules runs. On one event loop.
  */
 final class StandInDiscovery {
-    /** µs after which what it has to tell counts as told, whether or not it arrived. */
-    static final long TOLD = 6_000_000;
+    /** µs after which a change counts as announced, whether or not it was delivered. */
+    static final long NOTIFIED_AFTER_MICROS = 6_000_000;
 
-    private static final long BEAT_MS = 2_000;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final long HEARTBEAT_MILLIS = 2_000;
 
+    /** The states of an endpoint, as the list has them. */
     enum State {
         IN_SERVICE,
         TERMINATING,
@@ -48,15 +51,15 @@
     }
 
     private static final class Entry {
-        final StandInServer box;
+        final StandInServer server;
         State state = State.IN_SERVICE;
         long bootMillis;
         long drainedAt;
-        boolean heard; // by the balancer, of its state
-        long told; // of its drain, or when it counts as told
+        boolean notified; // whether a balancer has been sent its present state
+        long notifiedAt; // when its drain was announced, or counts as announced
 
-        Entry(StandInServer box) {
-            this.box = box;
+        Entry(StandInServer server) {
+            this.server = server;
         }
     }
 
@@ -65,33 +68,32 @@
     private final long grace;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Set<Channel> watches = new HashSet<>();
-    private final Set<Channel> mute = new HashSet<>();
-    private final Set<Channel> all = new HashSet<>();
+    private final Set<Channel> cutWatches = new HashSet<>();
+    private final Set<Channel> channels = new HashSet<>();
     private final List<Channel> unanswered = new ArrayList<>();
     private Channel listener;
-    private long rev = 1;
+    private long revision = 1;
     private boolean graceFromLastWatch;
     private boolean silent;
     private boolean down;
 
-    /** {@code grace}: how long after a drain was told requests may still be sent, in µs. */
-    StandInDiscovery(EventLoop loop, Clock clock, long grace, List<StandInServer> boxes) {
+    /** {@code grace}: how long after the announcement of a drain requests may still be sent, in µs. */
+    StandInDiscovery(EventLoop loop, Clock clock, long grace, List<StandInServer> servers) {
         this.loop = loop;
         this.clock = clock;
         this.grace = grace;
-        boxes.forEach(box -> entries.put(box.name(), new Entry(box)));
+        servers.forEach(server -> entries.put(server.name(), new Entry(server)));
     }
 
     /**
-     * From here on the grace of a drain counts from when the last process heard of it, as processes lose
-     * their watches and come back at times of their own; nobody can tell here whose watch is whose. Before it
-     * is opened.
+     * From here on the grace of a drain counts from when the last process was notified, as processes lose their
+     * watches and return at different times, and a watch can't be attributed to a process. Before {@link #open}.
      */
     void countFromLastWatch() {
         graceFromLastWatch = true;
     }
 
-    /** Listens; not for the loop's own thread. */
+    /** Listens on a free port. Blocks; not for the event loop's thread. */
     InetSocketAddress open() throws InterruptedException {
         listener = new ServerBootstrap()
                 .group(loop, loop)
@@ -99,14 +101,15 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        all.add(channel);
+                        channels.add(channel);
                         channel.closeFuture().addListener(closed -> {
-                            all.remove(channel);
+                            channels.remove(channel);
                             watches.remove(channel);
-                            mute.remove(channel);
+                            cutWatches.remove(channel);
                         });
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Handler());
+                                .addLast(
+                                        new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler());
                         if (down) {
                             channel.close();
                         }
@@ -118,161 +121,170 @@
         loop.scheduleWithFixedDelay(
                 () -> {
                     if (!silent) {
-                        watches.forEach(w -> line(w, "\n"));
+                        watches.forEach(w -> writeLine(w, "\n"));
                     }
                 },
-                BEAT_MS,
-                BEAT_MS,
+                HEARTBEAT_MILLIS,
+                HEARTBEAT_MILLIS,
                 TimeUnit.MILLISECONDS);
         return (InetSocketAddress) listener.localAddress();
     }
 
     void close() {
         listener.close();
-        List.copyOf(all).forEach(Channel::close);
+        List.copyOf(channels).forEach(Channel::close);
     }
 
-    /** The list in its whole, as a balancer may have kept it from before. */
-    String list() {
+    /** The complete endpoint list as JSON. */
+    String endpointList() {
         return json(true, List.copyOf(entries.values()));
     }
 
     // ---------------------------------------------------------------- on the loop
 
-    /** A box leaves service in order, or returns. */
-    void set(String box, State state) {
-        Entry entry = entries.get(box);
+    /** Changes the state of a server and announces it. */
+    void setState(String server, State state) {
+        Entry entry = entries.get(server);
         if (entry.state != state) {
             entry.state = state;
-            changed(entry);
+            announce(entry);
         }
     }
 
+    /** How many watches are open. */
     int watches() {
         return watches.size();
     }
 
-    State state(String box) {
-        return entries.get(box).state;
+    /** The announced state of a server. */
+    State state(String server) {
+        return entries.get(server).state;
     }
 
-    /** A box has started anew. */
-    void started(String box) {
-        Entry entry = entries.get(box);
+    /** Announces that a server has been restarted. */
+    void started(String server) {
+        Entry entry = entries.get(server);
         entry.bootMillis = clock.now() / 1000;
-        changed(entry);
+        announce(entry);
     }
 
-    // What it could tell nobody counts as told from when it could.
-    private void nowReachable() {
+    /** Discovery works again: drains that it could not announce count as announced from now on. */
+    private void restartNotificationTimes() {
         for (Entry entry : entries.values()) {
-            if (entry.state != State.IN_SERVICE && !entry.heard) {
-                entry.told = clock.now() + TOLD;
-                entry.box.sendsEndAt(entry.told + grace);
+            if (entry.state != State.IN_SERVICE && !entry.notified) {
+                entry.notifiedAt = clock.now() + NOTIFIED_AFTER_MICROS;
+                entry.server.sendsEndAt(entry.notifiedAt + grace);
             }
         }
     }
 
-    private void changed(Entry entry) {
-        rev++;
-        entry.heard = false;
+    private void announce(Entry entry) {
+        revision++;
+        entry.notified = false;
         if (entry.state == State.IN_SERVICE) {
             entry.drainedAt = 0;
-            entry.box.sendsEndAt(Long.MAX_VALUE);
+            entry.server.sendsEndAt(Long.MAX_VALUE);
         } else {
             entry.drainedAt = clock.now();
-            entry.told = silent || down ? Long.MAX_VALUE - grace : entry.drainedAt + TOLD;
-            entry.box.sendsEndAt(entry.told + grace);
+            entry.notifiedAt = silent || down ? Long.MAX_VALUE - grace : entry.drainedAt + NOTIFIED_AFTER_MICROS;
+            entry.server.sendsEndAt(entry.notifiedAt + grace);
         }
         if (!silent && !down) {
             String change = json(false, List.of(entry)) + "\n";
-            watches.forEach(w -> line(w, change));
+            watches.forEach(w -> writeLine(w, change));
             if (!watches.isEmpty()) {
-                told(List.of(entry));
+                markNotified(List.of(entry));
             }
         }
     }
 
-    private void told(List<Entry> list) {
-        for (Entry entry : list) {
+    private void markNotified(List<Entry> selected) {
+        for (Entry entry : selected) {
             if (entry.state != State.IN_SERVICE) {
                 long now = clock.now();
-                entry.told = graceFromLastWatch && entry.heard
-                        ? Math.min(entry.drainedAt + TOLD, now)
-                        : Math.min(entry.told, now);
-                entry.heard = true;
-                entry.box.sendsEndAt(entry.told + grace);
+                entry.notifiedAt = graceFromLastWatch && entry.notified
+                        ? Math.min(entry.drainedAt + NOTIFIED_AFTER_MICROS, now)
+                        : Math.min(entry.notifiedAt, now);
+                entry.notified = true;
+                entry.server.sendsEndAt(entry.notifiedAt + grace);
             }
         }
     }
 
-    /** Open watches bring one more beat and then nothing; they end when the network is whole again. */
-    void cut(boolean on) {
+    /** Open watches deliver one more heartbeat and then nothing; they are closed when the partition ends. */
+    void setWatchesCut(boolean on) {
         if (on) {
-            watches.forEach(w -> line(w, "\n")); // the longest time until it can be noticed
-            mute.addAll(watches);
+            watches.forEach(w -> writeLine(w, "\n")); // so that it takes longest to detect
+            cutWatches.addAll(watches);
             watches.clear();
         } else {
-            List.copyOf(mute).forEach(Channel::close);
+            List.copyOf(cutWatches).forEach(Channel::close);
         }
     }
 
-    void silent(boolean on) {
+    /** While it is silent it accepts calls and does not respond; watches stay open. */
+    void setSilent(boolean on) {
         silent = on;
         if (!on) {
-            nowReachable();
-            // What it would have said meanwhile is lost to the watches that stayed open: they end.
+            restartNotificationTimes();
+            // Watches that stayed open have missed changes: they are closed, so that balancers open new ones.
             List.copyOf(watches).forEach(Channel::close);
             unanswered.forEach(Channel::close);
             unanswered.clear();
         }
     }
 
-    void down(boolean on) {
+    /** While it is down it closes all connections at once. */
+    void setDown(boolean on) {
         down = on;
         if (on) {
-            List.copyOf(all).forEach(Channel::close);
+            List.copyOf(channels).forEach(Channel::close);
         } else {
-            nowReachable();
+            restartNotificationTimes();
         }
     }
 
-    private String json(boolean whole, List<Entry> list) {
-        StringBuilder out = new StringBuilder("{\"rev\":" + rev + ",\"all\":" + whole + ",\"targets\":[");
-        String comma = "";
-        for (Entry e : list) {
-            if (whole && e.state == State.TERMINATED) {
+    private String json(boolean complete, List<Entry> selected) {
+        StringBuilder out = new StringBuilder("{\"rev\":" + revision + ",\"all\":" + complete + ",\"targets\":[");
+        String separator = "";
+        for (Entry entry : selected) {
+            if (complete && entry.state == State.TERMINATED) {
                 continue;
             }
-            out.append(comma)
-                    .append("{\"uid\":\"")
-                    .append(e.box.name())
-                    .append("\",\"endpoint\":\"")
-                    .append(Addresses.text(e.box.address()))
-                    .append("\",\"az\":\"")
-                    .append(e.box.kind().zone())
-                    .append("\",\"model\":\"")
-                    .append(e.box.kind().model())
-                    .append("\",\"pod_group\":")
-                    .append(e.box.cellNumber())
-                    .append(",\"state\":\"")
-                    .append(e.state.name().toLowerCase())
-                    .append("\",\"capacity_hint\":")
-                    .append(e.box.kind().speed() * e.box.kind().cores())
-                    .append(",\"boot_ms\":")
-                    .append(e.bootMillis);
-            if (e.box.http3() != null) {
-                out.append(",\"http3\":\"")
-                        .append(Addresses.text(e.box.http3()))
-                        .append('"');
-            }
-            out.append('}');
-            comma = ",";
+            out.append(separator);
+            appendEndpoint(out, entry);
+            separator = ",";
         }
         return out.append("]}").toString();
     }
 
-    private static void line(Channel channel, String text) {
+    private static void appendEndpoint(StringBuilder out, Entry entry) {
+        StandInServer server = entry.server;
+        out.append("{\"uid\":\"")
+                .append(server.name())
+                .append("\",\"endpoint\":\"")
+                .append(Addresses.text(server.address()))
+                .append("\",\"az\":\"")
+                .append(server.group().zone())
+                .append("\",\"model\":\"")
+                .append(server.group().model())
+                .append("\",\"pod_group\":")
+                .append(server.cellIndex())
+                .append(",\"state\":\"")
+                .append(entry.state.name().toLowerCase(Locale.ROOT))
+                .append("\",\"capacity_hint\":")
+                .append(server.group().speed() * server.group().cores())
+                .append(",\"boot_ms\":")
+                .append(entry.bootMillis);
+        if (server.http3Address() != null) {
+            out.append(",\"http3\":\"")
+                    .append(Addresses.text(server.http3Address()))
+                    .append('"');
+        }
+        out.append('}');
+    }
+
+    private static void writeLine(Channel channel, String text) {
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
@@ -286,16 +298,16 @@
                 var head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
                 channel.write(head);
-                line(channel, list() + "\n");
+                writeLine(channel, endpointList() + "\n");
                 watches.add(channel);
-                told(List.copyOf(entries.values()));
+                markNotified(List.copyOf(entries.values()));
             } else {
-                byte[] body = list().getBytes(StandardCharsets.UTF_8);
-                var answer = new DefaultFullHttpResponse(
+                byte[] body = endpointList().getBytes(StandardCharsets.UTF_8);
+                var response = new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
-                answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-                channel.writeAndFlush(answer);
-                told(List.copyOf(entries.values()));
+                response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+                channel.writeAndFlush(response);
+                markNotified(List.copyOf(entries.values()));
             }
         }
 
--- a/src/testbed/java/loadbalancer/testbed/StandInFleet.java
+++ b/src/testbed/java/loadbalancer/testbed/StandInFleet.java
@@ -11,18 +11,20 @@
 import loadbalancer.http3.TlsIdentity;
 import loadbalancer.proxy.Clock;
 
-/** All stand-in boxes of a scenario with their discovery, and the script of faults that befalls them. */
+/** All stand-in servers of a scenario with their discovery, and the schedule of faults injected into them. */
 final class StandInFleet {
+    private static final long SEED_MASK = 0x5eed; // servers draw other numbers than the schedule
+
     private final Scenario scenario;
     private final EventLoop loop;
     private final Clock clock;
-    private final List<StandInServer> boxes = new ArrayList<>();
+    private final List<StandInServer> servers = new ArrayList<>();
     private final StandInDiscovery discovery;
     private InetSocketAddress discoveryAt;
 
     StandInFleet(
             Scenario scenario,
-            List<ArrivalSchedule.Order> script,
+            List<ArrivalSchedule.ScheduledRequest> schedule,
             EventLoop loop,
             Clock clock,
             Ledger ledger,
@@ -30,43 +32,44 @@
         this.scenario = scenario;
         this.loop = loop;
         this.clock = clock;
-        Map<String, StandInServer.Known> known = new HashMap<>();
-        for (ArrivalSchedule.Order order : script) {
-            Scenario.Kind kind = scenario.kinds().get(order.kind());
-            known.put(order.id(), new StandInServer.Known(kind.effect(), order.work(), kind.window()));
-        }
-        SplittableRandom chance = new SplittableRandom(scenario.seed() ^ 0x5eed);
         LoopLag lag = new LoopLag(loop, clock);
         lag.start();
+        createServers(new StandInServer.Environment(loop, lag, clock, ledger, profiles(scenario, schedule)::get));
+        discovery = new StandInDiscovery(loop, clock, grace, servers);
+    }
+
+    private static Map<String, RequestProfile> profiles(
+            Scenario scenario, List<ArrivalSchedule.ScheduledRequest> schedule) {
+        Map<String, RequestProfile> profiles = new HashMap<>();
+        for (ArrivalSchedule.ScheduledRequest request : schedule) {
+            Scenario.RequestClass requestClass = scenario.classes().get(request.classIndex());
+            profiles.put(
+                    request.id(),
+                    new RequestProfile(requestClass.effect(), request.workMicros(), requestClass.keyTtlMicros()));
+        }
+        return profiles;
+    }
+
+    private void createServers(StandInServer.Environment environment) {
+        SplittableRandom random = new SplittableRandom(scenario.seed() ^ SEED_MASK);
         int cells = 0;
-        for (Scenario.Boxes kind : scenario.boxes()) {
-            IdempotencyKeys cell = null;
-            for (int i = 0; i < kind.count(); i++) {
-                if (i % kind.cellSize() == 0) {
-                    cell = new IdempotencyKeys();
+        for (Scenario.ServerGroup group : scenario.serverGroups()) {
+            StandInServer.Cell cell = null;
+            for (int i = 0; i < group.count(); i++) {
+                if (i % group.cellSize() == 0) {
+                    cell = new StandInServer.Cell(cells, new IdempotencyKeys());
                     cells++;
                 }
-                boxes.add(new StandInServer(
-                        kind.name() + "-" + (i + 1),
-                        kind,
-                        scenario.cold(),
-                        loop,
-                        lag,
-                        clock,
-                        ledger,
-                        cell,
-                        cells - 1,
-                        known::get,
-                        chance.split()));
+                servers.add(new StandInServer(
+                        group.name() + "-" + (i + 1), group, scenario.slowStart(), cell, environment, random.split()));
             }
         }
-        discovery = new StandInDiscovery(loop, clock, grace, boxes);
     }
 
-    /** Every second box speaks HTTP/3 as well, with this certificate; before they are opened. */
-    void speakHttp3(TlsIdentity identity) {
-        for (int i = 0; i < boxes.size(); i += 2) {
-            boxes.get(i).speakHttp3(identity);
+    /** Every second server speaks HTTP/3 as well, with this certificate; before they are opened. */
+    void enableHttp3(TlsIdentity identity) {
+        for (int i = 0; i < servers.size(); i += 2) {
+            servers.get(i).enableHttp3(identity);
         }
     }
 
@@ -75,10 +78,10 @@
         discovery.countFromLastWatch();
     }
 
-    /** Listens everywhere; not for the loop's own thread. */
+    /** Opens all servers and discovery. Blocks; not for the event loop's thread. */
     void open() throws InterruptedException {
-        for (StandInServer box : boxes) {
-            box.open();
+        for (StandInServer server : servers) {
+            server.open();
         }
         discoveryAt = discovery.open();
     }
@@ -88,83 +91,100 @@
     }
 
     List<InetSocketAddress> addresses() {
-        return boxes.stream().map(StandInServer::address).toList();
+        return servers.stream().map(StandInServer::address).toList();
     }
 
-    /** The list as a balancer would have it from before. */
-    String list() {
-        return discovery.list();
+    /** The endpoint list as JSON, as a balancer may know it from before. */
+    String endpointList() {
+        return discovery.endpointList();
     }
 
-    /** Plans all faults of a run whose load begins at {@code begin}. */
-    void script(long begin) {
-        for (Scenario.Fault fault : scenario.faults()) {
-            at(begin + fault.at(), () -> inject(fault, true));
-            at(begin + fault.at() + fault.lasting(), () -> inject(fault, false));
+    /** Schedules all faults of a run whose load begins at {@code begin} (µs). */
+    void scheduleFaults(long begin) {
+        for (Scenario.ServerFault fault : scenario.faults()) {
+            scheduleAt(begin + fault.atMicros(), () -> inject(fault, true));
+            scheduleAt(begin + fault.atMicros() + fault.durationMicros(), () -> inject(fault, false));
         }
     }
 
-    private void at(long when, Runnable task) {
+    private void scheduleAt(long when, Runnable task) {
         loop.schedule(task, Math.max(0, when - clock.now()), TimeUnit.MICROSECONDS);
     }
 
-    private void inject(Scenario.Fault fault, boolean on) {
-        switch (fault.what()) {
-            case DISCOVERY_SILENT -> discovery.silent(on);
-            case WATCHES_CUT -> discovery.cut(on);
-            case DISCOVERY_DOWN -> discovery.down(on);
-            default -> boxes.stream().filter(b -> fault.strikes(b.name())).forEach(b -> inject(fault, b, on));
+    private void inject(Scenario.ServerFault fault, boolean on) {
+        switch (fault.kind()) {
+            case DISCOVERY_SILENT -> discovery.setSilent(on);
+            case WATCHES_CUT -> discovery.setWatchesCut(on);
+            case DISCOVERY_DOWN -> discovery.setDown(on);
+            default -> servers.stream().filter(b -> fault.matches(b.name())).forEach(b -> inject(fault, b, on));
         }
     }
 
-    private void inject(Scenario.Fault fault, StandInServer box, boolean on) {
-        switch (fault.what()) {
-            case STALL -> box.stall(on);
-            case SLOW -> box.slow(on ? fault.amount() : 1);
-            case ERRORS -> box.errors(on ? fault.amount() : 0);
-            case FAST_ERRORS -> box.fastErrors(on ? fault.amount() : 0);
-            case RESET -> box.resets(on ? fault.amount() : 0);
-            case REFUSE -> box.refuse(on);
+    private void inject(Scenario.ServerFault fault, StandInServer server, boolean on) {
+        switch (fault.kind()) {
+            case STALL -> server.stall(on);
+            case SLOW -> server.slow(on ? fault.amount() : 1);
+            case ERRORS -> server.faults().setErrorShare(on ? fault.amount() : 0);
+            case FAST_ERRORS -> server.faults().setFastErrorShare(on ? fault.amount() : 0);
+            case RESET -> server.faults().setResetShare(on ? fault.amount() : 0);
+            case REFUSE -> server.faults().setRefusing(on);
             case KILL -> {
                 if (on) {
-                    box.kill();
+                    server.kill();
                 } else {
-                    box.restart(() -> discovery.started(box.name()));
+                    server.restart(() -> discovery.started(server.name()));
                 }
             }
             default ->
-                discovery.set(box.name(), on ? StandInDiscovery.State.TERMINATING : StandInDiscovery.State.IN_SERVICE);
+                discovery.setState(
+                        server.name(), on ? StandInDiscovery.State.TERMINATING : StandInDiscovery.State.IN_SERVICE);
         }
     }
 
-    /** How a box stands, in a word, with what it holds. */
-    record Standing(String name, String word, int inFlight, long served, long declined, long falls) {}
-
-    /** To be called on the loop. */
-    List<Standing> standings() {
-        List<Standing> all = new ArrayList<>();
-        for (StandInServer box : boxes) {
-            String word = !box.isUp()
-                    ? "down"
-                    : box.isStalled()
-                            ? "stalled"
-                            : discovery.state(box.name()) != StandInDiscovery.State.IN_SERVICE
-                                    ? "draining"
-                                    : box.warmth() < 1 ? "cold" : "up";
-            all.add(new Standing(box.name(), word, box.inFlight(), box.served(), box.declined(), box.falls()));
+    /**
+     * The state of a server.
+     *
+     * @param state "up", "cold", "draining", "stalled" or "down"
+     */
+    record ServerStatus(String name, String state, int inFlight, long served, long declined, long collapses) {}
+
+    /** The state of each server; on the loop. */
+    List<ServerStatus> serverStatuses() {
+        List<ServerStatus> all = new ArrayList<>();
+        for (StandInServer server : servers) {
+            all.add(new ServerStatus(
+                    server.name(),
+                    state(server),
+                    server.inFlight(),
+                    server.served(),
+                    server.declined(),
+                    server.collapses()));
         }
         return all;
     }
 
-    /** Connections that boxes have been opened so far; on the loop. */
+    private String state(StandInServer server) {
+        if (!server.isUp()) {
+            return "down";
+        }
+        if (server.isStalled()) {
+            return "stalled";
+        }
+        if (discovery.state(server.name()) != StandInDiscovery.State.IN_SERVICE) {
+            return "draining";
+        }
+        return server.warmth() < 1 ? "cold" : "up";
+    }
+
+    /** Connections that servers have accepted so far; on the loop. */
     long connections() {
-        return boxes.stream().mapToLong(StandInServer::opened).sum();
+        return servers.stream().mapToLong(StandInServer::acceptedConnections).sum();
     }
 
-    /** What each can do, beside the others, in the order of {@link #standings}. */
+    /** The capacity of each server (cores times speed), in the order of {@link #serverStatuses}. */
     double[] weights() {
-        return boxes.stream()
-                .mapToDouble(b -> b.kind().cores() * b.kind().speed())
+        return servers.stream()
+                .mapToDouble(b -> b.group().cores() * b.group().speed())
                 .toArray();
     }
 
@@ -173,13 +193,13 @@
         return discovery.watches();
     }
 
-    /** A box leaves service in order; on the loop. */
-    void drain(String box) {
-        discovery.set(box, StandInDiscovery.State.TERMINATING);
+    /** Drains a server: discovery reports it as terminating; on the loop. */
+    void drain(String server) {
+        discovery.setState(server, StandInDiscovery.State.TERMINATING);
     }
 
     void close() {
         discovery.close();
-        boxes.forEach(StandInServer::close);
+        servers.forEach(StandInServer::close);
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/Testbed.java
+++ b/src/testbed/java/loadbalancer/testbed/Testbed.java
@@ -17,8 +17,8 @@
 import loadbalancer.testbed.fleet.ClientSocket;
 
 /**
- * Several processes of the program before stand-in servers and a discovery, with one ledger over all of them.
- * May be used from any thread; {@link #close} ends every process and connection that was begun here.
+ * Several processes of the program before stand-in servers and a discovery, with one ledger for all of them.
+ * May be used from any thread; {@link #close} ends every process and connection that was started here.
  */
 final class Testbed implements AutoCloseable {
     private static final long WATCHING_NANOS = TimeUnit.SECONDS.toNanos(60);
@@ -34,7 +34,7 @@
     private final EventLoop loop = group.next();
     private final List<BalancerMember> members = new CopyOnWriteArrayList<>();
     private final List<BalancerMember> former = new CopyOnWriteArrayList<>();
-    private final List<ClientSocket> wires = new CopyOnWriteArrayList<>();
+    private final List<ClientSocket> sockets = new CopyOnWriteArrayList<>();
 
     /**
      * Opens the servers and the discovery; no process yet.
@@ -42,10 +42,12 @@
      * @param classPath what holds the program with its tools
      * @param requests all requests that will be sent, as the servers have to know their work
      */
-    Testbed(String classPath, Scenario scenario, List<ArrivalSchedule.Order> requests) throws InterruptedException {
+    Testbed(String classPath, Scenario scenario, List<ArrivalSchedule.ScheduledRequest> requests)
+            throws InterruptedException {
         this.classPath = classPath;
         this.scenario = scenario;
-        this.servers = new StandInFleet(scenario, requests, loop, clock, ledger, Demo.GRACE + Demo.SLACK);
+        this.servers = new StandInFleet(
+                scenario, requests, loop, clock, ledger, Demo.DRAIN_GRACE_MICROS + Demo.RULE_SLACK_MICROS);
         servers.open();
     }
 
@@ -110,17 +112,17 @@
 
     /** A new connection of a client. */
     ClientSocket connect(InetSocketAddress to) throws IOException {
-        ClientSocket wire = new ClientSocket();
-        wires.add(wire);
-        if (!wire.open(to)) {
+        ClientSocket socket = new ClientSocket();
+        sockets.add(socket);
+        if (!socket.open(to)) {
             throw new IOException("its machine does not accept");
         }
-        return wire;
+        return socket;
     }
 
-    /** Forgets a connection that its owner has closed. */
-    void closed(ClientSocket wire) {
-        wires.remove(wire);
+    /** Removes a connection that its owner has closed. */
+    void closed(ClientSocket socket) {
+        sockets.remove(socket);
     }
 
     /** Runs a task on the event loop of the servers and the discovery, and returns its result. */
@@ -136,7 +138,7 @@
     public void close() {
         members.forEach(BalancerMember::close);
         former.forEach(BalancerMember::close);
-        wires.forEach(ClientSocket::close);
+        sockets.forEach(ClientSocket::close);
         try {
             loop.submit(servers::close).get(CLOSE_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
--- a/src/testbed/java/loadbalancer/testbed/TestedBalancer.java
+++ b/src/testbed/java/loadbalancer/testbed/TestedBalancer.java
@@ -3,32 +3,34 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** A balancer that a run is played against: the real one, or a test's twin with a fault of its own. */
+/** The balancer that a run is played against: the real one, or a reference model with a fault in a test. */
 interface TestedBalancer extends AutoCloseable {
+    /** Where it accepts HTTP/1.1. */
     InetSocketAddress address();
 
-    /** Where it takes HTTP/3; null where it doesn't. */
+    /** Where it accepts HTTP/3; null where it doesn't. */
     default InetSocketAddress http3() {
         return null;
     }
 
+    /** Whether its process runs. */
     boolean isAlive();
 
-    /** CPU that it has used so far, in µs; 0 where that can't be told. */
+    /** CPU that it has used so far, in µs; 0 where that is unknown. */
     long cpuMicros();
 
-    /** The most memory that it has held so far, in KiB; 0 where that can't be told. */
+    /** Its peak memory so far, in KiB; 0 where that is unknown. */
     default long memoryKib() {
         return 0;
     }
 
-    /** What it has said. */
+    /** The lines of its log so far. */
     List<String> log();
 
-    /** Ends it in order, and returns its exit code; -1 where it had to be killed. */
+    /** Shuts it down gracefully, and returns its exit code; -1 where it had to be killed. */
     int stop() throws InterruptedException;
 
-    /** Ends it at once. */
+    /** Kills it. */
     @Override
     void close();
 }
--- a/src/testbed/java/loadbalancer/testbed/UdpRelay.java
+++ b/src/testbed/java/loadbalancer/testbed/UdpRelay.java
@@ -14,20 +14,23 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.Consumer;
 
 /**
- * A path over loopback between clients and one UDP server, as a {@link RelayScript} says. Each client has an
- * address of its own towards the server, which {@link #rebind} changes, as a NAT does. On one event loop; its
- * methods may be called from any thread.
+ * A network path over loopback between clients and one UDP server, whose faults a {@link RelayScript} decides on.
+ * Each client has an address of its own towards the server, which {@link #rebind} changes, as a NAT does. Runs on
+ * one event loop; its methods may be called from any thread.
  */
 public final class UdpRelay implements AutoCloseable {
-    /** Which way of the path is dead. */
+    /** Which direction of the path loses everything. */
     public enum Hole {
         NONE,
         TO_SERVER,
         TO_CLIENT
     }
 
+    private static final int CLOSE_MILLIS = 2_000;
+
     private final AtomicBoolean closed = new AtomicBoolean();
     private final EventLoop loop;
     private final InetSocketAddress server;
@@ -38,13 +41,14 @@
     private long relayed;
     private long rebinds;
 
+    /** A relay to that server, which is not open yet. */
     public UdpRelay(EventLoop loop, InetSocketAddress server, RelayScript script) {
         this.loop = loop;
         this.server = server;
         this.script = script;
     }
 
-    /** Listens; not for the loop's thread. Returns the address for clients. */
+    /** Listens, and returns the address for clients. Blocks; not for the event loop's thread. */
     public InetSocketAddress open() throws InterruptedException {
         front = bind(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
@@ -68,46 +72,46 @@
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    private void pass(ByteBuf content, java.util.function.Consumer<ByteBuf> on) {
+    private void pass(ByteBuf content, Consumer<ByteBuf> forward) {
         relayed++;
         RelayScript.Fate fate = script.next(content.readableBytes());
         for (int i = 0; i < fate.copies(); i++) {
             ByteBuf copy = content.copy();
             if (fate.flip() >= 0) {
-                int at = fate.flip() / 8;
-                copy.setByte(at, copy.getByte(at) ^ 1 << fate.flip() % 8);
+                int index = fate.flip() / Byte.SIZE;
+                copy.setByte(index, copy.getByte(index) ^ (1 << (fate.flip() % Byte.SIZE)));
             }
             if (fate.delay() > 0) {
-                loop.schedule(() -> on.accept(copy), fate.delay(), TimeUnit.MICROSECONDS);
+                loop.schedule(() -> forward.accept(copy), fate.delay(), TimeUnit.MICROSECONDS);
             } else {
-                on.accept(copy);
+                forward.accept(copy);
             }
         }
     }
 
-    /** Every client comes from another port from here on; what is sent to its old one is lost. */
+    /** Every client has another port from here on; what is sent to its former one is lost. */
     public void rebind() {
         loop.execute(() -> clients.values().forEach(Client::rebind));
     }
 
-    /** Holds for all that comes once this returns; not for the loop's own thread. */
+    /** Sets the direction that loses everything, for all datagrams once this returns. Not for the loop's thread. */
     public void hole(Hole where) {
         loop.submit(() -> hole = where).syncUninterruptibly();
     }
 
-    /** Other faults from here on. */
+    /** Replaces the faults from here on. */
     public void faults(RelayScript.Faults faults) {
         loop.execute(() -> script.set(faults));
     }
 
-    /** Datagrams that came, and ports that were changed. */
+    /** The numbers of datagrams received and of ports changed. */
     public long[] counts() {
         return loop.submit(() -> new long[] {relayed, rebinds})
                 .syncUninterruptibly()
                 .getNow();
     }
 
-    /** Does nothing the second time, when its loop may have ended. */
+    /** Closes all sockets; a second call does nothing, as its event loop may have ended. */
     @Override
     public void close() {
         if (closed.getAndSet(true)) {
@@ -119,7 +123,7 @@
                         front.close();
                     }
                 })
-                .awaitUninterruptibly(2_000);
+                .awaitUninterruptibly(CLOSE_MILLIS);
     }
 
     /** One client's address towards the server. */
@@ -143,7 +147,7 @@
         }
 
         void send(ByteBuf content) {
-            // Behind its bind, which the loop may still have before it.
+            // After its bind, which may still be queued on the event loop.
             loop.execute(() -> socket.writeAndFlush(new DatagramPacket(content, server)));
         }
 
--- a/src/testbed/java/loadbalancer/testbed/fleet/BalancerMember.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/BalancerMember.java
@@ -17,14 +17,14 @@
 import loadbalancer.proxy.Clock;
 
 /**
- * One process of the program among several: started with a file of its own, told by signals, stalled and let
- * go on again, always by its id. Ends with {@link #close}, stalled or not. May be used from any thread; waits
- * throw IllegalStateException with the process's last lines where it says or does nothing for too long.
+ * One process of the program among several: started with a configuration file of its own and controlled by
+ * signals, always by its process id. {@link #close} ends it, stalled or not. May be used from any thread; waits
+ * throw IllegalStateException with the process's last log lines after a time limit.
  */
 public final class BalancerMember implements AutoCloseable {
-    private static final long PATIENCE_S = 90; // for a process on a busy machine
+    private static final long TIMEOUT_SECONDS = 90; // for a process on a busy machine
     private static final Clock CLOCK = Clock.system();
-    private static final int LAST = 8; // lines that a complaint quotes
+    private static final int QUOTED_LINES = 8; // in messages
 
     private final Process process;
     private final Path file;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Starts one; it may not listen yet.
+     * Starts a process; it may not listen yet.
      *
      * @param classPath what holds the program
      * @param toml its configuration; see {@link #rewrite}
@@ -70,20 +70,20 @@
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                note(line);
+                addLine(line);
             }
         } catch (IOException e) {
-            note("its log broke off: " + e.getMessage());
+            addLine("its log broke off: " + e.getMessage());
         }
     }
 
-    private synchronized void note(String line) {
+    private synchronized void addLine(String line) {
         lines.add(line);
         times.add(CLOCK.now());
         notifyAll();
     }
 
-    /** What it has said so far. */
+    /** The lines of its log so far. */
     public synchronized List<String> log() {
         return List.copyOf(lines);
     }
@@ -95,13 +95,13 @@
                 .toList();
     }
 
-    /** Waits for a line with these words, whether it has been said already or not, and returns it. */
+    /** Waits for a log line with these words, unless there is one already, and returns it. */
     public synchronized String line(String words) throws InterruptedException {
-        return first(line -> line.contains(words), "no line with '" + words + "'");
+        return awaitLine(line -> line.contains(words), "no line with '" + words + "'");
     }
 
-    private String first(Predicate<String> wanted, String complaint) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private String awaitLine(Predicate<String> wanted, String complaint) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         int seen = 0;
         while (true) {
             for (; seen < lines.size(); seen++) {
@@ -111,14 +111,14 @@
             }
             long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             if (left <= 0) {
-                throw new IllegalStateException(complaint + ": " + last());
+                throw new IllegalStateException(complaint + ": " + lastLines());
             }
             wait(left);
         }
     }
 
-    private String last() {
-        return String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST), lines.size()));
+    private String lastLines() {
+        return String.join(" | ", lines.subList(Math.max(0, lines.size() - QUOTED_LINES), lines.size()));
     }
 
     /** Where clients connect, once it listens. */
@@ -137,19 +137,19 @@
                 line.substring(line.indexOf(words) + words.length()).strip());
     }
 
-    /** Waits until it says that it is ready; throws IllegalStateException where it does not. */
+    /** Waits until it reports that it is ready. */
     public void awaitReady() throws InterruptedException {
         InetSocketAddress at = address();
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         for (int status = 0; status != 200; ) {
-            try (ClientSocket asks = new ClientSocket()) {
-                status = asks.open(at) && asks.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                        ? asks.answer().status()
+            try (ClientSocket socket = new ClientSocket()) {
+                status = socket.open(at) && socket.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                        ? socket.response().status()
                         : 0;
             }
             if (status != 200 && System.nanoTime() > until) {
                 synchronized (this) {
-                    throw new IllegalStateException("it does not get ready: " + last());
+                    throw new IllegalStateException("it does not get ready: " + lastLines());
                 }
             }
             Thread.sleep(status == 200 ? 0 : 20);
@@ -187,7 +187,7 @@
         Files.writeString(file, toml);
     }
 
-    /** What a process can be told by its id. */
+    /** The signals that a process can be sent. */
     public enum Signal {
         STOP,
         CONT,
@@ -196,38 +196,38 @@
         KILL
     }
 
-    /** Sends the signal; a stalled process takes all but KILL and CONT only when it goes on. */
+    /** Sends the signal; a stalled process handles all but KILL and CONT only when it continues. */
     public void signal(Signal what) throws IOException, InterruptedException {
         int code = new ProcessBuilder("kill", "-" + what, Long.toString(process.pid()))
                 .start()
                 .waitFor();
         if (code != 0) {
-            throw new IOException("no process to tell " + what + ": " + last());
+            throw new IOException("no process to tell " + what + ": " + lastLines());
         }
     }
 
-    /** Waits until a process that was told to {@link Signal#STOP} gets no turn any more (Linux). */
+    /** Waits until a process that was sent {@link Signal#STOP} is no longer scheduled (Linux). */
     public void awaitStopped() throws IOException, InterruptedException {
         Path stat = Path.of("/proc", Long.toString(process.pid()), "stat");
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!stopped(Files.readString(stat))) {
             if (System.nanoTime() > until) {
-                throw new IllegalStateException("it does not stand still: " + last());
+                throw new IllegalStateException("it does not stand still: " + lastLines());
             }
             Thread.sleep(1);
         }
     }
 
-    // proc(5): the state follows the name of the program, which stands in brackets.
+    // proc(5): the state follows the name of the program, which is in parentheses.
     private static boolean stopped(String stat) {
         return stat.startsWith("T", stat.lastIndexOf(')') + 2);
     }
 
-    /** Waits for its end, and returns its exit code. */
+    /** Waits until it has ended, and returns its exit code. */
     public int await() throws InterruptedException {
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             synchronized (this) {
-                throw new IllegalStateException("it does not end: " + last());
+                throw new IllegalStateException("it does not end: " + lastLines());
             }
         }
         return process.exitValue();
@@ -235,9 +235,9 @@
 
     @Override
     public void close() {
-        process.destroyForcibly(); // SIGKILL, which a stalled one takes as well
+        process.destroyForcibly(); // SIGKILL, which a stalled one handles as well
         try {
-            process.waitFor(PATIENCE_S, TimeUnit.SECONDS);
+            process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             Files.deleteIfExists(file);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/testbed/java/loadbalancer/testbed/fleet/ClientSocket.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/ClientSocket.java
@@ -10,24 +10,30 @@
 import java.util.Locale;
 
 /**
- * A client's connection that sends bytes as it is told and says what came back: a whole answer, or how the
- * connection ended without one. Blocks; for one thread.
+ * A client's connection that sends the bytes it is given and reads the responses, or how the connection ended
+ * without one. Blocks; for one thread.
  */
 public final class ClientSocket implements AutoCloseable {
-    private static final int PATIENCE_MS = 60_000; // for an answer, on a busy machine
+    private static final int TIMEOUT_MILLIS = 60_000; // for an answer, on a busy machine
 
-    /** What came: a status, or 0 and why there was none; {@code stays}: it may be used again. */
-    public record Answer(int status, String text, boolean stays) {}
+    /**
+     * A response.
+     *
+     * @param status its status code, or 0 where there was none
+     * @param text its body, or why there was no response
+     * @param reusable whether the connection may carry another request
+     */
+    public record Response(int status, String text, boolean reusable) {}
 
     private final Socket socket = new Socket();
     private InputStream in;
 
-    /** Connects; returns whether the other side's machine accepted. */
+    /** Connects; returns whether the peer's machine accepted. */
     public boolean open(InetSocketAddress to) {
         try {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
-            socket.connect(to, PATIENCE_MS);
+            socket.connect(to, TIMEOUT_MILLIS);
             in = new BufferedInputStream(socket.getInputStream());
             return true;
         } catch (IOException e) {
@@ -35,7 +41,7 @@
         }
     }
 
-    /** Writes; returns whether the other side's machine took it. */
+    /** Writes; returns whether the peer's machine accepted it. */
     public boolean send(String text) {
         try {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -45,8 +51,8 @@
         }
     }
 
-    /** Whether some of an answer has come that has not been read. */
-    public boolean hasAnswer() {
+    /** Whether bytes of a response have arrived that have not been read. */
+    public boolean hasResponse() {
         try {
             return in.available() > 0;
         } catch (IOException e) {
@@ -54,15 +60,15 @@
         }
     }
 
-    /** Waits for the next answer. */
-    public Answer answer() {
+    /** Waits for the next response. */
+    public Response response() {
         try {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             String text = "";
             while (!text.endsWith("\r\n\r\n")) {
                 int c = in.read();
                 if (c < 0) {
-                    return new Answer(0, "ended after " + head.size() + " bytes", false);
+                    return new Response(0, "ended after " + head.size() + " bytes", false);
                 }
                 head.write(c);
                 text = c == '\n' ? head.toString(StandardCharsets.ISO_8859_1) : "";
@@ -71,18 +77,18 @@
             int length = Integer.parseInt(low.split("content-length: ")[1].split("\r\n")[0]);
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                return new Answer(0, "ended within the body", false);
+                return new Response(0, "ended within the body", false);
             }
-            return new Answer(
+            return new Response(
                     Integer.parseInt(text.split(" ")[1]),
                     new String(body, StandardCharsets.ISO_8859_1),
                     !low.contains("connection: close"));
         } catch (IOException e) {
-            return new Answer(0, e.getMessage(), false);
+            return new Response(0, e.getMessage(), false);
         }
     }
 
-    /** Ends the connection by a reset (RST), where {@link #close} ends it in order (FIN). */
+    /** Ends the connection by a reset (RST); {@link #close} ends it by a FIN. */
     public void reset() {
         try {
             socket.setSoLinger(true, 0);
--- a/src/testbed/java/loadbalancer/testbed/fleet/Fault.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/Fault.java
@@ -6,33 +6,33 @@
 import java.util.Random;
 
 /**
- * Something that befalls part of a fleet's balancers; times in µs, {@code at} from the beginning of the load.
- * No I/O.
+ * A fault of some of a fleet's balancers; times in µs, {@code atMicros} from the beginning of the load. Does no
+ * I/O.
  *
- * @param share of the balancers, above 0; one at least
- * @param lasting until a stalled one goes on, or one that has ended is started again
+ * @param share of the balancers that it affects, above 0; one at least
+ * @param durationMicros until a stalled one continues, or one that has ended is restarted
  */
-public record Fault(long at, What what, double share, long lasting) {
-    /** What may befall a balancer. */
-    public enum What {
-        /** It stands still: SIGSTOP, then SIGCONT. */
+public record Fault(long atMicros, Kind kind, double share, long durationMicros) {
+    /** The kinds of faults. */
+    public enum Kind {
+        /** It is stalled: SIGSTOP, then SIGCONT. */
         STALL,
-        /** It dies: SIGKILL. */
+        /** It is killed: SIGKILL. */
         KILL,
-        /** It ends in order: SIGTERM. */
+        /** It is shut down gracefully: SIGTERM. */
         STOP
     }
 
-    /** Whom it strikes among so many, in order: drawn by the seed, and by its own time and kind. */
-    public List<Integer> struck(int balancers, long seed) {
+    /** The places of the balancers that it affects among so many, drawn from the seed, its time and its kind. */
+    public List<Integer> affected(int balancers, long seed) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < balancers; i++) {
             all.add(i);
         }
-        Collections.shuffle(all, new Random(seed * 31 + at * 7 + what.ordinal()));
-        List<Integer> struck =
+        Collections.shuffle(all, new Random(seed * 31 + atMicros * 7 + kind.ordinal()));
+        List<Integer> affected =
                 new ArrayList<>(all.subList(0, Math.max(1, Math.min(balancers, (int) Math.round(share * balancers)))));
-        Collections.sort(struck);
-        return struck;
+        Collections.sort(affected);
+        return affected;
     }
 }
--- a/src/testbed/java/loadbalancer/testbed/fleet/LoadSpread.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/LoadSpread.java
@@ -3,51 +3,51 @@
 import java.util.Locale;
 
 /**
- * How evenly servers were used: what each got beside its share by weight.
+ * How evenly servers were used: what each got, compared with its share by weight. Does no I/O.
  *
- * @param deviation of what servers got in parts of their shares (root mean square, from 1)
+ * @param deviation root mean square deviation from 1 of what servers got, in parts of their shares
  * @param chance what that would be if each request went to a server drawn by weight
- * @param beyond what is left of the deviation without chance: the two add up as squares
- * @param least of any server, in parts of its share; {@code most} likewise
+ * @param beyond the deviation without that of chance: their squares add up
+ * @param min of any server, in parts of its share; {@code max} likewise
  * @param idle servers that got nothing
  */
-public record LoadSpread(double deviation, double chance, double beyond, double least, double most, int idle) {
+public record LoadSpread(double deviation, double chance, double beyond, double min, double max, int idle) {
     /**
-     * @param got requests by server
+     * @param counts requests by server
      * @param weights of the same servers, above 0
      * @throws IllegalArgumentException where there are no servers, or not as many weights
      */
-    public static LoadSpread of(long[] got, double[] weights) {
-        if (got.length == 0 || got.length != weights.length) {
-            throw new IllegalArgumentException(got.length + " servers and " + weights.length + " weights");
+    public static LoadSpread of(long[] counts, double[] weights) {
+        if (counts.length == 0 || counts.length != weights.length) {
+            throw new IllegalArgumentException(counts.length + " servers and " + weights.length + " weights");
         }
-        double all = 0;
+        double total = 0;
         double weight = 0;
-        for (int i = 0; i < got.length; i++) {
-            all += got[i];
+        for (int i = 0; i < counts.length; i++) {
+            total += counts[i];
             weight += weights[i];
         }
         double squares = 0;
         double chance = 0;
-        double least = Double.MAX_VALUE;
-        double most = 0;
+        double min = Double.MAX_VALUE;
+        double max = 0;
         int idle = 0;
-        for (int i = 0; i < got.length && all > 0; i++) {
-            double share = all * weights[i] / weight;
-            double part = got[i] / share;
+        for (int i = 0; i < counts.length && total > 0; i++) {
+            double share = total * weights[i] / weight;
+            double part = counts[i] / share;
             squares += (part - 1) * (part - 1);
             chance += (1 - weights[i] / weight) / share;
-            least = Math.min(least, part);
-            most = Math.max(most, part);
-            idle += got[i] == 0 ? 1 : 0;
+            min = Math.min(min, part);
+            max = Math.max(max, part);
+            idle += counts[i] == 0 ? 1 : 0;
         }
-        if (all == 0) {
-            return new LoadSpread(0, 0, 0, 0, 0, got.length);
+        if (total == 0) {
+            return new LoadSpread(0, 0, 0, 0, 0, counts.length);
         }
-        squares /= got.length;
-        chance /= got.length;
+        squares /= counts.length;
+        chance /= counts.length;
         return new LoadSpread(
-                Math.sqrt(squares), Math.sqrt(chance), Math.sqrt(Math.max(0, squares - chance)), least, most, idle);
+                Math.sqrt(squares), Math.sqrt(chance), Math.sqrt(Math.max(0, squares - chance)), min, max, idle);
     }
 
     /** As fields of a JSON object, without its braces. */
@@ -58,8 +58,8 @@
                 deviation,
                 chance,
                 beyond,
-                least,
-                most,
+                min,
+                max,
                 idle);
     }
 }
