--- a/src/main/java/loadbalancer/connections/ConnectionMetrics.java
+++ b/src/main/java/loadbalancer/connections/ConnectionMetrics.java
@@ -89,9 +89,9 @@
         }
         loggedPressure = present;
         loggedAt = now;
-        StringBuilder line = new StringBuilder("connections ")
+        StringBuilder line = new StringBuilder("event=connection_pressure level=")
                 .append(present.name().toLowerCase(Locale.ROOT))
-                .append(": clients ")
+                .append(" clients ")
                 .append(table.open(Direction.CLIENT))
                 .append(" of ")
                 .append(maxClients)
--- a/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -195,7 +195,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof DecoderException) {
-            log.accept("discovery sent what is no list: " + cause.getMessage());
+            log.accept("event=discovery_protocol_error reason=" + cause.getMessage());
         }
         channel.close();
     }
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -175,7 +175,7 @@
             update = EndpointUpdateReader.parse(json, boot);
         } catch (IllegalArgumentException e) {
             // A change may be lost with it: the next watch, from the version in use, brings it.
-            log.accept("discovery sent a list that can't be read: " + e.getMessage());
+            log.accept("event=endpoint_list_invalid reason=" + e.getMessage());
             ended(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
@@ -217,8 +217,7 @@
             ended(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
-        log.accept("discovery went back from version " + versions.inUse() + " to " + receivedVersion
-                + ": asking for the whole list");
+        log.accept("event=endpoint_version_regressed from=" + versions.inUse() + " to=" + receivedVersion);
         versions.reset();
         long delayMillis = timeout.restartDelay(DiscoveryCall.nowMillis(), true);
         cancel(call);
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -148,7 +148,7 @@
     public void acceptFailed(IOException cause) {
         failedAccepts++;
         if (Long.bitCount(failedAccepts) == 1) { // the 1st, 2nd, 4th, 8th, ...
-            log.accept("accept failed: " + cause.getMessage() + ", " + failedAccepts + " so far");
+            log.accept("event=accept_failed cause=" + cause.getMessage() + " count=" + failedAccepts);
         }
         acceptFailing = true;
         setAccepting(false, "accept failed");
--- a/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -109,13 +109,13 @@
         Path own = path.resolveSibling(
                 path.getFileName() + "." + ProcessHandle.current().pid());
         if (own.toString().length() > MAX_PATH_LENGTH) {
-            log.accept("upgrades go by signals alone: too long a path: " + own);
+            log.accept("event=hot_restart_unavailable reason=too long a path: " + own);
             return;
         }
         try {
             Files.deleteIfExists(own);
         } catch (IOException e) {
-            log.accept("upgrades go by signals alone: " + e);
+            log.accept("event=hot_restart_unavailable reason=" + e);
             return;
         }
         new ServerBootstrap()
@@ -142,7 +142,7 @@
             }
             Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            log.accept("upgrades go by signals alone: " + e);
+            log.accept("event=hot_restart_unavailable reason=" + e);
         }
     }
 
--- a/src/main/java/loadbalancer/logging/AsyncLogWriter.java
+++ b/src/main/java/loadbalancer/logging/AsyncLogWriter.java
@@ -65,7 +65,7 @@
         writing = true;
         String line = queue.poll();
         if (line == null) {
-            line = prefix + "log lines dropped: " + dropped;
+            line = prefix + "event=log_lines_dropped count=" + dropped;
             dropped = 0;
         }
         return line;
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -137,7 +137,7 @@
     }
 
     String describe() {
-        return String.format(Locale.ROOT, "overload: refusing, level %.2f, strain %.2f", level, load);
+        return String.format(Locale.ROOT, "event=load_shedding level=%.2f load=%.2f", level, load);
     }
 
     /**
--- a/src/main/java/loadbalancer/policy/DiscoverySubscription.java
+++ b/src/main/java/loadbalancer/policy/DiscoverySubscription.java
@@ -38,7 +38,7 @@
         long backoff = Math.min(longest, FIRST_BACKOFF_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, failures));
         failures++;
         subscribeAt = Math.min(subscribeAt, now + backoff / 2 + random.nextLong(Math.max(1, backoff)));
-        log.write(now, "discovery failed " + failures + " times, asking again", out);
+        log.write(now, "event=discovery_failed attempts=" + failures, out);
     }
 
     void subscribeIfDue(long now, Actions out) {
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -81,7 +81,7 @@
         if (server.trialSuccessesLeft == 0) {
             server.ejections = 0;
             server.failures = 0;
-            log.write(now, "recovered " + server.server.id(), out);
+            log.write(now, "event=server_recovered server=" + server.server.id(), out);
         }
     }
 
@@ -111,7 +111,7 @@
         server.ejections++;
         server.ejectedUntil = now + length + random.nextLong(length / EJECTION_JITTER_DIVISOR);
         server.trialSuccessesLeft = TRIAL_SUCCESSES;
-        log.write(now, "ejected " + server.server.id() + " for " + length / 1000 + " ms after failures", out);
+        log.write(now, "event=server_ejected server=" + server.server.id() + " duration_ms=" + length / 1000, out);
     }
 
     private boolean isOutlier(ServerState server, long now) {
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -166,7 +166,7 @@
         if (!pending.isClosed()) {
             lastResortResponses++;
             if (Long.bitCount(lastResortResponses) == 1) {
-                log.accept("last-resort answers: " + lastResortResponses);
+                log.accept("event=last_resort_responses count=" + lastResortResponses);
             }
             close(pending);
             metrics.failed();
--- a/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
@@ -88,7 +88,7 @@
         }
         detector.timerFired(dueAt);
         if (detector.shouldReport(now - dueAt, now)) {
-            log.accept("stood still for " + (now - dueAt) / 1000 + " ms: what came meanwhile lay unread");
+            log.accept("event=event_loop_stalled duration_ms=" + (now - dueAt) / 1000);
         }
         scheduleHeartbeat(now);
     }
--- a/src/main/java/loadbalancer/proxy/Invariants.java
+++ b/src/main/java/loadbalancer/proxy/Invariants.java
@@ -37,7 +37,8 @@
     public void violated(Violation violation, String subject) {
         long count = counts.merge(violation, 1L, Long::sum);
         if (Long.bitCount(count) == 1) {
-            log.accept("invariant violated: " + name(violation) + " " + subject + ", " + count + " so far");
+            log.accept("event=invariant_violated invariant=" + name(violation) + " subject=" + subject + " count="
+                    + count);
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
@@ -82,7 +82,8 @@
             // The deadline fails what this leaves without a response; one event must not end the balancer.
             faults++;
             StackTraceElement[] trace = e.getStackTrace();
-            log.accept("fault " + faults + ": " + e + (trace.length == 0 ? "" : " at " + trace[0]));
+            log.accept("event=policy_fault count=" + faults + " cause=" + e
+                    + (trace.length == 0 ? "" : " at " + trace[0]));
         }
     }
 
--- a/src/main/java/loadbalancer/server/ConfigurationReload.java
+++ b/src/main/java/loadbalancer/server/ConfigurationReload.java
@@ -63,16 +63,16 @@
     }
 
     private void reject(String problem) {
-        server.log.accept("configuration not taken over: " + problem);
+        server.log.accept("event=configuration_rejected reason=" + problem);
     }
 
     private void logReload(Config fresh, boolean otherSettings, List<String> needRestart) {
-        String line = "configuration taken over: " + endpoints.describe(fresh);
+        String line = "event=configuration_reloaded " + endpoints.describe(fresh);
         if (otherSettings) {
-            line += "; settings with classes " + String.join(", ", fresh.boot().classes());
+            line += " classes=" + String.join(",", fresh.boot().classes());
         }
         if (!needRestart.isEmpty()) {
-            line += "; new " + String.join(", ", needRestart) + " wait for a restart";
+            line += " needs_restart=" + String.join(",", needRestart);
         }
         server.log.accept(line);
     }
--- a/src/main/java/loadbalancer/server/ConfiguredEndpointSource.java
+++ b/src/main/java/loadbalancer/server/ConfiguredEndpointSource.java
@@ -61,7 +61,7 @@
     /** What the log says of the source that {@code fresh} names; from any thread. */
     String describe(Config fresh) {
         return discovery != null
-                ? "discovery at " + Addresses.text(fresh.discovery())
-                : fresh.known().list().size() + " upstreams";
+                ? "discovery=" + Addresses.text(fresh.discovery())
+                : "endpoints=" + fresh.known().list().size();
     }
 }
--- a/src/main/java/loadbalancer/server/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/server/GracefulShutdown.java
@@ -36,7 +36,7 @@
         ShutdownDrain drain = new ShutdownDrain();
         ReadBeforeTimers.after(server.loop, LINGER_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
         await();
-        server.log.accept("stopped: " + server.dispatcher.summary() + "; " + server.budget.summary());
+        server.log.accept("event=stopped " + server.dispatcher.summary() + "; " + server.budget.summary());
         // With an inherited listener the end of the loop would close standard error too, and with it the last lines.
         if (!server.config.inherited()) {
             server.group.end();
@@ -55,7 +55,7 @@
     /** Applies the passing of time to the life cycle; called at intervals, on the loop. */
     void advanceLifeCycle() {
         if (server.lifeCycle.advance(System.nanoTime())) {
-            server.log.accept("evacuated: " + server.listener.open() + " connections left to answer");
+            server.log.accept("event=evacuated connections=" + server.listener.open());
         }
         if (!server.lifeCycle.ready()) {
             server.listener.applyLifeCycle();
--- a/src/main/java/loadbalancer/server/HotRestartCoordinator.java
+++ b/src/main/java/loadbalancer/server/HotRestartCoordinator.java
@@ -55,7 +55,7 @@
     void connectToPredecessor(Runnable next) {
         channel.begin(found -> {
             if (found) {
-                server.log.accept("succeeding the process that serves");
+                server.log.accept("event=hot_restart_predecessor_found");
                 shareLimits();
             }
             next.run();
@@ -77,18 +77,18 @@
     private void apply(HotRestart.Step step) {
         long now = System.nanoTime();
         switch (step) {
-            case SHARE -> server.log.accept("a successor has started");
+            case SHARE -> server.log.accept("event=hot_restart_successor_started");
             case HAND_OVER -> {
                 if (server.lifeCycle.handOver(now)) {
-                    server.log.accept("handing over: " + server.listener.open() + " connections left");
+                    server.log.accept("event=hot_restart_handing_over connections=" + server.listener.open());
                 }
             }
             case TAKE_BACK -> {
                 if (server.lifeCycle.takeBack(now)) {
-                    server.log.accept("the successor has gone: taking clients again");
+                    server.log.accept("event=hot_restart_successor_lost");
                 }
             }
-            case ALONE -> server.log.accept("no other process any more");
+            case ALONE -> server.log.accept("event=hot_restart_alone");
             case NOTHING -> {}
             default -> throw new IllegalStateException("no such step: " + step);
         }
--- a/src/main/java/loadbalancer/server/LifeCycleOperations.java
+++ b/src/main/java/loadbalancer/server/LifeCycleOperations.java
@@ -23,7 +23,7 @@
     public LifeCycle.Verdict evacuate() {
         LifeCycle.Verdict verdict = server.lifeCycle.evacuate(System.nanoTime());
         if (verdict == LifeCycle.Verdict.DONE) {
-            server.log.accept("evacuating: clients are sent away, " + server.listener.open() + " connections");
+            server.log.accept("event=evacuating connections=" + server.listener.open());
             server.extension.stopping();
         }
         return verdict;
@@ -33,7 +33,7 @@
     public LifeCycle.Verdict rejoin() {
         LifeCycle.Verdict verdict = server.lifeCycle.rejoin(System.nanoTime());
         if (verdict == LifeCycle.Verdict.DONE) {
-            server.log.accept("rejoined: " + state());
+            server.log.accept("event=rejoined state=" + state());
             readiness.announce();
         }
         return verdict;
--- a/src/main/java/loadbalancer/server/LoadBalancerServer.java
+++ b/src/main/java/loadbalancer/server/LoadBalancerServer.java
@@ -72,7 +72,7 @@
         // Before anything else: until then a signal ends the process at once.
         SignalHandlers signals = new SignalHandlers(log, reloaded);
         if (!signals.install()) {
-            log.accept("no SIGHUP here: a new configuration needs a restart");
+            log.accept("event=sighup_unsupported");
         }
         LoadBalancerServer server;
         InetSocketAddress address;
@@ -86,7 +86,7 @@
             return 1;
         }
         // Logged only now: whoever reads it may send signals at once.
-        log.accept("listening on " + Addresses.text(address));
+        log.accept("event=listening address=" + Addresses.text(address));
         server.shutdown.await();
         return 0;
     }
--- a/src/main/java/loadbalancer/server/ServerStartup.java
+++ b/src/main/java/loadbalancer/server/ServerStartup.java
@@ -60,7 +60,7 @@
         InetSocketAddress clientAddress = listenForClients();
         InetSocketAddress besideClients = server.extension.listen();
         if (besideClients != null) {
-            server.log.accept("http3 on " + Addresses.text(besideClients));
+            server.log.accept("event=http3_listening address=" + Addresses.text(besideClients));
             extensionAddress = besideClients;
         }
         ReadBeforeTimers.every(
@@ -76,7 +76,7 @@
         InetSocketAddress wanted = server.config.management();
         try {
             managementAddress = adminServer.listen(wanted);
-            server.log.accept("management on " + Addresses.text(managementAddress));
+            server.log.accept("event=management_listening address=" + Addresses.text(managementAddress));
         } catch (Exception e) { // sync() rethrows what bind failed with, whatever its type
             throw new IOException("management: can't listen on " + Addresses.text(wanted) + ": " + e.getMessage(), e);
         }
@@ -111,7 +111,7 @@
                 "rehearsal-" + ProcessHandle.current().pid() + ".sock");
         server.listener.listenBeside(path, ownListener -> {
             if (ownListener == null) {
-                server.log.accept("no rehearsal: can't listen on " + path);
+                server.log.accept("event=warm_up_skipped reason=can't listen on " + path);
                 readiness.warmUpCompleted();
                 return;
             }
--- a/src/main/java/loadbalancer/server/SignalHandlers.java
+++ b/src/main/java/loadbalancer/server/SignalHandlers.java
@@ -72,7 +72,7 @@
             server = running;
         }
         if (server == null) {
-            log.accept("stopped before it listened");
+            log.accept("event=stopped_before_listening");
         } else {
             server.stop();
         }
--- a/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Upstream.java
@@ -88,7 +88,7 @@
         plan.closed(planned, transport.clock.now());
         connections.remove(planned);
         if (plan.isFailing() && !failingBefore) {
-            transport.log("http3 to " + id + " failed: HTTP/1.1 stands in");
+            transport.log("event=http3_fallback server=" + id);
         }
     }
 
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -135,7 +135,7 @@
         Process process = serve(config.toString());
         try (BufferedReader err = process.errorReader(StandardCharsets.UTF_8)) {
             String line = err.readLine();
-            assertTrue(line.startsWith("loadbalancer: listening on 127.0.0.1:"), line);
+            assertTrue(line.startsWith("loadbalancer: event=listening address=127.0.0.1:"), line);
             process.destroy(); // SIGTERM
             assertEquals(0, process.waitFor());
         }
@@ -152,12 +152,12 @@
             Files.writeString(config, Files.readString(config).replace("127.0.0.1:9\"", "127.0.0.1:7\""));
             sendHangup(process);
             assertEquals(
-                    "loadbalancer: configuration taken over: discovery at 127.0.0.1:7",
+                    "loadbalancer: event=configuration_reloaded discovery=127.0.0.1:7",
                     nextLineWith("configuration", err));
             Files.writeString(config, "{");
             sendHangup(process);
             String line = nextLineWith("configuration", err);
-            assertTrue(line.startsWith("loadbalancer: configuration not taken over: can't read"), line);
+            assertTrue(line.startsWith("loadbalancer: event=configuration_rejected reason=can't read"), line);
             process.destroy();
             assertEquals(0, process.waitFor());
         }
--- a/src/test/java/loadbalancer/cli/ServeTest.java
+++ b/src/test/java/loadbalancer/cli/ServeTest.java
@@ -79,22 +79,24 @@
         Process process = CliTest.start("serve", "--config", file.toString());
         try (BufferedReader log =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            String management = line(log, "management on ").replaceAll(".*management on ", "");
-            Client client = new Client(line(log, "listening on ").replaceAll(".*listening on ", ""));
+            String management = line(log, "event=management_listening address=")
+                    .replaceAll(".*event=management_listening address=", "");
+            Client client =
+                    new Client(line(log, "event=listening address=").replaceAll(".*event=listening address=", ""));
             assertEquals("first", client.get());
             String complete = file("b", second);
             Files.writeString(file, complete.substring(0, complete.length() - 12));
             signalReload(process);
-            String complaint = line(log, "configuration not taken over");
+            String complaint = line(log, "event=configuration_rejected");
             assertTrue(complaint.contains(file + ":11: not TOML"), complaint);
             assertEquals("first", client.get());
             Files.writeString(file, complete);
             signalReload(process);
-            assertTrue(line(log, "configuration taken over").contains("1 upstreams"));
+            assertTrue(line(log, "event=configuration_reloaded").contains("endpoints=1"));
             client.awaitOtherThan("first", "second");
             assertManagementCalls(management);
             process.toHandle().destroy();
-            assertTrue(line(log, "stopped: ").contains("0 unanswered"));
+            assertTrue(line(log, "event=stopped ").contains("0 unanswered"));
             assertTrue(process.waitFor(30, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
         } finally {
--- a/src/test/java/loadbalancer/cli/SignalsTest.java
+++ b/src/test/java/loadbalancer/cli/SignalsTest.java
@@ -89,11 +89,11 @@
             writer.write(FILE);
         }
         Files.writeString(pipe, FILE); // once it reads again
-        awaitOutput("configuration taken over", "listening on ");
+        awaitOutput("event=configuration_reloaded", "event=listening address=");
         signal("HUP"); // waits for a file that nobody writes
         signal("TERM");
         signal("TERM");
-        assertTrue(awaitOutput("stopped: ").contains("0 unanswered"));
+        assertTrue(awaitOutput("event=stopped ").contains("0 unanswered"));
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
@@ -102,7 +102,7 @@
     void sigtermDuringTheStartEndsItGracefully() throws IOException, InterruptedException {
         try (var writer = Files.newBufferedWriter(pipe)) {
             signal("TERM");
-            awaitOutput("stopped before it listened");
+            awaitOutput("event=stopped_before_listening");
             assertTrue(process.waitFor(60, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue());
             writer.write("");
--- a/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
+++ b/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
@@ -316,13 +316,16 @@
         fillClients("crowd");
         String line = budget.pressureChange(now);
         assertNotNull(line);
-        assertTrue(line.startsWith("connections short: clients 154 of 154 (0 busy, 0 at rest, 154 unasked)"), line);
+        assertTrue(
+                line.startsWith(
+                        "event=connection_pressure level=short clients 154 of 154 (0 busy, 0 at rest, 154 unasked)"),
+                line);
         now += 3 * SECONDS;
         budget.closeExpired(now);
         assertNull(budget.pressureChange(now), "too soon");
         now += 3 * SECONDS;
         line = budget.pressureChange(now);
-        assertTrue(line.startsWith("connections ample: clients 0 of 154"), line);
+        assertTrue(line.startsWith("event=connection_pressure level=ample clients 0 of 154"), line);
         assertTrue(line.endsWith("ended since the last such line: 154 silent for too long"), line);
     }
 
--- a/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
+++ b/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
@@ -57,7 +57,7 @@
         assertEquals("x: 0", lines.get(0));
         assertEquals("x: " + AsyncLogWriter.QUEUE_CAPACITY, lines.get(AsyncLogWriter.QUEUE_CAPACITY));
         assertEquals(
-                "x: log lines dropped: " + (10_000 - AsyncLogWriter.QUEUE_CAPACITY),
+                "x: event=log_lines_dropped count=" + (10_000 - AsyncLogWriter.QUEUE_CAPACITY),
                 lines.get(AsyncLogWriter.QUEUE_CAPACITY + 1));
     }
 
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -103,7 +103,7 @@
             now += TICK;
             admission.update(now, TICK, 0.998);
         }
-        assertTrue(loaded.contains("strain 1.00"), loaded);
-        assertTrue(admission.describe().contains("strain 0.00"), admission.describe());
+        assertTrue(loaded.contains("load=1.00"), loaded);
+        assertTrue(admission.describe().contains("load=0.00"), admission.describe());
     }
 }
--- a/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
@@ -88,7 +88,7 @@
         subscription.listFailed(NOW, out);
         long after = dueAfter(subscription, NOW);
         assertTrue(after >= 250_000 && after <= 760_000, "after " + after);
-        assertEquals(List.of("discovery failed 1 times, asking again"), lines);
+        assertEquals(List.of("event=discovery_failed attempts=1"), lines);
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -172,16 +172,15 @@
     @Test
     void theReadmeQuotesLogLinesThatTheModuleWrites() throws IOException {
         String sources = sourcesOfThePackage();
-        String page = Files.readString(Path.of("README.md"));
+        String page = Files.readString(Path.of("docs/on-call.md"));
         for (String line : List.of(
-                "overload: refusing, level ",
-                "ejected ",
-                " ms after failures",
-                "recovered ",
-                "discovery failed ",
-                " times, asking again")) {
+                "load_shedding level=",
+                "server_ejected server=",
+                " duration_ms=",
+                "server_recovered server=",
+                "discovery_failed attempts=")) {
             assertTrue(sources.contains(line), "the module writes: " + line);
-            assertTrue(page.contains(line.strip()), "the README names: " + line);
+            assertTrue(page.contains(line.strip()), "the on-call page names: " + line);
         }
     }
 
--- a/src/test/java/loadbalancer/policy/LearningTest.java
+++ b/src/test/java/loadbalancer/policy/LearningTest.java
@@ -46,9 +46,9 @@
         long from = harness.now;
         serve(harness, 200, 20_000, Map.of("s1", Outcome.ERROR));
         assertTrue(harness.sentTo("s1", from) < 20, "4 s of failures took " + harness.sentTo("s1", from));
-        assertTrue(harness.log.stream().anyMatch(l -> l.contains("ejected s1")));
+        assertTrue(harness.log.stream().anyMatch(l -> l.contains("event=server_ejected server=s1")));
         serve(harness, 1200, 20_000, Map.of());
-        assertTrue(harness.log.stream().anyMatch(l -> l.contains("recovered s1")));
+        assertTrue(harness.log.stream().anyMatch(l -> l.contains("event=server_recovered server=s1")));
     }
 
     @Test
@@ -58,7 +58,7 @@
         serve(harness, 100, 20_000, Map.of());
         long from = harness.now;
         serve(harness, 300, 20_000, Map.of("s1", Outcome.FULL));
-        assertTrue(harness.log.stream().anyMatch(l -> l.contains("ejected s1")));
+        assertTrue(harness.log.stream().anyMatch(l -> l.contains("event=server_ejected server=s1")));
         assertTrue(harness.sentTo("s1", from) < 40, "6 s of refusals took " + harness.sentTo("s1", from));
     }
 
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -54,7 +54,7 @@
         fail(server, NOW);
         assertFalse(outliers.allows(safe, server, NOW + 999_999));
         assertTrue(outliers.allows(safe, server, NOW + 1_250_000));
-        assertEquals(List.of("ejected s0 for 1000 ms after failures"), lines);
+        assertEquals(List.of("event=server_ejected server=s0 duration_ms=1000"), lines);
     }
 
     @Test
@@ -83,7 +83,7 @@
             outliers.recordSuccess(server, afterwards, out);
         }
         assertTrue(outliers.allows(unsafe, server, afterwards));
-        assertEquals("recovered s0", lines.get(1));
+        assertEquals("event=server_recovered server=s0", lines.get(1));
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
@@ -152,7 +152,9 @@
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000); // right after that: no second line
         scheduler.pass(0);
         assertEquals(
-                List.of("stood still for 730 ms: what came meanwhile lay unread"),
-                log.stream().filter(line -> line.startsWith("stood")).toList());
+                List.of("event=event_loop_stalled duration_ms=730"),
+                log.stream()
+                        .filter(line -> line.startsWith("event=event_loop_stalled"))
+                        .toList());
     }
 }
--- a/src/test/java/loadbalancer/proxy/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -68,7 +68,7 @@
         dispatch();
         scheduler.pass(100_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
         assertEquals(List.of("failed"), client.responses);
-        assertEquals(List.of("last-resort answers: 1"), log);
+        assertEquals(List.of("event=last_resort_responses count=1"), log);
         assertFalse(dispatcher.isOpen("r1"));
         scheduler.pass(1_000_000);
         assertEquals(1, client.responses.size());
@@ -104,7 +104,7 @@
                 client);
         assertEquals(SendGuard.NOBODY, transport.started.get(1).listener.awaitedUntil());
         assertEquals(1, unsafe.invariants().count(Invariants.Violation.SECOND_RUN));
-        assertEquals(List.of("invariant violated: second_run r1, 1 so far"), log);
+        assertEquals(List.of("event=invariant_violated invariant=second_run subject=r1 count=1"), log);
         policy.neverFails = true;
         transport.started.get(0).listener.ended(Outcome.CONNECT_FAILED, null, null);
         assertTrue(transport.started.get(1).listener.awaitedUntil() > scheduler.now(), "the first one never ran");
--- a/src/test/java/loadbalancer/server/AdminServerTest.java
+++ b/src/test/java/loadbalancer/server/AdminServerTest.java
@@ -56,7 +56,7 @@
         at = node.start();
         assertEquals("PERSISTED [s1=UP]", module.next());
         synchronized (log) {
-            adminAddress = Addresses.parse(log.get(0).replace("management on ", ""));
+            adminAddress = Addresses.parse(log.get(0).replace("event=management_listening address=", ""));
         }
     }
 
--- a/src/test/java/loadbalancer/server/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/server/DiscoveryClientTest.java
@@ -223,10 +223,11 @@
         }
         synchronized (log) {
             // A stall of a busy machine may be logged at any time.
-            List<String> lines =
-                    log.stream().filter(line -> !line.startsWith("stood still")).toList();
-            assertEquals("configuration not taken over: no good", lines.get(0));
-            assertTrue(lines.get(1).startsWith("configuration taken over: discovery at 127."), log.toString());
+            List<String> lines = log.stream()
+                    .filter(line -> !line.startsWith("event_loop_stalled"))
+                    .toList();
+            assertEquals("event=configuration_rejected reason=no good", lines.get(0));
+            assertTrue(lines.get(1).startsWith("event=configuration_reloaded discovery=127."), log.toString());
         }
     }
 
--- a/src/test/java/loadbalancer/server/FinalResponseTest.java
+++ b/src/test/java/loadbalancer/server/FinalResponseTest.java
@@ -126,7 +126,7 @@
             assertEquals("gone", module.next());
         }
         synchronized (log) {
-            assertTrue(log.contains("last-resort answers: 1"), log.toString());
+            assertTrue(log.contains("event=last_resort_responses count=1"), log.toString());
         }
     }
 
@@ -140,9 +140,10 @@
             assertEquals("gone", module.next());
             synchronized (log) {
                 // A machine that is slow to load classes is logged as well.
-                List<String> lines =
-                        log.stream().filter(l -> !l.startsWith("stood still")).toList();
-                assertTrue(lines.get(lines.size() - 2).startsWith("fault 1: "), log.toString());
+                List<String> lines = log.stream()
+                        .filter(l -> !l.startsWith("event=event_loop_stalled"))
+                        .toList();
+                assertTrue(lines.get(lines.size() - 2).startsWith("event=policy_fault count=1 "), log.toString());
             }
             module.broken = false;
             client.send(SAFE);
--- a/src/test/java/loadbalancer/server/HotRestartProcessesTest.java
+++ b/src/test/java/loadbalancer/server/HotRestartProcessesTest.java
@@ -195,7 +195,7 @@
             old.awaitEnd();
             assertTrue(next.ready());
             String log = platform.log();
-            assertTrue(log.contains("handing over") && log.contains("stopped: "), log);
+            assertTrue(log.contains("event=hot_restart_handing_over") && log.contains("event=stopped "), log);
             // A second hot restart: the successor is the predecessor now.
             Started third = platform.start(settings());
             third.awaitReady();
@@ -230,7 +230,7 @@
                 }
             }
             assertEquals(8, answered.size());
-            assertTrue(platform.log().contains("the successor has gone"), platform.log());
+            assertTrue(platform.log().contains("event=hot_restart_successor_lost"), platform.log());
         }
     }
 }
--- a/src/test/java/loadbalancer/server/SettingsReloadOverSocketsTest.java
+++ b/src/test/java/loadbalancer/server/SettingsReloadOverSocketsTest.java
@@ -33,17 +33,17 @@
         node.reload(() -> {
             throw new Config.Bad("half written");
         });
-        assertEquals("configuration not taken over: half written", lastLine());
+        assertEquals("event=configuration_rejected reason=half written", lastLine());
         Map<String, Object> lacking = settings();
         lacking.remove("Kinds");
         Config bad = config(1024, lacking, 0);
         node.reload(() -> bad);
-        assertEquals("configuration not taken over: missing: Kinds", lastLine());
+        assertEquals("event=configuration_rejected reason=missing: Kinds", lastLine());
         try (Client client = new Client(at)) {
             assertEquals(400, client.send(of("look", "n")).status());
         }
         node.reload(() -> fresh);
-        assertTrue(lastLine().contains("settings with classes look, pay"), lastLine());
+        assertTrue(lastLine().contains(" classes=look,pay"), lastLine());
         assertEquals("retuned [-1, 1, 0, 1, 2]", module.next());
         got.answer(200, "", "under the old ones");
         assertEquals(200, held.status());
--- a/src/test/java/loadbalancer/testbed/DemoTest.java
+++ b/src/test/java/loadbalancer/testbed/DemoTest.java
@@ -168,7 +168,7 @@
             throws IOException, InterruptedException, Problems.Bad {
         assertEquals(Demo.RunResult.CLEAN, play(MANY_FAULTS, REAL), this::output);
         assertTrue(output().contains("unanswered: 0"), this::output);
-        assertTrue(output().contains("stopped: "), this::output);
+        assertTrue(output().contains("event=stopped "), this::output);
     }
 
     /**
--- a/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
+++ b/src/test/java/loadbalancer/testbed/FailedAcceptTest.java
@@ -44,7 +44,7 @@
                 BalancerMember member = BalancerMember.start(DemoTest.CLASS_PATH, testbed.configuration(0, 1))) {
             member.awaitReady();
             assertTrue(
-                    member.log().stream().noneMatch(line -> line.contains("accept failed")),
+                    member.log().stream().noneMatch(line -> line.contains("event=accept_failed")),
                     () -> "accept failed before the limit: " + member.log());
             member.limitDescriptors(member.openDescriptors() + DESCRIPTORS_FOR_CLIENTS);
             List<ClientSocket> clients = new ArrayList<>();
@@ -52,7 +52,7 @@
                 clients.add(testbed.connect(member.address()));
                 assertTrue(clients.get(i).send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
             }
-            member.line("accept failed: ");
+            member.line("event=accept_failed ");
             Thread.sleep(SETTLE_MILLIS);
             int accepted =
                     (int) clients.stream().filter(ClientSocket::hasResponse).count();
--- a/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
+++ b/src/testbed/java/loadbalancer/testbed/BalancerProcess.java
@@ -156,15 +156,15 @@
                 synchronized (lines) {
                     lines.add(line);
                 }
-                int beside = line.indexOf("http3 on ");
+                int beside = line.indexOf("event=http3_listening address=");
                 if (beside >= 0) {
-                    http3 = Addresses.parse(
-                            line.substring(beside + "http3 on ".length()).strip());
+                    http3 = Addresses.parse(line.substring(beside + "event=http3_listening address=".length())
+                            .strip());
                 }
-                int at = line.indexOf("listening on ");
+                int at = line.indexOf("event=listening address=");
                 if (at >= 0) {
-                    address = Addresses.parse(
-                            line.substring(at + "listening on ".length()).strip());
+                    address = Addresses.parse(line.substring(at + "event=listening address=".length())
+                            .strip());
                     listening.countDown();
                 }
             }
--- a/src/testbed/java/loadbalancer/testbed/Demo.java
+++ b/src/testbed/java/loadbalancer/testbed/Demo.java
@@ -189,7 +189,7 @@
         boolean clean = RunReport.isClean(counts, ledger, servers);
         List<String> said = balancer.log();
         said.subList(Math.max(0, said.size() - MAX_LOG_LINES), said.size()).stream()
-                .filter(l -> !clean || l.contains("stopped: "))
+                .filter(l -> !clean || l.contains("event=stopped "))
                 .forEach(out::println);
         out.flush();
     }
--- a/src/testbed/java/loadbalancer/testbed/FaultSoak.java
+++ b/src/testbed/java/loadbalancer/testbed/FaultSoak.java
@@ -66,10 +66,10 @@
     private static final int MAX_REQUESTS = 4_000; // of one client
     private static final int FAULT_THREADS = 32;
     private static final long SETTLE_MILLIS = 500;
-    private static final List<String> BUGS = List.of(": invariant violated: ", ": fault ", "Exception");
+    private static final List<String> BUGS = List.of(" event=invariant_violated ", " event=policy_fault ", "Exception");
 
     private static final List<String> CONTEXT =
-            List.of("event=list_received", "discovery", "listening on", "stood still");
+            List.of("event=list_received", "discovery", "listening on", "event_loop_stalled");
 
     private final SoakPlan plan;
     private final Testbed testbed;
@@ -168,7 +168,7 @@
             Matcher found = lastResort.matcher(line);
             if (found.find()) {
                 notes.add("last-resort answer to " + found.group(1) + logged(found.group(1)));
-            } else if (line.contains("last-resort answers: ")) {
+            } else if (line.contains("event=last_resort_responses count=")) {
                 notes.add(line);
             }
         }
@@ -260,8 +260,8 @@
     private void checkEnd(int place, BalancerMember member, int code) throws InterruptedException {
         if (code != 0) {
             failures.add("process " + place + " ended with code " + code);
-        } else if (!member.line("stopped: ").contains(" 0 unanswered")) {
-            failures.add("process " + place + ": " + member.line("stopped: "));
+        } else if (!member.line("event=stopped ").contains(" 0 unanswered")) {
+            failures.add("process " + place + ": " + member.line("event=stopped "));
         }
     }
 
--- a/src/testbed/java/loadbalancer/testbed/FleetRun.java
+++ b/src/testbed/java/loadbalancer/testbed/FleetRun.java
@@ -303,7 +303,7 @@
                 load.moved(place, null);
                 member.signal(BalancerMember.Signal.TERM);
                 int code = member.await();
-                if (code != 0 || !member.line("stopped: ").contains(" 0 unanswered")) {
+                if (code != 0 || !member.line("event=stopped ").contains(" 0 unanswered")) {
                     failures.add("n" + place + " ended with code " + code);
                 }
                 after(fault.durationMicros(), place, () -> restart(place, member));
--- a/src/testbed/java/loadbalancer/testbed/PassThrough.java
+++ b/src/testbed/java/loadbalancer/testbed/PassThrough.java
@@ -70,7 +70,7 @@
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel();
-        System.err.println("listening on " + Addresses.text((InetSocketAddress) listener.localAddress()));
+        System.err.println("event=listening address=" + Addresses.text((InetSocketAddress) listener.localAddress()));
         listener.closeFuture().sync();
     }
 
--- a/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
+++ b/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
@@ -180,10 +180,10 @@
     private void checkEnds(PausePoint point, Map<String, Integer> wrong) throws InterruptedException {
         for (BalancerMember member : testbed.members()) {
             if (point == PausePoint.SIGHUP) {
-                member.line("configuration taken over");
+                member.line("event=configuration_reloaded");
             } else if (point == PausePoint.SIGTERM || point == PausePoint.STOPPING) {
                 int code = member.await();
-                if (code != 0 || !member.line("stopped: ").contains(" 0 unanswered")) {
+                if (code != 0 || !member.line("event=stopped ").contains(" 0 unanswered")) {
                     wrong.merge("ended with code " + code, 1, Integer::sum);
                 }
             }
--- a/src/testbed/java/loadbalancer/testbed/fleet/BalancerMember.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/BalancerMember.java
@@ -123,12 +123,12 @@
 
     /** Where clients connect, once it listens. */
     public InetSocketAddress address() throws InterruptedException {
-        return at("listening on ");
+        return at("event=listening address=");
     }
 
     /** Where operators call, once it listens. */
     public InetSocketAddress management() throws InterruptedException {
-        return at("management on ");
+        return at("event=management_listening address=");
     }
 
     private InetSocketAddress at(String words) throws InterruptedException {
