--- a/src/testbed/java/loadbalancer/cli/AdminCommands.java
+++ b/src/testbed/java/loadbalancer/cli/AdminCommands.java
@@ -52,6 +52,7 @@
         }
     }
 
+    /** Asks whether a balancer is ready. */
     @Command(
             name = "ready",
             mixinStandardHelpOptions = true,
@@ -65,6 +66,7 @@
         }
     }
 
+    /** Sends the clients of a balancer away. */
     @Command(
             name = "evacuate",
             mixinStandardHelpOptions = true,
@@ -76,6 +78,7 @@
         }
     }
 
+    /** Lets a balancer accept clients again. */
     @Command(name = "rejoin", mixinStandardHelpOptions = true, description = "Has a balancer take clients again.")
     static final class Rejoin extends Call {
         @Override
--- a/src/testbed/java/loadbalancer/cli/Cli.java
+++ b/src/testbed/java/loadbalancer/cli/Cli.java
@@ -130,6 +130,7 @@
         @Option(names = "--plain", description = "plain lines, also on a terminal")
         private boolean plain;
 
+        @SuppressWarnings("SystemConsoleNull") // on JDK 17 there is none where output is no terminal
         @Override
         public Integer call() throws IOException, InterruptedException {
             boolean terminal = !plain && System.console() != null;
--- a/src/testbed/java/loadbalancer/cli/FleetCommand.java
+++ b/src/testbed/java/loadbalancer/cli/FleetCommand.java
@@ -51,6 +51,7 @@
         @Option(names = "--json", paramLabel = "FILE", description = "adds the figures there as a line")
         private File json;
 
+        @SuppressWarnings("ClosingStandardOutputStreams") // a run does not close what it prints to
         @Override
         public Integer call() throws IOException, InterruptedException {
             try (FleetRun run =
--- a/src/testbed/java/loadbalancer/testbed/BenchmarkReport.java
+++ b/src/testbed/java/loadbalancer/testbed/BenchmarkReport.java
@@ -57,9 +57,9 @@
                 path.label(),
                 cpu > 0 ? String.format(Locale.ROOT, "%.1f", cpu) : "-",
                 cpu > 0 ? String.format(Locale.ROOT, "%.0f", 1e6 / cpu) : "-",
-                row.get("p50_ms"),
-                row.get("p99_ms"),
-                row.get("p999_ms"),
+                median(rounds, BenchmarkRound::p50Millis),
+                median(rounds, BenchmarkRound::p99Millis),
+                median(rounds, BenchmarkRound::p999Millis),
                 row.get("not_good"));
         return row;
     }
@@ -73,14 +73,16 @@
             ratios[i] = balancer.get(i).cpuMicros() / bare.get(i).cpuMicros();
         }
         json.put("ratio_to_bare", median(ratios));
-        json.put("ratio_least", Arrays.stream(ratios).min().orElse(0));
-        json.put("ratio_most", Arrays.stream(ratios).max().orElse(0));
+        double min = Arrays.stream(ratios).min().orElse(0);
+        double max = Arrays.stream(ratios).max().orElse(0);
+        json.put("ratio_least", min);
+        json.put("ratio_most", max);
         out.printf(
                 Locale.ROOT,
                 "CPU of the balancer over the bare pass-through: %.2f (%.2f to %.2f)%n%n",
                 median(ratios),
-                json.get("ratio_least"),
-                json.get("ratio_most"));
+                min,
+                max);
     }
 
     private static double median(List<BenchmarkRound> rounds, ToDoubleFunction<BenchmarkRound> figure) {
--- a/src/testbed/java/loadbalancer/testbed/Http3Clients.java
+++ b/src/testbed/java/loadbalancer/testbed/Http3Clients.java
@@ -71,6 +71,7 @@
      * Opens all connections and sends some requests over each, so that what follows measures a balancer and not a
      * client whose classes are being loaded and compiled. Blocks; not for the event loop's thread.
      */
+    @SuppressWarnings("AddressSelection") // a literal address: nothing is looked up
     void open() throws InterruptedException {
         socket = new Bootstrap()
                 .group(loop)
--- a/src/testbed/java/loadbalancer/testbed/Ledger.java
+++ b/src/testbed/java/loadbalancer/testbed/Ledger.java
@@ -1,6 +1,7 @@
 package loadbalancer.testbed;
 
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -59,7 +60,7 @@
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final List<Finding> findings = new ArrayList<>();
-    private final long[] outcomes = new long[RequestOutcome.values().length];
+    private final Map<RequestOutcome, Long> outcomes = new EnumMap<>(RequestOutcome.class);
     private long executions;
     private long repeats;
 
@@ -133,7 +134,7 @@
     /** A client has its final response, or got none in time. */
     synchronized void recordOutcome(String request, RequestOutcome what, long at) {
         Entry entry = entries.get(request);
-        outcomes[what.ordinal()]++;
+        outcomes.merge(what, 1L, Long::sum);
         entry.history.add(at + " " + what);
         entry.outcomes++;
         entry.lastOutcome = what;
@@ -170,7 +171,7 @@
     }
 
     synchronized long count(RequestOutcome what) {
-        return outcomes[what.ordinal()];
+        return outcomes.getOrDefault(what, 0L);
     }
 
     /**
--- a/src/testbed/java/loadbalancer/testbed/PassThrough.java
+++ b/src/testbed/java/loadbalancer/testbed/PassThrough.java
@@ -48,6 +48,7 @@
     }
 
     /** Listens on a free port, passes on to the addresses in {@code args}, and ends with the process. */
+    @SuppressWarnings("AddressSelection") // a literal address: nothing is looked up
     public static void main(String[] args) throws InterruptedException {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         PassThrough self = new PassThrough(
--- a/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
+++ b/src/testbed/java/loadbalancer/testbed/PausedProcesses.java
@@ -259,7 +259,7 @@
             prepare();
             sendAndPause(at);
             long since = System.nanoTime();
-            boolean timely = point != PausePoint.EVACUATION && point != PausePoint.STOPPING
+            boolean timely = (point != PausePoint.EVACUATION && point != PausePoint.STOPPING)
                     || pausedAt - cue < MAX_CUE_DELAY_NANOS;
             long pauseMillis = PAUSE_MILLIS[place % PAUSE_MILLIS.length];
             switch (point) {
--- a/src/testbed/java/loadbalancer/testbed/SoakClient.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakClient.java
@@ -170,7 +170,7 @@
                 try {
                     return testbed.connect(to);
                 } catch (IOException e) {
-                    continue; // it has just been closed
+                    // It has just been closed: the next one is tried.
                 }
             }
         }
--- a/src/testbed/java/loadbalancer/testbed/SoakTarget.java
+++ b/src/testbed/java/loadbalancer/testbed/SoakTarget.java
@@ -27,7 +27,8 @@
      * Where clients connect; null where nobody listens, or the process was told to end {@code patienceNanos} ago.
      */
     synchronized InetSocketAddress address(long patienceNanos) throws InterruptedException {
-        boolean accepting = state == State.UP || state == State.ENDING && System.nanoTime() - endingAt < patienceNanos;
+        boolean accepting =
+                state == State.UP || (state == State.ENDING && System.nanoTime() - endingAt < patienceNanos);
         return accepting ? member.address() : null;
     }
 
--- a/src/testbed/java/loadbalancer/testbed/fleet/ClientSocket.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/ClientSocket.java
@@ -74,13 +74,13 @@
                 text = c == '\n' ? head.toString(StandardCharsets.ISO_8859_1) : "";
             }
             String low = text.toLowerCase(Locale.ROOT);
-            int length = Integer.parseInt(low.split("content-length: ")[1].split("\r\n")[0]);
+            int length = Integer.parseInt(low.split("content-length: ", -1)[1].split("\r\n", -1)[0]);
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
                 return new Response(0, "ended within the body", false);
             }
             return new Response(
-                    Integer.parseInt(text.split(" ")[1]),
+                    Integer.parseInt(text.split(" ", -1)[1]),
                     new String(body, StandardCharsets.ISO_8859_1),
                     !low.contains("connection: close"));
         } catch (IOException e) {
--- a/src/testbed/java/loadbalancer/testbed/fleet/Fault.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/Fault.java
@@ -24,6 +24,7 @@
     }
 
     /** The places of the balancers that it affects among so many, drawn from the seed, its time and its kind. */
+    @SuppressWarnings("EnumOrdinal") // part of the seed: the same plan affects the same members
     public List<Integer> affected(int balancers, long seed) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < balancers; i++) {
--- a/src/testbed/java/loadbalancer/testbed/fleet/LoadSpread.java
+++ b/src/testbed/java/loadbalancer/testbed/fleet/LoadSpread.java
@@ -13,6 +13,8 @@
  */
 public record LoadSpread(double deviation, double chance, double beyond, double min, double max, int idle) {
     /**
+     * The spread of a run.
+     *
      * @param counts requests by server
      * @param weights of the same servers, above 0
      * @throws IllegalArgumentException where there are no servers, or not as many weights
