--- a/src/main/java/loadbalancer/admin/AdminOperations.java
+++ b/src/main/java/loadbalancer/admin/AdminOperations.java
@@ -5,14 +5,14 @@
 /** What operators may ask of a load balancer; called on the event loop. */
 public interface AdminOperations {
     /** Whether this process takes clients. */
-    boolean ready();
+    boolean isReady();
 
     /** Moves the clients to other processes: health checks fail, and idle connections are closed. */
-    LifeCycle.Verdict evacuate();
+    LifeCycle.CommandResult evacuate();
 
     /** Takes clients again after {@link #evacuate}. */
-    LifeCycle.Verdict rejoin();
+    LifeCycle.CommandResult rejoin();
 
     /** The state of the life cycle, in a word for the operators. */
-    String state();
+    String stateText();
 }
--- a/src/main/java/loadbalancer/admin/AdminRoutes.java
+++ b/src/main/java/loadbalancer/admin/AdminRoutes.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.function.Function;
-import loadbalancer.lifecycle.LifeCycle.Verdict;
+import loadbalancer.lifecycle.LifeCycle.CommandResult;
 
 /** The operators' requests: what each asks for, and the response. Decides without I/O. */
 final class AdminRoutes {
@@ -22,21 +22,25 @@
     private record Route(String method, Function<AdminOperations, Response> handler) {}
 
     private static final Map<String, Route> ROUTES = Map.of(
-            "/api/ready", new Route("GET", AdminRoutes::readiness),
-            "/api/evacuate", new Route("POST", o -> outcome(o.evacuate(), o, "evacuating", "sent away already")),
-            "/api/rejoin", new Route("POST", o -> outcome(o.rejoin(), o, "taking clients", "not sent away")));
+            "/api/ready", new Route("GET", AdminRoutes::readinessResponse),
+            "/api/evacuate",
+                    new Route("POST", o -> commandResponse(o.evacuate(), o, "evacuating", "sent away already")),
+            "/api/rejoin", new Route("POST", o -> commandResponse(o.rejoin(), o, "taking clients", "not sent away")));
 
     private AdminRoutes() {}
 
-    private static Response readiness(AdminOperations operations) {
-        return operations.ready() ? Response.of(200, "ready") : Response.of(503, "not ready: " + operations.state());
+    private static Response readinessResponse(AdminOperations operations) {
+        return operations.isReady()
+                ? Response.of(200, "ready")
+                : Response.of(503, "not ready: " + operations.stateText());
     }
 
-    private static Response outcome(Verdict verdict, AdminOperations operations, String done, String already) {
-        return switch (verdict) {
-            case DONE -> Response.of(200, done);
-            case ALREADY -> Response.of(200, already);
-            case NOT_POSSIBLE -> Response.of(409, "not possible while it is " + operations.state());
+    private static Response commandResponse(
+            CommandResult result, AdminOperations operations, String doneText, String noChangeText) {
+        return switch (result) {
+            case DONE -> Response.of(200, doneText);
+            case NO_CHANGE -> Response.of(200, noChangeText);
+            case NOT_POSSIBLE -> Response.of(409, "not possible while it is " + operations.stateText());
         };
     }
 
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -38,9 +38,9 @@
  */
 public final class AdminServer {
     private static final int MAX_CONNECTIONS = 16;
-    private static final int BACKLOG = 64;
-    private static final long REQUEST_MILLIS = 5_000; // for the request and its response
-    private static final long CLOSE_MILLIS = 1_000; // for the response to be read
+    private static final int ACCEPT_BACKLOG = 64;
+    private static final long REQUEST_TIMEOUT_MILLIS = 5_000; // for the request and its response
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // for the response to be read
     private static final int MAX_REQUEST_LINE_BYTES = 1_024;
     private static final int MAX_HEADER_BYTES = 4_096;
     private static final int MAX_BODY_BYTES = 4_096; // it is ignored
@@ -67,7 +67,7 @@
             listener = new ServerBootstrap()
                     .group(loop, loop)
                     .channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<NioSocketChannel>() {
@@ -99,7 +99,7 @@
         }
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
-        loop.schedule(() -> channel.close(), REQUEST_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> channel.close(), REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         channel.pipeline()
                 .addLast(
                         new HttpRequestDecoder(new HttpDecoderConfig()
@@ -126,7 +126,7 @@
                 return; // one request to a connection
             }
             if (!part.decoderResult().isSuccess()) {
-                respond(malformed(part.decoderResult().cause()));
+                respond(malformedResponse(part.decoderResult().cause()));
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -142,7 +142,7 @@
             }
         }
 
-        private AdminRoutes.Response malformed(Throwable cause) {
+        private AdminRoutes.Response malformedResponse(Throwable cause) {
             return cause instanceof TooLongHttpLineException || cause instanceof TooLongHttpHeaderException
                     ? AdminRoutes.Response.of(431, "too long")
                     : AdminRoutes.Response.of(400, "not a call in HTTP/1.1");
@@ -165,7 +165,7 @@
             channel.writeAndFlush(message)
                     .addListener(
                             written -> channel.shutdownOutput().addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
-            loop.schedule(() -> channel.close(), CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> channel.close(), CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/loadbalancer/config/ConfigReader.java
+++ b/src/main/java/loadbalancer/config/ConfigReader.java
@@ -109,7 +109,7 @@
             return new EndpointUpdate(0, true, List.of());
         }
         try {
-            return EndpointUpdateReader.of(known, boot);
+            return EndpointUpdateReader.fromJsonValue(known, boot);
         } catch (IllegalArgumentException e) {
             throw new Config.Bad("known: " + e.getMessage());
         }
--- a/src/main/java/loadbalancer/connections/CapacityShares.java
+++ b/src/main/java/loadbalancer/connections/CapacityShares.java
@@ -6,7 +6,7 @@
  * first. For one thread; times in ns of the budget's clock.
  */
 final class CapacityShares {
-    private static final double HEADROOM = 1.25; // on a side's recent peak of busy connections
+    private static final double DEMAND_HEADROOM = 1.25; // on a side's recent peak of busy connections
 
     private final ConnectionTable table;
     private ConnectionLimits limits;
@@ -15,10 +15,10 @@
     private DecayingPeak clientDemand;
     private DecayingPeak upstreamDemand;
 
-    CapacityShares(ConnectionTable table, ConnectionLimits limits, long now) {
+    CapacityShares(ConnectionTable table, ConnectionLimits limits, long nowNanos) {
         this.table = table;
         setLimits(limits);
-        resetDemand(now);
+        resetDemand(nowNanos);
     }
 
     ConnectionLimits limits() {
@@ -31,42 +31,42 @@
         upstreamFloor = Math.max(1, (int) (limits.most() * limits.upstreamFloor()));
     }
 
-    void resetDemand(long now) {
-        clientDemand = new DecayingPeak(now);
-        upstreamDemand = new DecayingPeak(now);
+    void resetDemand(long nowNanos) {
+        clientDemand = new DecayingPeak(nowNanos);
+        upstreamDemand = new DecayingPeak(nowNanos);
     }
 
     /** Takes that side's present number of busy connections as its demand. */
-    void recordDemand(Direction direction, long now) {
+    void recordDemand(Direction direction, long nowNanos) {
         DecayingPeak demand = direction == Direction.CLIENT ? clientDemand : upstreamDemand;
-        demand.record(table.busy(direction), now);
+        demand.record(table.busy(direction), nowNanos);
     }
 
     /** How many more connections of that side may be opened with no other one closed for them. */
-    int available(Direction direction, long now) {
+    int available(Direction direction, long nowNanos) {
         int total = limits.most() - table.open(Direction.CLIENT) - table.open(Direction.UPSTREAM);
-        return Math.max(0, Math.min(total, max(direction, now) - table.open(direction)));
+        return Math.max(0, Math.min(total, max(direction, nowNanos) - table.open(direction)));
     }
 
     /** Whether that side holds all that it may: closing a connection of the other side would not help it. */
-    boolean isAtMax(Direction direction, long now) {
-        return table.open(direction) >= max(direction, now);
+    boolean isAtMax(Direction direction, long nowNanos) {
+        return table.open(direction) >= max(direction, nowNanos);
     }
 
     /** How many connections that side may hold together. */
-    int max(Direction direction, long now) {
-        return limits.most() - reserved(direction.other(), now);
+    int max(Direction direction, long nowNanos) {
+        return limits.most() - reserved(direction.other(), nowNanos);
     }
 
     /** The share of the clients' capacity in use; above 1 where they hold more than they may. */
-    double clientUtilization(long now) {
-        return (double) table.open(Direction.CLIENT) / Math.max(1, max(Direction.CLIENT, now));
+    double clientUtilization(long nowNanos) {
+        return (double) table.open(Direction.CLIENT) / Math.max(1, max(Direction.CLIENT, nowNanos));
     }
 
     /** How many connections are reserved for that side: at least its floor, at most what the other's floor leaves. */
-    int reserved(Direction direction, long now) {
-        double clientExcess = demandAboveFloor(clientDemand, clientFloor, now);
-        double upstreamExcess = demandAboveFloor(upstreamDemand, upstreamFloor, now);
+    int reserved(Direction direction, long nowNanos) {
+        double clientExcess = demandAboveFloor(clientDemand, clientFloor, nowNanos);
+        double upstreamExcess = demandAboveFloor(upstreamDemand, upstreamFloor, nowNanos);
         double divisible = limits.most() - clientFloor - upstreamFloor;
         double excess = clientExcess + upstreamExcess;
         double granted = excess > divisible ? divisible / excess : 1;
@@ -75,7 +75,7 @@
                 : upstreamFloor + (int) (upstreamExcess * granted);
     }
 
-    private static double demandAboveFloor(DecayingPeak demand, int floor, long now) {
-        return Math.max(0, Math.ceil(HEADROOM * demand.peak(now)) - floor);
+    private static double demandAboveFloor(DecayingPeak demand, int floor, long nowNanos) {
+        return Math.max(0, Math.ceil(DEMAND_HEADROOM * demand.peak(nowNanos)) - floor);
     }
 }
--- a/src/main/java/loadbalancer/connections/ConnectionBudget.java
+++ b/src/main/java/loadbalancer/connections/ConnectionBudget.java
@@ -26,10 +26,10 @@
     private final EvictionPolicy eviction;
 
     /** A budget with no connection open. */
-    public ConnectionBudget(ConnectionLimits limits, long now) {
-        metrics = new ConnectionMetrics(now);
-        shares = new CapacityShares(table, limits, now);
-        reuse = new ReuseModel(limits, now);
+    public ConnectionBudget(ConnectionLimits limits, long nowNanos) {
+        metrics = new ConnectionMetrics(nowNanos);
+        shares = new CapacityShares(table, limits, nowNanos);
+        reuse = new ReuseModel(limits, nowNanos);
         transitions = new ConnectionTransitions(table, shares, reuse, metrics);
         retention = new RetentionPolicy(table, shares, reuse, transitions);
         expiry = new ExpiryPolicy(table, shares, retention, transitions);
@@ -37,17 +37,17 @@
     }
 
     /** Replaces the limits; connections in excess of them are closed by calls of {@link #evictToAdmit}. */
-    public void setLimits(ConnectionLimits to) {
-        shares.setLimits(to);
+    public void setLimits(ConnectionLimits limits) {
+        shares.setLimits(limits);
     }
 
     /**
      * Forgets what was learned of the clients, and keeps the open connections: for use after connections that were
      * not those of real clients, such as the warm-up's.
      */
-    public void resetEstimates(long now) {
-        reuse.reset(shares.limits(), now);
-        shares.resetDemand(now);
+    public void resetEstimates(long nowNanos) {
+        reuse.reset(shares.limits(), nowNanos);
+        shares.resetDemand(nowNanos);
         metrics.reset();
     }
 
@@ -55,28 +55,29 @@
      * The key under which the connections of an address are counted together: an IPv4 address by itself, an IPv6
      * address by its 64-bit network, which one host usually has to itself.
      *
-     * @param raw the 4 or 16 bytes of the address
+     * @param addressBytes the 4 or 16 bytes of the address
      */
-    public static Object address(byte[] raw) {
-        return ByteBuffer.wrap(raw, 0, raw.length == IPV6_BYTES ? IPV6_NETWORK_BYTES : raw.length)
+    public static Object addressKey(byte[] addressBytes) {
+        return ByteBuffer.wrap(
+                        addressBytes, 0, addressBytes.length == IPV6_BYTES ? IPV6_NETWORK_BYTES : addressBytes.length)
                 .slice();
     }
 
     // ---------------------------------------------------------------- capacity
 
     /** Whether another connection of that side may be opened with no other one closed for it. */
-    public boolean admits(Direction side, long now) {
-        return available(side, now) > 0;
+    public boolean admits(Direction direction, long nowNanos) {
+        return available(direction, nowNanos) > 0;
     }
 
     /** How many more connections of that side may be opened with no other one closed for them. */
-    public int available(Direction side, long now) {
-        return shares.available(side, now);
+    public int available(Direction direction, long nowNanos) {
+        return shares.available(direction, nowNanos);
     }
 
     /** How many connections clients may hold together. */
-    public int maxClients(long now) {
-        return shares.max(Direction.CLIENT, now);
+    public int maxClients(long nowNanos) {
+        return shares.max(Direction.CLIENT, nowNanos);
     }
 
     // ---------------------------------------------------------------- events of connections
@@ -84,26 +85,26 @@
     /**
      * A client's connection was accepted.
      *
-     * @param address the key of its {@link #address}
+     * @param address the key of its {@link #addressKey}
      * @param units how many connections it counts as
      */
-    public ConnectionPermit openClient(Object address, int units, ConnectionPermit.Holder holder, long now) {
+    public ConnectionPermit openClient(Object address, int units, ConnectionPermit.Holder holder, long nowNanos) {
         metrics.recordOpened();
-        return table.addClient(address, units, holder, now);
+        return table.addClient(address, units, holder, nowNanos);
     }
 
     /** A connection to an upstream is being opened, for a request that it is to carry. */
-    public ConnectionPermit openUpstream(ConnectionPermit.Holder holder, long now) {
-        ConnectionPermit permit = table.addUpstream(holder, now);
-        shares.recordDemand(Direction.UPSTREAM, now);
+    public ConnectionPermit openUpstream(ConnectionPermit.Holder holder, long nowNanos) {
+        ConnectionPermit permit = table.addUpstream(holder, nowNanos);
+        shares.recordDemand(Direction.UPSTREAM, nowNanos);
         return permit;
     }
 
     /** Part of a client's request has arrived. */
-    public void receiving(ConnectionPermit permit, long now) {
+    public void partialRequestReceived(ConnectionPermit permit, long nowNanos) {
         if (permit.isIdle()) {
-            recordIfReused(permit, now);
-            table.enter(permit, ConnectionPermit.State.RECEIVING, now);
+            recordIfReused(permit, nowNanos);
+            table.enter(permit, ConnectionPermit.State.RECEIVING, nowNanos);
         }
     }
 
@@ -111,24 +112,24 @@
      * A client's request has arrived completely, or a request is to be sent on a connection to an upstream. Throws
      * IllegalStateException where the connection accepts no more requests.
      */
-    public void requestReceived(ConnectionPermit permit, long now) {
+    public void requestReceived(ConnectionPermit permit, long nowNanos) {
         if (permit.isClosing()) {
             throw new IllegalStateException("asked after its end");
         }
-        recordIfReused(permit, now);
+        recordIfReused(permit, nowNanos);
         if (!permit.hasRequested && permit.isClient()) {
-            reuse.recordFirstRequest(permit, shares.limits(), table.idleClientCount(), now);
+            reuse.recordFirstRequest(permit, shares.limits(), table.idleClientCount(), nowNanos);
         }
         permit.hasRequested = true;
         permit.requestsInFlight++;
-        transitions.enter(permit, ConnectionPermit.State.BUSY, now);
+        transitions.enter(permit, ConnectionPermit.State.BUSY, nowNanos);
     }
 
-    private void recordIfReused(ConnectionPermit permit, long now) {
+    private void recordIfReused(ConnectionPermit permit, long nowNanos) {
         if (permit.state == ConnectionPermit.State.IDLE && permit.isClient()) {
             permit.reuses++;
             metrics.recordReuse();
-            reuse.recordReuse(permit, now);
+            reuse.recordReuse(permit, nowNanos);
         }
     }
 
@@ -136,103 +137,103 @@
      * A response is being sent to a client. If the connection may stay open, it is idle from here on, or goes on with
      * its other requests; otherwise the response has to announce the close, and no further request is accepted.
      *
-     * @param wanted whether client and server side want to keep it open
-     * @param more whether part of another request has arrived already, which must not be lost
+     * @param keepAlive whether client and server side want to keep it open
+     * @param hasPartialRequest whether part of another request has arrived already, which must not be lost
      * @return whether it may stay open
      */
-    public boolean responseSent(ConnectionPermit permit, boolean wanted, boolean more, long now) {
+    public boolean responseSent(ConnectionPermit permit, boolean keepAlive, boolean hasPartialRequest, long nowNanos) {
         metrics.recordResponse();
         permit.requestsInFlight = Math.max(0, permit.requestsInFlight - 1);
         if (permit.state == ConnectionPermit.State.CLOSED) {
             return false;
         }
-        if (wanted && (more || permit.requestsInFlight > 0)) {
+        if (keepAlive && (hasPartialRequest || permit.requestsInFlight > 0)) {
             if (permit.requestsInFlight == 0) {
-                transitions.enter(permit, ConnectionPermit.State.RECEIVING, now);
+                transitions.enter(permit, ConnectionPermit.State.RECEIVING, nowNanos);
             }
             return true;
         }
-        boolean staysOpen = wanted && retention.mayStayOpen(permit, now);
+        boolean staysOpen = keepAlive && retention.mayStayOpen(permit, nowNanos);
         if (staysOpen) {
             permit.idlePeriods++;
-        } else if (wanted) {
-            metrics.recordClosed(CloseReason.ANSWERED);
+        } else if (keepAlive) {
+            metrics.recordClosed(CloseReason.AFTER_RESPONSE);
             reuse.recordClosedAfterResponse();
         }
-        transitions.enter(permit, staysOpen ? ConnectionPermit.State.IDLE : ConnectionPermit.State.LINGERING, now);
+        transitions.enter(permit, staysOpen ? ConnectionPermit.State.IDLE : ConnectionPermit.State.LINGERING, nowNanos);
         return staysOpen;
     }
 
     /** The request on a connection to an upstream is complete, and the connection stays open. */
-    public void becameIdle(ConnectionPermit permit, long now) {
+    public void becameIdle(ConnectionPermit permit, long nowNanos) {
         permit.requestsInFlight = 0;
         if (!permit.isClosing()) {
-            transitions.enter(permit, ConnectionPermit.State.IDLE, now);
+            transitions.enter(permit, ConnectionPermit.State.IDLE, nowNanos);
         }
     }
 
     /** A connection was closed, by whichever side; further calls for it have no effect. */
-    public void closed(ConnectionPermit permit, long now) {
+    public void closed(ConnectionPermit permit, long nowNanos) {
         if (permit.reuseExpectedEntry.isQueued()) {
-            reuse.recordNoReuse(permit, now);
+            reuse.recordNoReuse(permit, nowNanos);
         }
-        transitions.remove(permit, now);
+        transitions.remove(permit, nowNanos);
     }
 
     // ---------------------------------------------------------------- closing connections
 
     /** Closes connections until another one of that side may be opened; false where none may be closed for it. */
-    public boolean evictToAdmit(Direction side, long now) {
-        while (!admits(side, now)) {
-            ConnectionPermit evicted = eviction.evictFor(side, now);
-            if (evicted == null) {
+    public boolean evictToAdmit(Direction direction, long nowNanos) {
+        while (!admits(direction, nowNanos)) {
+            ConnectionPermit evictedPermit = eviction.evictFor(direction, nowNanos);
+            if (evictedPermit == null) {
                 return false;
             }
-            evicted.holder().close();
+            evictedPermit.holder().close();
         }
         return true;
     }
 
     /** Closes the connections that have been idle, silent or lingering for too long. */
-    public void closeExpired(long now) {
-        expiry.removeExpired(now).forEach(permit -> permit.holder().close());
+    public void closeExpired(long nowNanos) {
+        expiry.removeExpired(nowNanos).forEach(permit -> permit.holder().close());
     }
 
     /** How long a client's connection may be idle, in ns: less where capacity is expensive and reuse unlikely. */
-    public long maxIdleTime(long now) {
-        return retention.maxIdleTime(now);
+    public long maxIdleNanos(long nowNanos) {
+        return retention.maxIdleNanos(nowNanos);
     }
 
     /** How long a new client may take for its first request before it can be closed for others, in ns. */
-    public long requestGracePeriod() {
-        return reuse.requestGracePeriod(shares.limits());
+    public long requestGraceNanos() {
+        return reuse.requestGraceNanos(shares.limits());
     }
 
     // ---------------------------------------------------------------- metrics
 
     /** Whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
-    public void setClientsWaiting(boolean now) {
-        metrics.setClientsWaiting(now);
+    public void setClientsWaiting(boolean waiting) {
+        metrics.setClientsWaiting(waiting);
     }
 
     /** How much capacity is in use; a level is left only when use has fallen somewhat below where it begins. */
-    public Pressure pressure(long now) {
-        return metrics.pressure(shares.clientUtilization(now));
+    public Pressure pressure(long nowNanos) {
+        return metrics.pressure(shares.clientUtilization(nowNanos));
     }
 
     /** A log line where the pressure has changed, at most one in 5 s; otherwise null. */
-    public String pressureChange(long now) {
-        return metrics.pressureChange(shares.clientUtilization(now), maxClients(now), table, now);
+    public String pressureChangeLogLine(long nowNanos) {
+        return metrics.pressureChangeLogLine(shares.clientUtilization(nowNanos), maxClients(nowNanos), table, nowNanos);
     }
 
     /** How many connections the budget closed for that reason. */
-    public long closedCount(CloseReason why) {
-        return metrics.closedCount(why);
+    public long closedCount(CloseReason reason) {
+        return metrics.closedCount(reason);
     }
 
     /** How many connections that side holds, in units. */
-    public int openConnections(Direction side) {
-        return table.open(side);
+    public int openConnections(Direction direction) {
+        return table.open(direction);
     }
 
     /** How many client addresses are remembered, connected or not. */
--- a/src/main/java/loadbalancer/connections/ConnectionMetrics.java
+++ b/src/main/java/loadbalancer/connections/ConnectionMetrics.java
@@ -9,8 +9,8 @@
  * the budget's clock.
  */
 final class ConnectionMetrics {
-    private static final double TIGHT_FROM = 0.5; // of the clients' capacity
-    private static final double SHORT_FROM = 0.95;
+    private static final double MIN_TIGHT_UTILIZATION = 0.5; // of the clients' capacity
+    private static final double MIN_SHORT_UTILIZATION = 0.95;
     private static final double HYSTERESIS = 0.1; // a level is left this far below where it begins
     private static final long MIN_LOG_INTERVAL_NANOS = 5_000_000_000L;
 
@@ -22,14 +22,14 @@
     private final Map<CloseReason, CloseCount> closeCounts = new EnumMap<>(CloseReason.class);
     private Pressure pressure = Pressure.AMPLE;
     private Pressure loggedPressure = Pressure.AMPLE;
-    private long loggedAt;
+    private long loggedAtNanos;
     private boolean clientsWaiting;
     private long opened;
     private long responses;
     private long reused;
 
-    ConnectionMetrics(long now) {
-        loggedAt = now - MIN_LOG_INTERVAL_NANOS;
+    ConnectionMetrics(long nowNanos) {
+        loggedAtNanos = nowNanos - MIN_LOG_INTERVAL_NANOS;
         for (CloseReason reason : CloseReason.values()) {
             closeCounts.put(reason, new CloseCount());
         }
@@ -69,11 +69,13 @@
 
     /** The level for that share of the clients' capacity in use. */
     Pressure pressure(double utilization) {
-        double shortFrom = pressure == Pressure.SHORT ? SHORT_FROM - HYSTERESIS : SHORT_FROM;
-        double tightFrom = pressure == Pressure.AMPLE ? TIGHT_FROM : TIGHT_FROM - HYSTERESIS;
-        if (clientsWaiting || utilization >= shortFrom) {
+        double minShortUtilization =
+                pressure == Pressure.SHORT ? MIN_SHORT_UTILIZATION - HYSTERESIS : MIN_SHORT_UTILIZATION;
+        double minTightUtilization =
+                pressure == Pressure.AMPLE ? MIN_TIGHT_UTILIZATION : MIN_TIGHT_UTILIZATION - HYSTERESIS;
+        if (clientsWaiting || utilization >= minShortUtilization) {
             pressure = Pressure.SHORT;
-        } else if (utilization >= tightFrom) {
+        } else if (utilization >= minTightUtilization) {
             pressure = Pressure.TIGHT;
         } else {
             pressure = Pressure.AMPLE;
@@ -82,15 +84,15 @@
     }
 
     /** A log line where the pressure has changed and the last such line is at least 5 s old; null otherwise. */
-    String pressureChange(double utilization, int maxClients, ConnectionTable table, long now) {
-        Pressure present = pressure(utilization);
-        if (present == loggedPressure || now - loggedAt < MIN_LOG_INTERVAL_NANOS) {
+    String pressureChangeLogLine(double utilization, int maxClients, ConnectionTable table, long nowNanos) {
+        Pressure currentPressure = pressure(utilization);
+        if (currentPressure == loggedPressure || nowNanos - loggedAtNanos < MIN_LOG_INTERVAL_NANOS) {
             return null;
         }
-        loggedPressure = present;
-        loggedAt = now;
+        loggedPressure = currentPressure;
+        loggedAtNanos = nowNanos;
         StringBuilder line = new StringBuilder("event=connection_pressure level=")
-                .append(present.name().toLowerCase(Locale.ROOT))
+                .append(currentPressure.name().toLowerCase(Locale.ROOT))
                 .append(" clients ")
                 .append(table.open(Direction.CLIENT))
                 .append(" of ")
@@ -120,7 +122,7 @@
                 line.append(separator)
                         .append(unlogged)
                         .append(' ')
-                        .append(entry.getKey().words());
+                        .append(entry.getKey().logText());
                 separator = ", ";
             }
         }
--- a/src/main/java/loadbalancer/connections/ConnectionPermit.java
+++ b/src/main/java/loadbalancer/connections/ConnectionPermit.java
@@ -30,30 +30,30 @@
         CLOSED
     }
 
-    private static final int PROVEN_MIN_REUSES = 2;
+    private static final int MIN_REGULAR_REUSES = 2;
 
     final Direction direction;
     final Peer peer; // null for a connection to an upstream
     final int units;
     final Holder holder;
-    final long openedAt;
+    final long openedAtNanos;
     final LinkedQueue.Entry<ConnectionPermit> stateEntry = new LinkedQueue.Entry<>(this);
     final LinkedQueue.Entry<ConnectionPermit> peerEntry = new LinkedQueue.Entry<>(this);
     final LinkedQueue.Entry<ConnectionPermit> reuseExpectedEntry = new LinkedQueue.Entry<>(this);
     State state;
-    long stateSince;
+    long stateSinceNanos;
     int requestsInFlight;
     int idlePeriods;
     int reuses; // idle periods that ended with another request
     boolean hasRequested;
 
-    ConnectionPermit(Direction direction, Peer peer, int units, Holder holder, long now) {
+    ConnectionPermit(Direction direction, Peer peer, int units, Holder holder, long nowNanos) {
         this.direction = direction;
         this.peer = peer;
         this.units = units;
         this.holder = holder;
-        this.openedAt = now;
-        this.stateSince = now;
+        this.openedAtNanos = nowNanos;
+        this.stateSinceNanos = nowNanos;
     }
 
     Holder holder() {
@@ -65,8 +65,8 @@
     }
 
     /** Whether it was reused more than once, and at three quarters of its idle periods or more, give or take one. */
-    boolean isProven() {
-        return reuses >= PROVEN_MIN_REUSES && reuses * 4 >= idlePeriods * 3 - 3;
+    boolean isReusedRegularly() {
+        return reuses >= MIN_REGULAR_REUSES && reuses * 4 >= idlePeriods * 3 - 3;
     }
 
     /** Whether no request is in flight and none has begun to arrive. */
@@ -80,7 +80,7 @@
     }
 
     /** How long it has been in its present state, in ns. */
-    public long since(long now) {
-        return now - stateSince;
+    public long timeInStateNanos(long nowNanos) {
+        return nowNanos - stateSinceNanos;
     }
 }
--- a/src/main/java/loadbalancer/connections/ConnectionTable.java
+++ b/src/main/java/loadbalancer/connections/ConnectionTable.java
@@ -15,7 +15,7 @@
     final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>();
     final LinkedQueue<ConnectionPermit> receiving = new LinkedQueue<>();
     final LinkedQueue<ConnectionPermit> idleClients = new LinkedQueue<>(); // without the proven ones
-    final LinkedQueue<ConnectionPermit> provenIdleClients = new LinkedQueue<>(); // reused regularly so far
+    final LinkedQueue<ConnectionPermit> regularIdleClients = new LinkedQueue<>(); // reused regularly so far
     final LinkedQueue<ConnectionPermit> reuseExpected = new LinkedQueue<>(); // idle for less than reuse usually takes
     final LinkedQueue<ConnectionPermit> lingering = new LinkedQueue<>();
     final LinkedQueue<ConnectionPermit> idleUpstreams = new LinkedQueue<>();
@@ -41,7 +41,7 @@
 
     /** How many of the clients' connections are idle after a response. */
     int idleClientCount() {
-        return idleClients.size() + provenIdleClients.size();
+        return idleClients.size() + regularIdleClients.size();
     }
 
     /** How many client addresses are remembered, connected or not. */
@@ -50,30 +50,30 @@
     }
 
     /** Adds a client's connection, as {@code NEW}. */
-    ConnectionPermit addClient(Object address, int units, ConnectionPermit.Holder holder, long now) {
-        Peer peer = peers.computeIfAbsent(address, key -> new Peer(key, now));
-        ConnectionPermit permit = new ConnectionPermit(Direction.CLIENT, peer, units, holder, now);
+    ConnectionPermit addClient(Object address, int units, ConnectionPermit.Holder holder, long nowNanos) {
+        Peer peer = peers.computeIfAbsent(address, key -> new Peer(key, nowNanos));
+        ConnectionPermit permit = new ConnectionPermit(Direction.CLIENT, peer, units, holder, nowNanos);
         openClients += units;
         openByPeer.increment(peer.openCount);
         peer.unconnectedEntry.remove();
-        enter(permit, ConnectionPermit.State.NEW, now);
+        enter(permit, ConnectionPermit.State.NEW, nowNanos);
         return permit;
     }
 
     /** Adds a connection to an upstream, as {@code BUSY}. */
-    ConnectionPermit addUpstream(ConnectionPermit.Holder holder, long now) {
-        ConnectionPermit permit = new ConnectionPermit(Direction.UPSTREAM, null, 1, holder, now);
+    ConnectionPermit addUpstream(ConnectionPermit.Holder holder, long nowNanos) {
+        ConnectionPermit permit = new ConnectionPermit(Direction.UPSTREAM, null, 1, holder, nowNanos);
         openUpstreams++;
-        enter(permit, ConnectionPermit.State.BUSY, now);
+        enter(permit, ConnectionPermit.State.BUSY, nowNanos);
         return permit;
     }
 
     /** Removes a connection from all queues and counts; does nothing for one that is closed already. */
-    void remove(ConnectionPermit permit, long now) {
+    void remove(ConnectionPermit permit, long nowNanos) {
         if (permit.state == ConnectionPermit.State.CLOSED) {
             return;
         }
-        enter(permit, ConnectionPermit.State.CLOSED, now);
+        enter(permit, ConnectionPermit.State.CLOSED, nowNanos);
         if (permit.isClient()) {
             openClients -= permit.units;
             openByPeer.decrement(permit.peer.openCount);
@@ -89,14 +89,14 @@
     private void rememberUnconnected(Peer peer) {
         unconnectedPeers.addLast(peer.unconnectedEntry);
         if (unconnectedPeers.size() > MAX_UNCONNECTED_PEERS) {
-            Peer eldest = unconnectedPeers.first();
-            eldest.unconnectedEntry.remove();
-            peers.remove(eldest.address);
+            Peer longestUnconnected = unconnectedPeers.first();
+            longestUnconnected.unconnectedEntry.remove();
+            peers.remove(longestUnconnected.address);
         }
     }
 
     /** Changes a connection's state; throws IllegalStateException for one that is closed. */
-    void enter(ConnectionPermit permit, ConnectionPermit.State state, long now) {
+    void enter(ConnectionPermit permit, ConnectionPermit.State state, long nowNanos) {
         ConnectionPermit.State from = permit.state;
         if (from == state) {
             return;
@@ -106,14 +106,14 @@
         }
         leaveState(permit);
         permit.state = state;
-        permit.stateSince = now;
+        permit.stateSinceNanos = nowNanos;
         switch (state) {
             case NEW -> newConnections.addLast(permit.stateEntry);
             case RECEIVING -> receiving.addLast(permit.stateEntry);
             case LINGERING -> lingering.addLast(permit.stateEntry);
             case SILENT -> addSilent(permit);
             case IDLE -> addIdle(permit);
-            case BUSY -> changeBusy(permit.direction, 1);
+            case BUSY -> addToBusyCount(permit.direction, 1);
             case CLOSED -> {}
             default -> throw new IllegalStateException("no such state: " + state);
         }
@@ -131,8 +131,8 @@
             return;
         }
         reuseExpected.addLast(permit.reuseExpectedEntry);
-        if (permit.isProven()) {
-            provenIdleClients.addLast(permit.stateEntry);
+        if (permit.isReusedRegularly()) {
+            regularIdleClients.addLast(permit.stateEntry);
         } else {
             idleClients.addLast(permit.stateEntry);
             permit.peer.idleConnections.addLast(permit.peerEntry);
@@ -146,7 +146,7 @@
         permit.peerEntry.remove();
         permit.reuseExpectedEntry.remove();
         if (permit.state == ConnectionPermit.State.BUSY) {
-            changeBusy(permit.direction, -1);
+            addToBusyCount(permit.direction, -1);
         } else if (permit.state == ConnectionPermit.State.SILENT) {
             silentByPeer.decrement(permit.peer.silentCount);
         } else if (permit.state == ConnectionPermit.State.IDLE && countedForPeer) {
@@ -154,7 +154,7 @@
         }
     }
 
-    private void changeBusy(Direction direction, int change) {
+    private void addToBusyCount(Direction direction, int change) {
         if (direction == Direction.CLIENT) {
             busyClients += change;
         } else {
--- a/src/main/java/loadbalancer/connections/ConnectionTransitions.java
+++ b/src/main/java/loadbalancer/connections/ConnectionTransitions.java
@@ -18,21 +18,21 @@
     }
 
     /** Throws IllegalStateException where the connection is closed. */
-    void enter(ConnectionPermit permit, ConnectionPermit.State state, long now) {
-        table.enter(permit, state, now);
-        shares.recordDemand(permit.direction, now);
+    void enter(ConnectionPermit permit, ConnectionPermit.State state, long nowNanos) {
+        table.enter(permit, state, nowNanos);
+        shares.recordDemand(permit.direction, nowNanos);
     }
 
     /** Removes a connection that has been closed; does nothing for one that was removed before. */
-    void remove(ConnectionPermit permit, long now) {
-        table.remove(permit, now);
-        shares.recordDemand(permit.direction, now);
+    void remove(ConnectionPermit permit, long nowNanos) {
+        table.remove(permit, nowNanos);
+        shares.recordDemand(permit.direction, nowNanos);
     }
 
     /** Counts a connection as closed by the budget and removes it; its holder is still to close it. */
-    ConnectionPermit close(ConnectionPermit permit, CloseReason reason, long now) {
+    ConnectionPermit close(ConnectionPermit permit, CloseReason reason, long nowNanos) {
         metrics.recordClosed(reason);
-        remove(permit, now);
+        remove(permit, nowNanos);
         return permit;
     }
 
@@ -41,19 +41,19 @@
      * new connections whose grace period is over become silent. The same period applies to all, so the oldest come
      * first.
      */
-    void advance(long now) {
-        long reuseWindow = reuse.reuseWindow();
+    void advance(long nowNanos) {
+        long reuseWindowNanos = reuse.reuseWindowNanos();
         for (ConnectionPermit permit = table.reuseExpected.first();
-                permit != null && now - permit.stateSince >= reuseWindow;
+                permit != null && nowNanos - permit.stateSinceNanos >= reuseWindowNanos;
                 permit = table.reuseExpected.first()) {
             permit.reuseExpectedEntry.remove();
-            reuse.recordNoReuse(permit, now);
+            reuse.recordNoReuse(permit, nowNanos);
         }
-        long gracePeriod = reuse.requestGracePeriod(shares.limits());
+        long graceNanos = reuse.requestGraceNanos(shares.limits());
         for (ConnectionPermit permit = table.newConnections.first();
-                permit != null && now - permit.openedAt >= gracePeriod;
+                permit != null && nowNanos - permit.openedAtNanos >= graceNanos;
                 permit = table.newConnections.first()) {
-            enter(permit, ConnectionPermit.State.SILENT, now);
+            enter(permit, ConnectionPermit.State.SILENT, nowNanos);
         }
     }
 }
--- a/src/main/java/loadbalancer/connections/DecayingPeak.java
+++ b/src/main/java/loadbalancer/connections/DecayingPeak.java
@@ -9,29 +9,29 @@
 
     private double peak;
     private int current;
-    private long updatedAt;
+    private long updatedAtNanos;
 
-    DecayingPeak(long now) {
-        this.updatedAt = now;
+    DecayingPeak(long nowNanos) {
+        this.updatedAtNanos = nowNanos;
     }
 
     /** Sets the present value. */
-    void record(int value, long now) {
-        decay(now);
+    void record(int value, long nowNanos) {
+        decay(nowNanos);
         current = value;
         peak = Math.max(peak, value);
     }
 
     /** The recent maximum, never below the present value. */
-    double peak(long now) {
-        decay(now);
+    double peak(long nowNanos) {
+        decay(nowNanos);
         return peak;
     }
 
-    private void decay(long now) {
-        if (now > updatedAt) {
-            peak = current + (peak - current) * Math.exp((updatedAt - now) / TIME_CONSTANT_NANOS);
-            updatedAt = now;
+    private void decay(long nowNanos) {
+        if (nowNanos > updatedAtNanos) {
+            peak = current + (peak - current) * Math.exp((updatedAtNanos - nowNanos) / TIME_CONSTANT_NANOS);
+            updatedAtNanos = nowNanos;
         }
     }
 }
--- a/src/main/java/loadbalancer/connections/EvictionPolicy.java
+++ b/src/main/java/loadbalancer/connections/EvictionPolicy.java
@@ -24,65 +24,71 @@
      * @return the connection, for its holder to close; null where none may be closed: a client then waits to be
      *     accepted, and a request is not sent to its upstream
      */
-    ConnectionPermit evictFor(Direction direction, long now) {
-        transitions.advance(now);
-        boolean atMax = shares.isAtMax(direction, now);
+    ConnectionPermit evictFor(Direction direction, long nowNanos) {
+        transitions.advance(nowNanos);
+        boolean atMax = shares.isAtMax(direction, nowNanos);
         ConnectionPermit idleUpstream = table.idleUpstreams.first();
         if (direction == Direction.UPSTREAM && atMax) {
-            return idleUpstream == null ? null : transitions.close(idleUpstream, CloseReason.IDLE_FOR_ROOM, now);
+            return idleUpstream == null
+                    ? null
+                    : transitions.close(idleUpstream, CloseReason.IDLE_UPSTREAM_EVICTED, nowNanos);
         }
-        ConnectionPermit lingering = table.lingering.first();
-        if (lingering != null && lingering.since(now) >= MIN_LINGER_NANOS) {
-            return transitions.close(lingering, CloseReason.LINGERING, now);
+        ConnectionPermit oldestLingering = table.lingering.first();
+        if (oldestLingering != null && oldestLingering.timeInStateNanos(nowNanos) >= MIN_LINGER_NANOS) {
+            return transitions.close(oldestLingering, CloseReason.LINGERING_EVICTED, nowNanos);
         }
         if (!table.silent.isEmpty()) {
             Peer mostSilent = table.silentByPeer.itemWithMaxCount();
-            return transitions.close(mostSilent.silentConnections.last(), CloseReason.SILENT_FOR_ROOM, now);
+            return transitions.close(mostSilent.silentConnections.last(), CloseReason.SILENT_EVICTED, nowNanos);
         }
-        ConnectionPermit idle = idleClient(now);
-        boolean justServed = idle == null || idle.since(now) < shares.limits().restLeast();
-        if (justServed && idleUpstream != null && mayCloseIdleUpstream(direction, atMax, now)) {
-            return transitions.close(idleUpstream, CloseReason.IDLE_FOR_ROOM, now);
+        ConnectionPermit idleClient = idleClientToEvict(nowNanos);
+        boolean servedRecently = idleClient == null
+                || idleClient.timeInStateNanos(nowNanos) < shares.limits().restLeast();
+        if (servedRecently && idleUpstream != null && mayCloseIdleUpstream(direction, atMax, nowNanos)) {
+            return transitions.close(idleUpstream, CloseReason.IDLE_UPSTREAM_EVICTED, nowNanos);
         }
-        if (idle != null && !(justServed && newConnectionsSuffice(direction, now))) {
-            return transitions.close(idle, CloseReason.RESTING_FOR_ROOM, now);
+        if (idleClient != null && !(servedRecently && sparesServedClients(direction, nowNanos))) {
+            return transitions.close(idleClient, CloseReason.IDLE_CLIENT_EVICTED, nowNanos);
         }
-        return evictUnfinished(direction, now);
+        return evictSlowOrNew(direction, nowNanos);
     }
 
-    private boolean mayCloseIdleUpstream(Direction direction, boolean atMax, long now) {
+    private boolean mayCloseIdleUpstream(Direction direction, boolean atMax, long nowNanos) {
         return !atMax
                 && (direction == Direction.UPSTREAM
-                        || table.open(Direction.UPSTREAM) > shares.reserved(Direction.UPSTREAM, now));
+                        || table.open(Direction.UPSTREAM) > shares.reserved(Direction.UPSTREAM, nowNanos));
     }
 
     // One new client is as good as another: those that are there soon send a request, or their grace period ends.
     // Clients that have just been served are not closed for a new one, unless they take most of the capacity.
-    private boolean newConnectionsSuffice(Direction direction, long now) {
+    private boolean sparesServedClients(Direction direction, long nowNanos) {
         return direction == Direction.CLIENT
                 && !table.newConnections.isEmpty()
-                && table.idleClients.size() <= shares.max(Direction.CLIENT, now) / 2;
+                && table.idleClients.size() <= shares.max(Direction.CLIENT, nowNanos) / 2;
     }
 
     // Of the address with the highest number of idle connections the one idle for longest, if that is long; otherwise
     // the one idle for longest of all. Proven ones come last.
-    private ConnectionPermit idleClient(long now) {
+    private ConnectionPermit idleClientToEvict(long nowNanos) {
         if (table.idleClients.isEmpty()) {
-            return table.provenIdleClients.first();
+            return table.regularIdleClients.first();
         }
-        ConnectionPermit longestOfPeer =
+        ConnectionPermit longestIdleOfPeer =
                 table.idleByPeer.itemWithMaxCount().idleConnections.first();
-        return longestOfPeer.since(now) >= shares.limits().restLeast() ? longestOfPeer : table.idleClients.first();
+        return longestIdleOfPeer.timeInStateNanos(nowNanos) >= shares.limits().restLeast()
+                ? longestIdleOfPeer
+                : table.idleClients.first();
     }
 
-    private ConnectionPermit evictUnfinished(Direction direction, long now) {
-        ConnectionPermit slow = table.receiving.first();
-        if (slow != null && slow.since(now) >= shares.limits().askMost()) {
-            return transitions.close(slow, CloseReason.SLOW_FOR_ROOM, now);
+    private ConnectionPermit evictSlowOrNew(Direction direction, long nowNanos) {
+        ConnectionPermit oldestReceiving = table.receiving.first();
+        if (oldestReceiving != null
+                && oldestReceiving.timeInStateNanos(nowNanos) >= shares.limits().askMost()) {
+            return transitions.close(oldestReceiving, CloseReason.SLOW_REQUEST_EVICTED, nowNanos);
         }
-        ConnectionPermit newest = table.newConnections.last();
-        return direction == Direction.UPSTREAM && newest != null
-                ? transitions.close(newest, CloseReason.NEW_FOR_ROOM, now)
+        ConnectionPermit newestClient = table.newConnections.last();
+        return direction == Direction.UPSTREAM && newestClient != null
+                ? transitions.close(newestClient, CloseReason.NEW_CLIENT_EVICTED, nowNanos)
                 : null;
     }
 }
--- a/src/main/java/loadbalancer/connections/ExpiryPolicy.java
+++ b/src/main/java/loadbalancer/connections/ExpiryPolicy.java
@@ -24,41 +24,41 @@
     }
 
     /** Removes the expired connections and returns them, for their holders to close. */
-    List<ConnectionPermit> removeExpired(long now) {
-        transitions.advance(now);
+    List<ConnectionPermit> removeExpired(long nowNanos) {
+        transitions.advance(nowNanos);
         List<ConnectionPermit> expired = new ArrayList<>();
         // The second limit is read after the first queue was cut, as this lowers the price of capacity.
-        removeIdle(table.idleClients, retention.maxIdleTime(now), expired, now);
-        removeIdle(table.provenIdleClients, retention.maxProvenIdleTime(now), expired, now);
-        removeSilent(expired, now);
-        removeLingering(expired, now);
+        removeIdle(table.idleClients, retention.maxIdleNanos(nowNanos), expired, nowNanos);
+        removeIdle(table.regularIdleClients, retention.maxRegularIdleNanos(nowNanos), expired, nowNanos);
+        removeSilent(expired, nowNanos);
+        removeLingering(expired, nowNanos);
         return expired;
     }
 
     private void removeIdle(
-            LinkedQueue<ConnectionPermit> idle, long maxIdleTime, List<ConnectionPermit> expired, long now) {
+            LinkedQueue<ConnectionPermit> idle, long maxIdleNanos, List<ConnectionPermit> expired, long nowNanos) {
         for (ConnectionPermit permit = idle.first();
-                permit != null && permit.since(now) > maxIdleTime;
+                permit != null && permit.timeInStateNanos(nowNanos) > maxIdleNanos;
                 permit = idle.first()) {
-            expired.add(transitions.close(permit, CloseReason.RESTED, now));
+            expired.add(transitions.close(permit, CloseReason.IDLE_EXPIRED, nowNanos));
         }
     }
 
-    private void removeSilent(List<ConnectionPermit> expired, long now) {
-        long maxSilence = shares.limits().silentMost();
+    private void removeSilent(List<ConnectionPermit> expired, long nowNanos) {
+        long maxSilenceNanos = shares.limits().silentMost();
         for (ConnectionPermit permit = table.silent.first();
-                permit != null && now - permit.openedAt > maxSilence;
+                permit != null && nowNanos - permit.openedAtNanos > maxSilenceNanos;
                 permit = table.silent.first()) {
-            expired.add(transitions.close(permit, CloseReason.SILENT, now));
+            expired.add(transitions.close(permit, CloseReason.SILENT_EXPIRED, nowNanos));
         }
     }
 
-    // Counted as CloseReason.ANSWERED, or as its client's own wish, when the last response was sent.
-    private void removeLingering(List<ConnectionPermit> expired, long now) {
+    // Counted as CloseReason.AFTER_RESPONSE, or as its client's own wish, when the last response was sent.
+    private void removeLingering(List<ConnectionPermit> expired, long nowNanos) {
         for (ConnectionPermit permit = table.lingering.first();
-                permit != null && permit.since(now) > MAX_LINGER_NANOS;
+                permit != null && permit.timeInStateNanos(nowNanos) > MAX_LINGER_NANOS;
                 permit = table.lingering.first()) {
-            transitions.remove(permit, now);
+            transitions.remove(permit, nowNanos);
             expired.add(permit);
         }
     }
--- a/src/main/java/loadbalancer/connections/IdleTimeout.java
+++ b/src/main/java/loadbalancer/connections/IdleTimeout.java
@@ -11,31 +11,31 @@
     private static final double SHARE_OF_UPSTREAM_TIMEOUT = 0.5;
     private static final long MAX_IDLE_MICROS = 6_000_000;
     private static final long MAX_SPARE_IDLE_MICROS = 500_000;
-    private static final long SETTLE_MICROS = 10_000;
+    private static final long UNSOLICITED_RESPONSE_WAIT_MICROS = 10_000;
     private static final long MIN_CHECK_INTERVAL_MICROS = 10_000;
 
     private final long maxIdleMicros;
-    private final long settleMicros;
+    private final long unsolicitedResponseWaitMicros;
 
     /**
      * The timeout for upstreams that close a connection themselves when it has been idle for so long.
      *
-     * @param closedAfter the upstreams' own idle timeout in µs, 0 where it isn't known
+     * @param upstreamTimeoutMicros the upstreams' own idle timeout in µs, 0 where it isn't known
      */
-    public IdleTimeout(long closedAfter) {
-        this(closedAfter, SETTLE_MICROS);
+    public IdleTimeout(long upstreamTimeoutMicros) {
+        this(upstreamTimeoutMicros, UNSOLICITED_RESPONSE_WAIT_MICROS);
     }
 
-    private IdleTimeout(long closedAfterMicros, long settleMicros) {
-        maxIdleMicros = closedAfterMicros > 0
-                ? (long) Math.min(MAX_IDLE_MICROS, closedAfterMicros * SHARE_OF_UPSTREAM_TIMEOUT)
+    private IdleTimeout(long upstreamTimeoutMicros, long unsolicitedResponseWaitMicros) {
+        maxIdleMicros = upstreamTimeoutMicros > 0
+                ? (long) Math.min(MAX_IDLE_MICROS, upstreamTimeoutMicros * SHARE_OF_UPSTREAM_TIMEOUT)
                 : MAX_IDLE_MICROS;
-        this.settleMicros = Math.min(settleMicros, maxIdleMicros / 4);
+        this.unsolicitedResponseWaitMicros = Math.min(unsolicitedResponseWaitMicros, maxIdleMicros / 4);
     }
 
     /** The same for upstreams that never send a second response to one request, as those of the warm-up. */
-    public static IdleTimeout trusting(long closedAfter) {
-        return new IdleTimeout(closedAfter, 0);
+    public static IdleTimeout withoutUnsolicitedResponses(long upstreamTimeoutMicros) {
+        return new IdleTimeout(upstreamTimeoutMicros, 0);
     }
 
     /**
@@ -43,26 +43,26 @@
      * against a superfluous second response that arrives some milliseconds after the first: on a connection in use it
      * would be taken for the response to the next request, as nothing in HTTP/1.1 tells them apart.
      */
-    public boolean settled(long idle) {
-        return idle >= settleMicros;
+    public boolean isPastUnsolicitedResponseWait(long idleMicros) {
+        return idleMicros >= unsolicitedResponseWaitMicros;
     }
 
     /** Whether a connection idle for so long may still take a request. */
-    public boolean usable(long idle) {
-        return idle < maxIdleMicros;
+    public boolean isUsable(long idleMicros) {
+        return idleMicros < maxIdleMicros;
     }
 
     /**
      * Whether a connection idle for so long is to be closed.
      *
-     * @param others how many idle connections to the same upstream were used later
+     * @param connectionsUsedLater how many idle connections to the same upstream were used later
      */
-    public boolean ends(long idle, int others) {
-        return !usable(idle) || (others > 0 && idle >= MAX_SPARE_IDLE_MICROS);
+    public boolean isExpired(long idleMicros, int connectionsUsedLater) {
+        return !isUsable(idleMicros) || (connectionsUsedLater > 0 && idleMicros >= MAX_SPARE_IDLE_MICROS);
     }
 
-    /** The interval in µs at which to check {@link #ends}. */
-    public long every() {
+    /** The interval in µs at which to check {@link #isExpired}. */
+    public long checkIntervalMicros() {
         return Math.max(MIN_CHECK_INTERVAL_MICROS, Math.min(MAX_SPARE_IDLE_MICROS / 2, maxIdleMicros / 10));
     }
 }
--- a/src/main/java/loadbalancer/connections/Peer.java
+++ b/src/main/java/loadbalancer/connections/Peer.java
@@ -5,7 +5,7 @@
  * {@link ConnectionTable}, which changes them together with the queues. For one thread.
  */
 final class Peer {
-    private static final double REMEMBERED_WEIGHT = 32;
+    private static final double MAX_REUSE_WEIGHT = 32;
 
     final Object address;
     final FrequencyList.Counter<Peer> openCount = new FrequencyList.Counter<>(this);
@@ -16,8 +16,8 @@
     final LinkedQueue.Entry<Peer> unconnectedEntry = new LinkedQueue.Entry<>(this);
     final ReuseEstimator reuse;
 
-    Peer(Object address, long now) {
+    Peer(Object address, long nowNanos) {
         this.address = address;
-        this.reuse = new ReuseEstimator(REMEMBERED_WEIGHT, now);
+        this.reuse = new ReuseEstimator(MAX_REUSE_WEIGHT, nowNanos);
     }
 }
--- a/src/main/java/loadbalancer/connections/RetentionPolicy.java
+++ b/src/main/java/loadbalancer/connections/RetentionPolicy.java
@@ -5,11 +5,11 @@
  * of reuse is weighed against a price of capacity between 0 and 1. For one thread; times in ns of the budget's clock.
  */
 final class RetentionPolicy {
-    private static final double FREE_UP_TO = 0.25; // of the clients' capacity: below it the price is 0
-    private static final double FULL_PRICE_FROM = 0.75; // from here on the price is 1
+    private static final double MAX_FREE_UTILIZATION = 0.25; // of the clients' capacity: below it the price is 0
+    private static final double MIN_FULL_PRICE_UTILIZATION = 0.75; // from here on the price is 1
     private static final double DITHER = 0.2; // spreads the threshold, so that equal connections don't all close
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
-    private static final double PROVEN_PROBABILITY = 0.9;
+    private static final double REGULAR_REUSE_PROBABILITY = 0.9;
     private static final double MIN_PROBABILITY = 0.01;
 
     private final ConnectionTable table;
@@ -26,13 +26,13 @@
     }
 
     /** Whether a client's connection may stay open after the response that is being sent on it. */
-    boolean mayStayOpen(ConnectionPermit permit, long now) {
-        double price = price(permit.peer, now);
+    boolean mayStayOpen(ConnectionPermit permit, long nowNanos) {
+        double price = price(permit.peer, nowNanos);
         if (price <= 0) {
             return true;
         }
-        transitions.advance(now);
-        double probability = reuse.reuseProbability(permit, now);
+        transitions.advance(nowNanos);
+        double probability = reuse.reuseProbability(permit, nowNanos);
         decisions++;
         double dither = DITHER * (decisions * GOLDEN_RATIO_FRACTION % 1 - 0.5);
         return probability + dither > price;
@@ -40,31 +40,31 @@
 
     // Where one address holds a large part of the capacity, the price falls for those that hold less than it: the
     // first to lose connections is the one that has many.
-    private double price(Peer peer, long now) {
+    private double price(Peer peer, long nowNanos) {
         double maxOpen = table.openByPeer.maxCount();
-        double largestShare = Math.min(1, maxOpen / shares.max(Direction.CLIENT, now));
-        return price(now) * (1 - largestShare * (1 - peer.openCount.value() / Math.max(1, maxOpen)));
+        double largestShare = Math.min(1, maxOpen / shares.max(Direction.CLIENT, nowNanos));
+        return price(nowNanos) * (1 - largestShare * (1 - peer.openCount.value() / Math.max(1, maxOpen)));
     }
 
     // Rises linearly with the utilization.
-    private double price(long now) {
-        double aboveFree = shares.clientUtilization(now) - FREE_UP_TO;
-        return Math.max(0, Math.min(1, aboveFree / (FULL_PRICE_FROM - FREE_UP_TO)));
+    private double price(long nowNanos) {
+        double utilizationAboveFree = shares.clientUtilization(nowNanos) - MAX_FREE_UTILIZATION;
+        return Math.max(0, Math.min(1, utilizationAboveFree / (MIN_FULL_PRICE_UTILIZATION - MAX_FREE_UTILIZATION)));
     }
 
     /** How long a client's connection may be idle; less where capacity is expensive and reuse unlikely. */
-    long maxIdleTime(long now) {
-        return maxIdleTime(reuse.reuseProbability(now), now);
+    long maxIdleNanos(long nowNanos) {
+        return maxIdleNanos(reuse.reuseProbability(nowNanos), nowNanos);
     }
 
     /** The same for a connection that has been reused regularly. */
-    long maxProvenIdleTime(long now) {
-        return maxIdleTime(PROVEN_PROBABILITY, now);
+    long maxRegularIdleNanos(long nowNanos) {
+        return maxIdleNanos(REGULAR_REUSE_PROBABILITY, nowNanos);
     }
 
-    private long maxIdleTime(double reuseProbability, long now) {
+    private long maxIdleNanos(double reuseProbability, long nowNanos) {
         ConnectionLimits limits = shares.limits();
-        double value = Math.max(0, 1 - price(now) / Math.max(MIN_PROBABILITY, reuseProbability));
+        double value = Math.max(0, 1 - price(nowNanos) / Math.max(MIN_PROBABILITY, reuseProbability));
         return limits.restLeast() + (long) ((limits.restMost() - limits.restLeast()) * value);
     }
 }
--- a/src/main/java/loadbalancer/connections/ReuseEstimator.java
+++ b/src/main/java/loadbalancer/connections/ReuseEstimator.java
@@ -8,51 +8,51 @@
  */
 final class ReuseEstimator {
     /** The prior where nothing is known. */
-    static final double UNKNOWN = 0.5;
+    static final double DEFAULT_PRIOR = 0.5;
 
     private static final double TIME_CONSTANT_NANOS = 30e9;
 
     private final double maxWeight;
     private double totalWeight;
     private double reusedWeight;
-    private long updatedAt;
+    private long updatedAtNanos;
 
     /** {@code maxWeight}: how much weight of observations it remembers; more of it displaces older ones. */
-    ReuseEstimator(double maxWeight, long now) {
+    ReuseEstimator(double maxWeight, long nowNanos) {
         this.maxWeight = maxWeight;
-        this.updatedAt = now;
+        this.updatedAtNanos = nowNanos;
     }
 
     /** An idle connection was used for another request. */
-    void recordReuse(double weight, long now) {
-        addWeight(weight, now);
+    void recordReuse(double weight, long nowNanos) {
+        addWeight(weight, nowNanos);
         reusedWeight += weight;
     }
 
     /** An idle connection was not reused, or there is a sign that it won't be. */
-    void recordNoReuse(double weight, long now) {
-        addWeight(weight, now);
+    void recordNoReuse(double weight, long nowNanos) {
+        addWeight(weight, nowNanos);
     }
 
-    private void addWeight(double weight, long now) {
-        decay(now);
+    private void addWeight(double weight, long nowNanos) {
+        decay(nowNanos);
         double factor = totalWeight + weight > maxWeight ? (maxWeight - weight) / totalWeight : 1;
         totalWeight = totalWeight * factor + weight;
         reusedWeight *= factor;
     }
 
     /** The probability of reuse, with the prior counted as observations of {@code priorWeight} together. */
-    double probability(double prior, double priorWeight, long now) {
-        decay(now);
+    double probability(double prior, double priorWeight, long nowNanos) {
+        decay(nowNanos);
         return (reusedWeight + prior * priorWeight) / (totalWeight + priorWeight);
     }
 
-    private void decay(long now) {
-        if (now > updatedAt) {
-            double factor = Math.exp((updatedAt - now) / TIME_CONSTANT_NANOS);
+    private void decay(long nowNanos) {
+        if (nowNanos > updatedAtNanos) {
+            double factor = Math.exp((updatedAtNanos - nowNanos) / TIME_CONSTANT_NANOS);
             totalWeight *= factor;
             reusedWeight *= factor;
-            updatedAt = now;
+            updatedAtNanos = nowNanos;
         }
     }
 }
--- a/src/main/java/loadbalancer/connections/ReuseModel.java
+++ b/src/main/java/loadbalancer/connections/ReuseModel.java
@@ -7,16 +7,16 @@
  * counts half. For one thread; times in ns of the budget's clock.
  */
 final class ReuseModel {
-    private static final double REUSE_MEMORY = 64; // observations that the common estimate remembers
+    private static final double MAX_COMMON_REUSE_WEIGHT = 64; // observations that the common estimate remembers
     private static final double REUSE_WEIGHT = 1;
     private static final double NO_REUSE_WEIGHT = 0.5;
-    private static final double OWN_PRIOR_WEIGHT = 2; // idle periods that the peer's estimate counts for
+    private static final double CONNECTION_PRIOR_WEIGHT = 2; // idle periods that the peer's estimate counts for
     private static final double PEER_PRIOR_WEIGHT = 8; // observations that the common estimate counts for
 
     private static final double REQUEST_DELAY_FACTOR = 6; // grace period, as a multiple of the mean delay
-    private static final double REQUEST_DELAY_MEMORY = 32; // clients
+    private static final double REQUEST_DELAY_SAMPLES = 32; // clients
     private static final double REUSE_DELAY_FACTOR = 6; // when reuse is overdue, as a multiple of the mean delay
-    private static final double REUSE_DELAY_MEMORY = 64; // idle periods
+    private static final double REUSE_DELAY_SAMPLES = 64; // idle periods
     private static final long MIN_REUSE_WINDOW_NANOS = 100_000_000;
     private static final long MAX_REUSE_WINDOW_NANOS = 1_000_000_000;
     private static final double RECONNECT_TIME_CONSTANT_NANOS = 1e9;
@@ -25,33 +25,33 @@
     private double meanRequestDelayNanos; // from a connection's start to its first request
     private double meanReuseDelayNanos; // length of an idle period that ends with another request
     private double expectedReconnects; // clients whose connection was closed after a response and who may be back
-    private long expectedReconnectsAt;
+    private long reconnectsUpdatedAtNanos;
 
-    ReuseModel(ConnectionLimits limits, long now) {
-        reset(limits, now);
+    ReuseModel(ConnectionLimits limits, long nowNanos) {
+        reset(limits, nowNanos);
     }
 
     /** Forgets what was learned, except about single peers and connections. */
-    void reset(ConnectionLimits limits, long now) {
-        commonReuse = new ReuseEstimator(REUSE_MEMORY, now);
+    void reset(ConnectionLimits limits, long nowNanos) {
+        commonReuse = new ReuseEstimator(MAX_COMMON_REUSE_WEIGHT, nowNanos);
         meanRequestDelayNanos = limits.askMost() / REQUEST_DELAY_FACTOR / 2;
         meanReuseDelayNanos = MAX_REUSE_WINDOW_NANOS / REUSE_DELAY_FACTOR / 2;
         expectedReconnects = 0;
-        expectedReconnectsAt = now;
+        reconnectsUpdatedAtNanos = nowNanos;
     }
 
     /** Another request has begun to arrive on an idle connection, which is still in that state. */
-    void recordReuse(ConnectionPermit permit, long now) {
-        long delay = Math.min(MAX_REUSE_WINDOW_NANOS, now - permit.stateSince);
-        meanReuseDelayNanos += (delay - meanReuseDelayNanos) / REUSE_DELAY_MEMORY;
-        commonReuse.recordReuse(REUSE_WEIGHT, now);
-        permit.peer.reuse.recordReuse(REUSE_WEIGHT, now);
+    void recordReuse(ConnectionPermit permit, long nowNanos) {
+        long delayNanos = Math.min(MAX_REUSE_WINDOW_NANOS, nowNanos - permit.stateSinceNanos);
+        meanReuseDelayNanos += (delayNanos - meanReuseDelayNanos) / REUSE_DELAY_SAMPLES;
+        commonReuse.recordReuse(REUSE_WEIGHT, nowNanos);
+        permit.peer.reuse.recordReuse(REUSE_WEIGHT, nowNanos);
     }
 
     /** An idle connection was closed, or not reused when that was to be expected. */
-    void recordNoReuse(ConnectionPermit permit, long now) {
-        commonReuse.recordNoReuse(NO_REUSE_WEIGHT, now);
-        permit.peer.reuse.recordNoReuse(NO_REUSE_WEIGHT, now);
+    void recordNoReuse(ConnectionPermit permit, long nowNanos) {
+        commonReuse.recordNoReuse(NO_REUSE_WEIGHT, nowNanos);
+        permit.peer.reuse.recordNoReuse(NO_REUSE_WEIGHT, nowNanos);
     }
 
     /**
@@ -61,18 +61,18 @@
      *
      * @param idleClients how many of the clients' connections are idle
      */
-    void recordFirstRequest(ConnectionPermit permit, ConnectionLimits limits, int idleClients, long now) {
-        long delay = Math.min(limits.askMost(), now - permit.openedAt);
-        meanRequestDelayNanos += (delay - meanRequestDelayNanos) / REQUEST_DELAY_MEMORY;
-        expectedReconnects *= Math.exp((expectedReconnectsAt - now) / RECONNECT_TIME_CONSTANT_NANOS);
-        expectedReconnectsAt = now;
+    void recordFirstRequest(ConnectionPermit permit, ConnectionLimits limits, int idleClients, long nowNanos) {
+        long delayNanos = Math.min(limits.askMost(), nowNanos - permit.openedAtNanos);
+        meanRequestDelayNanos += (delayNanos - meanRequestDelayNanos) / REQUEST_DELAY_SAMPLES;
+        expectedReconnects *= Math.exp((reconnectsUpdatedAtNanos - nowNanos) / RECONNECT_TIME_CONSTANT_NANOS);
+        reconnectsUpdatedAtNanos = nowNanos;
         if (expectedReconnects >= 1) {
             expectedReconnects--;
         } else if (idleClients > 0) {
-            commonReuse.recordNoReuse(NO_REUSE_WEIGHT, now);
+            commonReuse.recordNoReuse(NO_REUSE_WEIGHT, nowNanos);
         }
         if (!permit.peer.idleConnections.isEmpty()) {
-            permit.peer.reuse.recordNoReuse(NO_REUSE_WEIGHT, now);
+            permit.peer.reuse.recordNoReuse(NO_REUSE_WEIGHT, nowNanos);
         }
     }
 
@@ -82,26 +82,27 @@
     }
 
     /** The probability that any idle connection is reused. */
-    double reuseProbability(long now) {
-        return commonReuse.probability(ReuseEstimator.UNKNOWN, PEER_PRIOR_WEIGHT, now);
+    double reuseProbability(long nowNanos) {
+        return commonReuse.probability(ReuseEstimator.DEFAULT_PRIOR, PEER_PRIOR_WEIGHT, nowNanos);
     }
 
     /** The probability that this one is reused if it stays open, by its own history, its peer's and all others'. */
-    double reuseProbability(ConnectionPermit permit, long now) {
-        double common = reuseProbability(now);
-        double ofPeer = permit.peer.reuse.probability(common, PEER_PRIOR_WEIGHT, now);
-        return (permit.reuses + ofPeer * OWN_PRIOR_WEIGHT) / (permit.idlePeriods + OWN_PRIOR_WEIGHT);
+    double reuseProbability(ConnectionPermit permit, long nowNanos) {
+        double commonProbability = reuseProbability(nowNanos);
+        double peerProbability = permit.peer.reuse.probability(commonProbability, PEER_PRIOR_WEIGHT, nowNanos);
+        return (permit.reuses + peerProbability * CONNECTION_PRIOR_WEIGHT)
+                / (permit.idlePeriods + CONNECTION_PRIOR_WEIGHT);
     }
 
     /** Within what time an idle connection is reused, if it is reused at all. */
-    long reuseWindow() {
-        long window = (long) (REUSE_DELAY_FACTOR * meanReuseDelayNanos);
-        return Math.max(MIN_REUSE_WINDOW_NANOS, Math.min(MAX_REUSE_WINDOW_NANOS, window));
+    long reuseWindowNanos() {
+        long windowNanos = (long) (REUSE_DELAY_FACTOR * meanReuseDelayNanos);
+        return Math.max(MIN_REUSE_WINDOW_NANOS, Math.min(MAX_REUSE_WINDOW_NANOS, windowNanos));
     }
 
     /** How long a new connection may take for its first request before it can be closed for others. */
-    long requestGracePeriod(ConnectionLimits limits) {
-        long period = (long) (REQUEST_DELAY_FACTOR * meanRequestDelayNanos);
-        return Math.max(limits.askLeast(), Math.min(limits.askMost(), period));
+    long requestGraceNanos(ConnectionLimits limits) {
+        long periodNanos = (long) (REQUEST_DELAY_FACTOR * meanRequestDelayNanos);
+        return Math.max(limits.askLeast(), Math.min(limits.askMost(), periodNanos));
     }
 }
--- a/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -41,7 +41,7 @@
         /** A JSON value was received, or a heartbeat if {@code json} is empty. */
         void onReceived(DiscoveryCall call, String json);
 
-        /** Nothing was received for as long as {@link WatchTimeout#maxSilence} allows. */
+        /** Nothing was received for as long as {@link WatchTimeout#maxSilenceMillis} allows. */
         void onSilence(DiscoveryCall call);
 
         /** The connection could not be opened, or was closed. */
@@ -173,10 +173,10 @@
     }
 
     /** Waits once more for as long as the service may be silent. */
-    void extendSilence() {
+    void restartSilenceTimer() {
         // After a stall of this process, what was received meanwhile is read before the timer fires.
-        silenceTimer =
-                ReadBeforeTimers.after(loop, timeout.maxSilence(answered), TimeUnit.MILLISECONDS, this::silenceElapsed);
+        silenceTimer = ReadBeforeTimers.after(
+                loop, timeout.maxSilenceMillis(answered), TimeUnit.MILLISECONDS, this::silenceTimeoutElapsed);
     }
 
     // Guards against a discovery service that is cut off by the network: its connection stays open and silent.
@@ -185,10 +185,10 @@
         if (silenceTimer != null) {
             silenceTimer.cancel();
         }
-        extendSilence();
+        restartSilenceTimer();
     }
 
-    private void silenceElapsed() {
+    private void silenceTimeoutElapsed() {
         if (!cancelled) {
             listener.onSilence(this);
         }
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -33,9 +33,9 @@
          *
          * @param kind what the list holds; FAILED if there is none
          * @param update the list; null if there is none
-         * @param notifiedFor µs for which it may already have counted as notified
+         * @param notifiedForMicros µs for which it may already have counted as notified
          */
-        void onUpdate(ListKind kind, EndpointUpdate update, long notifiedFor);
+        void onUpdate(ListKind kind, EndpointUpdate update, long notifiedForMicros);
     }
 
     private final EventLoop loop;
@@ -55,20 +55,20 @@
      * A client that has sent nothing yet.
      *
      * @param address of the discovery service
-     * @param rev the version of the list that is in use
+     * @param versionInUse the version of the list that is in use
      * @param log takes a line where the service sends what can't be used
      */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             SettingsReader.Boot boot,
-            long rev,
+            long versionInUse,
             UpdateListener listener,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
-        this.versions = new VersionTracker(rev);
+        this.versions = new VersionTracker(versionInUse);
         this.listener = listener;
         this.log = log;
         Policy.Settings settings = boot.settings();
@@ -104,11 +104,11 @@
      * meanwhile, and no failure is reported, as there was none. The watch starts with the complete list, as another
      * service may have other versions.
      */
-    public void moveTo(InetSocketAddress other) {
-        if (other.equals(address)) {
+    public void switchTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = other;
+        address = newAddress;
         versions.reset();
         for (DiscoveryCall call : List.copyOf(openCalls)) {
             cancel(call);
@@ -126,17 +126,17 @@
     private final class CallListener implements DiscoveryCall.Listener {
         @Override
         public void onReceived(DiscoveryCall call, String json) {
-            received(call, json);
+            handleReceived(call, json);
         }
 
         @Override
         public void onSilence(DiscoveryCall call) {
-            silent(call);
+            handleSilence(call);
         }
 
         @Override
         public void onDisconnect(DiscoveryCall call) {
-            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
         }
     }
 
@@ -163,10 +163,10 @@
 
     // ---------------------------------------------------------------- lists
 
-    private void received(DiscoveryCall call, String json) {
+    private void handleReceived(DiscoveryCall call, String json) {
         if (json.isEmpty()) {
             if (call.isWatch() && !call.isAnswered()) {
-                accept(call, unchanged());
+                handleUpdate(call, unchanged());
             }
             return;
         }
@@ -176,24 +176,24 @@
         } catch (IllegalArgumentException e) {
             // A change may be lost with it: the next watch, from the version in use, brings it.
             log.accept("event=endpoint_list_invalid reason=" + e.getMessage());
-            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
-        accept(call, update);
+        handleUpdate(call, update);
     }
 
     private EndpointUpdate unchanged() {
         return new EndpointUpdate(versions.inUse(), false, List.of());
     }
 
-    private void accept(DiscoveryCall call, EndpointUpdate update) {
-        VersionTracker.Verdict verdict =
-                versions.judge(update.rev(), update.all(), call.versionAtRequest(), !call.isAnswered());
-        switch (verdict) {
+    private void handleUpdate(DiscoveryCall call, EndpointUpdate update) {
+        VersionTracker.Decision decision =
+                versions.evaluate(update.rev(), update.all(), call.versionAtRequest(), !call.isAnswered());
+        switch (decision) {
             case ACCEPT -> deliver(call, update);
             case STALE -> deliver(call, unchanged()); // the call is answered, and the newer list stays in use
             case OUT_OF_ORDER -> restartFromCompleteList(call, update.rev());
-            default -> throw new IllegalStateException("no such verdict: " + verdict);
+            default -> throw new IllegalStateException("no such verdict: " + decision);
         }
     }
 
@@ -203,8 +203,8 @@
         long notifiedForMicros = 0;
         if (firstOfWatch) {
             newestWatch = call;
-            openWatches().stream().filter(other -> other != call).forEach(this::cancel);
-            notifiedForMicros = timeout.takeNotifiedFor(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
+            openWatches().stream().filter(watch -> watch != call).forEach(this::cancel);
+            notifiedForMicros = timeout.takeNotifiedForMillis(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
         }
         listener.onUpdate(update.all() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
         if (!call.isWatch()) {
@@ -214,26 +214,26 @@
 
     private void restartFromCompleteList(DiscoveryCall call, long receivedVersion) {
         if (newestWatch != call) { // the newest watch will bring the list
-            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
         log.accept("event=endpoint_version_regressed from=" + versions.inUse() + " to=" + receivedVersion);
         versions.reset();
-        long delayMillis = timeout.restartDelay(DiscoveryCall.nowMillis(), true);
+        long delayMillis = timeout.restartDelayMillis(DiscoveryCall.nowMillis(), true);
         cancel(call);
         scheduleWatch(delayMillis);
     }
 
     // ---------------------------------------------------------------- retries of the watch
 
-    private void silent(DiscoveryCall call) {
+    private void handleSilence(DiscoveryCall call) {
         if (call.isWatch() && !call.isAnswered() && timeout.keepsUnansweredWatch(call.ageMillis())) {
-            call.extendSilence();
+            call.restartSilenceTimer();
             if (newestWatch == call) {
                 openAdditionalWatch();
             }
         } else {
-            ended(call, WatchTimeout.EndCause.SILENCE);
+            handleEnd(call, WatchTimeout.EndCause.SILENCE);
         }
     }
 
@@ -247,7 +247,7 @@
         open(newestWatch);
     }
 
-    private void ended(DiscoveryCall call, WatchTimeout.EndCause cause) {
+    private void handleEnd(DiscoveryCall call, WatchTimeout.EndCause cause) {
         boolean newest = newestWatch == call;
         cancel(call);
         if (!call.isWatch()) {
@@ -260,7 +260,7 @@
         if (call.isAnswered()) {
             timeout.watchEnded(DiscoveryCall.nowMillis(), call.lastReceivedAtMillis(), cause);
         }
-        long delayMillis = timeout.nextWatchDelay(DiscoveryCall.nowMillis(), call.isAnswered(), cause);
+        long delayMillis = timeout.nextWatchDelayMillis(DiscoveryCall.nowMillis(), call.isAnswered(), cause);
         if (delayMillis == WatchTimeout.REPORT_FAILURE) {
             reportFailure();
         } else {
--- a/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
@@ -36,7 +36,7 @@
             if (parser.nextToken() != null) {
                 throw new InvalidEndpointListException("more than one value");
             }
-            return of(value, boot);
+            return fromJsonValue(value, boot);
         } catch (IOException e) {
             throw new InvalidEndpointListException("not JSON", e);
         }
@@ -47,7 +47,7 @@
      *
      * @param boot the settings that name the kinds and zones of servers
      */
-    public static EndpointUpdate of(Object json, SettingsReader.Boot boot) {
+    public static EndpointUpdate fromJsonValue(Object json, SettingsReader.Boot boot) {
         if (!(json instanceof Map<?, ?> list) || !(list.get("targets") instanceof List<?> entries)) {
             throw new InvalidEndpointListException("no list of targets");
         }
--- a/src/main/java/loadbalancer/discovery/VersionTracker.java
+++ b/src/main/java/loadbalancer/discovery/VersionTracker.java
@@ -8,7 +8,7 @@
  */
 final class VersionTracker {
     /** What is to be done with a list. */
-    enum Verdict {
+    enum Decision {
         /** It is at least as new as the list in use, and takes its place. */
         ACCEPT,
         /** The list in use is newer: it stays. */
@@ -41,18 +41,18 @@
      * @param versionAtRequest the version in use when the list was requested
      * @param firstOfResponse whether it is the first list of its response
      */
-    Verdict judge(long listVersion, boolean complete, long versionAtRequest, boolean firstOfResponse) {
+    Decision evaluate(long listVersion, boolean complete, long versionAtRequest, boolean firstOfResponse) {
         if (listVersion >= version) {
             version = listVersion;
-            return Verdict.ACCEPT;
+            return Decision.ACCEPT;
         }
         if (!firstOfResponse || !complete) {
-            return Verdict.OUT_OF_ORDER;
+            return Decision.OUT_OF_ORDER;
         }
         if (listVersion < versionAtRequest) { // a response is never that old, unless versions start anew
             version = listVersion;
-            return Verdict.ACCEPT;
+            return Decision.ACCEPT;
         }
-        return Verdict.STALE;
+        return Decision.STALE;
     }
 }
--- a/src/main/java/loadbalancer/discovery/WatchTimeout.java
+++ b/src/main/java/loadbalancer/discovery/WatchTimeout.java
@@ -10,13 +10,13 @@
 final class WatchTimeout {
     /** Why a call to the discovery service ended before it was complete. */
     enum EndCause {
-        /** Nothing was received for {@link #maxSilence}. */
+        /** Nothing was received for {@link #maxSilenceMillis}. */
         SILENCE,
         /** The connection failed or was closed, or a list could not be used. */
         DISCONNECT
     }
 
-    /** Of {@link #nextWatchDelay}: reported as a failure, and the policy decides when to try again. */
+    /** Of {@link #nextWatchDelayMillis}: reported as a failure, and the policy decides when to try again. */
     static final long REPORT_FAILURE = -1;
 
     // Two lines are missing. What is left of the 6 s is for the next watch to bring what this one missed.
@@ -29,12 +29,13 @@
     private static final long RESTART_SPREAD_MILLIS = 1_000; // over which all balancers reconnect to one service
 
     private static final long NEVER = Long.MIN_VALUE / 2;
-    private static final long NONE_MISSED = -1;
+    private static final long NO_MISSED_UPDATE = -1;
 
     private final boolean pushed;
-    private final long restartOffset;
-    private long immediateRestartAt = NEVER;
-    private long missedNotifiedAt = NONE_MISSED; // the earliest time at which a missed update counted as notified
+    private final long restartOffsetMillis;
+    private long lastImmediateRestartAtMillis = NEVER;
+    /** The earliest time at which a missed update counted as notified. */
+    private long missedNotifiedAtMillis = NO_MISSED_UPDATE;
 
     /**
      * The timeouts of one load balancer of a fleet.
@@ -45,7 +46,7 @@
      */
     WatchTimeout(boolean pushed, int rank, int balancers) {
         this.pushed = pushed;
-        this.restartOffset = pushed ? 0 : RESTART_SPREAD_MILLIS * rank / balancers;
+        this.restartOffsetMillis = pushed ? 0 : RESTART_SPREAD_MILLIS * rank / balancers;
     }
 
     /**
@@ -53,7 +54,7 @@
      *
      * @param answered whether it has brought a list
      */
-    long maxSilence(boolean answered) {
+    long maxSilenceMillis(boolean answered) {
         if (answered) {
             return MAX_SILENCE_MILLIS;
         }
@@ -65,11 +66,11 @@
         return pushed && ageMillis < MAX_RESPONSE_DELAY_MILLIS;
     }
 
-    /** A watch that had brought a list has ended; something was last received on it at {@code lastReceivedAt}. */
-    void watchEnded(long now, long lastReceivedAt, EndCause cause) {
+    /** A watch that had brought a list has ended; something was last received on it at {@code lastReceivedAtMillis}. */
+    void watchEnded(long nowMillis, long lastReceivedAtMillis, EndCause cause) {
         boolean silent = cause == EndCause.SILENCE;
-        if (missedNotifiedAt < 0 && (pushed || silent)) {
-            missedNotifiedAt = silent ? lastReceivedAt + MISSED_UPDATE_NOTIFIED_MILLIS : now;
+        if (missedNotifiedAtMillis < 0 && (pushed || silent)) {
+            missedNotifiedAtMillis = silent ? lastReceivedAtMillis + MISSED_UPDATE_NOTIFIED_MILLIS : nowMillis;
         }
     }
 
@@ -80,24 +81,24 @@
      *
      * @param answered whether the watch had brought a list
      */
-    long nextWatchDelay(long now, boolean answered, EndCause cause) {
+    long nextWatchDelayMillis(long nowMillis, boolean answered, EndCause cause) {
         boolean restarts = pushed || (answered && cause == EndCause.SILENCE);
-        return restarts ? restartDelay(now, answered) : REPORT_FAILURE;
+        return restarts ? restartDelayMillis(nowMillis, answered) : REPORT_FAILURE;
     }
 
     /** In how many ms a watch is replaced that had brought a list, or had not; at once only now and then. */
-    long restartDelay(long now, boolean answered) {
-        if (answered && now - immediateRestartAt >= MIN_IMMEDIATE_RESTART_INTERVAL_MILLIS) {
-            immediateRestartAt = now;
-            return restartOffset;
+    long restartDelayMillis(long nowMillis, boolean answered) {
+        if (answered && nowMillis - lastImmediateRestartAtMillis >= MIN_IMMEDIATE_RESTART_INTERVAL_MILLIS) {
+            lastImmediateRestartAtMillis = nowMillis;
+            return restartOffsetMillis;
         }
         return RESTART_BACKOFF_MILLIS;
     }
 
     /** A watch has brought its first list: for how long it may have counted as notified. Later calls return 0. */
-    long takeNotifiedFor(long now) {
-        long since = missedNotifiedAt;
-        missedNotifiedAt = NONE_MISSED;
-        return since < 0 ? 0 : Math.max(0, now - since);
+    long takeNotifiedForMillis(long nowMillis) {
+        long notifiedAtMillis = missedNotifiedAtMillis;
+        missedNotifiedAtMillis = NO_MISSED_UPDATE;
+        return notifiedAtMillis < 0 ? 0 : Math.max(0, nowMillis - notifiedAtMillis);
     }
 }
--- a/src/main/java/loadbalancer/downstream/ClientAddress.java
+++ b/src/main/java/loadbalancer/downstream/ClientAddress.java
@@ -11,14 +11,14 @@
     private ClientAddress() {}
 
     /**
-     * The key of a remote address: see {@link ConnectionBudget#address}. All connections without an IP address,
+     * The key of a remote address: see {@link ConnectionBudget#addressKey}. All connections without an IP address,
      * as those of a domain socket or those already closed, share one key.
      *
      * @param remote the address, or null where it is not known any more
      */
     public static Object key(SocketAddress remote) {
         return remote instanceof InetSocketAddress address
-                ? ConnectionBudget.address(address.getAddress().getAddress())
+                ? ConnectionBudget.addressKey(address.getAddress().getAddress())
                 : UNKNOWN;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -100,7 +100,8 @@
         state = State.READY;
         budget.setClientsWaiting(!hasCapacity);
         if (listener.isOpen()) {
-            boolean accepting = hasCapacity && !acceptFailing && warmUpAdmits(0) && lifeCycle.accepts(sharedListener);
+            boolean accepting =
+                    hasCapacity && !acceptFailing && warmUpAdmits(0) && lifeCycle.acceptsConnections(sharedListener);
             setAccepting(accepting, !hasCapacity ? "no room" : warmingUp ? "warm-up" : "life cycle");
             if (!accepting) {
                 scheduleRecheck();
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -154,7 +154,7 @@
             received.begin();
             long now = System.nanoTime();
             timeouts.receiving(now);
-            listener.budget().receiving(permit, now);
+            listener.budget().partialRequestReceived(permit, now);
         }
     }
 
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -173,12 +173,12 @@
     // A few at a time: what has arrived meanwhile is read between them, and not cut off.
     private void closeIdle() {
         long now = System.nanoTime();
-        long maxIdleNanos = lifeCycle.maxIdleTime(now);
+        long maxIdleNanos = lifeCycle.maxIdleNanos(now);
         if (maxIdleNanos == Long.MAX_VALUE || closingIdle) {
             return;
         }
         List<Http1ClientConnection> expired = connections.stream()
-                .filter(c -> c.permit().isIdle() && c.permit().since(now) >= maxIdleNanos)
+                .filter(c -> c.permit().isIdle() && c.permit().timeInStateNanos(now) >= maxIdleNanos)
                 .limit(MAX_IDLE_CLOSES)
                 .toList();
         expired.forEach(Http1ClientConnection::close);
@@ -255,7 +255,7 @@
         List.copyOf(connections).forEach(c -> c.checkTimeouts(now));
         budget.closeExpired(now);
         admission.update();
-        String pressureChange = budget.pressureChange(now);
+        String pressureChange = budget.pressureChangeLogLine(now);
         if (pressureChange != null) {
             log.accept(pressureChange);
         }
@@ -287,12 +287,12 @@
 
     /** Whether connections may stay open behind a response. */
     boolean keepsConnections() {
-        return lifeCycle.keepsConnections();
+        return lifeCycle.keepsConnectionsOpen();
     }
 
     /** The value of Alt-Svc in responses; null for none. */
     String alternativeService() {
-        return lifeCycle.keepsConnections() ? alternativeService : null;
+        return lifeCycle.keepsConnectionsOpen() ? alternativeService : null;
     }
 
     void violated(Violation violation, String subject) {
--- a/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -52,7 +52,7 @@
             connection.respond(warmUpResponse(warmUp.declines()), keepAlive);
         } else if (path.startsWith(FinalResponse.MANAGEMENT_PREFIX)
                 && !(isWarmUp && path.equals(WarmUpRequests.PATH))) {
-            connection.respond(FinalResponse.management(head.method().name(), path, lifeCycle.ready()), keepAlive);
+            connection.respond(FinalResponse.management(head.method().name(), path, lifeCycle.isReady()), keepAlive);
         } else {
             dispatch(connection, request, fields, keepAlive);
         }
--- a/src/main/java/loadbalancer/lifecycle/HotRestart.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestart.java
@@ -19,15 +19,15 @@
     /** What this process does after a message or a disconnect. */
     public enum Step {
         /** Nothing changes. */
-        NOTHING,
+        NO_ACTION,
         /** File descriptors and memory are shared with another process from here on. */
-        SHARE,
+        SHARE_RESOURCES,
         /** A successor accepts the clients from here on. */
         HAND_OVER,
         /** The successor has ended: this process accepts clients, as it did before. */
-        TAKE_BACK,
+        RESUME,
         /** No other process is left. */
-        ALONE
+        NO_PEER_LEFT
     }
 
     private final Set<Object> peers = new HashSet<>();
@@ -37,13 +37,13 @@
     public Step received(Object peer, String line) {
         String message = line.strip().split(" ", 2)[0];
         if (message.equals(HELLO)) {
-            return peers.add(peer) && peers.size() == 1 ? Step.SHARE : Step.NOTHING;
+            return peers.add(peer) && peers.size() == 1 ? Step.SHARE_RESOURCES : Step.NO_ACTION;
         }
         if (message.equals(READY) && peers.contains(peer) && successor == null) {
             successor = peer;
             return Step.HAND_OVER;
         }
-        return Step.NOTHING;
+        return Step.NO_ACTION;
     }
 
     /** Handles the end of a peer's connection, and with it of the process. */
@@ -51,9 +51,9 @@
         boolean known = peers.remove(peer);
         if (peer == successor) {
             successor = null;
-            return Step.TAKE_BACK;
+            return Step.RESUME;
         }
-        return known && peers.isEmpty() ? Step.ALONE : Step.NOTHING;
+        return known && peers.isEmpty() ? Step.NO_PEER_LEFT : Step.NO_ACTION;
     }
 
     /** Whether another process shares this one's resources. */
--- a/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -37,34 +37,34 @@
     private static final int MAX_PATH_LENGTH = 100;
 
     private final EventLoop loop;
-    private final Path path;
-    private final Consumer<Step> steps;
+    private final Path sharedPath;
+    private final Consumer<Step> stepListener;
     private final Consumer<String> log;
     private final HotRestart hotRestart = new HotRestart();
     private Channel predecessor; // null while there is none
-    private boolean ready;
+    private boolean readyAnnounced;
 
     /**
      * Creates a channel that is not connected yet.
      *
-     * @param path where the serving process listens and its successor connects
-     * @param steps receives what this process has to do, on the loop
+     * @param sharedPath where the serving process listens and its successor connects
+     * @param stepListener receives what this process has to do, on the loop
      * @param log must not block
      */
-    public HotRestartChannel(EventLoop loop, Path path, Consumer<Step> steps, Consumer<String> log) {
+    public HotRestartChannel(EventLoop loop, Path sharedPath, Consumer<Step> stepListener, Consumer<String> log) {
         this.loop = loop;
-        this.path = path;
-        this.steps = steps;
+        this.sharedPath = sharedPath;
+        this.stepListener = stepListener;
         this.log = log;
     }
 
     /** Connects to a predecessor; {@code onConnected} is called in any case, with whether there is one. */
-    public void begin(Consumer<Boolean> onConnected) {
-        if (!Files.exists(path)) {
+    public void connect(Consumer<Boolean> onConnected) {
+        if (!Files.exists(sharedPath)) {
             onConnected.accept(false);
             return;
         }
-        ChannelFuture connected = new Bootstrap()
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(loop)
                 .channel(NioDomainSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
@@ -73,26 +73,26 @@
                         channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new StringEncoder());
                     }
                 })
-                .connect(UnixDomainSocketAddress.of(path));
-        connected.addListener(result -> {
+                .connect(UnixDomainSocketAddress.of(sharedPath));
+        connectFuture.addListener(result -> {
             if (loop.inEventLoop()) {
-                connected(connected, onConnected);
+                connectCompleted(connectFuture, onConnected);
             } else { // a socket that can't be created is reported on another thread
-                loop.execute(() -> connected(connected, onConnected));
+                loop.execute(() -> connectCompleted(connectFuture, onConnected));
             }
         });
     }
 
-    private void connected(ChannelFuture connection, Consumer<Boolean> onConnected) {
-        if (connection.isSuccess()) {
-            predecessor = connection.channel();
+    private void connectCompleted(ChannelFuture connectFuture, Consumer<Boolean> onConnected) {
+        if (connectFuture.isSuccess()) {
+            predecessor = connectFuture.channel();
             predecessor.closeFuture().addListener(closed -> {
                 predecessor = null;
-                steps.accept(Step.ALONE);
+                stepListener.accept(Step.NO_PEER_LEFT);
             });
             predecessor.writeAndFlush(HotRestart.HELLO + " " + PROTOCOL_VERSION + "\n");
         }
-        onConnected.accept(connection.isSuccess()); // refused: the socket file of a process that has ended
+        onConnected.accept(connectFuture.isSuccess()); // refused: the socket file of a process that has ended
     }
 
     /** Whether another process shares this one's resources. */
@@ -101,11 +101,11 @@
     }
 
     /** This process accepts clients: notifies the predecessor and listens for successors. Idempotent. */
-    public void ready() {
-        if (ready) {
+    public void announceReady() {
+        if (readyAnnounced) {
             return;
         }
-        ready = true;
+        readyAnnounced = true;
         listen();
         if (predecessor != null) {
             predecessor.writeAndFlush(HotRestart.READY + "\n");
@@ -114,14 +114,14 @@
 
     // Binds beside the path and then moves there, so that the path always leads to a process that listens.
     private void listen() {
-        Path own = path.resolveSibling(
-                path.getFileName() + "." + ProcessHandle.current().pid());
-        if (own.toString().length() > MAX_PATH_LENGTH) {
-            log.accept("event=hot_restart_unavailable reason=too long a path: " + own);
+        Path ownPath = sharedPath.resolveSibling(
+                sharedPath.getFileName() + "." + ProcessHandle.current().pid());
+        if (ownPath.toString().length() > MAX_PATH_LENGTH) {
+            log.accept("event=hot_restart_unavailable reason=too long a path: " + ownPath);
             return;
         }
         try {
-            Files.deleteIfExists(own);
+            Files.deleteIfExists(ownPath);
         } catch (IOException e) {
             log.accept("event=hot_restart_unavailable reason=" + e);
             return;
@@ -139,16 +139,16 @@
                                         new SuccessorHandler());
                     }
                 })
-                .bind(UnixDomainSocketAddress.of(own))
-                .addListener(bound -> publish(own, bound));
+                .bind(UnixDomainSocketAddress.of(ownPath))
+                .addListener(bound -> moveToSharedPath(ownPath, bound));
     }
 
-    private void publish(Path own, Future<?> bound) {
+    private void moveToSharedPath(Path ownPath, Future<?> bound) {
         try {
             if (!bound.isSuccess()) {
                 throw new IOException(bound.cause());
             }
-            Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(ownPath, sharedPath, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             log.accept("event=hot_restart_unavailable reason=" + e);
         }
@@ -158,12 +158,12 @@
     private final class SuccessorHandler extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
-            steps.accept(hotRestart.received(context.channel(), line));
+            stepListener.accept(hotRestart.received(context.channel(), line));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            steps.accept(hotRestart.disconnected(context.channel()));
+            stepListener.accept(hotRestart.disconnected(context.channel()));
         }
 
         @Override
--- a/src/main/java/loadbalancer/lifecycle/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -27,38 +27,38 @@
     }
 
     /** The result of an operator's command. */
-    public enum Verdict {
+    public enum CommandResult {
         /** Carried out. */
         DONE,
         /** Nothing to do: the state is the one asked for. */
-        ALREADY,
+        NO_CHANGE,
         /** Not possible in this state. */
         NOT_POSSIBLE
     }
 
-    private static final long MILLISECOND = 1_000_000; // in ns
+    private static final long NANOS_PER_MILLI = 1_000_000; // in ns
     /** For so long after a drain has begun clients may still open connections and send requests, in ns. */
-    public static final long LINGER = 600 * MILLISECOND;
+    public static final long DRAIN_LINGER_NANOS = 600 * NANOS_PER_MILLI;
 
     /** A client that has been idle for so long is unlikely to send a request just then. */
-    private static final long DRAIN_IDLE_TIME = 500 * MILLISECOND;
+    private static final long DRAIN_MAX_IDLE_NANOS = 500 * NANOS_PER_MILLI;
 
-    private static final long EVACUATION_TIME = 1_600 * MILLISECOND;
+    private static final long EVACUATION_NANOS = 1_600 * NANOS_PER_MILLI;
     /** Idle time of connections that arrive after an evacuation. */
-    private static final long EVACUATED_IDLE_TIME = 200 * MILLISECOND;
+    private static final long EVACUATED_MAX_IDLE_NANOS = 200 * NANOS_PER_MILLI;
 
-    private static final long HAND_OVER_TIME = 2_000 * MILLISECOND;
+    private static final long HAND_OVER_NANOS = 2_000 * NANOS_PER_MILLI;
     private static final long NO_LIMIT = Long.MAX_VALUE;
 
     private State state = State.STARTING;
-    private long since; // when the state was entered, ns
-    private boolean prepared; // has all that serving needs
-    private boolean succeeded; // a successor accepts new connections
+    private long stateEnteredAtNanos; // when the state was entered, ns
+    private boolean canServe; // has all that serving needs
+    private boolean successorAccepts; // a successor accepts new connections
     private boolean listenerClosed; // as part of a graceful shutdown
 
-    /** A process that starts at {@code now}. */
-    public LifeCycle(long now) {
-        since = now;
+    /** A process that starts at {@code nowNanos}. */
+    public LifeCycle(long nowNanos) {
+        stateEnteredAtNanos = nowNanos;
     }
 
     /** The present state. */
@@ -66,133 +66,134 @@
         return state;
     }
 
-    private Verdict enter(State next, long now) {
+    private CommandResult enter(State next, long nowNanos) {
         state = next;
-        since = now;
-        return Verdict.DONE;
+        stateEnteredAtNanos = nowNanos;
+        return CommandResult.DONE;
     }
 
     /** Records that the process could serve; returns whether it serves clients from here on. */
-    public boolean prepared(long now) {
-        prepared = true;
+    public boolean markPrepared(long nowNanos) {
+        canServe = true;
         if (state == State.STARTING) {
-            enter(State.READY, now);
+            enter(State.READY, nowNanos);
         }
         return state == State.READY;
     }
 
     /** Starts an evacuation; a process that is still starting has no clients, and does not become ready either. */
-    public Verdict evacuate(long now) {
+    public CommandResult evacuate(long nowNanos) {
         return switch (state) {
-            case STARTING -> enter(State.EVACUATED, now);
-            case READY -> enter(State.EVACUATING, now);
-            case EVACUATING, EVACUATED -> Verdict.ALREADY;
-            default -> Verdict.NOT_POSSIBLE;
+            case STARTING -> enter(State.EVACUATED, nowNanos);
+            case READY -> enter(State.EVACUATING, nowNanos);
+            case EVACUATING, EVACUATED -> CommandResult.NO_CHANGE;
+            default -> CommandResult.NOT_POSSIBLE;
         };
     }
 
     /** Ends an evacuation: the process serves clients once it can. */
-    public Verdict rejoin(long now) {
+    public CommandResult rejoin(long nowNanos) {
         return switch (state) {
-            case EVACUATING, EVACUATED -> enter(prepared ? State.READY : State.STARTING, now);
-            case STARTING, READY -> Verdict.ALREADY;
-            default -> Verdict.NOT_POSSIBLE;
+            case EVACUATING, EVACUATED -> enter(canServe ? State.READY : State.STARTING, nowNanos);
+            case STARTING, READY -> CommandResult.NO_CHANGE;
+            default -> CommandResult.NOT_POSSIBLE;
         };
     }
 
     /** A successor is ready and accepts the clients; false where this process is handing over or stopping already. */
-    public boolean handOver(long now) {
-        succeeded = true;
+    public boolean handOver(long nowNanos) {
+        successorAccepts = true;
         if (state == State.STOPPING || state == State.HANDING_OVER) {
             return false;
         }
-        enter(State.HANDING_OVER, now);
+        enter(State.HANDING_OVER, nowNanos);
         return true;
     }
 
     /** The successor has ended: this process accepts clients as before. False where it was not handing over. */
-    public boolean takeBack(long now) {
+    public boolean resume(long nowNanos) {
         if (state != State.HANDING_OVER) {
             return false;
         }
-        succeeded = false;
-        enter(prepared ? State.READY : State.STARTING, now);
+        successorAccepts = false;
+        enter(canServe ? State.READY : State.STARTING, nowNanos);
         return true;
     }
 
     /** Starts a graceful shutdown; idempotent. */
-    public void stop(long now) {
+    public void stop(long nowNanos) {
         if (state != State.STOPPING) {
-            enter(State.STOPPING, now);
+            enter(State.STOPPING, nowNanos);
         }
     }
 
     /** The listener has been closed by a graceful shutdown: see {@link ShutdownDrain}. */
-    public void listenerClosed() {
+    public void markListenerClosed() {
         listenerClosed = state == State.STOPPING;
     }
 
     /** Applies the passing of time; returns whether an evacuation has ended by it. */
-    public boolean advance(long now) {
-        if (state == State.EVACUATING && now - since >= EVACUATION_TIME) {
-            enter(State.EVACUATED, now);
+    public boolean advance(long nowNanos) {
+        if (state == State.EVACUATING && nowNanos - stateEnteredAtNanos >= EVACUATION_NANOS) {
+            enter(State.EVACUATED, nowNanos);
             return true;
         }
         return false;
     }
 
     /** Whether the process reports itself ready. */
-    public boolean ready() {
+    public boolean isReady() {
         return state == State.READY;
     }
 
     /**
      * Whether the process accepts connections.
      *
-     * @param shared whether the listener is shared with another process; then only a ready process accepts
+     * @param listenerShared whether the listener is shared with another process; then only a ready process accepts
      */
-    public boolean accepts(boolean shared) {
+    public boolean acceptsConnections(boolean listenerShared) {
         return switch (state) {
-            case STARTING -> !shared;
+            case STARTING -> !listenerShared;
             case READY, EVACUATING, EVACUATED -> true;
             case HANDING_OVER -> false;
-            case STOPPING -> !succeeded && !listenerClosed;
+            case STOPPING -> !successorAccepts && !listenerClosed;
         };
     }
 
     /** Whether the process may end without a signal once it holds no connection: its successor has taken over. */
-    public boolean hasLeft(long now) {
-        return (state == State.HANDING_OVER && now - since >= HAND_OVER_TIME) || (state == State.STOPPING && succeeded);
+    public boolean mayExit(long nowNanos) {
+        return (state == State.HANDING_OVER && nowNanos - stateEnteredAtNanos >= HAND_OVER_NANOS)
+                || (state == State.STOPPING && successorAccepts);
     }
 
     /** Whether a response leaves its connection open, unless the request or the response asks for a close. */
-    public boolean keepsConnections() {
+    public boolean keepsConnectionsOpen() {
         return state == State.STARTING || state == State.READY;
     }
 
     /** How long a client's connection may be idle, in ns; {@link Long#MAX_VALUE}: no limit by the state. */
-    public long maxIdleTime(long now) {
-        long age = now - since;
+    public long maxIdleNanos(long nowNanos) {
+        long ageNanos = nowNanos - stateEnteredAtNanos;
         return switch (state) {
             case STARTING, READY -> NO_LIMIT;
-            case EVACUATING -> drainIdleTime(age, EVACUATION_TIME);
-            case EVACUATED -> EVACUATED_IDLE_TIME;
-            case HANDING_OVER -> drainIdleTime(age, HAND_OVER_TIME);
-            case STOPPING -> stoppingIdleTime();
+            case EVACUATING -> drainMaxIdleNanos(ageNanos, EVACUATION_NANOS);
+            case EVACUATED -> EVACUATED_MAX_IDLE_NANOS;
+            case HANDING_OVER -> drainMaxIdleNanos(ageNanos, HAND_OVER_NANOS);
+            case STOPPING -> stoppingMaxIdleNanos();
         };
     }
 
-    private static long drainIdleTime(long age, long drainTime) {
-        if (age < LINGER) {
+    private static long drainMaxIdleNanos(long ageNanos, long drainNanos) {
+        if (ageNanos < DRAIN_LINGER_NANOS) {
             return NO_LIMIT;
         }
-        return age < drainTime ? DRAIN_IDLE_TIME : 0;
+        return ageNanos < drainNanos ? DRAIN_MAX_IDLE_NANOS : 0;
     }
 
-    private long stoppingIdleTime() {
+    private long stoppingMaxIdleNanos() {
         if (listenerClosed) {
             return 0;
         }
-        return succeeded ? DRAIN_IDLE_TIME : NO_LIMIT;
+        return successorAccepts ? DRAIN_MAX_IDLE_NANOS : NO_LIMIT;
     }
 }
--- a/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
+++ b/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
@@ -14,11 +14,11 @@
     /** What the caller does after an observation. */
     public enum Step {
         /** Observe once more. */
-        GO_ON,
+        CONTINUE,
         /** Close the listener, then observe once more. */
         CLOSE_LISTENER,
         /** The process may end. */
-        END
+        EXIT
     }
 
     /**
@@ -58,7 +58,7 @@
     private int observations; // in this phase
     private int unchangedObservations; // in a row, in this phase
 
-    /** Takes an observation made behind a pass over the sockets; none may follow after {@link Step#END}. */
+    /** Takes an observation made behind a pass over the sockets; none may follow after {@link Step#EXIT}. */
     public Step observe(Observation current) {
         unchangedObservations = isUnchanged(current) ? unchangedObservations + 1 : 0;
         observations++;
@@ -66,7 +66,7 @@
         if (phase == Phase.ACCEPTING) {
             return observeAccepting();
         }
-        return isDrained(current) && unchangedObservations >= UNCHANGED_OBSERVATIONS ? Step.END : Step.GO_ON;
+        return isDrained(current) && unchangedObservations >= UNCHANGED_OBSERVATIONS ? Step.EXIT : Step.CONTINUE;
     }
 
     private boolean isUnchanged(Observation current) {
@@ -77,7 +77,7 @@
 
     private Step observeAccepting() {
         if (unchangedObservations < UNCHANGED_OBSERVATIONS && observations < MAX_ACCEPTING_OBSERVATIONS) {
-            return Step.GO_ON;
+            return Step.CONTINUE;
         }
         phase = Phase.LISTENER_CLOSED;
         observations = 0;
--- a/src/main/java/loadbalancer/server/ConfiguredEndpointSource.java
+++ b/src/main/java/loadbalancer/server/ConfiguredEndpointSource.java
@@ -52,7 +52,7 @@
     /** Takes over the address or the list of a configuration that {@link #canReload}; on the loop. */
     void reload(Config fresh) {
         if (discovery != null) {
-            discovery.moveTo(fresh.discovery());
+            discovery.switchTo(fresh.discovery());
         } else {
             staticList.replace(fresh.known());
         }
--- a/src/main/java/loadbalancer/server/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/server/GracefulShutdown.java
@@ -11,7 +11,7 @@
  * responses leave before the loop ends. {@link #stop} and {@link #await} are for any thread but the loop's.
  */
 final class GracefulShutdown {
-    private static final long LINGER_MILLIS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.LINGER);
+    private static final long LINGER_MILLIS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.DRAIN_LINGER_NANOS);
     /** The platform kills a process no sooner than 0.7 s and the longest deadline after SIGTERM. */
     private static final long LAST_RESPONSE_MICROS = 600_000;
 
@@ -58,10 +58,10 @@
         if (server.lifeCycle.advance(System.nanoTime())) {
             server.log.accept("event=evacuated connections=" + server.listener.open());
         }
-        if (!server.lifeCycle.ready()) {
+        if (!server.lifeCycle.isReady()) {
             server.listener.applyLifeCycle();
         }
-        if (server.lifeCycle.hasLeft(System.nanoTime()) && server.listener.open() == 0) {
+        if (server.lifeCycle.mayExit(System.nanoTime()) && server.listener.open() == 0) {
             server.dispatcher.whenIdle(stopped::countDown);
         }
     }
@@ -85,12 +85,12 @@
         int streamedResponses = server.listener.passes() ? 1 : 0;
         int pendingResponses = server.dispatcher.pendingResponses() + streamedResponses;
         ShutdownDrain.Step step = drain.observe(server.listener.observe(pendingResponses));
-        if (step == ShutdownDrain.Step.END) {
+        if (step == ShutdownDrain.Step.EXIT) {
             end();
             return true;
         }
         if (step == ShutdownDrain.Step.CLOSE_LISTENER) {
-            server.lifeCycle.listenerClosed();
+            server.lifeCycle.markListenerClosed();
             server.taskFailures.run(server.listener::close);
             server.taskFailures.run(server.listener::applyLifeCycle);
             server.taskFailures.run(server.extension::close);
--- a/src/main/java/loadbalancer/server/HotRestartCoordinator.java
+++ b/src/main/java/loadbalancer/server/HotRestartCoordinator.java
@@ -53,7 +53,7 @@
 
     /** Looks for a predecessor, then runs {@code next}. Only with a shared listener. */
     void connectToPredecessor(Runnable next) {
-        channel.begin(found -> {
+        channel.connect(found -> {
             if (found) {
                 server.log.accept("event=hot_restart_predecessor_found");
                 shareLimits();
@@ -65,7 +65,7 @@
     /** This process serves clients: its predecessor hands over. */
     void ready() {
         if (channel != null) {
-            channel.ready();
+            channel.announceReady();
         }
     }
 
@@ -77,19 +77,19 @@
     private void apply(HotRestart.Step step) {
         long now = System.nanoTime();
         switch (step) {
-            case SHARE -> server.log.accept("event=hot_restart_successor_started");
+            case SHARE_RESOURCES -> server.log.accept("event=hot_restart_successor_started");
             case HAND_OVER -> {
                 if (server.lifeCycle.handOver(now)) {
                     server.log.accept("event=hot_restart_handing_over connections=" + server.listener.open());
                 }
             }
-            case TAKE_BACK -> {
-                if (server.lifeCycle.takeBack(now)) {
+            case RESUME -> {
+                if (server.lifeCycle.resume(now)) {
                     server.log.accept("event=hot_restart_successor_lost");
                 }
             }
-            case ALONE -> server.log.accept("event=hot_restart_alone");
-            case NOTHING -> {}
+            case NO_PEER_LEFT -> server.log.accept("event=hot_restart_alone");
+            case NO_ACTION -> {}
             default -> throw new IllegalStateException("no such step: " + step);
         }
         shareLimits();
--- a/src/main/java/loadbalancer/server/LifeCycleOperations.java
+++ b/src/main/java/loadbalancer/server/LifeCycleOperations.java
@@ -15,32 +15,32 @@
     }
 
     @Override
-    public boolean ready() {
-        return server.lifeCycle.ready();
+    public boolean isReady() {
+        return server.lifeCycle.isReady();
     }
 
     @Override
-    public LifeCycle.Verdict evacuate() {
-        LifeCycle.Verdict verdict = server.lifeCycle.evacuate(System.nanoTime());
-        if (verdict == LifeCycle.Verdict.DONE) {
+    public LifeCycle.CommandResult evacuate() {
+        LifeCycle.CommandResult result = server.lifeCycle.evacuate(System.nanoTime());
+        if (result == LifeCycle.CommandResult.DONE) {
             server.log.accept("event=evacuating connections=" + server.listener.open());
             server.extension.stopping();
         }
-        return verdict;
+        return result;
     }
 
     @Override
-    public LifeCycle.Verdict rejoin() {
-        LifeCycle.Verdict verdict = server.lifeCycle.rejoin(System.nanoTime());
-        if (verdict == LifeCycle.Verdict.DONE) {
-            server.log.accept("event=rejoined state=" + state());
+    public LifeCycle.CommandResult rejoin() {
+        LifeCycle.CommandResult result = server.lifeCycle.rejoin(System.nanoTime());
+        if (result == LifeCycle.CommandResult.DONE) {
+            server.log.accept("event=rejoined state=" + stateText());
             readiness.announce();
         }
-        return verdict;
+        return result;
     }
 
     @Override
-    public String state() {
+    public String stateText() {
         return server.lifeCycle.state().name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 }
--- a/src/main/java/loadbalancer/server/ReadinessTracker.java
+++ b/src/main/java/loadbalancer/server/ReadinessTracker.java
@@ -55,7 +55,7 @@
     /** Announces readiness if nothing is missing for it. */
     void announceIfPrepared() {
         if (hasUsableEndpoints && warmedUp) {
-            server.lifeCycle.prepared(System.nanoTime());
+            server.lifeCycle.markPrepared(System.nanoTime());
             announce();
             ready.countDown();
         }
@@ -63,11 +63,11 @@
 
     /** Applies the state of the life cycle, and announces readiness if the process is ready. */
     void announce() {
-        if (server.lifeCycle.ready()) {
+        if (server.lifeCycle.isReady()) {
             server.extension.ready();
         }
         server.listener.applyLifeCycle();
-        if (server.lifeCycle.ready()) {
+        if (server.lifeCycle.isReady()) {
             hotRestart.ready();
         }
     }
--- a/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
@@ -81,7 +81,7 @@
         this.clock = clock;
         this.idleTimeout = idleTimeout;
         this.bootstrap = bootstrap();
-        long everyMicros = idleTimeout.every();
+        long everyMicros = idleTimeout.checkIntervalMicros();
         sweep = loop.scheduleWithFixedDelay(this::sweep, everyMicros, everyMicros, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/loadbalancer/upstream/http1/Http1UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1UpstreamConnection.java
@@ -111,16 +111,16 @@
     }
 
     boolean isSettled() {
-        return pool.idleTimeout().settled(pool.clock.now() - idleSinceMicros);
+        return pool.idleTimeout().isPastUnsolicitedResponseWait(pool.clock.now() - idleSinceMicros);
     }
 
     boolean isUsable() {
-        return channel.isActive() && pool.idleTimeout().usable(pool.clock.now() - idleSinceMicros);
+        return channel.isActive() && pool.idleTimeout().isUsable(pool.clock.now() - idleSinceMicros);
     }
 
     /** Whether it is to be closed, where {@code others} that were used later are idle besides. */
     boolean isExpired(IdleTimeout timeout, long nowMicros, int others) {
-        return !channel.isActive() || timeout.ends(nowMicros - idleSinceMicros, others);
+        return !channel.isActive() || timeout.isExpired(nowMicros - idleSinceMicros, others);
     }
 
     private void becomeIdle() {
--- a/src/test/java/loadbalancer/connections/IdleTimeoutTest.java
+++ b/src/test/java/loadbalancer/connections/IdleTimeoutTest.java
@@ -10,34 +10,34 @@
 
 /** Which idle connections to upstreams are used and closed; times in µs. */
 class IdleTimeoutTest {
-    private static final IdleTimeout LONG = new IdleTimeout(30_000_000);
-    private static final IdleTimeout SHORT = new IdleTimeout(400_000);
-    private static final IdleTimeout UNKNOWN = new IdleTimeout(0);
+    private static final IdleTimeout LONG_UPSTREAM_TIMEOUT = new IdleTimeout(30_000_000);
+    private static final IdleTimeout SHORT_UPSTREAM_TIMEOUT = new IdleTimeout(400_000);
+    private static final IdleTimeout UNKNOWN_UPSTREAM_TIMEOUT = new IdleTimeout(0);
 
     @ParameterizedTest
     @CsvSource({"5000000, 0, false", "6000000, 0, true", "500000, 1, true", "499999, 3, false"})
-    void lastIdleConnectionIsKeptForLongerThanSpareOnes(long idle, int usedLater, boolean closed) {
-        assertEquals(closed, LONG.ends(idle, usedLater));
+    void lastIdleConnectionIsKeptForLongerThanSpareOnes(long idleMicros, int usedLater, boolean closed) {
+        assertEquals(closed, LONG_UPSTREAM_TIMEOUT.isExpired(idleMicros, usedLater));
     }
 
     @Test
     void spareConnectionIsUsableUntilItIsClosed() {
-        assertTrue(LONG.usable(500_000));
+        assertTrue(LONG_UPSTREAM_TIMEOUT.isUsable(500_000));
     }
 
     @Test
     void connectionIsNotUsedNearTheIdleTimeoutOfItsUpstream() {
-        assertFalse(SHORT.usable(200_000));
-        assertTrue(SHORT.ends(200_000, 0));
+        assertFalse(SHORT_UPSTREAM_TIMEOUT.isUsable(200_000));
+        assertTrue(SHORT_UPSTREAM_TIMEOUT.isExpired(200_000, 0));
     }
 
     @Test
     void connectionIsUsableForSecondsWhereTheTimeoutOfItsUpstreamIsUnknown() {
-        assertTrue(UNKNOWN.usable(5_000_000));
+        assertTrue(UNKNOWN_UPSTREAM_TIMEOUT.isUsable(5_000_000));
     }
 
     @Test
     void checksAreFrequentWhereTheTimeoutOfTheUpstreamIsShort() {
-        assertTrue(SHORT.every() <= 20_000);
+        assertTrue(SHORT_UPSTREAM_TIMEOUT.checkIntervalMicros() <= 20_000);
     }
 }
--- a/src/test/java/loadbalancer/connections/TurnoverTest.java
+++ b/src/test/java/loadbalancer/connections/TurnoverTest.java
@@ -16,7 +16,7 @@
  * their connection for 2 s unused, others send a request every 0.1 s.
  */
 class TurnoverTest {
-    private static final long MILLIS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long DURATION_SECONDS = 20;
     private static final int DESCRIPTORS = 128; // 64 connections in all, 52 for clients
 
@@ -26,39 +26,39 @@
         BUDGET
     }
 
-    private record Event(long at, Runnable action) {}
+    private record Event(long timeNanos, Runnable action) {}
 
     /** One simulation, and what it counts. */
-    private static final class Run {
+    private static final class Simulation {
         final Strategy strategy;
-        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
+        final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.timeNanos(), b.timeNanos()));
         final SplittableRandom random = new SplittableRandom(11);
         final ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(DESCRIPTORS), 0);
-        long now;
+        long nowNanos;
         int offered;
         int accepted;
         int reused;
 
-        Run(Strategy strategy) {
+        Simulation(Strategy strategy) {
             this.strategy = strategy;
         }
 
-        void at(long time, Runnable action) {
-            events.add(new Event(time, action));
+        void schedule(long timeNanos, Runnable action) {
+            events.add(new Event(timeNanos, action));
         }
 
-        Run simulate(int singleRequestsPerSecond, int regularClients) {
+        Simulation simulate(int singleRequestsPerSecond, int regularClients) {
             for (int i = 0; i < regularClients; i++) {
                 RegularClient regular = new RegularClient("r" + i);
-                at((long) (random.nextDouble() * 100 * MILLIS), regular::sendRequest);
+                schedule((long) (random.nextDouble() * 100 * NANOS_PER_MILLI), regular::sendRequest);
             }
             if (singleRequestsPerSecond > 0) {
-                at(0, () -> sendSingleRequest(singleRequestsPerSecond));
+                schedule(0, () -> sendSingleRequest(singleRequestsPerSecond));
             }
-            at(0, this::closeExpired);
-            while (!events.isEmpty() && events.peek().at() < DURATION_SECONDS * 1_000 * MILLIS) {
+            schedule(0, this::closeExpired);
+            while (!events.isEmpty() && events.peek().timeNanos() < DURATION_SECONDS * 1_000 * NANOS_PER_MILLI) {
                 Event next = events.poll();
-                now = next.at();
+                nowNanos = next.timeNanos();
                 next.action().run();
             }
             return this;
@@ -66,45 +66,46 @@
 
         private void closeExpired() {
             if (strategy == Strategy.BUDGET) {
-                budget.closeExpired(now);
+                budget.closeExpired(nowNanos);
             }
-            at(now + 200 * MILLIS, this::closeExpired);
+            schedule(nowNanos + 200 * NANOS_PER_MILLI, this::closeExpired);
         }
 
         private boolean admit() {
             return strategy == Strategy.BUDGET
-                    ? budget.evictToAdmit(Direction.CLIENT, now)
-                    : budget.admits(Direction.CLIENT, now);
+                    ? budget.evictToAdmit(Direction.CLIENT, nowNanos)
+                    : budget.admits(Direction.CLIENT, nowNanos);
         }
 
         private boolean staysOpen(ConnectionPermit permit) {
-            return budget.responseSent(permit, strategy != Strategy.CLOSE, false, now);
+            return budget.responseSent(permit, strategy != Strategy.CLOSE, false, nowNanos);
         }
 
         // Reported with part of another request, so that it stays open whatever the budget would decide.
-        private void keep(ConnectionPermit permit) {
-            budget.responseSent(permit, true, true, now);
+        private void keepOpen(ConnectionPermit permit) {
+            budget.responseSent(permit, true, true, nowNanos);
         }
 
         private void sendSingleRequest(int requestsPerSecond) {
-            at(
-                    now + (long) (-Math.log(1 - random.nextDouble()) * 1_000 * MILLIS / requestsPerSecond),
+            schedule(
+                    nowNanos
+                            + (long) (-Math.log(1 - random.nextDouble()) * 1_000 * NANOS_PER_MILLI / requestsPerSecond),
                     () -> sendSingleRequest(requestsPerSecond));
             offered++;
             if (!admit()) {
                 return;
             }
             accepted++;
-            ConnectionPermit permit = budget.openClient("once" + offered, 1, () -> {}, now);
-            budget.requestReceived(permit, now);
-            at(now + 10 * MILLIS, () -> {
+            ConnectionPermit permit = budget.openClient("once" + offered, 1, () -> {}, nowNanos);
+            budget.requestReceived(permit, nowNanos);
+            schedule(nowNanos + 10 * NANOS_PER_MILLI, () -> {
                 if (strategy == Strategy.KEEP) {
-                    keep(permit);
-                    at(now + 2_000 * MILLIS, () -> budget.closed(permit, now));
+                    keepOpen(permit);
+                    schedule(nowNanos + 2_000 * NANOS_PER_MILLI, () -> budget.closed(permit, nowNanos));
                 } else if (staysOpen(permit)) {
-                    at(now + 2_000 * MILLIS, () -> budget.closed(permit, now));
+                    schedule(nowNanos + 2_000 * NANOS_PER_MILLI, () -> budget.closed(permit, nowNanos));
                 } else {
-                    budget.closed(permit, now);
+                    budget.closed(permit, nowNanos);
                 }
             });
         }
@@ -119,7 +120,7 @@
             }
 
             void sendRequest() {
-                at(now + 100 * MILLIS, this::sendRequest);
+                schedule(nowNanos + 100 * NANOS_PER_MILLI, this::sendRequest);
                 offered++;
                 boolean reusesConnection = permit != null && (strategy == Strategy.KEEP || permit.isIdle());
                 if (!reusesConnection && !admit()) {
@@ -128,15 +129,15 @@
                 accepted++;
                 reused += reusesConnection ? 1 : 0;
                 if (!reusesConnection) {
-                    permit = budget.openClient(address, 1, () -> {}, now);
+                    permit = budget.openClient(address, 1, () -> {}, nowNanos);
                 }
                 ConnectionPermit current = permit;
-                budget.requestReceived(current, now);
-                at(now + 10 * MILLIS, () -> {
+                budget.requestReceived(current, nowNanos);
+                schedule(nowNanos + 10 * NANOS_PER_MILLI, () -> {
                     if (strategy == Strategy.KEEP) {
-                        keep(current);
+                        keepOpen(current);
                     } else if (!staysOpen(current)) {
-                        budget.closed(current, now);
+                        budget.closed(current, nowNanos);
                         permit = null;
                     }
                 });
@@ -146,34 +147,36 @@
 
     @Test
     void budgetAcceptsNearlyAllRequestsWhereKeepingAllConnectionsDoesNot() {
-        List<String> table = new ArrayList<>();
+        List<String> rows = new ArrayList<>();
         double minBudgetShare = 1;
-        double keepShareAtFive = 1;
-        for (int times : new int[] {0, 1, 2, 5, 10}) {
+        double keepShareAtFactorFive = 1;
+        for (int loadFactor : new int[] {0, 1, 2, 5, 10}) {
             StringBuilder row = new StringBuilder();
-            row.append(String.format(Locale.ROOT, "%2d times the turnover:", times));
+            row.append(String.format(Locale.ROOT, "%2d times the turnover:", loadFactor));
             for (Strategy strategy : Strategy.values()) {
-                Run run = new Run(strategy).simulate(times * 21, 10); // 42 connections of 2 s: 21 a second
-                double share = (double) run.accepted / run.offered;
+                // 42 connections of 2 s: 21 a second
+                Simulation run = new Simulation(strategy).simulate(loadFactor * 21, 10);
+                double acceptedShare = (double) run.accepted / run.offered;
                 row.append(String.format(
                         Locale.ROOT,
                         "  %s accepted %.3f, reused %.2f",
                         strategy,
-                        share,
+                        acceptedShare,
                         (double) run.reused / run.accepted));
-                minBudgetShare = strategy == Strategy.BUDGET ? Math.min(minBudgetShare, share) : minBudgetShare;
-                keepShareAtFive = strategy == Strategy.KEEP && times == 5 ? share : keepShareAtFive;
-                if (strategy == Strategy.BUDGET && times == 0) {
+                minBudgetShare = strategy == Strategy.BUDGET ? Math.min(minBudgetShare, acceptedShare) : minBudgetShare;
+                keepShareAtFactorFive =
+                        strategy == Strategy.KEEP && loadFactor == 5 ? acceptedShare : keepShareAtFactorFive;
+                if (strategy == Strategy.BUDGET && loadFactor == 0) {
                     assertTrue(run.reused > run.accepted * 0.98, "nothing is gained by closing: " + row);
                 }
                 if (strategy == Strategy.CLOSE) {
                     assertEquals(0, run.reused);
                 }
             }
-            table.add(row.toString());
+            rows.add(row.toString());
         }
-        table.forEach(System.out::println);
-        assertTrue(minBudgetShare > 0.99, "the budget accepts nearly all: " + table);
-        assertTrue(keepShareAtFive < 0.7, "keeping all connections does not: " + table);
+        rows.forEach(System.out::println);
+        assertTrue(minBudgetShare > 0.99, "the budget accepts nearly all: " + rows);
+        assertTrue(keepShareAtFactorFive < 0.7, "keeping all connections does not: " + rows);
     }
 }
--- a/src/test/java/loadbalancer/discovery/WatchTimeoutTest.java
+++ b/src/test/java/loadbalancer/discovery/WatchTimeoutTest.java
@@ -16,33 +16,38 @@
     @ValueSource(booleans = {true, false})
     void silentWatchIsReplacedWithTimeLeftToCatchUp(boolean pushed) {
         WatchTimeout timeout = new WatchTimeout(pushed, 0, 1);
-        assertTrue(timeout.maxSilence(true) > 4_000, "one line may be late, and one be lost");
-        assertTrue(timeout.maxSilence(true) <= 5_000, "the rest of the 6 s is for the next watch");
-        assertTrue(timeout.maxSilence(false) <= 5_000, "a service that accepts and does not respond is silent as well");
+        assertTrue(timeout.maxSilenceMillis(true) > 4_000, "one line may be late, and one be lost");
+        assertTrue(timeout.maxSilenceMillis(true) <= 5_000, "the rest of the 6 s is for the next watch");
+        assertTrue(
+                timeout.maxSilenceMillis(false) <= 5_000,
+                "a service that accepts and does not respond is silent as well");
         timeout.watchEnded(5_000, 500, EndCause.SILENCE);
-        assertEquals(0, timeout.restartDelay(5_000, true), "at once");
-        assertEquals(0, timeout.takeNotifiedFor(6_400), "received before it counts as notified");
+        assertEquals(0, timeout.restartDelayMillis(5_000, true), "at once");
+        assertEquals(0, timeout.takeNotifiedForMillis(6_400), "received before it counts as notified");
         timeout.watchEnded(5_000, 500, EndCause.SILENCE);
-        assertEquals(700, timeout.takeNotifiedFor(7_200), "it counted as notified from 6.5 s on");
-        assertEquals(0, timeout.takeNotifiedFor(7_200), "returned once");
+        assertEquals(700, timeout.takeNotifiedForMillis(7_200), "it counted as notified from 6.5 s on");
+        assertEquals(0, timeout.takeNotifiedForMillis(7_200), "returned once");
     }
 
     /** One service takes one call of each balancer within some seconds, and rejects many that come at once. */
     @ParameterizedTest
     @CsvSource({"0, 0", "50, 500", "99, 990"})
-    void reconnectsToAServiceSharedByAllAreSpreadByRank(int rank, long delay) {
-        assertEquals(delay, new WatchTimeout(false, rank, 100).restartDelay(0, true));
+    void reconnectsToAServiceSharedByAllAreSpreadByRank(int rank, long delayMillis) {
+        assertEquals(delayMillis, new WatchTimeout(false, rank, 100).restartDelayMillis(0, true));
     }
 
     @Test
     void lastBalancerReconnectsBeforeAMissedUpdateCountsAsNotified() {
-        long latest = new WatchTimeout(false, 99, 100).maxSilence(true) + 990;
-        assertTrue(latest < 6_000, "at " + latest);
+        long latestMillis = new WatchTimeout(false, 99, 100).maxSilenceMillis(true) + 990;
+        assertTrue(latestMillis < 6_000, "at " + latestMillis);
     }
 
     @Test
     void reconnectToAnAgentIsImmediateAtAnyRank() {
-        assertEquals(0, new WatchTimeout(true, 99, 100).restartDelay(0, true), "each balancer has an agent of its own");
+        assertEquals(
+                0,
+                new WatchTimeout(true, 99, 100).restartDelayMillis(0, true),
+                "each balancer has an agent of its own");
     }
 
     @Test
@@ -50,16 +55,16 @@
         WatchTimeout timeout = new WatchTimeout(true, 99, 100);
         timeout.watchEnded(1_000, 900, EndCause.DISCONNECT);
         timeout.watchEnded(1_400, 900, EndCause.DISCONNECT); // the next one as well: updates are missed since the first
-        assertEquals(500, timeout.takeNotifiedFor(1_500));
+        assertEquals(500, timeout.takeNotifiedForMillis(1_500));
         WatchTimeout polled = new WatchTimeout(false, 0, 1);
         polled.watchEnded(1_000, 900, EndCause.DISCONNECT);
-        assertEquals(0, polled.takeNotifiedFor(1_500), "a polled list counts as notified with the response");
+        assertEquals(0, polled.takeNotifiedForMillis(1_500), "a polled list counts as notified with the response");
     }
 
     @Test
     void unansweredWatchOfAnAgentStaysOpenForALimitedTime() {
         WatchTimeout timeout = new WatchTimeout(true, 99, 100);
-        assertTrue(timeout.maxSilence(false) < 1_000, "the list that it has at its return counts at once");
+        assertTrue(timeout.maxSilenceMillis(false) < 1_000, "the list that it has at its return counts at once");
         assertTrue(timeout.keepsUnansweredWatch(700));
         assertFalse(timeout.keepsUnansweredWatch(5_000));
         assertFalse(
@@ -71,22 +76,24 @@
         WatchTimeout polled = new WatchTimeout(false, 0, 1);
         assertEquals(
                 WatchTimeout.REPORT_FAILURE,
-                polled.nextWatchDelay(0, true, EndCause.DISCONNECT),
+                polled.nextWatchDelayMillis(0, true, EndCause.DISCONNECT),
                 "it was disconnected");
         assertEquals(
-                WatchTimeout.REPORT_FAILURE, polled.nextWatchDelay(0, false, EndCause.SILENCE), "it brought no list");
-        assertEquals(0, polled.nextWatchDelay(0, true, EndCause.SILENCE));
+                WatchTimeout.REPORT_FAILURE,
+                polled.nextWatchDelayMillis(0, false, EndCause.SILENCE),
+                "it brought no list");
+        assertEquals(0, polled.nextWatchDelayMillis(0, true, EndCause.SILENCE));
         assertTrue(
-                new WatchTimeout(true, 0, 1).nextWatchDelay(0, false, EndCause.DISCONNECT) > 0,
+                new WatchTimeout(true, 0, 1).nextWatchDelayMillis(0, false, EndCause.DISCONNECT) > 0,
                 "the policy does not poll an agent");
     }
 
     @Test
     void repeatedlyBrokenWatchIsReplacedWithBackoff() {
         WatchTimeout timeout = new WatchTimeout(true, 99, 100);
-        assertEquals(0, timeout.restartDelay(10_000, true));
-        assertTrue(timeout.restartDelay(10_001, true) > 0);
-        assertTrue(timeout.restartDelay(10_600, false) > 0, "it brought no list");
-        assertEquals(0, timeout.restartDelay(11_000, true));
+        assertEquals(0, timeout.restartDelayMillis(10_000, true));
+        assertTrue(timeout.restartDelayMillis(10_001, true) > 0);
+        assertTrue(timeout.restartDelayMillis(10_600, false) > 0, "it brought no list");
+        assertEquals(0, timeout.restartDelayMillis(11_000, true));
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
@@ -29,12 +29,12 @@
 class HotRestartChannelTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<Step> steps = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Boolean> found = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Boolean> predecessorFound = new LinkedBlockingQueue<>();
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    private HotRestartChannel handover(Path path) {
+    private HotRestartChannel createChannel(Path path) {
         return new HotRestartChannel(group.next(), path, steps::add, line -> {});
     }
 
@@ -52,38 +52,38 @@
     }
 
     @Test
-    void theNewProcessSaysHelloWithItsVersionAndThenThatItIsReady() throws Exception {
-        Path path = folder.resolve("s");
-        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            old.bind(UnixDomainSocketAddress.of(path));
-            HotRestartChannel handover = handover(path);
-            group.next().submit(() -> handover.begin(found::add)).get();
-            try (SocketChannel successor = old.accept()) {
+    void successorSendsHelloWithItsVersionAndThenReady() throws Exception {
+        Path path = directory.resolve("s");
+        try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            predecessor.bind(UnixDomainSocketAddress.of(path));
+            HotRestartChannel channel = createChannel(path);
+            group.next().submit(() -> channel.connect(predecessorFound::add)).get();
+            try (SocketChannel successor = predecessor.accept()) {
                 assertEquals("hello 1\n", read(successor, 8));
-                assertEquals(true, found.take());
-                group.next().submit(handover::ready).get();
+                assertEquals(true, predecessorFound.take());
+                group.next().submit(channel::announceReady).get();
                 assertEquals("ready\n", read(successor, 6));
             }
-            assertEquals(Step.ALONE, steps.take());
+            assertEquals(Step.NO_PEER_LEFT, steps.take());
         }
     }
 
     @Test
-    void theOldProcessTakesHelloReadyAndTheEndOfTheConnection() throws Exception {
-        Path path = folder.resolve("s");
-        HotRestartChannel handover = handover(path);
-        group.next().submit(() -> handover.begin(found::add)).get();
-        assertEquals(false, found.take());
-        group.next().submit(handover::ready).get();
+    void predecessorReportsStepsForHelloReadyAndDisconnect() throws Exception {
+        Path path = directory.resolve("s");
+        HotRestartChannel channel = createChannel(path);
+        group.next().submit(() -> channel.connect(predecessorFound::add)).get();
+        assertEquals(false, predecessorFound.take());
+        group.next().submit(channel::announceReady).get();
         while (!Files.exists(path)) {
             Thread.sleep(5);
         }
         try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
             successor.write(ByteBuffer.wrap("hello 1\nready\n".getBytes(StandardCharsets.US_ASCII)));
-            assertEquals(Step.SHARE, steps.take());
+            assertEquals(Step.SHARE_RESOURCES, steps.take());
             assertEquals(Step.HAND_OVER, steps.take());
-            assertTrue(handover.hasPeer());
+            assertTrue(channel.hasPeer());
         }
-        assertEquals(Step.TAKE_BACK, steps.take());
+        assertEquals(Step.RESUME, steps.take());
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
@@ -12,36 +12,36 @@
     private final HotRestart hotRestart = new HotRestart();
 
     @Test
-    void oneThatDiesBeforeItIsReadyChangesNothing() {
-        assertEquals(Step.SHARE, hotRestart.received("b", "hello 1"));
+    void successorThatEndsBeforeItIsReadyCausesNoHandOver() {
+        assertEquals(Step.SHARE_RESOURCES, hotRestart.received("b", "hello 1"));
         assertTrue(hotRestart.hasPeer());
-        assertEquals(Step.ALONE, hotRestart.disconnected("b"));
+        assertEquals(Step.NO_PEER_LEFT, hotRestart.disconnected("b"));
         assertFalse(hotRestart.hasPeer());
     }
 
     @Test
-    void oneThatDiesAfterItWasReadyGivesTheClientsBack() {
+    void successorThatEndsAfterItWasReadyCausesResume() {
         hotRestart.received("b", "hello 1");
         assertEquals(Step.HAND_OVER, hotRestart.received("b", "ready"));
-        assertEquals(Step.NOTHING, hotRestart.received("b", "ready"));
-        assertEquals(Step.TAKE_BACK, hotRestart.disconnected("b"));
+        assertEquals(Step.NO_ACTION, hotRestart.received("b", "ready"));
+        assertEquals(Step.RESUME, hotRestart.disconnected("b"));
     }
 
     @Test
-    void twoAtOnceAndTheFirstThatIsReadyTakesTheClients() {
+    void firstReadyOfTwoSuccessorsCausesHandOver() {
         hotRestart.received("b", "hello 1");
-        assertEquals(Step.NOTHING, hotRestart.received("c", "hello 1"));
+        assertEquals(Step.NO_ACTION, hotRestart.received("c", "hello 1"));
         assertEquals(Step.HAND_OVER, hotRestart.received("c", "ready"));
-        assertEquals(Step.NOTHING, hotRestart.disconnected("b"));
+        assertEquals(Step.NO_ACTION, hotRestart.disconnected("b"));
         assertTrue(hotRestart.hasPeer());
     }
 
     @Test
-    void strangersAndOtherVersionsSayNothing() {
-        assertEquals(Step.NOTHING, hotRestart.received("x", "ready"));
-        assertEquals(Step.NOTHING, hotRestart.received("x", "GET / HTTP/1.1"));
-        assertEquals(Step.NOTHING, hotRestart.disconnected("x"));
-        assertEquals(Step.SHARE, hotRestart.received("b", "hello 7 and more"));
-        assertEquals(Step.NOTHING, hotRestart.received("b", "state {}"));
+    void unknownPeersAndMessagesAreIgnored() {
+        assertEquals(Step.NO_ACTION, hotRestart.received("x", "ready"));
+        assertEquals(Step.NO_ACTION, hotRestart.received("x", "GET / HTTP/1.1"));
+        assertEquals(Step.NO_ACTION, hotRestart.disconnected("x"));
+        assertEquals(Step.SHARE_RESOURCES, hotRestart.received("b", "hello 7 and more"));
+        assertEquals(Step.NO_ACTION, hotRestart.received("b", "state {}"));
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
@@ -17,31 +17,31 @@
     }
 
     @Test
-    void theListenerIsOpenUntilTwoPassesHaveFoundNothing() {
+    void listenerClosesAfterTwoUnchangedObservations() {
         ShutdownDrain drain = new ShutdownDrain();
-        assertEquals(Step.GO_ON, drain.observe(observation(4, 0, 0, 0, 0, 0)));
-        assertEquals(Step.GO_ON, drain.observe(observation(8, 4, 4, 0, 0, 0)), "four a pass wait to be accepted");
-        assertEquals(Step.GO_ON, drain.observe(observation(8, 8, 8, 0, 0, 0)), "what came last is being read");
-        assertEquals(Step.GO_ON, drain.observe(observation(8, 8, 8, 0, 0, 0)));
+        assertEquals(Step.CONTINUE, drain.observe(observation(4, 0, 0, 0, 0, 0)));
+        assertEquals(Step.CONTINUE, drain.observe(observation(8, 4, 4, 0, 0, 0)), "four a pass wait to be accepted");
+        assertEquals(Step.CONTINUE, drain.observe(observation(8, 8, 8, 0, 0, 0)), "what came last is being read");
+        assertEquals(Step.CONTINUE, drain.observe(observation(8, 8, 8, 0, 0, 0)));
         assertEquals(Step.CLOSE_LISTENER, drain.observe(observation(8, 8, 8, 0, 0, 0)));
     }
 
     @Test
-    void clientsThatKeepConnectingDoNotKeepTheListenerOpen() {
+    void continuousNewConnectionsDoNotKeepTheListenerOpen() {
         ShutdownDrain drain = new ShutdownDrain();
         int observations = 1;
-        while (drain.observe(observation(observations, observations, 0, 0, 0, 0)) == Step.GO_ON) {
+        while (drain.observe(observation(observations, observations, 0, 0, 0, 0)) == Step.CONTINUE) {
             observations++;
         }
         assertEquals(80, observations);
     }
 
     @Test
-    void itEndsOnceNothingIsPendingIdleOrPartial() {
+    void drainEndsOnceNothingIsPendingIdlePartialOrUnsent() {
         ShutdownDrain drain = new ShutdownDrain();
-        ShutdownDrain.Observation begin = observation(8, 8, 1, 1, 1, 1);
-        for (Step step = Step.GO_ON; step != Step.CLOSE_LISTENER; ) {
-            step = drain.observe(begin);
+        ShutdownDrain.Observation busy = observation(8, 8, 1, 1, 1, 1);
+        for (Step step = Step.CONTINUE; step != Step.CLOSE_LISTENER; ) {
+            step = drain.observe(busy);
         }
         for (ShutdownDrain.Observation open : List.of(
                 observation(8, 8, 1, 0, 0, 0),
@@ -49,30 +49,30 @@
                 observation(8, 8, 0, 0, 1, 0),
                 observation(8, 8, 0, 0, 0, 1))) {
             for (int i = 0; i < 10; i++) {
-                assertEquals(Step.GO_ON, drain.observe(open), open.toString());
+                assertEquals(Step.CONTINUE, drain.observe(open), open.toString());
             }
         }
-        assertEquals(Step.GO_ON, drain.observe(observation(8, 9, 0, 0, 0, 0)), "something has just been read");
-        assertEquals(Step.GO_ON, drain.observe(observation(8, 9, 0, 0, 0, 0)));
-        assertEquals(Step.END, drain.observe(observation(8, 9, 0, 0, 0, 0)));
+        assertEquals(Step.CONTINUE, drain.observe(observation(8, 9, 0, 0, 0, 0)), "something has just been read");
+        assertEquals(Step.CONTINUE, drain.observe(observation(8, 9, 0, 0, 0, 0)));
+        assertEquals(Step.EXIT, drain.observe(observation(8, 9, 0, 0, 0, 0)));
     }
 
     @Test
-    void aRequestThatStaysPartialAndAResponseThatNobodyReadsAreGivenUp() {
+    void drainEndsDespiteAStuckPartialRequestAndAnUnreadResponse() {
         ShutdownDrain drain = new ShutdownDrain();
         ShutdownDrain.Observation stuck = observation(1, 1, 0, 1, 0, 1);
         int observations = 1;
-        while (drain.observe(stuck) != Step.END) {
+        while (drain.observe(stuck) != Step.EXIT) {
             observations++;
         }
         assertEquals(403, observations);
     }
 
     /** A balancer's machine, its loop and its clients, with a stall of the process at any point. */
-    private static final class Machine {
-        private static final int ACCEPTS = 4; // a pass
+    private static final class SimulatedBalancer {
+        private static final int ACCEPTS_PER_PASS = 4; // a pass
         private final SplittableRandom random;
-        private int backlog; // accepted by the machine, each with a request in it
+        private int acceptBacklog; // accepted by the machine, each with a request in it
         private int unread; // connections that the loop holds with a request in them
         private int partialRequests;
         private int idleConnections = 3;
@@ -80,17 +80,17 @@
         private int unsentResponses;
         private long acceptedConnections;
         private long reads;
-        private boolean open = true;
-        private int lost;
+        private boolean listening = true;
+        private int lostRequests;
 
-        Machine(long seed) {
+        SimulatedBalancer(long seed) {
             random = new SplittableRandom(seed);
         }
 
-        void clients(int times) {
-            for (int i = 0; i < times; i++) {
-                if (open && random.nextInt(3) == 0) {
-                    backlog++;
+        void simulateClients(int rounds) {
+            for (int i = 0; i < rounds; i++) {
+                if (listening && random.nextInt(3) == 0) {
+                    acceptBacklog++;
                 }
                 if (idleConnections > 0 && random.nextInt(4) == 0) {
                     idleConnections--;
@@ -103,12 +103,12 @@
             }
         }
 
-        void pass() {
-            int accepted = Math.min(ACCEPTS, backlog);
+        void runLoopPass() {
+            int accepted = Math.min(ACCEPTS_PER_PASS, acceptBacklog);
             pendingResponses += unread; // of connections that it held before
             reads += unread;
             unread = accepted;
-            backlog -= accepted;
+            acceptBacklog -= accepted;
             acceptedConnections += accepted;
             if (partialRequests == 0 && accepted > 0 && random.nextInt(4) == 0) {
                 unread--;
@@ -128,31 +128,31 @@
 
     /** Whatever its machine accepted is answered, wherever the stall comes; the end comes all the same. */
     @Test
-    void nothingIsLostWhereverTheProcessIsStalled() {
+    void noRequestIsLostWhereverTheProcessStalls() {
         for (int seed = 0; seed < 2_000; seed++) {
-            Machine machine = new Machine(seed);
+            SimulatedBalancer balancer = new SimulatedBalancer(seed);
             ShutdownDrain drain = new ShutdownDrain();
-            int stallAt = new SplittableRandom(seed).nextInt(40);
-            Step step = Step.GO_ON;
+            int stalledObservation = new SplittableRandom(seed).nextInt(40);
+            Step step = Step.CONTINUE;
             int observations = 0;
             List<String> history = new ArrayList<>();
-            while (step != Step.END) {
+            while (step != Step.EXIT) {
                 assertTrue(observations++ < 600, "no end");
-                machine.clients(observations < 20 ? 1 : 0);
-                if (observations == stallAt) {
-                    machine.clients(200); // the process is stalled, then its timers are due
+                balancer.simulateClients(observations < 20 ? 1 : 0);
+                if (observations == stalledObservation) {
+                    balancer.simulateClients(200); // the process is stalled, then its timers are due
                 }
-                machine.pass();
-                step = drain.observe(machine.observation());
-                history.add(step + " " + machine.observation());
+                balancer.runLoopPass();
+                step = drain.observe(balancer.observation());
+                history.add(step + " " + balancer.observation());
                 if (step == Step.CLOSE_LISTENER) {
-                    machine.open = false;
-                    machine.lost += machine.backlog;
-                    machine.idleConnections = 0; // closed, with nothing in them
+                    balancer.listening = false;
+                    balancer.lostRequests += balancer.acceptBacklog;
+                    balancer.idleConnections = 0; // closed, with nothing in them
                 }
             }
-            machine.lost += machine.unread + machine.pendingResponses + machine.unsentResponses;
-            assertEquals(0, machine.lost, () -> String.join("\n", history));
+            balancer.lostRequests += balancer.unread + balancer.pendingResponses + balancer.unsentResponses;
+            assertEquals(0, balancer.lostRequests, () -> String.join("\n", history));
         }
     }
 }
--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -44,7 +44,7 @@
         // Spare ones go first: of those behind it the last was used latest.
         private ArrayDeque<Long> idle(String server) {
             ArrayDeque<Long> at = idle.computeIfAbsent(server, id -> new ArrayDeque<>());
-            while (!at.isEmpty() && IDLE_TIMEOUT.ends(of.now - at.peekFirst(), at.size() - 1)) {
+            while (!at.isEmpty() && IDLE_TIMEOUT.isExpired(of.now - at.peekFirst(), at.size() - 1)) {
                 at.pollFirst();
             }
             return at;
