--- a/src/main/java/loadbalancer/downstream/ClientAddress.java
+++ b/src/main/java/loadbalancer/downstream/ClientAddress.java
@@ -6,7 +6,7 @@
 
 /** Under which key the connections of one client address are counted. */
 public final class ClientAddress {
-    private static final String UNKNOWN = "unknown";
+    private static final String UNKNOWN_ADDRESS_KEY = "unknown";
 
     private ClientAddress() {}
 
@@ -19,6 +19,6 @@
     public static Object key(SocketAddress remote) {
         return remote instanceof InetSocketAddress address
                 ? ConnectionBudget.address(address.getAddress().getAddress())
-                : UNKNOWN;
+                : UNKNOWN_ADDRESS_KEY;
     }
 }
--- a/src/main/java/loadbalancer/downstream/FinalResponse.java
+++ b/src/main/java/loadbalancer/downstream/FinalResponse.java
@@ -56,7 +56,8 @@
     public static FinalResponse rejected(long retryAfterMicros) {
         String seconds =
                 retryAfterMicros <= 0 ? null : String.format(Locale.ROOT, "%.3f", retryAfterMicros / MICROS_PER_SECOND);
-        return new FinalResponse(503, line("refused: trying again is harmless"), PLAIN_TEXT, "Retry-After", seconds);
+        return new FinalResponse(
+                503, textLine("refused: trying again is harmless"), PLAIN_TEXT, "Retry-After", seconds);
     }
 
     /** The request failed; whether an upstream processed it is unknown. */
@@ -66,7 +67,7 @@
 
     /** A status with one line of plain text. */
     public static FinalResponse text(int status, String text) {
-        return new FinalResponse(status, line(text), PLAIN_TEXT, null, null);
+        return new FinalResponse(status, textLine(text), PLAIN_TEXT, null, null);
     }
 
     /** The response to a request for a path with {@link #MANAGEMENT_PREFIX}. */
@@ -102,7 +103,7 @@
         return fieldValue;
     }
 
-    private static byte[] line(String text) {
+    private static byte[] textLine(String text) {
         return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
+++ b/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
@@ -9,45 +9,47 @@
 /**
  * The listening socket for clients. In each pass over the sockets it accepts the connections that wait, as long as
  * there is capacity: one that waits is not read, so neither the time of its request nor the client's close is
- * known. A failed accept is reported to the {@link Gatekeeper}; Netty alone would stop accepting for a second. On
+ * known. A failed accept is reported to the {@link AcceptController}; Netty alone would stop accepting for a second. On
  * the event loop.
  */
 final class AcceptingChannel extends NioServerSocketChannel {
     /** Limits accepting, and is notified of failures. */
-    interface Gatekeeper {
+    interface AcceptController {
         /** Whether another connection may be accepted in this pass, which has accepted so many. */
-        boolean mayAccept(int accepted);
+        boolean mayAccept(int acceptedInPass);
 
         /** An accept has failed while the listener was open; the connection, if any, still waits. */
         void acceptFailed(IOException cause);
     }
 
-    private final Gatekeeper gatekeeper;
+    private final AcceptController acceptController;
 
     /** {@code inherited}: a socket that other processes accept from as well; null for an own one. */
-    static AcceptingChannel of(ServerSocketChannel inherited, Gatekeeper gatekeeper) {
-        return inherited == null ? new AcceptingChannel(gatekeeper) : new AcceptingChannel(inherited, gatekeeper);
+    static AcceptingChannel of(ServerSocketChannel inherited, AcceptController acceptController) {
+        return inherited == null
+                ? new AcceptingChannel(acceptController)
+                : new AcceptingChannel(inherited, acceptController);
     }
 
-    private AcceptingChannel(Gatekeeper gatekeeper) {
-        this.gatekeeper = gatekeeper;
-        acceptAll();
+    private AcceptingChannel(AcceptController acceptController) {
+        this.acceptController = acceptController;
+        removeAcceptLimit();
     }
 
-    private AcceptingChannel(ServerSocketChannel inherited, Gatekeeper gatekeeper) {
+    private AcceptingChannel(ServerSocketChannel inherited, AcceptController acceptController) {
         super(inherited);
-        this.gatekeeper = gatekeeper;
-        acceptAll();
+        this.acceptController = acceptController;
+        removeAcceptLimit();
     }
 
     // An allocator that counts bytes ends each pass behind one accept, which brings none.
-    private void acceptAll() {
+    private void removeAcceptLimit() {
         config().setRecvByteBufAllocator(new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(Integer.MAX_VALUE));
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        if (!gatekeeper.mayAccept(accepted.size())) {
+        if (!acceptController.mayAccept(accepted.size())) {
             return 0;
         }
         try {
@@ -56,7 +58,7 @@
             if (!isOpen()) {
                 throw e;
             }
-            gatekeeper.acceptFailed(e);
+            acceptController.acceptFailed(e);
             return 0;
         }
     }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -15,7 +15,7 @@
  * Decides whether new connections are accepted: it makes capacity by closing idle ones before an accept can fail,
  * and leaves new ones in the kernel's backlog where there is none. On the event loop.
  */
-final class ConnectionAdmission implements AcceptingChannel.Gatekeeper {
+final class ConnectionAdmission implements AcceptingChannel.AcceptController {
     /** What {@link #update} is about. */
     private enum State {
         READY,
@@ -28,7 +28,7 @@
     private static final int MAX_ACCEPTS_PER_PASS = 16; // as Netty does
     private static final long ACCEPT_RETRY_MILLIS = 5; // behind an accept that has failed
     private static final long RECHECK_MILLIS = 20; // while new connections wait to be accepted
-    private static final int MAX_NEW_DURING_WARM_UP = 8; // between two checks
+    private static final int MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP = 8; // between two checks
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
@@ -40,9 +40,9 @@
     private boolean warmingUp;
     private State state = State.READY;
     private boolean recheckScheduled;
-    private boolean acceptFailing; // it is retried soon
+    private boolean acceptRetryPending; // it is retried soon
     private long failedAccepts;
-    private int newConnections; // since the last recheck
+    private int acceptedSinceRecheck; // since the last recheck
 
     ConnectionAdmission(
             EventLoop loop, Dispatcher dispatcher, ConnectionBudget budget, LifeCycle lifeCycle, Consumer<String> log) {
@@ -62,7 +62,7 @@
     }
 
     /** Accepts no more. A listener that other processes accept from as well stays open, unread. */
-    void close() {
+    void stopAccepting() {
         if (sharedListener) {
             listener.config().setAutoRead(false);
         } else {
@@ -71,13 +71,13 @@
     }
 
     /** While this process warms up only few connections are accepted at once. */
-    void setWarmingUp(boolean on) {
-        warmingUp = on;
+    void setWarmingUp(boolean enabled) {
+        warmingUp = enabled;
     }
 
     /** A connection has been accepted. */
     void connectionAccepted() {
-        newConnections++;
+        acceptedSinceRecheck++;
     }
 
     /** Makes capacity where it is needed, and accepts or not from here on. */
@@ -100,7 +100,8 @@
         state = State.READY;
         budget.setClientsWaiting(!hasCapacity);
         if (listener.isOpen()) {
-            boolean accepting = hasCapacity && !acceptFailing && warmUpAdmits(0) && lifeCycle.accepts(sharedListener);
+            boolean accepting =
+                    hasCapacity && !acceptRetryPending && warmUpAdmits(0) && lifeCycle.accepts(sharedListener);
             setAccepting(accepting, !hasCapacity ? "no room" : warmingUp ? "warm-up" : "life cycle");
             if (!accepting) {
                 scheduleRecheck();
@@ -108,8 +109,8 @@
         }
     }
 
-    private boolean warmUpAdmits(int accepted) {
-        return !warmingUp || newConnections + accepted < MAX_NEW_DURING_WARM_UP;
+    private boolean warmUpAdmits(int acceptedInPass) {
+        return !warmingUp || acceptedSinceRecheck + acceptedInPass < MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP;
     }
 
     // The fair time of a connection may be over before anything ends.
@@ -121,27 +122,27 @@
         loop.schedule(
                 () -> {
                     recheckScheduled = false;
-                    newConnections = 0;
+                    acceptedSinceRecheck = 0;
                     update();
                 },
                 RECHECK_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void setAccepting(boolean on, String reason) {
-        if (on != listener.config().isAutoRead()) {
-            dispatcher.requestLog().process(on ? Event.ACCEPT_RESUMED : Event.ACCEPT_PAUSED, reason);
-            listener.config().setAutoRead(on);
+    private void setAccepting(boolean enabled, String reason) {
+        if (enabled != listener.config().isAutoRead()) {
+            dispatcher.requestLog().process(enabled ? Event.ACCEPT_RESUMED : Event.ACCEPT_PAUSED, reason);
+            listener.config().setAutoRead(enabled);
         }
     }
 
     // One is always accepted: capacity for it was made before the listener was read.
     @Override
-    public boolean mayAccept(int accepted) {
-        return accepted == 0
-                || (accepted < MAX_ACCEPTS_PER_PASS
-                        && accepted < budget.available(Direction.CLIENT, System.nanoTime())
-                        && warmUpAdmits(accepted));
+    public boolean mayAccept(int acceptedInPass) {
+        return acceptedInPass == 0
+                || (acceptedInPass < MAX_ACCEPTS_PER_PASS
+                        && acceptedInPass < budget.available(Direction.CLIENT, System.nanoTime())
+                        && warmUpAdmits(acceptedInPass));
     }
 
     @Override
@@ -150,11 +151,11 @@
         if (Long.bitCount(failedAccepts) == 1) { // the 1st, 2nd, 4th, 8th, ...
             log.accept("event=accept_failed cause=" + cause.getMessage() + " count=" + failedAccepts);
         }
-        acceptFailing = true;
+        acceptRetryPending = true;
         setAccepting(false, "accept failed");
         loop.schedule(
                 () -> {
-                    acceptFailing = false;
+                    acceptRetryPending = false;
                     update();
                 },
                 ACCEPT_RETRY_MILLIS,
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionInput.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionInput.java
@@ -10,13 +10,13 @@
     /** The text of the response to a client that sends too many requests ahead. */
     static final String TOO_MANY_PIPELINED = "too many requests sent ahead";
 
-    private static final int MAX_READS_AT_ONCE = 32; // each of up to four buffers: 4 MiB, bounded all the same
+    private static final int MAX_READS_PER_CALL = 32; // each of up to four buffers: 4 MiB, bounded all the same
     private static final int MAX_BUFFERED_BYTES = 64 * 1024; // behind the pipelined requests
 
     private final Http1ClientConnection connection;
     private final Channel channel;
     private final ReadTracker readTracker;
-    private final PipeliningLimiter limiter;
+    private final PipeliningLimiter pipeliningLimiter;
     private final RequestDecoder decoder = new RequestDecoder();
     private final RequestAggregator aggregator;
 
@@ -24,14 +24,15 @@
         this.connection = connection;
         this.channel = channel;
         this.readTracker = new ReadTracker(connection);
-        this.limiter = new PipeliningLimiter(
+        this.pipeliningLimiter = new PipeliningLimiter(
                 MAX_BUFFERED_BYTES, () -> connection.onMalformed(HttpResponseStatus.BAD_REQUEST, TOO_MANY_PIPELINED));
-        this.aggregator = new RequestAggregator(connection, listener.bodyMemory(), listener.unclaimedBodyMemory());
+        this.aggregator = new RequestAggregator(connection, listener.bodyMemory(), listener.unsubscribedBodyMemory());
     }
 
     /** Puts the handlers of the connection, those of its output included, into the channel's pipeline. */
     void addHandlers() {
-        channel.pipeline().addLast(readTracker, limiter, decoder, new HttpResponseEncoder(), aggregator, connection);
+        channel.pipeline()
+                .addLast(readTracker, pipeliningLimiter, decoder, new HttpResponseEncoder(), aggregator, connection);
     }
 
     /**
@@ -41,13 +42,15 @@
      * where it is.
      */
     void readNow() {
-        if (readTracker.isReading() || !isAutoRead() || !(channel.unsafe() instanceof NioUnsafe socket)) {
+        if (readTracker.isReading() || !isAutoRead() || !(channel.unsafe() instanceof NioUnsafe unsafe)) {
             return;
         }
-        long before = -1;
-        for (int i = 0; i < MAX_READS_AT_ONCE && channel.isActive() && readTracker.reads() != before; i++) {
-            before = readTracker.reads();
-            socket.read();
+        long previousReadCount = -1;
+        for (int i = 0;
+                i < MAX_READS_PER_CALL && channel.isActive() && readTracker.readCount() != previousReadCount;
+                i++) {
+            previousReadCount = readTracker.readCount();
+            unsafe.read();
         }
     }
 
@@ -62,17 +65,17 @@
 
     /** Whether what arrives is buffered and not decoded. */
     boolean isPaused() {
-        return limiter.isPaused();
+        return pipeliningLimiter.isPaused();
     }
 
     /** Buffers what arrives from here on. */
     void pause() {
-        limiter.pause();
+        pipeliningLimiter.pause();
     }
 
     /** Decodes what has been buffered, and what arrives from here on. */
     void resume() {
-        limiter.resume();
+        pipeliningLimiter.resume();
     }
 
     /** Whether the last byte of a long body has not arrived yet. */
@@ -91,19 +94,19 @@
     }
 
     /** Decodes no request any more, and drops the one that is arriving. */
-    void dropRequests() {
-        aggregator.drop();
+    void stopAggregating() {
+        aggregator.stop();
     }
 
     /** Drops all that has been read and not been handed on. */
-    void drop() {
-        aggregator.drop();
-        limiter.drop();
+    void discardBuffered() {
+        aggregator.stop();
+        pipeliningLimiter.discardBuffered();
     }
 
     /** Drops all that has been read, and what arrives from here on; once at most. */
-    void discard() {
-        drop();
+    void discardAll() {
+        discardBuffered();
         channel.pipeline().replace(decoder, null, new InputDrain(connection));
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionTimeouts.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionTimeouts.java
@@ -19,58 +19,59 @@
     }
 
     // A client gets an error or a close within 3 s: the interval between two checks comes on top of these.
-    private static final long HEAD_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400);
-    private static final long BODY_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // one that is buffered
-    private static final long UNREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000);
-    private static final long STALLED_NANOS = TimeUnit.MILLISECONDS.toNanos(15_000);
+    private static final long HEAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400);
+    private static final long BODY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // one that is buffered
+    private static final long UNREAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000);
+    private static final long STALL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(15_000);
 
-    private long receivingSince = System.nanoTime();
-    private long progress; // of long bodies, at the last check
-    private long progressAt;
-    private long unreadSince; // 0: responses leave
+    private long receivingSinceNanos = System.nanoTime();
+    private long lastProgress; // of long bodies, at the last check
+    private long progressAtNanos;
+    private long unreadSinceNanos; // 0: responses leave
 
     /** The time for the present head, or for the body behind it, begins. */
-    void receiving(long now) {
-        receivingSince = now;
+    void receiveStarted(long nowNanos) {
+        receivingSinceNanos = nowNanos;
     }
 
     /** A long body, of a request or a response, begins. */
-    void streaming(long now) {
-        progressAt = now;
+    void streamStarted(long nowNanos) {
+        progressAtNanos = nowNanos;
     }
 
     /** Whether the present request takes too long to arrive. */
-    boolean isReceiptOverdue(ReceiveState state, long now) {
+    boolean isReceiveOverdue(ReceiveState state, long nowNanos) {
         return state != ReceiveState.IDLE
-                && now - receivingSince > (state == ReceiveState.BODY ? BODY_NANOS : HEAD_NANOS);
+                && nowNanos - receivingSinceNanos
+                        > (state == ReceiveState.BODY ? BODY_TIMEOUT_NANOS : HEAD_TIMEOUT_NANOS);
     }
 
     /**
      * Whether the long bodies of a connection have made no progress for too long.
      *
-     * @param bytes a number that changes with each progress
-     * @param paused whether this side does not read at present: the client is not to blame then
+     * @param progress a number that changes with each progress
+     * @param readingPaused whether this side does not read at present: the client is not to blame then
      */
-    boolean isStalled(long bytes, boolean paused, long now) {
-        unreadSince = 0;
-        if (bytes != progress || paused) {
-            progress = bytes;
-            progressAt = now;
+    boolean isStalled(long progress, boolean readingPaused, long nowNanos) {
+        unreadSinceNanos = 0;
+        if (progress != lastProgress || readingPaused) {
+            lastProgress = progress;
+            progressAtNanos = nowNanos;
             return false;
         }
-        return now - progressAt > STALLED_NANOS;
+        return nowNanos - progressAtNanos > STALL_TIMEOUT_NANOS;
     }
 
-    /** Whether the client has not read responses for too long; {@code writable}: it reads at present. */
-    boolean isUnread(boolean writable, long now) {
-        if (writable) {
-            unreadSince = 0;
+    /** Whether the client has not read responses for too long; {@code isWritable}: it reads at present. */
+    boolean isReadOverdue(boolean isWritable, long nowNanos) {
+        if (isWritable) {
+            unreadSinceNanos = 0;
             return false;
         }
-        if (unreadSince == 0) {
-            unreadSince = now;
+        if (unreadSinceNanos == 0) {
+            unreadSinceNanos = nowNanos;
             return false;
         }
-        return now - unreadSince > UNREAD_NANOS;
+        return nowNanos - unreadSinceNanos > UNREAD_TIMEOUT_NANOS;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -31,7 +31,7 @@
 
     private static final String CLOSED_BY_PEER = "peer";
     private static final String PEER_RESET = "peer reset";
-    private static final int MAX_DRAINED_BYTES = 64 * 1024;
+    private static final int DEFAULT_MAX_DRAINED_BYTES = 64 * 1024;
 
     private final Http1Listener listener;
     private final Channel channel;
@@ -39,12 +39,13 @@
     private final RequestQueue queue;
     private final ConnectionTimeouts timeouts = new ConnectionTimeouts();
     private final ConnectionPermit permit;
-    private final ReceiveProgress received = new ReceiveProgress();
+    private final ReceiveProgress receiveProgress = new ReceiveProgress();
     private ServeState serveState = ServeState.IDLE;
-    private RequestFraming.Problem inputClosed; // why no more requests are read; the last response if none was given
-    private Runnable clientClosed; // to be run if the client leaves; null while no response is pending
+    // Why no more requests are read; the last response if none was given.
+    private RequestFraming.Problem inputClosedReason;
+    private Runnable clientClosedCallback; // to be run if the client leaves; null while no response is pending
     private ResponseStreamer streamer; // until the last byte of a long response
-    private long maxDrainedBytes = MAX_DRAINED_BYTES; // behind the last response
+    private long maxDrainedBytes = DEFAULT_MAX_DRAINED_BYTES; // behind the last response
     private int unflushedResponses;
     private String closeReason = CLOSED_BY_PEER;
 
@@ -63,7 +64,7 @@
 
     /** Whether part of a request has arrived, and not the rest. */
     boolean hasPartialRequest() {
-        return received.isReceiving() && serveState == ServeState.IDLE;
+        return receiveProgress.isReceiving() && serveState == ServeState.IDLE;
     }
 
     /** Whether a response has not been sent completely. */
@@ -83,15 +84,15 @@
     private void close(String reason) {
         if (channel.isActive()) {
             closeReason = reason;
-            if (clientClosed != null && !reason.equals(PEER_RESET)) {
-                listener.violated(Violation.CLOSED_UNANSWERED, reason);
+            if (clientClosedCallback != null && !reason.equals(PEER_RESET)) {
+                listener.reportViolation(Violation.CLOSED_UNANSWERED, reason);
             }
         }
         channel.close();
     }
 
-    void violated(Violation violation) {
-        listener.violated(violation, channel.toString());
+    void reportViolation(Violation violation) {
+        listener.reportViolation(violation, channel.toString());
     }
 
     /** Why the connection was closed; the peer did so where nobody here has. */
@@ -100,18 +101,20 @@
     }
 
     /** Ends what takes too long. */
-    void checkTimeouts(long now) {
+    void checkTimeouts(long nowNanos) {
         boolean readable = !input.isPaused() && input.isAutoRead();
-        if (serveState != ServeState.CLOSING && readable && timeouts.isReceiptOverdue(received.state(), now)) {
+        if (serveState != ServeState.CLOSING
+                && readable
+                && timeouts.isReceiveOverdue(receiveProgress.state(), nowNanos)) {
             onMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
         }
         if (input.isStreaming() || streamer != null) {
-            long bytes = input.streamedBytes() + (streamer == null ? 0 : streamer.progress());
-            boolean paused = input.isStreaming() && !input.isAutoRead();
-            if (timeouts.isStalled(bytes, paused, now)) {
+            long progress = input.streamedBytes() + (streamer == null ? 0 : streamer.progress());
+            boolean readingPaused = input.isStreaming() && !input.isAutoRead();
+            if (timeouts.isStalled(progress, readingPaused, nowNanos)) {
                 abortStream();
             }
-        } else if (timeouts.isUnread(channel.isWritable(), now)) {
+        } else if (timeouts.isReadOverdue(channel.isWritable(), nowNanos)) {
             close("response not read");
         }
     }
@@ -128,9 +131,9 @@
     }
 
     /** The connection has been closed, whoever did it. */
-    void closed() {
+    void onClosed() {
         abandonPendingResponse();
-        input.drop();
+        input.discardBuffered();
         if (streamer != null) {
             streamer.cancelSource();
             streamer = null;
@@ -140,8 +143,8 @@
     }
 
     private void abandonPendingResponse() {
-        Runnable pending = clientClosed;
-        clientClosed = null;
+        Runnable pending = clientClosedCallback;
+        clientClosedCallback = null;
         if (pending != null) {
             pending.run();
         }
@@ -150,11 +153,11 @@
     /** Bytes have been read and are about to be handled: the connection is not idle, and its time runs. */
     void bytesArrived() {
         listener.bytesRead();
-        if (!received.isReceiving() && serveState != ServeState.CLOSING && !input.isStreaming()) {
-            received.begin();
-            long now = System.nanoTime();
-            timeouts.receiving(now);
-            listener.budget().receiving(permit, now);
+        if (!receiveProgress.isReceiving() && serveState != ServeState.CLOSING && !input.isStreaming()) {
+            receiveProgress.receiveStarted();
+            long nowNanos = System.nanoTime();
+            timeouts.receiveStarted(nowNanos);
+            listener.budget().receiving(permit, nowNanos);
         }
     }
 
@@ -165,8 +168,8 @@
 
     @Override
     public void onHead(HttpRequest head) {
-        received.headReceived();
-        timeouts.receiving(System.nanoTime());
+        receiveProgress.headReceived();
+        timeouts.receiveStarted(System.nanoTime());
         if (HttpUtil.is100ContinueExpected(head) && serveState == ServeState.IDLE) {
             channel.writeAndFlush(ResponseHeads.interimContinue());
         }
@@ -175,9 +178,9 @@
     @Override
     public void onRequest(ReceivedRequest request) {
         if (request.bodyStream() != null) {
-            timeouts.streaming(System.nanoTime());
+            timeouts.streamStarted(System.nanoTime());
         }
-        received.requestReceived();
+        receiveProgress.requestReceived();
         if (permit.isClosing()) {
             RequestQueue.cancelUnstarted(request.bodyStream());
             return; // behind the last response: the client retries elsewhere
@@ -199,8 +202,8 @@
 
     @Override
     public void onMalformed(HttpResponseStatus status, String reason) {
-        received.malformed();
-        if (inputClosed == null) {
+        receiveProgress.malformed();
+        if (inputClosedReason == null) {
             closeInput(status, reason);
             if (serveState == ServeState.IDLE && queue.isEmpty()) {
                 respondLast(status, reason);
@@ -213,7 +216,7 @@
     public void onStreamBroken(HttpResponseStatus status, String reason) {
         if (!queue.isEmpty()) { // it is not being served yet
             queue.releaseLast();
-            input.dropRequests();
+            input.stopAggregating();
             onMalformed(status, reason);
             return;
         }
@@ -228,7 +231,7 @@
     /** Refuses the request that is being served, and with it all that the client sent behind it. */
     void refuse(HttpResponseStatus status, String reason) {
         queue.releasePipelined();
-        if (inputClosed == null) {
+        if (inputClosedReason == null) {
             closeInput(status, reason);
         }
         respondLast(status, reason);
@@ -236,8 +239,8 @@
 
     // Guards against hundreds of requests sent at once behind a bad one: they are not even decoded.
     private void closeInput(HttpResponseStatus status, String reason) {
-        input.discard();
-        inputClosed = new RequestFraming.Problem(status, reason);
+        input.discardAll();
+        inputClosedReason = new RequestFraming.Problem(status, reason);
     }
 
     /** So many bytes were read since no further request is. */
@@ -270,7 +273,7 @@
 
     /** A response is pending from here on; {@code onClose} runs if the client leaves before it. */
     void awaitResponse(Runnable onClose) {
-        clientClosed = onClose;
+        clientClosedCallback = onClose;
     }
 
     private void respondLast(HttpResponseStatus status, String text) {
@@ -284,9 +287,9 @@
      *     the same
      */
     void respond(FinalResponse response, boolean keepAlive) {
-        clientClosed = null;
+        clientClosedCallback = null;
         // A client may write all of a long body before it reads.
-        maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : MAX_DRAINED_BYTES;
+        maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : DEFAULT_MAX_DRAINED_BYTES;
         queue.releaseServed();
         boolean moreInput = hasMoreInput();
         boolean staysOpen =
@@ -299,7 +302,7 @@
     }
 
     private boolean hasMoreInput() {
-        return received.isReceiving() || inputClosed != null || input.hasBufferedRequest();
+        return receiveProgress.isReceiving() || inputClosedReason != null || input.hasBufferedRequest();
     }
 
     private boolean mayStayOpen(boolean keepAlive) {
@@ -308,9 +311,9 @@
 
     // In this state already while the response is written: what had been read behind it is not looked at.
     private void closeInputAfterLast(HttpResponseStatus status) {
-        if (inputClosed == null) {
-            inputClosed = new RequestFraming.Problem(status, "over");
-            input.discard();
+        if (inputClosedReason == null) {
+            inputClosedReason = new RequestFraming.Problem(status, "over");
+            input.discardAll();
         }
     }
 
@@ -325,20 +328,20 @@
             return;
         }
         serveState = ServeState.IDLE;
-        if (moreInput && inputClosed == null && !received.isReceiving() && queue.isEmpty()) {
-            received.begin(); // the beginning of the next one: its time runs from here
-            timeouts.receiving(System.nanoTime());
+        if (moreInput && inputClosedReason == null && !receiveProgress.isReceiving() && queue.isEmpty()) {
+            receiveProgress.receiveStarted(); // the beginning of the next one: its time runs from here
+            timeouts.receiveStarted(System.nanoTime());
         }
         scheduleNext();
     }
 
     /** Begins a long response: its head and the bytes that are there; the rest follows as the client reads it. */
-    void stream(UpstreamResponse response, boolean keepAlive, boolean http10) {
-        clientClosed = null;
+    void streamResponse(UpstreamResponse response, boolean keepAlive, boolean http10) {
+        clientClosedCallback = null;
         queue.releaseServed();
         boolean selfDelimited = ResponseHeads.isSelfDelimited(response, http10);
         boolean mayStayOpen = mayStayOpen(keepAlive) && selfDelimited;
-        timeouts.streaming(System.nanoTime());
+        timeouts.streamStarted(System.nanoTime());
         streamer = new ResponseStreamer(this, channel, response.rest(), mayStayOpen);
         streamer.start(ResponseHeads.streamed(response, selfDelimited, mayStayOpen), response.body());
     }
@@ -370,7 +373,7 @@
     // Later, and not from within: many pipelined requests that are answered at once would fill the stack, and
     // keep all other clients waiting.
     private void scheduleNext() {
-        if (serveState == ServeState.IDLE && (inputClosed != null || !queue.isEmpty())) {
+        if (serveState == ServeState.IDLE && (inputClosedReason != null || !queue.isEmpty())) {
             serveState = ServeState.SERVING;
             channel.eventLoop().execute(this::serveNext);
         }
@@ -383,11 +386,11 @@
         }
         if (next != null) {
             serve(next);
-        } else if (inputClosed != null) {
-            respondLast(inputClosed.status(), inputClosed.text());
+        } else if (inputClosedReason != null) {
+            respondLast(inputClosedReason.status(), inputClosedReason.text());
         }
         if (input.isPaused() && queue.isEmpty()) { // one read may bring as many more
-            timeouts.receiving(System.nanoTime()); // what had begun to arrive was kept waiting here
+            timeouts.receiveStarted(System.nanoTime()); // what had begun to arrive was kept waiting here
             input.resume();
         }
         if (!input.isAutoRead() && !input.isStreaming()) {
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -37,27 +37,27 @@
  */
 public final class Http1Listener {
     private static final int BACKLOG = 1024;
-    private static final long CHECK_MILLIS = 200; // between checks of the connections' time limits
+    private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200; // between checks of the connections' time limits
     private static final int MIN_READ_BYTES = 64;
     private static final int INITIAL_READ_BYTES = 2_048;
     private static final int MAX_READ_BYTES = 32 << 10;
     private static final int MAX_READS_PER_PASS = 4; // none keeps the others waiting
-    private static final int MAX_IDLE_CLOSES = 8; // in one task of the event loop
-    private static final long UNCLAIMED_BODY_BYTES = 2 << 20; // of long bodies that wait for their attempts
+    private static final int MAX_IDLE_CLOSES_PER_TASK = 8; // in one task of the event loop
+    private static final long MAX_UNSUBSCRIBED_BODY_BYTES = 2 << 20; // of long bodies that wait for their attempts
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
     private final ConnectionBudget budget;
     private final Consumer<String> log;
     private final BodyMemoryBudget bodyMemory;
-    private final BodyMemoryBudget unclaimedBodyMemory = new BodyMemoryBudget(UNCLAIMED_BODY_BYTES);
+    private final BodyMemoryBudget unsubscribedBodyMemory = new BodyMemoryBudget(MAX_UNSUBSCRIBED_BODY_BYTES);
     private final Set<Http1ClientConnection> connections = new LinkedHashSet<>(); // the oldest first
     private final LifeCycle lifeCycle;
     private final Http1RequestHandler requestHandler;
     private final ConnectionAdmission admission;
-    private boolean closingIdle; // more idle connections are about to be closed
+    private boolean idleCloseScheduled; // more idle connections are about to be closed
     private long acceptedConnections;
-    private long reads;
+    private long readCount;
     private String alternativeService; // another protocol at which clients may ask, or null
 
     /**
@@ -99,7 +99,7 @@
             Channel bound = (shared ? bootstrap.register() : bootstrap.bind(address))
                     .sync()
                     .channel();
-            ReadBeforeTimers.every(loop, CHECK_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
+            ReadBeforeTimers.every(loop, TIMEOUT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -141,20 +141,20 @@
     /**
      * Listens for a warm-up at a socket of the file system as well.
      *
-     * @param then gets the listening channel, or null if it can't listen; on the event loop
+     * @param onBound gets the listening channel, or null if it can't listen; on the event loop
      */
-    public void listenBeside(Path path, Consumer<Channel> then) {
+    public void listenForWarmUp(Path path, Consumer<Channel> onBound) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop, loop)
                 .channel(NioServerDomainSocketChannel.class)
                 .childHandler(connectionInitializer())
                 .bind(UnixDomainSocketAddress.of(path));
         // On the loop: a socket that can't be created is reported on another thread.
-        bound.addListener(done -> loop.execute(() -> then.accept(done.isSuccess() ? bound.channel() : null)));
+        bound.addListener(done -> loop.execute(() -> onBound.accept(done.isSuccess() ? bound.channel() : null)));
     }
 
     /** Serves a warm-up's requests as well; null when it is over. */
-    public void warmUp(WarmUpRequests requests) {
+    public void setWarmUp(WarmUpRequests requests) {
         requestHandler.setWarmUp(requests);
         admission.setWarmingUp(requests != null);
     }
@@ -172,20 +172,20 @@
 
     // A few at a time: what has arrived meanwhile is read between them, and not cut off.
     private void closeIdle() {
-        long now = System.nanoTime();
-        long maxIdleNanos = lifeCycle.maxIdleTime(now);
-        if (maxIdleNanos == Long.MAX_VALUE || closingIdle) {
+        long nowNanos = System.nanoTime();
+        long maxIdleNanos = lifeCycle.maxIdleTime(nowNanos);
+        if (maxIdleNanos == Long.MAX_VALUE || idleCloseScheduled) {
             return;
         }
         List<Http1ClientConnection> expired = connections.stream()
-                .filter(c -> c.permit().isIdle() && c.permit().since(now) >= maxIdleNanos)
-                .limit(MAX_IDLE_CLOSES)
+                .filter(c -> c.permit().isIdle() && c.permit().since(nowNanos) >= maxIdleNanos)
+                .limit(MAX_IDLE_CLOSES_PER_TASK)
                 .toList();
         expired.forEach(Http1ClientConnection::close);
-        if (expired.size() == MAX_IDLE_CLOSES) {
-            closingIdle = true;
+        if (expired.size() == MAX_IDLE_CLOSES_PER_TASK) {
+            idleCloseScheduled = true;
             ReadBeforeTimers.after(loop, 1, TimeUnit.MILLISECONDS, () -> {
-                closingIdle = false;
+                idleCloseScheduled = false;
                 closeIdle();
             });
         }
@@ -201,12 +201,12 @@
     }
 
     /** Accepts no more connections. A socket that other processes listen at as well stays open, unread. */
-    public void close() {
-        admission.close();
+    public void stopAccepting() {
+        admission.stopAccepting();
     }
 
     /** Whether a long response is on its way. */
-    public boolean passes() {
+    public boolean isStreamingResponse() {
         return connections.stream().anyMatch(Http1ClientConnection::isStreamingResponse);
     }
 
@@ -221,11 +221,11 @@
             unsentResponses += connection.hasUnsentResponse() ? 1 : 0;
         }
         return new ShutdownDrain.Observation(
-                acceptedConnections, reads, pendingResponses, partialRequests, idle, unsentResponses);
+                acceptedConnections, readCount, pendingResponses, partialRequests, idle, unsentResponses);
     }
 
     /** How many connections clients hold here. */
-    public int open() {
+    public int connectionCount() {
         return connections.size();
     }
 
@@ -236,26 +236,26 @@
         connections.add(connection);
         acceptedConnections++;
         admission.connectionAccepted();
-        long number = acceptedConnections;
-        dispatcher.requestLog().connection(Event.CONNECTION_ACCEPTED, number, channel.remoteAddress());
-        channel.closeFuture().addListener(closed -> connectionClosed(connection, number));
+        long connectionNumber = acceptedConnections;
+        dispatcher.requestLog().connection(Event.CONNECTION_ACCEPTED, connectionNumber, channel.remoteAddress());
+        channel.closeFuture().addListener(closed -> connectionClosed(connection, connectionNumber));
         admission.update();
     }
 
-    private void connectionClosed(Http1ClientConnection connection, long number) {
+    private void connectionClosed(Http1ClientConnection connection, long connectionNumber) {
         budget.closed(connection.permit(), System.nanoTime());
         connections.remove(connection);
-        dispatcher.requestLog().connection(Event.CONNECTION_CLOSED, number, connection.closeReason());
-        connection.closed();
+        dispatcher.requestLog().connection(Event.CONNECTION_CLOSED, connectionNumber, connection.closeReason());
+        connection.onClosed();
         admission.update();
     }
 
     private void checkTimeouts() {
-        long now = System.nanoTime();
-        List.copyOf(connections).forEach(c -> c.checkTimeouts(now));
-        budget.closeExpired(now);
+        long nowNanos = System.nanoTime();
+        List.copyOf(connections).forEach(c -> c.checkTimeouts(nowNanos));
+        budget.closeExpired(nowNanos);
         admission.update();
-        String pressureChange = budget.pressureChange(now);
+        String pressureChange = budget.pressureChange(nowNanos);
         if (pressureChange != null) {
             log.accept(pressureChange);
         }
@@ -277,8 +277,8 @@
     }
 
     /** The memory of long bodies that nobody has subscribed to yet. */
-    BodyMemoryBudget unclaimedBodyMemory() {
-        return unclaimedBodyMemory;
+    BodyMemoryBudget unsubscribedBodyMemory() {
+        return unsubscribedBodyMemory;
     }
 
     Http1RequestHandler requestHandler() {
@@ -295,11 +295,11 @@
         return lifeCycle.keepsConnections() ? alternativeService : null;
     }
 
-    void violated(Violation violation, String subject) {
+    void reportViolation(Violation violation, String subject) {
         dispatcher.invariants().violated(violation, subject);
     }
 
     void bytesRead() {
-        reads++;
+        readCount++;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -73,7 +73,7 @@
         ProxyRequest request;
         try {
             request = RequestValidator.validate(head.method().name(), path, fields, received.body(), settings)
-                    .withBodyStream(received.bodyStream(), received.length());
+                    .withBodyStream(received.bodyStream(), received.contentLength());
             fields.endToEnd();
         } catch (IllegalArgumentException e) {
             connection.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
@@ -88,9 +88,10 @@
         }
         Http1ResponseWriter writer = new Http1ResponseWriter(
                 connection, keepAlive, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
-        Runnable clientClosed = target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.HOP) : request, writer);
+        Runnable clientClosedCallback =
+                target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.HOP) : request, writer);
         if (!writer.hasResponded()) {
-            connection.awaitResponse(clientClosed);
+            connection.awaitResponse(clientClosedCallback);
         }
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
@@ -25,7 +25,7 @@
 
     private void markResponded() {
         if (responded) {
-            connection.violated(Violation.SECOND_RESPONSE);
+            connection.reportViolation(Violation.SECOND_RESPONSE);
         }
         responded = true;
     }
@@ -39,7 +39,7 @@
     public void serve(UpstreamResponse response) {
         markResponded();
         if (response.rest() != null) {
-            connection.stream(response, keepAlive, http10);
+            connection.streamResponse(response, keepAlive, http10);
         } else {
             connection.respond(FinalResponse.served(response), keepAlive);
         }
--- a/src/main/java/loadbalancer/downstream/http1/InputDrain.java
+++ b/src/main/java/loadbalancer/downstream/http1/InputDrain.java
@@ -19,9 +19,9 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object part) {
-        discardedBytes += part instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-        ReferenceCountUtil.release(part);
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        discardedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+        ReferenceCountUtil.release(message);
         connection.inputDiscarded(discardedBytes);
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
+++ b/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
@@ -12,16 +12,16 @@
  * the event loop.
  */
 final class PipeliningLimiter extends ChannelInboundHandlerAdapter {
-    private final int maxBytes;
+    private final int maxBufferedBytes;
     private final Runnable onOverflow;
     private final ArrayDeque<Object> buffered = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private int bufferedBytes;
     private boolean paused;
 
-    /** {@code onOverflow} runs where more than {@code maxBytes} would have to be buffered. */
-    PipeliningLimiter(int maxBytes, Runnable onOverflow) {
-        this.maxBytes = maxBytes;
+    /** {@code onOverflow} runs where more than {@code maxBufferedBytes} would have to be buffered. */
+    PipeliningLimiter(int maxBufferedBytes, Runnable onOverflow) {
+        this.maxBufferedBytes = maxBufferedBytes;
         this.onOverflow = onOverflow;
     }
 
@@ -37,19 +37,19 @@
     /** Hands on what was buffered, as far as it is not paused once more meanwhile. */
     void resume() {
         paused = false;
-        boolean any = !buffered.isEmpty();
+        boolean hadBuffered = !buffered.isEmpty();
         while (!paused && !buffered.isEmpty()) {
             Object next = buffered.poll();
-            bufferedBytes -= size(next);
+            bufferedBytes -= byteCount(next);
             context.fireChannelRead(next);
         }
-        if (any) {
+        if (hadBuffered) {
             context.fireChannelReadComplete();
         }
     }
 
     /** Discards the buffer, and hands on at once what arrives from here on. */
-    void drop() {
+    void discardBuffered() {
         paused = false;
         buffered.forEach(ReferenceCountUtil::release);
         buffered.clear();
@@ -62,21 +62,21 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext current, Object part) {
+    public void channelRead(ChannelHandlerContext current, Object message) {
         if (!paused) {
-            current.fireChannelRead(part);
+            current.fireChannelRead(message);
             return;
         }
-        if (bufferedBytes + size(part) > maxBytes) {
-            ReferenceCountUtil.release(part);
+        if (bufferedBytes + byteCount(message) > maxBufferedBytes) {
+            ReferenceCountUtil.release(message);
             onOverflow.run();
             return;
         }
-        bufferedBytes += size(part);
-        buffered.add(part);
+        bufferedBytes += byteCount(message);
+        buffered.add(message);
     }
 
-    private static int size(Object part) {
-        return part instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+    private static int byteCount(Object message) {
+        return message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/ReadTracker.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReadTracker.java
@@ -9,7 +9,7 @@
  */
 final class ReadTracker extends ChannelInboundHandlerAdapter {
     private final Http1ClientConnection connection;
-    private long reads;
+    private long readCount;
     private boolean reading;
 
     ReadTracker(Http1ClientConnection connection) {
@@ -17,8 +17,8 @@
     }
 
     /** Reads so far. */
-    long reads() {
-        return reads;
+    long readCount() {
+        return readCount;
     }
 
     /** Whether it is called from within a read. */
@@ -27,12 +27,12 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object part) {
-        reads++;
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        readCount++;
         reading = true;
         connection.bytesArrived();
         try {
-            context.fireChannelRead(part);
+            context.fireChannelRead(message);
         } finally {
             reading = false;
         }
--- a/src/main/java/loadbalancer/downstream/http1/ReceiveProgress.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReceiveProgress.java
@@ -17,7 +17,7 @@
     }
 
     /** The first bytes of a request have arrived, or further ones behind a malformed one. */
-    void begin() {
+    void receiveStarted() {
         state = stateOfNextBytes;
     }
 
--- a/src/main/java/loadbalancer/downstream/http1/ReceivedRequest.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReceivedRequest.java
@@ -8,13 +8,13 @@
     private final HttpRequest head;
     private final byte[] body;
     private final BodyStream bodyStream;
-    private final long length;
+    private final long contentLength;
 
-    private ReceivedRequest(HttpRequest head, byte[] body, BodyStream bodyStream, long length) {
+    private ReceivedRequest(HttpRequest head, byte[] body, BodyStream bodyStream, long contentLength) {
         this.head = head;
         this.body = body;
         this.bodyStream = bodyStream;
-        this.length = length;
+        this.contentLength = contentLength;
     }
 
     /** A request that has arrived completely; {@code body} must not be changed. */
@@ -27,10 +27,10 @@
      *
      * @param firstBytes what is there of the body; must not be changed
      * @param bodyStream what follows behind {@code firstBytes}
-     * @param length bytes of both; -1 if unknown
+     * @param contentLength bytes of both; -1 if unknown
      */
-    static ReceivedRequest streamed(HttpRequest head, byte[] firstBytes, BodyStream bodyStream, long length) {
-        return new ReceivedRequest(head, firstBytes, bodyStream, length);
+    static ReceivedRequest streamed(HttpRequest head, byte[] firstBytes, BodyStream bodyStream, long contentLength) {
+        return new ReceivedRequest(head, firstBytes, bodyStream, contentLength);
     }
 
     /** The request line and the fields. */
@@ -49,7 +49,7 @@
     }
 
     /** Bytes of the complete body; -1 if unknown. */
-    long length() {
-        return length;
+    long contentLength() {
+        return contentLength;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -40,29 +40,29 @@
     }
 
     private final Listener listener;
-    private final BodyMemoryBudget memory;
-    private final BodyMemoryBudget unclaimedMemory;
+    private final BodyMemoryBudget bodyMemory;
+    private final BodyMemoryBudget unsubscribedBodyMemory;
     private HttpRequest head;
     private byte[] body;
-    private int length; // bytes of the body so far
-    private boolean dropped;
+    private int bodyLength; // bytes of the body so far
+    private boolean stopped;
     private StreamedBody stream; // of a long body, until its last byte
 
-    /** {@code unclaimedMemory}: what long bodies may take together that nobody has subscribed to yet. */
-    RequestAggregator(Listener listener, BodyMemoryBudget memory, BodyMemoryBudget unclaimedMemory) {
+    /** {@code unsubscribedBodyMemory}: what long bodies may take together that nobody has subscribed to yet. */
+    RequestAggregator(Listener listener, BodyMemoryBudget bodyMemory, BodyMemoryBudget unsubscribedBodyMemory) {
         this.listener = listener;
-        this.memory = memory;
-        this.unclaimedMemory = unclaimedMemory;
+        this.bodyMemory = bodyMemory;
+        this.unsubscribedBodyMemory = unsubscribedBodyMemory;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (dropped) {
+    protected void channelRead0(ChannelHandlerContext context, HttpObject httpObject) {
+        if (stopped) {
             return;
         }
-        if (!part.decoderResult().isSuccess()) {
+        if (!httpObject.decoderResult().isSuccess()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
-        } else if (part instanceof HttpRequest request) {
+        } else if (httpObject instanceof HttpRequest request) {
             RequestFraming.Problem problem = RequestFraming.check(request);
             if (problem != null) {
                 refuse(problem.status(), problem.text());
@@ -70,19 +70,19 @@
             }
             headReceived(context.channel(), request);
         }
-        if (!dropped && part instanceof HttpContent content) {
-            contentReceived(context.channel(), content.content(), part instanceof LastHttpContent);
+        if (!stopped && httpObject instanceof HttpContent content) {
+            contentReceived(context.channel(), content.content(), httpObject instanceof LastHttpContent);
         }
     }
 
     private void headReceived(Channel channel, HttpRequest request) {
         head = request;
         body = new byte[0];
-        length = 0;
+        bodyLength = 0;
         listener.onHead(request);
-        long announced = HttpUtil.getContentLength(request, -1L);
-        if (!dropped && announced > ProxyRequest.BODY_MOST) {
-            startStream(channel, announced);
+        long contentLength = HttpUtil.getContentLength(request, -1L);
+        if (!stopped && contentLength > ProxyRequest.BODY_MOST) {
+            startStream(channel, contentLength);
         }
     }
 
@@ -92,7 +92,7 @@
             return;
         }
         buffer(channel, content);
-        if (!dropped && last) {
+        if (!stopped && last) {
             if (stream != null) {
                 stream.append(Unpooled.EMPTY_BUFFER, true);
             } else {
@@ -104,8 +104,8 @@
     private void completeRequest() {
         HttpRequest request = head;
         head = null;
-        byte[] complete = body.length == length ? body : Arrays.copyOf(body, length);
-        memory.release(length);
+        byte[] complete = body.length == bodyLength ? body : Arrays.copyOf(body, bodyLength);
+        bodyMemory.release(bodyLength);
         listener.onRequest(ReceivedRequest.complete(request, complete));
     }
 
@@ -114,36 +114,36 @@
         if (bytes == 0) {
             return;
         }
-        if (length + bytes > ProxyRequest.BODY_MOST) {
+        if (bodyLength + bytes > ProxyRequest.BODY_MOST) {
             startStream(channel, -1);
             if (stream != null) { // not refused at once
                 stream.append(content, false);
             }
             return;
         }
-        if (!memory.tryReserve(bytes)) {
+        if (!bodyMemory.tryReserve(bytes)) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
             return;
         }
-        if (length == 0) {
+        if (bodyLength == 0) {
             body = ByteBufUtil.getBytes(content);
         } else {
-            if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
+            if (bodyLength + bytes > body.length) {
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (bodyLength + bytes)));
             }
-            content.readBytes(body, length, bytes);
+            content.readBytes(body, bodyLength, bytes);
         }
-        length += bytes;
+        bodyLength += bytes;
     }
 
-    private void startStream(Channel channel, long announcedLength) {
+    private void startStream(Channel channel, long contentLength) {
         HttpRequest request = head;
-        byte[] firstBytes = Arrays.copyOf(body, length);
+        byte[] firstBytes = Arrays.copyOf(body, bodyLength);
         head = null;
         body = null;
-        memory.release(length);
+        bodyMemory.release(bodyLength);
         stream = new StreamedBody(channel);
-        listener.onRequest(ReceivedRequest.streamed(request, firstBytes, stream, announcedLength));
+        listener.onRequest(ReceivedRequest.streamed(request, firstBytes, stream, contentLength));
     }
 
     /** Whether the last byte of a long body has not arrived yet. */
@@ -153,7 +153,7 @@
 
     /** Bytes of the present long body so far. */
     long streamedBytes() {
-        return stream == null ? 0 : stream.bytes;
+        return stream == null ? 0 : stream.receivedBytes;
     }
 
     private void refuse(HttpResponseStatus status, String reason) {
@@ -161,22 +161,22 @@
             listener.onStreamBroken(status, reason);
             return;
         }
-        drop();
+        stop();
         listener.onMalformed(status, reason);
     }
 
     /** Discards everything, now and from here on. */
-    void drop() {
-        dropped = true;
+    void stop() {
+        stopped = true;
         if (head != null) {
-            memory.release(length);
+            bodyMemory.release(bodyLength);
         }
         head = null;
         body = null;
-        StreamedBody broken = stream;
+        StreamedBody abortedStream = stream;
         stream = null;
-        if (broken != null) {
-            broken.abort();
+        if (abortedStream != null) {
+            abortedStream.abort();
         }
     }
 
@@ -190,21 +190,21 @@
         private int reservedBytes;
         private boolean cancelled;
         private boolean complete;
-        private long bytes;
+        private long receivedBytes;
 
         StreamedBody(Channel channel) {
             super(channel);
         }
 
         @Override
-        protected void begin() {
+        protected void onSubscribed() {
             setReady(true);
             releaseReserved();
             while (!buffered.isEmpty()) {
-                taker().onData(buffered.poll());
+                subscriber().onData(buffered.poll());
             }
             if (complete) {
-                taker().onComplete();
+                subscriber().onComplete();
             }
         }
 
@@ -217,34 +217,34 @@
         }
 
         private void releaseReserved() {
-            unclaimedMemory.release(reservedBytes);
+            unsubscribedBodyMemory.release(reservedBytes);
             reservedBytes = 0;
         }
 
         private void append(ByteBuf content, boolean last) {
-            bytes += content.readableBytes();
-            if (bytes > ProxyRequest.LENGTH_MOST) {
+            receivedBytes += content.readableBytes();
+            if (receivedBytes > ProxyRequest.LENGTH_MOST) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
             if (!started() && !cancelled) {
                 buffer(ByteBufUtil.getBytes(content));
             } else if (started() && content.isReadable()) {
-                taker().onData(ByteBufUtil.getBytes(content));
+                subscriber().onData(ByteBufUtil.getBytes(content));
             }
             if (last) {
                 complete = true;
                 stream = null;
                 if (started()) {
-                    taker().onComplete();
+                    subscriber().onComplete();
                 }
             }
         }
 
-        private void buffer(byte[] piece) {
-            buffered.add(piece);
-            if (unclaimedMemory.tryReserve(piece.length)) {
-                reservedBytes += piece.length;
+        private void buffer(byte[] chunk) {
+            buffered.add(chunk);
+            if (unsubscribedBodyMemory.tryReserve(chunk.length)) {
+                reservedBytes += chunk.length;
             } else {
                 setReady(false);
             }
@@ -253,7 +253,7 @@
         private void abort() {
             cancel();
             if (started()) {
-                taker().onError();
+                subscriber().onError();
             }
         }
     }
--- a/src/main/java/loadbalancer/downstream/http1/RequestDecoder.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestDecoder.java
@@ -23,8 +23,8 @@
 
     /** Whether more has been read than what it has handed on: at least the beginning of another request. */
     boolean hasBufferedRequest() {
-        ByteBuf rest = internalBuffer();
-        return rest.isReadable() && rest.forEachByte(b -> b <= ' ') >= 0; // empty lines don't count
+        ByteBuf undecoded = internalBuffer();
+        return undecoded.isReadable() && undecoded.forEachByte(b -> b <= ' ') >= 0; // empty lines don't count
     }
 
     // By itself the decoder drops the length and goes on: an upstream that went by the length instead would
--- a/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
@@ -18,31 +18,32 @@
 
     /** What is wrong with the framing of a request; null if nothing is. */
     static Problem check(HttpRequest request) {
-        List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = codings.size() == 1 && codings.get(0).strip().equalsIgnoreCase("chunked");
-        if (!codings.isEmpty()
+        List<String> transferCodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        boolean chunked =
+                transferCodings.size() == 1 && transferCodings.get(0).strip().equalsIgnoreCase("chunked");
+        if (!transferCodings.isEmpty()
                 && (!chunked
                         || !request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                         || request.headers().contains(HttpHeaderNames.CONTENT_LENGTH))) {
             return badRequest("a Transfer-Encoding that isn't chunked alone");
         }
-        long length;
+        long contentLength;
         try {
-            length = HttpUtil.getContentLength(request, 0L);
+            contentLength = HttpUtil.getContentLength(request, 0L);
         } catch (NumberFormatException e) {
             return badRequest("bad Content-Length");
         }
-        if (request.method().equals(HttpMethod.GET) && (chunked || length != 0)) {
+        if (request.method().equals(HttpMethod.GET) && (chunked || contentLength != 0)) {
             return badRequest("a GET with a body");
         }
-        if (length < 0) {
+        if (contentLength < 0) {
             return badRequest("bad Content-Length");
         }
-        if (length > ProxyRequest.LENGTH_MOST) {
+        if (contentLength > ProxyRequest.LENGTH_MOST) {
             return new Problem(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         }
-        String expected = request.headers().get(HttpHeaderNames.EXPECT);
-        return expected != null && !expected.equalsIgnoreCase("100-continue")
+        String expectation = request.headers().get(HttpHeaderNames.EXPECT);
+        return expectation != null && !expectation.equalsIgnoreCase("100-continue")
                 ? new Problem(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation")
                 : null;
     }
--- a/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
@@ -13,7 +13,7 @@
 
     private final BodyMemoryBudget bodyMemory;
     private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
-    private int servedBytes; // reserved for the request that is being served
+    private int servedBodyBytes; // reserved for the request that is being served
     private BodyStream servedBody; // of the request that is being served, if it is streamed
 
     RequestQueue(BodyMemoryBudget bodyMemory) {
@@ -46,14 +46,14 @@
 
     /** This request is being served from here on. */
     void startServing(ReceivedRequest request) {
-        servedBytes = request.body().length;
+        servedBodyBytes = request.body().length;
         servedBody = request.bodyStream();
     }
 
     /** Nothing of the request that was served is needed any more. */
     void releaseServed() {
-        bodyMemory.release(servedBytes);
-        servedBytes = 0;
+        bodyMemory.release(servedBodyBytes);
+        servedBodyBytes = 0;
         cancelUnstarted(servedBody);
         servedBody = null;
     }
--- a/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
@@ -56,7 +56,7 @@
     @Override
     public void onData(byte[] bytes) {
         writer.write(bytes);
-        if (!writer.room()) {
+        if (!writer.isWritable()) {
             source.setReady(false);
         }
     }
--- a/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
+++ b/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
@@ -29,12 +29,12 @@
 
     @Override
     public boolean writeToken(ByteBuf out, ByteBuf connectionId, InetSocketAddress address) {
-        boolean needed = connectionLimiter.mustProve();
-        if (needed) {
-            byte[] id = ByteBufUtil.getBytes(connectionId);
-            out.writeBytes(tokens.write(id, addressAndPort(address), System.nanoTime()));
+        boolean retryRequired = connectionLimiter.mustProve();
+        if (retryRequired) {
+            byte[] connectionIdBytes = ByteBufUtil.getBytes(connectionId);
+            out.writeBytes(tokens.write(connectionIdBytes, addressAndPort(address), System.nanoTime()));
         }
-        return needed;
+        return retryRequired;
     }
 
     @Override
--- a/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
@@ -30,7 +30,7 @@
 
     private final Http3Listener listener;
     private final QuicChannel channel;
-    private final Http3ConnectionLimiter.TrackedConnection tracked;
+    private final Http3ConnectionLimiter.TrackedConnection trackedConnection;
     private final RapidResetGuard resetGuard;
     private final Set<Http3RequestStream> streams = new LinkedHashSet<>();
     private long nextStreamId; // the lowest id that has not been seen
@@ -41,13 +41,13 @@
     Http3ClientConnection(Http3Listener listener, QuicChannel channel) {
         this.listener = listener;
         this.channel = channel;
-        long now = System.nanoTime();
-        resetGuard = new RapidResetGuard(MAX_RESET_BURST, MAX_RESETS_PER_SECOND, now);
-        tracked = listener.connectionLimiter()
+        long nowNanos = System.nanoTime();
+        resetGuard = new RapidResetGuard(MAX_RESET_BURST, MAX_RESETS_PER_SECOND, nowNanos);
+        trackedConnection = listener.connectionLimiter()
                 .open(
                         ClientAddress.key(channel.remoteSocketAddress()),
                         () -> close(Http3ErrorCodes.EXCESSIVE_LOAD),
-                        now);
+                        nowNanos);
         if (isAdmitted()) {
             channel.pipeline().addLast(this, connectionHandler(), new UnhandledExceptionHandler());
         }
@@ -65,7 +65,7 @@
 
     /** Whether the limits admit it; otherwise it has no handlers and is to be closed. */
     boolean isAdmitted() {
-        return tracked != null;
+        return trackedConnection != null;
     }
 
     QuicChannel channel() {
@@ -73,8 +73,8 @@
     }
 
     /** Its place in the limits; null where it is not admitted. */
-    Http3ConnectionLimiter.TrackedConnection tracked() {
-        return tracked;
+    Http3ConnectionLimiter.TrackedConnection trackedConnection() {
+        return trackedConnection;
     }
 
     Http3Listener listener() {
@@ -84,22 +84,22 @@
     /** It was opened while the listener is draining: the client is notified once the handshake is done. */
     void openedWhileDraining() {
         goAwayAfterHandshake = true;
-        firstRejectedStreamId = listener.isClosing() ? 0 : firstRejectedStreamId;
+        firstRejectedStreamId = listener.isRejectingNewStreams() ? 0 : firstRejectedStreamId;
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof SslHandshakeCompletionEvent handshake && handshake.isSuccess()) {
-            listener.connectionLimiter().established(tracked, System.nanoTime());
+            listener.connectionLimiter().established(trackedConnection, System.nanoTime());
         }
         context.fireUserEventTriggered(event);
         if (event instanceof QuicConnectionCloseEvent) {
             // Its streams close some round trips later, when the connection has drained (RFC 9000, 10.2.2).
             clientClosed = true;
-            List.copyOf(streams).forEach(Http3RequestStream::clientClosed);
+            List.copyOf(streams).forEach(Http3RequestStream::onClientClosed);
         }
         if (goAwayAfterHandshake && event instanceof SslHandshakeCompletionEvent) {
-            sendGoAway(listener.isClosing() ? 0 : MAX_CLIENT_STREAM_ID);
+            sendGoAway(listener.isRejectingNewStreams() ? 0 : MAX_CLIENT_STREAM_ID);
         }
     }
 
@@ -107,11 +107,11 @@
         nextStreamId = Math.max(nextStreamId, stream.streamId() + STREAM_ID_STEP);
         Http3RequestStream request = new Http3RequestStream(this, stream, stream.streamId() >= firstRejectedStreamId);
         streams.add(request);
-        listener.connectionLimiter().streamOpened(tracked);
+        listener.connectionLimiter().streamOpened(trackedConnection);
         stream.closeFuture().addListener(closed -> {
             streams.remove(request);
-            request.closed();
-            listener.connectionLimiter().streamClosed(tracked, System.nanoTime());
+            request.onClosed();
+            listener.connectionLimiter().streamClosed(trackedConnection, System.nanoTime());
         });
         stream.pipeline().addLast(request);
     }
@@ -134,9 +134,9 @@
     }
 
     /** Ends the streams that take too long. */
-    void checkTimeouts(long now) {
+    void checkTimeouts(long nowNanos) {
         for (Http3RequestStream stream : List.copyOf(streams)) {
-            stream.checkTimeouts(now);
+            stream.checkTimeouts(nowNanos);
         }
     }
 
--- a/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
@@ -38,11 +38,12 @@
     /**
      * Its limits.
      *
-     * @param sessions of connections, by address and in all
-     * @param streams at once on a connection
-     * @param idle ms without a packet after which a connection is closed
+     * @param connectionLimits of connections, by address and in all
+     * @param maxStreamsPerConnection at once on a connection
+     * @param idleTimeoutMillis ms without a packet after which a connection is closed
      */
-    public record Limits(Http3ConnectionLimiter.Limits sessions, int streams, long idle) {}
+    public record Limits(
+            Http3ConnectionLimiter.Limits connectionLimits, int maxStreamsPerConnection, long idleTimeoutMillis) {}
 
     /** Whether clients are to use this listener. */
     private enum Phase {
@@ -52,14 +53,14 @@
         DRAINING
     }
 
-    private static final long CHECK_MILLIS = 200; // between checks of the connections' time limits
+    private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200; // between checks of the connections' time limits
     // Of a connection: two complete bodies at once. What more of its streams send waits with the client.
     private static final long CONNECTION_WINDOW_BYTES = 2L * ProxyRequest.BODY_MOST;
     private static final int CONTROL_STREAMS = 3; // and two of QPACK (RFC 9114, section 6.2)
     private static final int CONTROL_WINDOW_BYTES = 4 * 1024;
-    private static final int SPARE_CONNECTION_IDS = 4; // for clients whose path changes
-    private static final int DATAGRAM_BYTES = 1_350;
-    private static final int MAX_READS_AT_ONCE = 16; // each of up to sixteen datagrams
+    private static final int MAX_ACTIVE_CONNECTION_IDS = 4; // for clients whose path changes
+    private static final int MAX_DATAGRAM_BYTES = 1_350;
+    private static final int MAX_READS_PER_CALL = 16; // each of up to sixteen datagrams
     private static final int CONNECTION_REFUSED = 0x02; // RFC 9000, section 20.1
 
     private final EventLoop loop;
@@ -69,13 +70,13 @@
     private final Limits limits;
     private final Consumer<String> log;
     private final Set<Http3ClientConnection> connections = new LinkedHashSet<>();
-    private final DatagramCounter datagrams = new DatagramCounter();
+    private final DatagramCounter datagramCounter = new DatagramCounter();
     private SettingsReader.Boot settings;
     private QuicSslContext tlsContext; // of new connections
     private Channel socket;
     private Future<?> timeoutChecks;
     private Phase phase = Phase.NOT_READY;
-    private boolean closing;
+    private boolean rejectingNewStreams;
 
     /**
      * A listener that is not bound yet.
@@ -97,7 +98,7 @@
         this.bodyMemory = bodyMemory;
         this.limits = limits;
         this.log = log;
-        connectionLimiter = new Http3ConnectionLimiter(limits.sessions());
+        connectionLimiter = new Http3ConnectionLimiter(limits.connectionLimits());
         tlsContext = tlsContext(identity);
     }
 
@@ -125,7 +126,7 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(datagrams, codec);
+                            channel.pipeline().addLast(datagramCounter, codec);
                         }
                     })
                     .bind(address)
@@ -135,24 +136,27 @@
             Thread.currentThread().interrupt();
             throw new IOException("interrupted");
         }
-        timeoutChecks =
-                loop.scheduleWithFixedDelay(this::checkTimeouts, CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        timeoutChecks = loop.scheduleWithFixedDelay(
+                this::checkTimeouts,
+                TIMEOUT_CHECK_INTERVAL_MILLIS,
+                TIMEOUT_CHECK_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
         return (InetSocketAddress) socket.localAddress();
     }
 
     private ChannelHandler quicCodec() {
         return Http3.newQuicServerCodecBuilder()
                 .sslEngineProvider(connection -> tlsContext.newEngine(connection.alloc()))
-                .maxIdleTimeout(limits.idle(), TimeUnit.MILLISECONDS)
-                .maxSendUdpPayloadSize(DATAGRAM_BYTES)
-                .maxRecvUdpPayloadSize(DATAGRAM_BYTES)
+                .maxIdleTimeout(limits.idleTimeoutMillis(), TimeUnit.MILLISECONDS)
+                .maxSendUdpPayloadSize(MAX_DATAGRAM_BYTES)
+                .maxRecvUdpPayloadSize(MAX_DATAGRAM_BYTES)
                 .initialMaxData(CONNECTION_WINDOW_BYTES)
                 .initialMaxStreamDataBidirectionalRemote(ProxyRequest.BODY_MOST)
                 .initialMaxStreamDataUnidirectional(CONTROL_WINDOW_BYTES)
                 .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
-                .initialMaxStreamsBidirectional(limits.streams())
+                .initialMaxStreamsBidirectional(limits.maxStreamsPerConnection())
                 .activeMigration(true)
-                .activeConnectionIdLimit(SPARE_CONNECTION_IDS)
+                .activeConnectionIdLimit(MAX_ACTIVE_CONNECTION_IDS)
                 .tokenHandler(new AddressValidationHandler(connectionLimiter))
                 .handler(new ChannelInitializer<QuicChannel>() {
                     @Override
@@ -163,9 +167,9 @@
                 .build();
     }
 
-    /** Serves clients, for the first time or once more after {@link #stopping}; nothing once it is closing. */
-    public void ready() {
-        phase = closing ? Phase.DRAINING : Phase.READY;
+    /** Serves clients, for the first time or once more after {@link #startDraining}; nothing once it is closing. */
+    public void markReady() {
+        phase = rejectingNewStreams ? Phase.DRAINING : Phase.READY;
     }
 
     /** Other settings hold for the requests from here on. */
@@ -174,24 +178,24 @@
     }
 
     /** New connections show this certificate; those that are open go on with theirs. */
-    public void renew(TlsIdentity identity) {
+    public void renewIdentity(TlsIdentity identity) {
         tlsContext = tlsContext(identity);
     }
 
     /** Notifies the clients to go elsewhere, and serves what they still send (RFC 9114, section 5.2). */
-    public void stopping() {
+    public void startDraining() {
         phase = Phase.DRAINING;
         connections().forEach(Http3ClientConnection::announceShutdown);
     }
 
     /** Streams from here on are rejected as not processed; the requests that have been taken are served. */
-    public void close() {
-        closing = true;
+    public void rejectNewStreams() {
+        rejectingNewStreams = true;
         connections().forEach(Http3ClientConnection::rejectNewStreams);
     }
 
     /** Closes all connections, once all that was taken has been answered. */
-    public void end() {
+    public void closeConnections() {
         if (!timeoutChecks.cancel(false)) {
             return; // called before: more may be taken while it stops
         }
@@ -209,7 +213,7 @@
         connections.add(connection);
         channel.closeFuture().addListener(closed -> {
             connections.remove(connection);
-            connectionLimiter.closed(connection.tracked());
+            connectionLimiter.closed(connection.trackedConnection());
         });
         if (phase == Phase.DRAINING) {
             connection.openedWhileDraining();
@@ -217,10 +221,10 @@
     }
 
     private void checkTimeouts() {
-        long now = System.nanoTime();
-        connectionLimiter.endOverdue(now);
+        long nowNanos = System.nanoTime();
+        connectionLimiter.endOverdue(nowNanos);
         for (Http3ClientConnection connection : connections()) {
-            connection.checkTimeouts(now);
+            connection.checkTimeouts(nowNanos);
         }
     }
 
@@ -233,12 +237,12 @@
 
     /** Reads what has arrived by now, so that it is known which streams their clients have ended. */
     void readNow() {
-        if (datagrams.isReading() || !(socket.unsafe() instanceof NioUnsafe unsafe)) {
+        if (datagramCounter.isReading() || !(socket.unsafe() instanceof NioUnsafe unsafe)) {
             return;
         }
-        long before = -1;
-        for (int i = 0; i < MAX_READS_AT_ONCE && datagrams.count() != before; i++) {
-            before = datagrams.count();
+        long previousCount = -1;
+        for (int i = 0; i < MAX_READS_PER_CALL && datagramCounter.count() != previousCount; i++) {
+            previousCount = datagramCounter.count();
             unsafe.read();
         }
     }
@@ -248,8 +252,8 @@
     }
 
     /** Whether new streams are rejected. */
-    boolean isClosing() {
-        return closing;
+    boolean isRejectingNewStreams() {
+        return rejectingNewStreams;
     }
 
     Dispatcher dispatcher() {
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -43,57 +43,57 @@
         RESET
     }
 
-    private static final long RECEIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // for a complete request
-    private static final long UNREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // for a response to be read
+    private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // for a complete request
+    private static final long UNREAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // for a response to be read
 
     private final Http3ClientConnection connection;
     private final Http3Listener listener;
     private final QuicStreamChannel stream;
-    private final boolean behindGoAway;
+    private final boolean rejectedByGoAway;
     private final FinalFrame finalFrame = new FinalFrame();
-    private final MessageState message = new MessageState(ProxyRequest.BODY_MOST);
+    private final MessageState messageState = new MessageState(ProxyRequest.BODY_MOST);
     private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory
-    private final long openedAt = System.nanoTime();
+    private final long openedAtNanos = System.nanoTime();
     private State state = State.OPEN;
     private HeaderValidator.Head head;
     private Http3Headers headers;
-    private Runnable clientClosed; // to be run if the client leaves; null while no response is pending
-    private long respondedAt;
+    private Runnable clientClosedCallback; // to be run if the client leaves; null while no response is pending
+    private long respondedAtNanos;
     private long unreadBytes; // of the response that have not left
 
-    /** {@code behindGoAway}: the stream is to be rejected as not processed (RFC 9114, section 5.2). */
-    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean behindGoAway) {
+    /** {@code rejectedByGoAway}: the stream is to be rejected as not processed (RFC 9114, section 5.2). */
+    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean rejectedByGoAway) {
         this.connection = connection;
         this.listener = connection.listener();
         this.stream = stream;
-        this.behindGoAway = behindGoAway;
+        this.rejectedByGoAway = rejectedByGoAway;
         stream.pipeline().addFirst(finalFrame);
     }
 
     /** Ends what takes too long. */
-    void checkTimeouts(long now) {
-        if (state == State.OPEN && !message.isComplete() && now - openedAt > RECEIVE_NANOS) {
+    void checkTimeouts(long nowNanos) {
+        if (state == State.OPEN && !messageState.isComplete() && nowNanos - openedAtNanos > RECEIVE_TIMEOUT_NANOS) {
             respond(408, "too slow");
-        } else if (state == State.RESPONDED && now - respondedAt > UNREAD_NANOS) {
+        } else if (state == State.RESPONDED && nowNanos - respondedAtNanos > UNREAD_TIMEOUT_NANOS) {
             // Not read yet, or its client neither ends its request nor resets it.
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
     /** The client has closed the connection: nobody waits for the response. */
-    void clientClosed() {
-        Runnable pending = clientClosed;
-        clientClosed = null;
+    void onClientClosed() {
+        Runnable pending = clientClosedCallback;
+        clientClosedCallback = null;
         if (pending != null) {
             pending.run();
         }
     }
 
     /** The stream is closed, whoever did it. */
-    void closed() {
+    void onClosed() {
         releaseBody();
-        responseLeft(unreadBytes);
-        clientClosed();
+        responseSent(unreadBytes);
+        onClientClosed();
         cancelled();
     }
 
@@ -109,33 +109,33 @@
         if (state != State.OPEN) {
             return;
         }
-        if (behindGoAway) {
+        if (rejectedByGoAway) {
             // None of it has been looked at: the client may retry it elsewhere, whatever it is.
             state = State.RESET;
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_REJECTED);
             return;
         }
         try {
-            if (message.headless()) {
+            if (messageState.headless()) {
                 headReceived(frame.headers());
             } else {
                 HeaderValidator.trailers(frame.headers());
-                message.trailers();
+                messageState.trailers();
             }
         } catch (MalformedMessageException e) {
             malformed(e);
         }
     }
 
-    private void headReceived(Http3Headers received) throws MalformedMessageException {
-        headers = received;
+    private void headReceived(Http3Headers receivedHeaders) throws MalformedMessageException {
+        headers = receivedHeaders;
         if (HeaderValidator.tooLong(headers)) {
             respond(431, "too many fields");
             return;
         }
         head = HeaderValidator.request(headers);
-        message.head(head.length());
-        if (message.announcesTooMuch()) {
+        messageState.head(head.length());
+        if (messageState.announcesTooMuch()) {
             respond(413, "too large");
         } else if (head.method().equals("GET") && head.length() > 0) {
             respond(400, "a GET with a body");
@@ -149,7 +149,7 @@
                 return;
             }
             int bytes = frame.content().readableBytes();
-            if (!message.data(bytes) || !listener.bodyMemory().tryReserve(bytes)) {
+            if (!messageState.data(bytes) || !listener.bodyMemory().tryReserve(bytes)) {
                 respond(413, "too large");
                 return;
             }
@@ -163,11 +163,11 @@
 
     @Override
     protected void channelInputClosed(ChannelHandlerContext context) {
-        if (state != State.OPEN || message.isComplete()) {
+        if (state != State.OPEN || messageState.isComplete()) {
             return;
         }
         try {
-            message.end();
+            messageState.end();
         } catch (MalformedMessageException e) {
             malformed(e);
             return;
@@ -234,7 +234,7 @@
         }
         Runnable onClose = listener.dispatcher().dispatch(request, this);
         if (state != State.RESPONDED) {
-            clientClosed = onClose;
+            clientClosedCallback = onClose;
         }
     }
 
@@ -279,20 +279,20 @@
 
     private void respond(FinalResponse response) {
         state = State.RESPONDED;
-        clientClosed = null;
-        respondedAt = System.nanoTime();
-        boolean requestIncomplete = !message.isComplete();
+        clientClosedCallback = null;
+        respondedAtNanos = System.nanoTime();
+        boolean requestIncomplete = !messageState.isComplete();
         releaseBody();
         byte[] content = response.body();
         unreadBytes = content.length + HeaderValidator.SECTION_MOST;
-        listener.connectionLimiter().unread(connection.tracked(), unreadBytes);
-        long charged = unreadBytes;
+        listener.connectionLimiter().unread(connection.trackedConnection(), unreadBytes);
+        long chargedBytes = unreadBytes;
         finalFrame.last();
         ChannelFuture written = stream.write(new DefaultHttp3HeadersFrame(headersOf(response)));
         if (content.length > 0) {
             written = stream.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(content)));
         }
-        written.addListener(done -> responseLeft(charged));
+        written.addListener(done -> responseSent(chargedBytes));
         stream.flush();
         if (requestIncomplete) {
             // The rest of the request is not wanted; the response stands (RFC 9114, section 4.1).
@@ -315,10 +315,10 @@
         return fields;
     }
 
-    private void responseLeft(long bytes) {
+    private void responseSent(long bytes) {
         if (unreadBytes > 0) {
             unreadBytes = 0;
-            listener.connectionLimiter().unread(connection.tracked(), -bytes);
+            listener.connectionLimiter().unread(connection.trackedConnection(), -bytes);
         }
     }
 }
--- a/src/main/java/loadbalancer/http1/BodyReader.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -17,7 +17,7 @@
     }
 
     /** Whom the body is handed to; null before it has a subscriber. */
-    public final Taker taker() {
+    public final Taker subscriber() {
         return subscriber;
     }
 
@@ -27,16 +27,16 @@
     }
 
     @Override
-    public final void subscribe(Taker taker) {
+    public final void subscribe(Taker newSubscriber) {
         if (subscriber != null) {
             throw new IllegalStateException("taken before");
         }
-        subscriber = taker;
-        begin();
+        subscriber = newSubscriber;
+        onSubscribed();
     }
 
     /** Called once it has its subscriber. */
-    protected void begin() {}
+    protected void onSubscribed() {}
 
     @Override
     public final void setReady(boolean ready) {
--- a/src/main/java/loadbalancer/http1/BodyWriter.java
+++ b/src/main/java/loadbalancer/http1/BodyWriter.java
@@ -9,13 +9,13 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Writes a long message to a connection, within a bounded window: its caller stops while {@link #room} is
+ * Writes a long message to a connection, within a bounded window: its caller stops while {@link #isWritable} is
  * false. On the event loop.
  */
 public final class BodyWriter {
     private static final int LOW_WATER_MARK_BYTES = 32 << 10;
     private static final int HIGH_WATER_MARK_BYTES = 64 << 10;
-    private static final WriteBufferWaterMark WINDOW =
+    private static final WriteBufferWaterMark WRITE_WINDOW =
             new WriteBufferWaterMark(LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES);
 
     private final Channel channel;
@@ -25,7 +25,7 @@
     /** A writer to {@code channel}, whose write window it sets. */
     public BodyWriter(Channel channel) {
         this.channel = channel;
-        channel.config().setWriteBufferWaterMark(WINDOW);
+        channel.config().setWriteBufferWaterMark(WRITE_WINDOW);
     }
 
     /** Writes the head, and the first bytes of the body. */
@@ -35,9 +35,9 @@
     }
 
     /** Writes a piece, which is flushed with all others of the same pass of the event loop. */
-    public ChannelFuture write(byte[] piece) {
-        writtenBytes += piece.length;
-        ChannelFuture written = channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(piece)));
+    public ChannelFuture write(byte[] bytes) {
+        writtenBytes += bytes.length;
+        ChannelFuture written = channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
         if (!flushScheduled) {
             flushScheduled = true;
             channel.eventLoop().execute(() -> {
@@ -49,7 +49,7 @@
     }
 
     /** Whether more may be written now. */
-    public boolean room() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
--- a/src/main/java/loadbalancer/http1/Http1HeaderFields.java
+++ b/src/main/java/loadbalancer/http1/Http1HeaderFields.java
@@ -13,8 +13,8 @@
 
 /**
  * The header fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1
- * they are forwarded as they are: {@link #of} hands them out, and translates only what came by another protocol.
- * On the event loop.
+ * they are forwarded as they are: {@link #toHttpHeaders} hands them out, and translates only what came by another
+ * protocol. On the event loop.
  */
 public final class Http1HeaderFields implements HeaderFields {
     // Not strings: these cache the hash that each look-up needs.
@@ -35,7 +35,7 @@
             .toArray(AsciiString[]::new);
 
     private final HttpHeaders headers;
-    private boolean withoutHost; // the client sent no Host: each upstream is named in its place
+    private boolean hostMissing; // the client sent no Host: each upstream is named in its place
 
     /** The fields in {@code headers}, which are not copied. */
     public Http1HeaderFields(HttpHeaders headers) {
@@ -48,13 +48,13 @@
      *
      * @param host the Host of a request that names none: the upstream
      */
-    public static HttpHeaders of(HeaderFields fields, String host) {
-        if (fields instanceof Http1HeaderFields own) {
-            own.withoutHost = own.withoutHost || !own.headers.contains(HttpHeaderNames.HOST);
-            if (own.withoutHost) {
-                own.headers.set(HttpHeaderNames.HOST, host);
+    public static HttpHeaders toHttpHeaders(HeaderFields fields, String host) {
+        if (fields instanceof Http1HeaderFields http1Fields) {
+            http1Fields.hostMissing = http1Fields.hostMissing || !http1Fields.headers.contains(HttpHeaderNames.HOST);
+            if (http1Fields.hostMissing) {
+                http1Fields.headers.set(HttpHeaderNames.HOST, host);
             }
-            return own.headers;
+            return http1Fields.headers;
         }
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         fields.each(headers::add);
--- a/src/main/java/loadbalancer/server/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/server/GracefulShutdown.java
@@ -56,12 +56,12 @@
     /** Applies the passing of time to the life cycle; called at intervals, on the loop. */
     void advanceLifeCycle() {
         if (server.lifeCycle.advance(System.nanoTime())) {
-            server.log.accept("event=evacuated connections=" + server.listener.open());
+            server.log.accept("event=evacuated connections=" + server.listener.connectionCount());
         }
         if (!server.lifeCycle.ready()) {
             server.listener.applyLifeCycle();
         }
-        if (server.lifeCycle.hasLeft(System.nanoTime()) && server.listener.open() == 0) {
+        if (server.lifeCycle.hasLeft(System.nanoTime()) && server.listener.connectionCount() == 0) {
             server.dispatcher.whenIdle(stopped::countDown);
         }
     }
@@ -82,7 +82,7 @@
     /** Takes the next step; returns whether it was the last one. */
     private boolean advance(ShutdownDrain drain) {
         // A response that is being streamed takes as long as it takes.
-        int streamedResponses = server.listener.passes() ? 1 : 0;
+        int streamedResponses = server.listener.isStreamingResponse() ? 1 : 0;
         int pendingResponses = server.dispatcher.pendingResponses() + streamedResponses;
         ShutdownDrain.Step step = drain.observe(server.listener.observe(pendingResponses));
         if (step == ShutdownDrain.Step.END) {
@@ -91,7 +91,7 @@
         }
         if (step == ShutdownDrain.Step.CLOSE_LISTENER) {
             server.lifeCycle.listenerClosed();
-            server.taskFailures.run(server.listener::close);
+            server.taskFailures.run(server.listener::stopAccepting);
             server.taskFailures.run(server.listener::applyLifeCycle);
             server.taskFailures.run(server.extension::close);
         }
--- a/src/main/java/loadbalancer/server/LifeCycleOperations.java
+++ b/src/main/java/loadbalancer/server/LifeCycleOperations.java
@@ -23,7 +23,7 @@
     public LifeCycle.Verdict evacuate() {
         LifeCycle.Verdict verdict = server.lifeCycle.evacuate(System.nanoTime());
         if (verdict == LifeCycle.Verdict.DONE) {
-            server.log.accept("event=evacuating connections=" + server.listener.open());
+            server.log.accept("event=evacuating connections=" + server.listener.connectionCount());
             server.extension.stopping();
         }
         return verdict;
--- a/src/main/java/loadbalancer/server/ServerStartup.java
+++ b/src/main/java/loadbalancer/server/ServerStartup.java
@@ -109,7 +109,7 @@
     private void warmUpOverOwnSocket(InetSocketAddress clientAddress) {
         Path path = HotRestartCoordinator.sharedPath(
                 "rehearsal-" + ProcessHandle.current().pid() + ".sock");
-        server.listener.listenBeside(path, ownListener -> {
+        server.listener.listenForWarmUp(path, ownListener -> {
             if (ownListener == null) {
                 server.log.accept("event=warm_up_skipped reason=can't listen on " + path);
                 readiness.warmUpCompleted();
@@ -131,12 +131,12 @@
                 server.config,
                 ownListener == null ? null : ownListener.localAddress(),
                 () -> finishWarmUp(ownListener));
-        server.listener.warmUp(warmUp);
+        server.listener.setWarmUp(warmUp);
         warmUp.start(clientAddress);
     }
 
     private void finishWarmUp(Channel ownListener) {
-        server.listener.warmUp(null);
+        server.listener.setWarmUp(null);
         server.budget.resetEstimates(System.nanoTime());
         if (ownListener != null) {
             ownListener.close();
--- a/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
+++ b/src/main/java/loadbalancer/server/http3/Http3ServerExtension.java
@@ -83,7 +83,7 @@
         @Override
         public void ready() {
             if (listener != null) {
-                listener.ready();
+                listener.markReady();
             }
         }
 
@@ -92,7 +92,7 @@
             TlsIdentity renewed = fresh.http3() == null ? null : fresh.http3().identity();
             if (listener != null && renewed != null && !renewed.equals(identity)) {
                 identity = renewed;
-                listener.renew(renewed);
+                listener.renewIdentity(renewed);
                 server.log().accept("http3: new connections are shown another certificate");
             }
         }
@@ -107,21 +107,21 @@
         @Override
         public void stopping() {
             if (listener != null) {
-                listener.stopping();
+                listener.startDraining();
             }
         }
 
         @Override
         public void close() {
             if (listener != null) {
-                listener.close();
+                listener.rejectNewStreams();
             }
         }
 
         @Override
         public void end() {
             if (listener != null) {
-                listener.end();
+                listener.closeConnections();
             }
             if (upstreams != null) {
                 upstreams.end();
--- a/src/main/java/loadbalancer/upstream/http1/Http1Attempt.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1Attempt.java
@@ -132,7 +132,7 @@
 
     /** The request as it is written: complete, or only its head where the body is streamed. */
     HttpRequest encode(InetSocketAddress upstreamEndpoint) {
-        HttpHeaders headers = Http1HeaderFields.of(request.fields(), Addresses.text(upstreamEndpoint));
+        HttpHeaders headers = Http1HeaderFields.toHttpHeaders(request.fields(), Addresses.text(upstreamEndpoint));
         if (waitMillis > NO_DEADLINE_HEADER) {
             headers.set(DEADLINE, Long.toString(waitMillis));
         }
--- a/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -203,7 +203,7 @@
     void onConnectionClosed() {
         if (stream != null && !stream.ended && stream.started()) {
             stream.ended = true;
-            stream.taker().onError();
+            stream.subscriber().onError();
         }
     }
 
@@ -225,16 +225,16 @@
         }
 
         private void add(ByteBuf content, boolean last) {
-            if (taker() == null || malformed) {
+            if (subscriber() == null || malformed) {
                 return; // nobody has subscribed: dropped
             }
             if (content.isReadable()) {
-                taker().onData(ByteBufUtil.getBytes(content));
+                subscriber().onData(ByteBufUtil.getBytes(content));
             }
             if (last && !ended) {
                 ended = true;
                 streamComplete = true;
-                taker().onComplete();
+                subscriber().onComplete();
             }
         }
     }
--- a/src/main/java/loadbalancer/upstream/http1/StreamedRequestBody.java
+++ b/src/main/java/loadbalancer/upstream/http1/StreamedRequestBody.java
@@ -33,7 +33,7 @@
             return;
         }
         lastWrite = writer.write(bytes);
-        if (!writer.room()) {
+        if (!writer.isWritable()) {
             attempt.request().rest().setReady(false);
         }
     }
--- a/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
@@ -26,32 +26,32 @@
 /** How many connections of those that wait are accepted in one pass over the sockets. */
 @Timeout(60)
 class AcceptingChannelTest {
-    private static final int WAITING = 6;
+    private static final int WAITING_CONNECTIONS = 6;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Socket> clients = new ArrayList<>();
-    private final BlockingQueue<Integer> passes = new LinkedBlockingQueue<>();
-    private int accepted;
+    private final BlockingQueue<Integer> acceptedAtPassEnd = new LinkedBlockingQueue<>();
+    private int acceptedConnections;
 
     private final class PassRecorder extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object child) {
-            accepted++;
+            acceptedConnections++;
             context.fireChannelRead(child);
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            passes.add(accepted);
+            acceptedAtPassEnd.add(acceptedConnections);
             context.fireChannelReadComplete();
         }
     }
 
-    private Channel listen(int maxPerPass) throws InterruptedException {
-        AcceptingChannel.Gatekeeper gatekeeper = new AcceptingChannel.Gatekeeper() {
+    private Channel listen(int maxAcceptsPerPass) throws InterruptedException {
+        AcceptingChannel.AcceptController acceptController = new AcceptingChannel.AcceptController() {
             @Override
             public boolean mayAccept(int acceptedInPass) {
-                return acceptedInPass < maxPerPass;
+                return acceptedInPass < maxAcceptsPerPass;
             }
 
             @Override
@@ -61,7 +61,7 @@
         };
         return new ServerBootstrap()
                 .group(group)
-                .channelFactory(() -> AcceptingChannel.of(null, gatekeeper))
+                .channelFactory(() -> AcceptingChannel.of(null, acceptController))
                 .handler(new PassRecorder())
                 .childHandler(new ChannelInboundHandlerAdapter())
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -70,22 +70,22 @@
     }
 
     private void connectWhileLoopIsBusy(Channel listener) throws IOException, InterruptedException {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch busy = new CountDownLatch(1);
+        CountDownLatch taskStarted = new CountDownLatch(1);
+        CountDownLatch taskReleased = new CountDownLatch(1);
         group.next().execute(() -> {
-            begun.countDown();
+            taskStarted.countDown();
             try {
-                busy.await();
+                taskReleased.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        begun.await();
+        taskStarted.await();
         InetSocketAddress address = (InetSocketAddress) listener.localAddress();
-        for (int i = 0; i < WAITING; i++) {
+        for (int i = 0; i < WAITING_CONNECTIONS; i++) {
             clients.add(new Socket(address.getAddress(), address.getPort()));
         }
-        busy.countDown();
+        taskReleased.countDown();
     }
 
     @AfterEach
@@ -99,14 +99,14 @@
     @Test
     void allWaitingConnectionsAreAcceptedInOnePass() throws IOException, InterruptedException {
         connectWhileLoopIsBusy(listen(Integer.MAX_VALUE));
-        assertEquals(WAITING, passes.poll(30, TimeUnit.SECONDS));
+        assertEquals(WAITING_CONNECTIONS, acceptedAtPassEnd.poll(30, TimeUnit.SECONDS));
     }
 
     @Test
     void noMoreConnectionsThanAdmittedAreAcceptedInOnePass() throws IOException, InterruptedException {
         connectWhileLoopIsBusy(listen(2));
-        assertEquals(2, passes.poll(30, TimeUnit.SECONDS));
-        assertEquals(4, passes.poll(30, TimeUnit.SECONDS));
-        assertEquals(6, passes.poll(30, TimeUnit.SECONDS));
+        assertEquals(2, acceptedAtPassEnd.poll(30, TimeUnit.SECONDS));
+        assertEquals(4, acceptedAtPassEnd.poll(30, TimeUnit.SECONDS));
+        assertEquals(6, acceptedAtPassEnd.poll(30, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/loadbalancer/downstream/http1/ReceiveProgressTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/ReceiveProgressTest.java
@@ -13,55 +13,55 @@
     @Test
     void eachRequestBeginsWithItsHead() {
         assertFalse(progress.isReceiving());
-        progress.begin();
+        progress.receiveStarted();
         assertEquals(ReceiveState.HEAD, progress.state());
         assertTrue(progress.isReceiving());
         progress.headReceived();
         assertEquals(ReceiveState.BODY, progress.state());
         progress.requestReceived();
         assertFalse(progress.isReceiving());
-        progress.begin();
+        progress.receiveStarted();
         assertEquals(ReceiveState.HEAD, progress.state());
     }
 
     /** They counted as a new head, and so for 2.4 s in place of 2 s as a request that has come in part. */
     @Test
-    void bytesBehindAMalformedBodyHaveTheTimeOfABody() {
-        progress.begin();
+    void bytesAfterAMalformedBodyGetTheBodyTimeout() {
+        progress.receiveStarted();
         progress.headReceived();
         progress.malformed();
         assertFalse(progress.isReceiving());
-        progress.begin();
+        progress.receiveStarted();
         assertEquals(ReceiveState.BODY, progress.state());
     }
 
     @Test
-    void bytesBehindAMalformedHeadHaveTheTimeOfAHead() {
-        progress.begin();
+    void bytesAfterAMalformedHeadGetTheHeadTimeout() {
+        progress.receiveStarted();
         progress.malformed();
-        progress.begin();
+        progress.receiveStarted();
         assertEquals(ReceiveState.HEAD, progress.state());
     }
 
     /** A second time for the same request: as at the end of its time. */
     @Test
     void aMalformedBodyMayBeReportedTwice() {
-        progress.begin();
+        progress.receiveStarted();
         progress.headReceived();
         progress.malformed();
         progress.malformed();
-        progress.begin();
+        progress.receiveStarted();
         assertEquals(ReceiveState.BODY, progress.state());
     }
 
     /** A whole request that is one too many: what follows it would have been a head. */
     @Test
-    void bytesBehindAWholeRequestHaveTheTimeOfAHead() {
-        progress.begin();
+    void bytesAfterACompleteRequestGetTheHeadTimeout() {
+        progress.receiveStarted();
         progress.headReceived();
         progress.requestReceived();
         progress.malformed();
-        progress.begin();
+        progress.receiveStarted();
         assertEquals(ReceiveState.HEAD, progress.state());
     }
 }
--- a/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -18,10 +18,10 @@
 
 /** How much of long request bodies is buffered before an attempt subscribes to them. */
 class RequestAggregatorTest {
-    private static final int MEMORY_BYTES = 100_000;
+    private static final int BODY_MEMORY_BYTES = 100_000;
 
-    private final BodyMemoryBudget unclaimedMemory = new BodyMemoryBudget(MEMORY_BYTES);
-    private BodyStream rest;
+    private final BodyMemoryBudget unsubscribedBodyMemory = new BodyMemoryBudget(BODY_MEMORY_BYTES);
+    private BodyStream bodyStream;
     private int receivedBytes;
 
     private EmbeddedChannel channelWithLongBody(int bytes) {
@@ -32,7 +32,7 @@
 
                     @Override
                     public void onRequest(ReceivedRequest request) {
-                        rest = request.bodyStream();
+                        bodyStream = request.bodyStream();
                     }
 
                     @Override
@@ -41,8 +41,8 @@
                     @Override
                     public void onStreamBroken(HttpResponseStatus status, String reason) {}
                 },
-                new BodyMemoryBudget(MEMORY_BYTES),
-                unclaimedMemory));
+                new BodyMemoryBudget(BODY_MEMORY_BYTES),
+                unsubscribedBodyMemory));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api/k");
         head.headers().set("Content-Length", 1_000_000);
         channel.writeInbound(head);
@@ -60,15 +60,15 @@
         assertTrue(first.config().isAutoRead(), "its end has to be seen");
         EmbeddedChannel second = channelWithLongBody(60_000);
         assertFalse(second.config().isAutoRead(), "no memory for as much");
-        first.pipeline().get(RequestAggregator.class).drop();
-        assertTrue(unclaimedMemory.tryReserve(MEMORY_BYTES), "all is released");
-        assertFalse(unclaimedMemory.tryReserve(1));
+        first.pipeline().get(RequestAggregator.class).stop();
+        assertTrue(unsubscribedBodyMemory.tryReserve(BODY_MEMORY_BYTES), "all is released");
+        assertFalse(unsubscribedBodyMemory.tryReserve(1));
     }
 
     @Test
     void memoryOfABodyIsReleasedOnceWhenItIsSubscribedToOrDropped() {
         EmbeddedChannel channel = channelWithLongBody(60_000);
-        rest.subscribe(new BodyStream.Taker() {
+        bodyStream.subscribe(new BodyStream.Taker() {
             @Override
             public void onData(byte[] bytes) {
                 receivedBytes += bytes.length;
@@ -83,11 +83,11 @@
         assertEquals(60_000, receivedBytes);
         appendToBody(channel, 90_000);
         assertEquals(150_000, receivedBytes, "what follows is not buffered");
-        channel.pipeline().get(RequestAggregator.class).drop();
+        channel.pipeline().get(RequestAggregator.class).stop();
         channelWithLongBody(60_000);
-        rest.cancel();
-        rest.cancel();
-        assertTrue(unclaimedMemory.tryReserve(MEMORY_BYTES));
-        assertFalse(unclaimedMemory.tryReserve(1), "not more than was reserved");
+        bodyStream.cancel();
+        bodyStream.cancel();
+        assertTrue(unsubscribedBodyMemory.tryReserve(BODY_MEMORY_BYTES));
+        assertFalse(unsubscribedBodyMemory.tryReserve(1), "not more than was reserved");
     }
 }
--- a/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
+++ b/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
@@ -31,47 +31,48 @@
 /**
  * Clients are notified of a shutdown while their connections close.
  *
- * <p>A ConcurrentModificationException was seen in {@code stopping()} in one run of the tests. The listener walked the
- * live set of its connections, and the GOAWAY that it wrote closed a connection in the same call: its close listener
- * took it from the set. Here a handler closes each connection as the GOAWAY passes, which is that case each time.
+ * <p>A ConcurrentModificationException was seen in {@code startDraining()} in one run of the tests. The listener
+ * walked the live set of its connections, and the GOAWAY that it wrote closed a connection in the same call: its close
+ * listener took it from the set. Here a handler closes each connection as the GOAWAY passes, which is that case each
+ * time.
  */
 @Timeout(60)
 class Http3ListenerTest {
     private static final int CONNECTIONS = 20;
-    private static final Http3ConnectionLimiter.Limits SESSIONS =
+    private static final Http3ConnectionLimiter.Limits CONNECTION_LIMITS =
             new Http3ConnectionLimiter.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
 
     private final X509Bundle certificate = Certificates.selfSigned();
-    private final MillisecondTimer servers = new MillisecondTimer();
-    private final MillisecondTimer clients = new MillisecondTimer();
-    private final EventLoop loop = servers.next();
+    private final MillisecondTimer serverLoops = new MillisecondTimer();
+    private final MillisecondTimer clientLoops = new MillisecondTimer();
+    private final EventLoop loop = serverLoops.next();
     private final Http3Listener listener = new Http3Listener(
             loop,
             null,
             null,
             null,
             TlsIdentity.parse(certificate.getCertificatePathPEM(), certificate.getPrivateKeyPEM()),
-            new Http3Listener.Limits(SESSIONS, 10, 20_000),
+            new Http3Listener.Limits(CONNECTION_LIMITS, 10, 20_000),
             line -> {});
-    private final List<QuicChannel> connected = new ArrayList<>();
+    private final List<QuicChannel> clientConnections = new ArrayList<>();
 
     @AfterEach
-    void end() {
-        servers.end();
-        clients.end();
+    void closeLoops() {
+        serverLoops.end();
+        clientLoops.end();
     }
 
     private void connectAll() throws Exception {
         InetSocketAddress address = listener.listen(new InetSocketAddress("127.0.0.1", 0));
-        var context = QuicSslContextBuilder.forClient()
+        var sslContext = QuicSslContextBuilder.forClient()
                 .trustManager(certificate.getCertificatePath()[0])
                 .applicationProtocols(Http3.supportedApplicationProtocols())
                 .build();
         Channel socket = new Bootstrap()
-                .group(clients)
+                .group(clientLoops)
                 .channel(NioDatagramChannel.class)
                 .handler(Http3.newQuicClientCodecBuilder()
-                        .sslEngineProvider(q -> context.newEngine(q.alloc(), "box.test", address.getPort()))
+                        .sslEngineProvider(q -> sslContext.newEngine(q.alloc(), "box.test", address.getPort()))
                         .maxIdleTimeout(20, TimeUnit.SECONDS)
                         .initialMaxData(1 << 20)
                         .build())
@@ -79,7 +80,7 @@
                 .sync()
                 .channel();
         for (int i = 0; i < CONNECTIONS; i++) {
-            connected.add(QuicChannel.newBootstrap(socket)
+            clientConnections.add(QuicChannel.newBootstrap(socket)
                     .handler(new Http3ClientConnectionHandler())
                     .remoteAddress(address)
                     .connect()
@@ -108,16 +109,16 @@
         });
     }
 
-    private void crossEachConnectionWithItsClose(Consumer<Http3Listener> step) throws Exception {
+    private void runWhileConnectionsClose(Consumer<Http3Listener> action) throws Exception {
         connectAll();
         awaitControlStreams();
         loop.submit(() -> {
                     assertEquals(CONNECTIONS, listener.connections().size());
                     listener.connections().forEach(Http3ListenerTest::closeWithNextWrite);
-                    step.accept(listener);
+                    action.accept(listener);
                 })
                 .get(20, TimeUnit.SECONDS);
-        for (QuicChannel client : connected) {
+        for (QuicChannel client : clientConnections) {
             assertTrue(client.closeFuture().await(20, TimeUnit.SECONDS), "a client was not notified");
         }
         assertEquals(
@@ -128,11 +129,11 @@
 
     @Test
     void connectionsThatCloseWhileTheDrainIsAnnouncedDoNotDisturbIt() throws Exception {
-        crossEachConnectionWithItsClose(Http3Listener::stopping);
+        runWhileConnectionsClose(Http3Listener::startDraining);
     }
 
     @Test
     void connectionsThatCloseWhileNewStreamsAreRejectedDoNotDisturbIt() throws Exception {
-        crossEachConnectionWithItsClose(Http3Listener::close);
+        runWhileConnectionsClose(Http3Listener::rejectNewStreams);
     }
 }
--- a/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -25,7 +25,7 @@
                 .add("X-Kept", "1")
                 .add("X-Kept", "2");
         Http1HeaderFields fields = new Http1HeaderFields(headers).endToEnd();
-        assertSame(headers, Http1HeaderFields.of(fields, "b:1"));
+        assertSame(headers, Http1HeaderFields.toHttpHeaders(fields, "b:1"));
         assertEquals(3, headers.size());
         assertEquals(List.of("1", "2"), fields.all("x-kept"));
         assertEquals("a", fields.get("host"));
@@ -35,8 +35,8 @@
     @Test
     void aRequestWithoutAHostGetsThatOfEachAttempt() {
         Http1HeaderFields fields = new Http1HeaderFields(new DefaultHttpHeaders());
-        assertEquals("a:1", Http1HeaderFields.of(fields, "a:1").get("Host"));
-        assertEquals("b:2", Http1HeaderFields.of(fields, "b:2").get("Host"));
+        assertEquals("a:1", Http1HeaderFields.toHttpHeaders(fields, "a:1").get("Host"));
+        assertEquals("b:2", Http1HeaderFields.toHttpHeaders(fields, "b:2").get("Host"));
     }
 
     @Test
@@ -53,14 +53,14 @@
             }
 
             @Override
-            public void each(BiConsumer<String, String> to) {
-                to.accept("x-a", "1");
+            public void each(BiConsumer<String, String> action) {
+                action.accept("x-a", "1");
             }
         };
-        HttpHeaders first = Http1HeaderFields.of(other, "a:1");
+        HttpHeaders first = Http1HeaderFields.toHttpHeaders(other, "a:1");
         first.set("x-b", "2");
         assertEquals("1", first.get("X-A"));
         assertEquals("a:1", first.get("Host"));
-        assertNull(Http1HeaderFields.of(other, "a:1").get("x-b"));
+        assertNull(Http1HeaderFields.toHttpHeaders(other, "a:1").get("x-b"));
     }
 }
--- a/src/test/java/loadbalancer/server/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/server/GracefulShutdownTest.java
@@ -16,9 +16,10 @@
 /**
  * A shutdown ends, also where one of its steps throws.
  *
- * <p>A ConcurrentModificationException was seen in {@code Http3Listener.stopping()}: it walked its connections while
- * one of them closed. By reading, the same in {@code close()} passed through the step of the shutdown that schedules
- * the next one in its last line: the process stayed until it was killed, with the responses that it owed.
+ * <p>A ConcurrentModificationException was seen in {@code Http3Listener.startDraining()}: it walked its connections
+ * while one of them closed. By reading, the same in {@code rejectNewStreams()} passed through the step of the shutdown
+ * that schedules the next one in its last line: the process stayed until it was killed, with the responses that it
+ * owed.
  */
 class GracefulShutdownTest extends ServerFixture {
     /** What the extension does is done by {@link NoExtension}, but for one method, which throws. */
