--- a/src/main/java/loadbalancer/server/LifeCycleOperations.java
+++ b/src/main/java/loadbalancer/server/LifeCycleOperations.java
@@ -23,7 +23,7 @@
     public LifeCycle.CommandResult evacuate() {
         LifeCycle.CommandResult result = server.lifeCycle.evacuate(System.nanoTime());
         if (result == LifeCycle.CommandResult.DONE) {
-            server.log.accept("event=evacuating connections=" + server.listener.open());
+            server.log.accept("event=evacuating connections=" + server.listener.connectionCount());
             server.extension.stopping();
         }
         return result;
