--- a/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -175,8 +175,8 @@
     /** Waits once more for as long as the service may be silent. */
     void extendSilence() {
         // After a stall of this process, what was received meanwhile is read before the timer fires.
-        silenceTimer =
-                ReadBeforeTimers.after(loop, timeout.maxSilence(answered), TimeUnit.MILLISECONDS, this::silenceElapsed);
+        silenceTimer = ReadBeforeTimers.schedule(
+                loop, timeout.maxSilence(answered), TimeUnit.MILLISECONDS, this::silenceElapsed);
     }
 
     // Guards against a discovery service that is cut off by the network: its connection stays open and silent.
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -188,11 +188,11 @@
 
     private void accept(DiscoveryCall call, EndpointUpdate update) {
         VersionTracker.Verdict verdict =
-                versions.judge(update.rev(), update.all(), call.versionAtRequest(), !call.isAnswered());
+                versions.judge(update.version(), update.complete(), call.versionAtRequest(), !call.isAnswered());
         switch (verdict) {
             case ACCEPT -> deliver(call, update);
             case STALE -> deliver(call, unchanged()); // the call is answered, and the newer list stays in use
-            case OUT_OF_ORDER -> restartFromCompleteList(call, update.rev());
+            case OUT_OF_ORDER -> restartFromCompleteList(call, update.version());
             default -> throw new IllegalStateException("no such verdict: " + verdict);
         }
     }
@@ -206,7 +206,7 @@
             openWatches().stream().filter(other -> other != call).forEach(this::cancel);
             notifiedForMicros = timeout.takeNotifiedFor(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
         }
-        listener.onUpdate(update.all() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
+        listener.onUpdate(update.complete() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
         if (!call.isWatch()) {
             cancel(call);
         }
--- a/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
+++ b/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
@@ -23,8 +23,8 @@
 
     /** Replaces the list, where it differs: endpoints that are no longer listed are drained, as with any list. */
     public void replace(EndpointUpdate other) {
-        if (!other.list().equals(current.list())) {
-            current = new EndpointUpdate(current.rev() + 1, true, other.list());
+        if (!other.endpoints().equals(current.endpoints())) {
+            current = new EndpointUpdate(current.version() + 1, true, other.endpoints());
             notifyListener();
         }
     }
--- a/src/main/java/loadbalancer/downstream/FinalResponse.java
+++ b/src/main/java/loadbalancer/downstream/FinalResponse.java
@@ -44,7 +44,7 @@
 
     /** A complete upstream response that is passed on with its media type. */
     public static FinalResponse served(UpstreamResponse response) {
-        return new FinalResponse(200, response.body(), response.type(), null, null);
+        return new FinalResponse(200, response.body(), response.contentType(), null, null);
     }
 
     /**
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -85,11 +85,11 @@
         if (state != State.READY) {
             return;
         }
-        if (dispatcher.mayHaveUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
+        if (dispatcher.mayHaveUnreadUpdates() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
             // Of those that seem idle some hold a request that has not been read.
             state = State.AWAITING_READS;
             setAccepting(false, "unread news");
-            dispatcher.afterUpdates(() -> {
+            dispatcher.runAfterUpdates(() -> {
                 state = State.READY;
                 update();
             });
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -286,7 +286,7 @@
     void respond(FinalResponse response, boolean keepAlive) {
         clientClosed = null;
         // A client may write all of a long body before it reads.
-        maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : MAX_DRAINED_BYTES;
+        maxDrainedBytes = input.isStreaming() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : MAX_DRAINED_BYTES;
         queue.releaseServed();
         boolean moreInput = hasMoreInput();
         boolean staysOpen =
@@ -339,7 +339,7 @@
         boolean selfDelimited = ResponseHeads.isSelfDelimited(response, http10);
         boolean mayStayOpen = mayStayOpen(keepAlive) && selfDelimited;
         timeouts.streaming(System.nanoTime());
-        streamer = new ResponseStreamer(this, channel, response.rest(), mayStayOpen);
+        streamer = new ResponseStreamer(this, channel, response.remainingBody(), mayStayOpen);
         streamer.start(ResponseHeads.streamed(response, selfDelimited, mayStayOpen), response.body());
     }
 
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -99,7 +99,7 @@
             Channel bound = (shared ? bootstrap.register() : bootstrap.bind(address))
                     .sync()
                     .channel();
-            ReadBeforeTimers.every(loop, CHECK_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
+            ReadBeforeTimers.scheduleWithFixedDelay(loop, CHECK_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -184,7 +184,7 @@
         expired.forEach(Http1ClientConnection::close);
         if (expired.size() == MAX_IDLE_CLOSES) {
             closingIdle = true;
-            ReadBeforeTimers.after(loop, 1, TimeUnit.MILLISECONDS, () -> {
+            ReadBeforeTimers.schedule(loop, 1, TimeUnit.MILLISECONDS, () -> {
                 closingIdle = false;
                 closeIdle();
             });
--- a/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -47,9 +47,9 @@
         boolean keepAlive = HttpUtil.isKeepAlive(head);
         String path = head.uri();
         Http1HeaderFields fields = new Http1HeaderFields(head.headers());
-        boolean isWarmUp = warmUp != null && warmUp.knows(fields);
-        if (isWarmUp && path.equals(WarmUpRequests.HOP)) {
-            connection.respond(warmUpResponse(warmUp.declines()), keepAlive);
+        boolean isWarmUp = warmUp != null && warmUp.isWarmUp(fields);
+        if (isWarmUp && path.equals(WarmUpRequests.UPSTREAM_PATH)) {
+            connection.respond(warmUpResponse(warmUp.shouldDeclineNext()), keepAlive);
         } else if (path.startsWith(FinalResponse.MANAGEMENT_PREFIX)
                 && !(isWarmUp && path.equals(WarmUpRequests.PATH))) {
             connection.respond(FinalResponse.management(head.method().name(), path, lifeCycle.ready()), keepAlive);
@@ -88,7 +88,8 @@
         }
         Http1ResponseWriter writer = new Http1ResponseWriter(
                 connection, keepAlive, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
-        Runnable clientClosed = target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.HOP) : request, writer);
+        Runnable clientClosed =
+                target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.UPSTREAM_PATH) : request, writer);
         if (!writer.hasResponded()) {
             connection.awaitResponse(clientClosed);
         }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
@@ -38,7 +38,7 @@
     @Override
     public void serve(UpstreamResponse response) {
         markResponded();
-        if (response.rest() != null) {
+        if (response.remainingBody() != null) {
             connection.stream(response, keepAlive, http10);
         } else {
             connection.respond(FinalResponse.served(response), keepAlive);
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -81,7 +81,7 @@
         length = 0;
         listener.onHead(request);
         long announced = HttpUtil.getContentLength(request, -1L);
-        if (!dropped && announced > ProxyRequest.BODY_MOST) {
+        if (!dropped && announced > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(channel, announced);
         }
     }
@@ -114,7 +114,7 @@
         if (bytes == 0) {
             return;
         }
-        if (length + bytes > ProxyRequest.BODY_MOST) {
+        if (length + bytes > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(channel, -1);
             if (stream != null) { // not refused at once
                 stream.append(content, false);
@@ -129,7 +129,7 @@
             body = ByteBufUtil.getBytes(content);
         } else {
             if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.MAX_BUFFERED_BODY_BYTES, 2 * (length + bytes)));
             }
             content.readBytes(body, length, bytes);
         }
@@ -223,19 +223,19 @@
 
         private void append(ByteBuf content, boolean last) {
             bytes += content.readableBytes();
-            if (bytes > ProxyRequest.LENGTH_MOST) {
+            if (bytes > ProxyRequest.MAX_STREAMED_BODY_BYTES) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
-            if (!started() && !cancelled) {
+            if (!hasSubscriber() && !cancelled) {
                 buffer(ByteBufUtil.getBytes(content));
-            } else if (started() && content.isReadable()) {
+            } else if (hasSubscriber() && content.isReadable()) {
                 taker().onData(ByteBufUtil.getBytes(content));
             }
             if (last) {
                 complete = true;
                 stream = null;
-                if (started()) {
+                if (hasSubscriber()) {
                     taker().onComplete();
                 }
             }
@@ -252,7 +252,7 @@
 
         private void abort() {
             cancel();
-            if (started()) {
+            if (hasSubscriber()) {
                 taker().onError();
             }
         }
--- a/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
@@ -38,7 +38,7 @@
         if (length < 0) {
             return badRequest("bad Content-Length");
         }
-        if (length > ProxyRequest.LENGTH_MOST) {
+        if (length > ProxyRequest.MAX_STREAMED_BODY_BYTES) {
             return new Problem(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
--- a/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
@@ -78,7 +78,7 @@
 
     /** Cancels a body that nobody reads; null is none. */
     static void cancelUnstarted(BodyStream body) {
-        if (body != null && !body.started()) {
+        if (body != null && !body.hasSubscriber()) {
             body.cancel();
         }
     }
--- a/src/main/java/loadbalancer/downstream/http1/ResponseHeads.java
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseHeads.java
@@ -52,17 +52,17 @@
 
     /** Whether the end of a streamed response shows without a close: HTTP/1.0 knows no chunks (RFC 9112, 6.1). */
     static boolean isSelfDelimited(UpstreamResponse response, boolean http10) {
-        return response.length() >= 0 || !http10;
+        return response.contentLength() >= 0 || !http10;
     }
 
     /** The head of a response whose body is streamed behind it. */
     static HttpResponse streamed(UpstreamResponse response, boolean selfDelimited, boolean keepAlive) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (response.type() != null) {
-            head.headers().set(HttpHeaderNames.CONTENT_TYPE, response.type());
+        if (response.contentType() != null) {
+            head.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
         }
-        if (response.length() >= 0) {
-            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.length());
+        if (response.contentLength() >= 0) {
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.contentLength());
         } else if (selfDelimited) {
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
--- a/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
@@ -9,7 +9,7 @@
 /**
  * Passes a long response on to the client as it arrives, no faster than the client reads. On the event loop.
  */
-final class ResponseStreamer implements BodyStream.Taker {
+final class ResponseStreamer implements BodyStream.Subscriber {
     private final Http1ClientConnection connection;
     private final BodyStream source;
     private final boolean keepAlive;
--- a/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
@@ -54,7 +54,7 @@
 
     private static final long CHECK_MILLIS = 200; // between checks of the connections' time limits
     // Of a connection: two complete bodies at once. What more of its streams send waits with the client.
-    private static final long CONNECTION_WINDOW_BYTES = 2L * ProxyRequest.BODY_MOST;
+    private static final long CONNECTION_WINDOW_BYTES = 2L * ProxyRequest.MAX_BUFFERED_BODY_BYTES;
     private static final int CONTROL_STREAMS = 3; // and two of QPACK (RFC 9114, section 6.2)
     private static final int CONTROL_WINDOW_BYTES = 4 * 1024;
     private static final int SPARE_CONNECTION_IDS = 4; // for clients whose path changes
@@ -147,7 +147,7 @@
                 .maxSendUdpPayloadSize(DATAGRAM_BYTES)
                 .maxRecvUdpPayloadSize(DATAGRAM_BYTES)
                 .initialMaxData(CONNECTION_WINDOW_BYTES)
-                .initialMaxStreamDataBidirectionalRemote(ProxyRequest.BODY_MOST)
+                .initialMaxStreamDataBidirectionalRemote(ProxyRequest.MAX_BUFFERED_BODY_BYTES)
                 .initialMaxStreamDataUnidirectional(CONTROL_WINDOW_BYTES)
                 .initialMaxStreamsUnidirectional(CONTROL_STREAMS)
                 .initialMaxStreamsBidirectional(limits.streams())
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -51,7 +51,7 @@
     private final QuicStreamChannel stream;
     private final boolean behindGoAway;
     private final FinalFrame finalFrame = new FinalFrame();
-    private final MessageState message = new MessageState(ProxyRequest.BODY_MOST);
+    private final MessageState message = new MessageState(ProxyRequest.MAX_BUFFERED_BODY_BYTES);
     private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory
     private final long openedAt = System.nanoTime();
     private State state = State.OPEN;
--- a/src/main/java/loadbalancer/eventloop/MillisecondTimer.java
+++ b/src/main/java/loadbalancer/eventloop/MillisecondEventLoopGroup.java
@@ -20,27 +20,27 @@
  * it polls its sockets without waiting until the timer is due: hundreds of iterations without any work, on a core that
  * other processes share. Here timers run up to a millisecond late instead.
  */
-public final class MillisecondTimer extends MultiThreadIoEventLoopGroup {
+public final class MillisecondEventLoopGroup extends MultiThreadIoEventLoopGroup {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
     private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 100;
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
 
     /** A loop with Netty's default select strategy, where nobody reads of failed tasks. */
-    public MillisecondTimer() {
+    public MillisecondEventLoopGroup() {
         this(new TaskFailures(line -> {}));
     }
 
     /** A loop with Netty's default select strategy, whose scheduled tasks are reported there where they throw. */
-    public MillisecondTimer(TaskFailures failures) {
+    public MillisecondEventLoopGroup(TaskFailures failures) {
         this(DefaultSelectStrategyFactory.INSTANCE, failures);
     }
 
     /** A loop with a select strategy of its own, by which tests count iterations. */
-    MillisecondTimer(SelectStrategyFactory strategy) {
+    MillisecondEventLoopGroup(SelectStrategyFactory strategy) {
         this(strategy, new TaskFailures(line -> {}));
     }
 
-    private MillisecondTimer(SelectStrategyFactory strategy, TaskFailures failures) {
+    private MillisecondEventLoopGroup(SelectStrategyFactory strategy, TaskFailures failures) {
         super(1, (Executor) null, NioIoHandler.newFactory(SelectorProvider.provider(), strategy), failures);
     }
 
@@ -49,7 +49,7 @@
      * the iteration behind the one in which the shutdown is requested; without a quiet period there is no such
      * iteration where it is requested while tasks run, and the connections would stay open.
      */
-    public void end() {
+    public void shutdownAsync() {
         shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -61,19 +61,19 @@
     private static final class Loop extends SingleThreadIoEventLoop {
         private final TaskFailures failures;
 
-        Loop(MillisecondTimer group, Executor executor, IoHandlerFactory handler, TaskFailures failures) {
+        Loop(MillisecondEventLoopGroup group, Executor executor, IoHandlerFactory handler, TaskFailures failures) {
             super(group, executor, handler);
             this.failures = failures;
         }
 
         @Override
-        protected long delayNanos(long now) {
-            long delay = super.delayNanos(now);
+        protected long delayNanos(long currentTimeNanos) {
+            long delay = super.delayNanos(currentTimeNanos);
             if (delay <= 0) {
                 return delay;
             }
-            long untilWhole = (NANOS_PER_MILLISECOND - delay % NANOS_PER_MILLISECOND) % NANOS_PER_MILLISECOND;
-            return delay + untilWhole;
+            long roundUpNanos = (NANOS_PER_MILLISECOND - delay % NANOS_PER_MILLISECOND) % NANOS_PER_MILLISECOND;
+            return delay + roundUpNanos;
         }
 
         @Override
@@ -82,13 +82,13 @@
         }
 
         @Override
-        public ScheduledFuture<?> scheduleAtFixedRate(Runnable task, long first, long period, TimeUnit unit) {
-            return super.scheduleAtFixedRate(() -> failures.run(task), first, period, unit);
+        public ScheduledFuture<?> scheduleAtFixedRate(Runnable task, long initialDelay, long period, TimeUnit unit) {
+            return super.scheduleAtFixedRate(() -> failures.run(task), initialDelay, period, unit);
         }
 
         @Override
-        public ScheduledFuture<?> scheduleWithFixedDelay(Runnable task, long first, long delay, TimeUnit unit) {
-            return super.scheduleWithFixedDelay(() -> failures.run(task), first, delay, unit);
+        public ScheduledFuture<?> scheduleWithFixedDelay(Runnable task, long initialDelay, long delay, TimeUnit unit) {
+            return super.scheduleWithFixedDelay(() -> failures.run(task), initialDelay, delay, unit);
         }
 
         // Its future fails as well.
--- a/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
+++ b/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
@@ -12,13 +12,13 @@
  * response has arrived, an idle connection would be closed on the request in it, and the age of a request would be
  * counted from after the stall.
  *
- * <p>For the loop's own thread, except {@link #after}.
+ * <p>For the loop's own thread, except {@link #schedule}.
  */
 public final class ReadBeforeTimers {
     /** A timer that runs later than this, in ns, is late: no iteration of a loop that keeps up takes so long. */
-    static final long LATE = 5_000_000;
+    static final long LATE_NANOS = 5_000_000;
     /** Passes over the sockets that a timer waits for at most, so that it also runs on a loop that is always late. */
-    private static final int MAX_PASSES = 3;
+    private static final int MAX_SOCKET_PASSES = 3;
 
     private ReadBeforeTimers() {}
 
@@ -26,16 +26,16 @@
     public static final class Handle {
         private final EventLoop loop;
         private final Runnable task;
-        private long due; // System.nanoTime()
-        private int passes;
+        private long dueNanos; // System.nanoTime()
+        private int socketPasses;
         private volatile Future<?> future;
         private volatile boolean cancelled;
 
-        private Handle(EventLoop loop, long nanos, Runnable task) {
+        private Handle(EventLoop loop, long delayNanos, Runnable task) {
             this.loop = loop;
             this.task = task;
-            this.due = System.nanoTime() + nanos;
-            this.future = loop.schedule(this::runOrReschedule, nanos, TimeUnit.NANOSECONDS);
+            this.dueNanos = System.nanoTime() + delayNanos;
+            this.future = loop.schedule(this::runOrReschedule, delayNanos, TimeUnit.NANOSECONDS);
         }
 
         // A task scheduled within an iteration runs in the next one, behind the pass over the sockets.
@@ -45,8 +45,8 @@
             }
             // Checked on each pass: the process may have been stalled between the pass and this task.
             long now = System.nanoTime();
-            if (now - due > LATE && passes++ < MAX_PASSES) {
-                due = now;
+            if (now - dueNanos > LATE_NANOS && socketPasses++ < MAX_SOCKET_PASSES) {
+                dueNanos = now;
                 future = loop.schedule(this::runOrReschedule, 0, TimeUnit.NANOSECONDS);
             } else {
                 task.run();
@@ -61,18 +61,18 @@
     }
 
     /** Runs {@code task} once on the loop's thread, after {@code delay}. May be called from any thread. */
-    public static Handle after(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
+    public static Handle schedule(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
         return new Handle(loop, unit.toNanos(Math.max(0, delay)), task);
     }
 
     /** Runs {@code task} repeatedly, each time {@code delay} after its last end, until the loop shuts down. */
-    public static void every(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
-        after(loop, delay, unit, () -> {
+    public static void scheduleWithFixedDelay(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
+        schedule(loop, delay, unit, () -> {
             try {
                 task.run();
             } finally {
                 if (!loop.isShuttingDown()) {
-                    every(loop, delay, unit, task);
+                    scheduleWithFixedDelay(loop, delay, unit, task);
                 }
             }
         });
--- a/src/main/java/loadbalancer/http1/BodyReader.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -9,7 +9,7 @@
  */
 public abstract class BodyReader implements BodyStream {
     private final Channel channel;
-    private Taker subscriber;
+    private Subscriber subscriber;
 
     /** A body that is read off {@code channel}. */
     protected BodyReader(Channel channel) {
@@ -17,17 +17,17 @@
     }
 
     /** Whom the body is handed to; null before it has a subscriber. */
-    public final Taker taker() {
+    public final Subscriber taker() {
         return subscriber;
     }
 
     @Override
-    public final boolean started() {
+    public final boolean hasSubscriber() {
         return subscriber != null;
     }
 
     @Override
-    public final void subscribe(Taker taker) {
+    public final void subscribe(Subscriber taker) {
         if (subscriber != null) {
             throw new IllegalStateException("taken before");
         }
--- a/src/main/java/loadbalancer/http1/Http1HeaderFields.java
+++ b/src/main/java/loadbalancer/http1/Http1HeaderFields.java
@@ -30,7 +30,7 @@
                     "upgrade",
                     "expect",
                     "content-length",
-                    ProxyRequest.DEADLINE)
+                    ProxyRequest.DEADLINE_FIELD)
             .map(AsciiString::cached)
             .toArray(AsciiString[]::new);
 
@@ -57,7 +57,7 @@
             return own.headers;
         }
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        fields.each(headers::add);
+        fields.forEach(headers::add);
         if (!headers.contains(HttpHeaderNames.HOST)) {
             headers.set(HttpHeaderNames.HOST, host);
         }
@@ -94,12 +94,12 @@
     }
 
     @Override
-    public boolean several(String name) {
+    public boolean hasMultiple(String name) {
         return headers.contains(name) && headers.getAll(name).size() > 1;
     }
 
     @Override
-    public void each(BiConsumer<String, String> consumer) {
+    public void forEach(BiConsumer<String, String> consumer) {
         headers.forEach(header -> consumer.accept(header.getKey(), header.getValue()));
     }
 }
--- a/src/main/java/loadbalancer/http3/codec/AggregatedBody.java
+++ b/src/main/java/loadbalancer/http3/codec/AggregatedBody.java
@@ -11,12 +11,16 @@
     private byte[] bytes = EMPTY;
     private int length;
 
-    /** Adds all readable bytes; the caller has checked that the body stays within {@link ProxyRequest#BODY_MOST}. */
+    /**
+     * Adds all readable bytes; the caller has checked that the body stays within
+     * {@link ProxyRequest#MAX_BUFFERED_BODY_BYTES}.
+     */
     public void add(ByteBuf data) {
         int count = data.readableBytes();
         if (length + count > bytes.length) {
             bytes = Arrays.copyOf(
-                    bytes, length == 0 ? count : (int) Math.min(ProxyRequest.BODY_MOST, 2L * (length + count)));
+                    bytes,
+                    length == 0 ? count : (int) Math.min(ProxyRequest.MAX_BUFFERED_BODY_BYTES, 2L * (length + count)));
         }
         data.readBytes(bytes, length, count);
         length += count;
--- a/src/main/java/loadbalancer/http3/codec/Http3HeaderFields.java
+++ b/src/main/java/loadbalancer/http3/codec/Http3HeaderFields.java
@@ -16,7 +16,7 @@
  * they are forwarded as they are, and only what came by another protocol is translated. On the event loop.
  */
 public final class Http3HeaderFields implements HeaderFields {
-    private static final String DEADLINE = ProxyRequest.DEADLINE.toLowerCase(Locale.ROOT);
+    private static final String DEADLINE = ProxyRequest.DEADLINE_FIELD.toLowerCase(Locale.ROOT);
     // Fields of one connection or one hop; each attempt sets its own length and deadline.
     private static final Set<String> HOP_BY_HOP = Set.of(
             "te",
@@ -70,7 +70,7 @@
                     .scheme("https")
                     .authority(authority)
                     .path(request.uri());
-            request.fields().each((name, value) -> {
+            request.fields().forEach((name, value) -> {
                 String lower = name.toLowerCase(Locale.ROOT);
                 if (lower.equals("host")) {
                     headers.authority(value);
@@ -108,7 +108,7 @@
 
     /** As another protocol has them: the host first, and the pieces of a cookie as one (RFC 9114, section 4.2.1). */
     @Override
-    public void each(BiConsumer<String, String> consumer) {
+    public void forEach(BiConsumer<String, String> consumer) {
         CharSequence authority = headers.authority();
         if (authority != null) {
             consumer.accept("host", authority.toString());
--- a/src/main/java/loadbalancer/logging/AsyncLogWriter.java
+++ b/src/main/java/loadbalancer/logging/AsyncLogWriter.java
@@ -53,7 +53,7 @@
     }
 
     /** The next line to write; waits for one. Null where the writer is closed and all has been written. */
-    private synchronized String next() throws InterruptedException {
+    private synchronized String nextLine() throws InterruptedException {
         writing = false;
         notifyAll();
         while (queue.isEmpty() && dropped == 0) {
@@ -73,7 +73,7 @@
 
     private void writeLines() {
         try {
-            for (String line = next(); line != null; line = next()) {
+            for (String line = nextLine(); line != null; line = nextLine()) {
                 out.println(line);
             }
         } catch (InterruptedException e) {
@@ -85,13 +85,13 @@
      * Accepts no more lines, and waits until all accepted ones are written, or the time is over: nobody may be reading.
      * May be called more than once. An interrupt ends the wait and stays set.
      *
-     * @param millis max. time to wait
+     * @param timeoutMillis max. time to wait
      */
-    public synchronized void close(long millis) {
+    public synchronized void close(long timeoutMillis) {
         closed = true;
         notifyAll();
-        long deadlineNanos = System.nanoTime() + millis * TimeUnit.MILLISECONDS.toNanos(1);
-        long remainingMillis = millis;
+        long deadlineNanos = System.nanoTime() + timeoutMillis * TimeUnit.MILLISECONDS.toNanos(1);
+        long remainingMillis = timeoutMillis;
         try {
             while (isBusy() && remainingMillis > 0) {
                 wait(remainingMillis);
--- a/src/main/java/loadbalancer/logging/LogRateLimiter.java
+++ b/src/main/java/loadbalancer/logging/LogRateLimiter.java
@@ -21,7 +21,8 @@
      * @param cause null where there is none
      * @param nowNanos as {@link System#nanoTime} gives it
      */
-    synchronized String line(String level, String logger, String message, Throwable cause, long nowNanos) {
+    synchronized String formatUnlessSuppressed(
+            String level, String logger, String message, Throwable cause, long nowNanos) {
         Long lastNanos = lastNanosByLevel.get(level);
         if (lastNanos != null && nowNanos - lastNanos < INTERVAL_NANOS) {
             suppressed++;
--- a/src/main/java/loadbalancer/logging/NettyLogger.java
+++ b/src/main/java/loadbalancer/logging/NettyLogger.java
@@ -20,7 +20,8 @@
 
     private void write(String level, String message, Throwable cause) {
         String simpleName = name().substring(name().lastIndexOf('.') + 1);
-        String line = limiter.line(level, simpleName, String.valueOf(message), cause, System.nanoTime());
+        String line =
+                limiter.formatUnlessSuppressed(level, simpleName, String.valueOf(message), cause, System.nanoTime());
         if (line != null) {
             sink.accept(line);
         }
--- a/src/main/java/loadbalancer/proxy/AttemptExecutor.java
+++ b/src/main/java/loadbalancer/proxy/AttemptExecutor.java
@@ -6,7 +6,7 @@
 /**
  * Carries out the policy's attempts: starts them at the transport, gives them up, withdraws them, and reports
  * each one's outcome once. An attempt is begun by the transport only, behind the {@link SendGuard}, which asks
- * {@link AttemptTransport.Listener#awaitedUntil} here. On the event loop; times in µs.
+ * {@link AttemptTransport.Listener#awaitedUntilMicros} here. On the event loop; times in µs.
  */
 final class AttemptExecutor {
     /** Whom it notifies of outcomes. */
@@ -17,7 +17,7 @@
                 Policy.Outcome outcome,
                 UpstreamResponse response,
                 Policy.Load load,
-                long latency);
+                long latencyMicros);
     }
 
     private final Clock clock;
@@ -35,8 +35,8 @@
     }
 
     /** To be called before the first attempt. */
-    void attach(AttemptTransport to) {
-        transport = to;
+    void attach(AttemptTransport attemptTransport) {
+        transport = attemptTransport;
     }
 
     void setRequestLog(RequestLog log) {
@@ -46,27 +46,30 @@
     /**
      * Starts an attempt, or ends it as not sent where it is not allowed any more.
      *
-     * @param timeout how long its response is waited for; 0: as long as the client waits
-     * @param within from now on, it may begin for so long
+     * @param timeoutMicros how long its response is waited for; 0: as long as the client waits
+     * @param startWithinMicros from now on, it may begin for so long
      */
-    void send(PendingRequest pending, String server, long timeout, long within) {
+    void send(PendingRequest pending, String server, long timeoutMicros, long startWithinMicros) {
         long now = clock.now();
         ProxyAttempt attempt = pending.addAttempt(now);
-        long wait = deadlines.attemptTimeout(pending, timeout, now);
-        boolean allowed = wait > 0 && within > 0 && pending.allows(attempt);
+        long responseTimeoutMicros = deadlines.attemptTimeoutMicros(pending, timeoutMicros, now);
+        boolean mayStart = responseTimeoutMicros > 0 && startWithinMicros > 0 && pending.allows(attempt);
         requestLog.attempt(RequestLog.Event.ATTEMPT_STARTED, pending.clientId(), attempt.number(), server);
-        if (!allowed) {
+        if (!mayStart) {
             end(attempt, Policy.Outcome.NOT_SENT, null, null);
             return;
         }
-        attempt.setTimeout(wait);
+        attempt.setTimeoutMicros(responseTimeoutMicros);
         // It is not begun once nobody waits for it; the time of a long body begins when it has been received.
-        long beginWithin = pending.isReceivingBody() ? within : Math.min(within, wait);
-        long beginBefore = beginWithin < Long.MAX_VALUE - now ? now + beginWithin : Long.MAX_VALUE;
+        long effectiveStartWithinMicros =
+                pending.isReceivingBody() ? startWithinMicros : Math.min(startWithinMicros, responseTimeoutMicros);
+        long startDeadlineMicros =
+                effectiveStartWithinMicros < Long.MAX_VALUE - now ? now + effectiveStartWithinMicros : Long.MAX_VALUE;
         if (!pending.isReceivingBody()) {
             deadlines.arm(attempt);
         }
-        attempt.start(transport.send(server, pending.request(), wait, beginBefore, new TransportListener(attempt)));
+        attempt.start(transport.send(
+                server, pending.request(), responseTimeoutMicros, startDeadlineMicros, new TransportListener(attempt)));
     }
 
     /**
@@ -103,9 +106,9 @@
             return; // a second outcome is ignored: it may follow a time-out or a cancellation
         }
         attempt.end(outcome.neverRan());
-        long latency = clock.now() - attempt.startedAt();
+        long latencyMicros = clock.now() - attempt.startedAtMicros();
         requestLog.attempt(RequestLog.Event.ATTEMPT_ENDED, attempt.pending().clientId(), attempt.number(), outcome);
-        listener.attemptEnded(attempt, outcome, response, load, latency);
+        listener.attemptEnded(attempt, outcome, response, load, latencyMicros);
     }
 
     /** What the transport reports of an attempt, and asks before it begins it. */
@@ -124,31 +127,31 @@
         }
 
         @Override
-        public long awaitedUntil() {
-            long readAt = clock.now();
+        public long awaitedUntilMicros() {
+            long readAtMicros = clock.now();
             pending.response().readConnection();
             if (attempt.hasEnded()) {
-                return SendGuard.NOBODY;
+                return SendGuard.NOT_AWAITED;
             }
             if (pending.isClosed()) {
                 invariants.violated(Invariants.Violation.SEND_AFTER_END, pending.clientId());
-                return SendGuard.NOBODY;
+                return SendGuard.NOT_AWAITED;
             }
             if (pending.mayRunTwice(attempt)) {
                 invariants.violated(Invariants.Violation.SECOND_RUN, pending.clientId());
-                return SendGuard.NOBODY;
+                return SendGuard.NOT_AWAITED;
             }
             logWithElapsedTime(RequestLog.Event.ATTEMPT_SENT);
-            return SendGuard.awaitedUntil(readAt);
+            return SendGuard.awaitedUntilMicros(readAtMicros);
         }
 
         @Override
-        public void heldUp() {
+        public void sendDelayed() {
             logWithElapsedTime(RequestLog.Event.ATTEMPT_HELD_UP);
         }
 
         private void logWithElapsedTime(RequestLog.Event event) {
-            requestLog.attempt(event, pending.clientId(), attempt.number(), clock.now() - attempt.startedAt());
+            requestLog.attempt(event, pending.clientId(), attempt.number(), clock.now() - attempt.startedAtMicros());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/AttemptTransport.java
+++ b/src/main/java/loadbalancer/proxy/AttemptTransport.java
@@ -25,14 +25,14 @@
          * within a read of any connection.
          *
          * @return until when somebody certainly waits, in µs of the balancer's clock;
-         *     {@link SendGuard#NOBODY} where nobody does, and the attempt has been withdrawn by then
+         *     {@link SendGuard#NOT_AWAITED} where nobody does, and the attempt has been withdrawn by then
          */
-        default long awaitedUntil() {
+        default long awaitedUntilMicros() {
             return Long.MAX_VALUE;
         }
 
         /** Its first bytes have left, possibly after its permit had expired: the process was stalled meanwhile. */
-        default void heldUp() {}
+        default void sendDelayed() {}
     }
 
     /** An attempt that has been started. */
@@ -49,25 +49,30 @@
         boolean withdraw();
     }
 
-    /** The endpoint list has changed; {@code now} in µs of the balancer's clock. */
-    void updateEndpoints(EndpointUpdate update, long now);
+    /** The endpoint list has changed; {@code announcedAtMicros} in µs of the balancer's clock. */
+    void updateEndpoints(EndpointUpdate update, long announcedAtMicros);
 
     /**
      * Starts an attempt.
      *
      * @param server the upstream's name in the endpoint list
-     * @param wait how long its response is waited for, in µs
-     * @param before in µs of the balancer's clock: from then on it is not begun, and ends as NOT_SENT
+     * @param responseTimeoutMicros how long its response is waited for, in µs
+     * @param startDeadlineMicros in µs of the balancer's clock: from then on it is not begun, and ends as NOT_SENT
      */
-    Attempt send(String server, ProxyRequest request, long wait, long before, Listener listener);
+    Attempt send(
+            String server,
+            ProxyRequest request,
+            long responseTimeoutMicros,
+            long startDeadlineMicros,
+            Listener listener);
 
     /** Whether an attempt that starts now finds an established connection; true where that is not known. */
     default boolean isConnected(String server) {
         return true;
     }
 
-    /** Sends a health check to an upstream; {@code report}: asks for its load report as well. */
-    void probe(String server, boolean report, Listener listener);
+    /** Sends a health check to an upstream; {@code withLoadReport}: asks for its load report as well. */
+    void probe(String server, boolean withLoadReport, Listener listener);
 
     /** Closes the idle connections to an upstream. */
     void closeIdle(String server);
--- a/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
+++ b/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
@@ -7,7 +7,7 @@
  */
 public final class BodyMemoryBudget {
     /** Bytes of request bodies that a process holds at once, over all downstream protocols. */
-    public static final long CLIENTS = 6 << 20;
+    public static final long MAX_CLIENT_BODY_BYTES = 6 << 20;
 
     private final long maxBytes;
     private long reservedBytes;
--- a/src/main/java/loadbalancer/proxy/BodyStream.java
+++ b/src/main/java/loadbalancer/proxy/BodyStream.java
@@ -6,7 +6,7 @@
  */
 public interface BodyStream {
     /** Where the bytes go. Nothing follows {@link #onComplete} or {@link #onError}; one of them is called once. */
-    interface Taker {
+    interface Subscriber {
         /** The next bytes; the array belongs to the taker. */
         void onData(byte[] bytes);
 
@@ -18,10 +18,10 @@
     }
 
     /** Whether it has a taker: bytes that have been handed over are not kept, so there is no second one. */
-    boolean started();
+    boolean hasSubscriber();
 
     /** Begins to hand over; throws IllegalStateException where it has begun before. */
-    void subscribe(Taker taker);
+    void subscribe(Subscriber subscriber);
 
     /** Backpressure: while the taker is not ready reading stops; a few bytes may still follow. */
     void setReady(boolean ready);
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -48,16 +48,16 @@
     }
 
     /** Sets the transport of attempts and the source of endpoint lists; to be called before anything else. */
-    public void attach(AttemptTransport to, EndpointSource source) {
-        transport = to;
+    public void attach(AttemptTransport attemptTransport, EndpointSource source) {
+        transport = attemptTransport;
         endpointSource = source;
-        attempts.attach(to);
+        attempts.attach(attemptTransport);
     }
 
     /** From here on events of requests and attempts are logged there. */
-    public void setRequestLog(RequestLog events) {
-        requestLog = events;
-        attempts.setRequestLog(events);
+    public void setRequestLog(RequestLog newRequestLog) {
+        requestLog = newRequestLog;
+        attempts.setRequestLog(newRequestLog);
     }
 
     /** Where violated invariants are counted. */
@@ -81,18 +81,18 @@
     }
 
     @Override
-    public boolean mayHaveUnread() {
-        return stallMonitor.mayHaveUnread();
+    public boolean mayHaveUnreadUpdates() {
+        return stallMonitor.mayHaveUnreadUpdates();
     }
 
     @Override
-    public long graceHolds() {
-        return stallMonitor.graceHolds(boot.settings().bounds().drainGrace());
+    public long unreadDrainDeadlineMicros() {
+        return stallMonitor.unreadDrainDeadlineMicros(boot.settings().bounds().drainGrace());
     }
 
     @Override
-    public void afterUpdates(Runnable task) {
-        stallMonitor.afterUpdates(task);
+    public void runAfterUpdates(Runnable task) {
+        stallMonitor.runAfterUpdates(task);
     }
 
     /** Starts the heartbeat: from here on it is known at any time when the sockets were last polled. */
@@ -109,8 +109,8 @@
      */
     public Runnable dispatch(ProxyRequest received, ResponseWriter response) {
         String id = requests.nextId();
-        StreamedUpload upload = received.rest() == null ? null : new StreamedUpload(received.rest());
-        ProxyRequest request = upload == null ? received : received.withBodyStream(upload, received.length());
+        StreamedUpload upload = received.remainingBody() == null ? null : new StreamedUpload(received.remainingBody());
+        ProxyRequest request = upload == null ? received : received.withBodyStream(upload, received.contentLength());
         Policy.Settings settings = boot.settings();
         Policy.Effect effect = settings.classes().get(request.requestClass()).effect();
         PendingRequest pending =
@@ -119,9 +119,9 @@
         requests.add(pending);
         pending.setMetrics(metrics.received(request));
         deadlines.arm(pending);
-        requestLog.request(RequestLog.Event.REQUEST_TAKEN, request.id(), pending.deadline() - now());
+        requestLog.request(RequestLog.Event.REQUEST_TAKEN, request.id(), pending.deadlineMicros() - now());
         if (upload != null) {
-            deadlines.observe(upload, pending);
+            deadlines.trackUpload(upload, pending);
         }
         policyEvents.submit(now -> notifyPolicy(pending, now));
         return () -> clientDisconnected(pending);
@@ -139,8 +139,8 @@
                 request.requestClass(),
                 request.tenant(),
                 request.key(),
-                Math.max(0, pending.deadline() - now),
-                request.work(),
+                Math.max(0, pending.deadlineMicros() - now),
+                request.workMicros(),
                 request.resubmission(),
                 this);
     }
@@ -217,12 +217,12 @@
                 UpstreamResponse response,
                 Policy.Load load,
                 long latency) {
-            metrics.ended(outcome);
+            metrics.attemptEnded(outcome);
             PendingRequest pending = attempt.pending();
             if (outcome == Policy.Outcome.OK && !pending.isClosed()) {
                 serve(attempt, response);
-            } else if (response != null && response.rest() != null) {
-                response.rest().cancel(); // nobody waits for it any more
+            } else if (response != null && response.remainingBody() != null) {
+                response.remainingBody().cancel(); // nobody waits for it any more
             }
             // Whether the request is closed counts when the policy gets this, which may be later.
             policyEvents.submit(now -> policy.outcome(
@@ -237,7 +237,7 @@
         PendingRequest pending = attempt.pending();
         close(pending);
         requestLog.request(RequestLog.Event.RESPONSE_SERVED, pending.clientId(), attempt.number());
-        metrics.served(pending.metrics(), pending.request().timeLeft() - (pending.deadline() - now()));
+        metrics.served(pending.metrics(), pending.request().timeLeftMicros() - (pending.deadlineMicros() - now()));
         pending.response().serve(response);
     }
 
@@ -245,12 +245,12 @@
      * Other settings hold from here on, for the policy as well; open requests keep the limits that they were
      * accepted under. Classes and tenants of the same name are the same.
      */
-    public void reload(SettingsReader.Boot to) {
-        SettingsChange change = SettingsChange.between(boot, to);
-        boot = to;
-        metrics.reload(to.settings(), change.formerClasses(), change.formerTenants());
+    public void reload(SettingsReader.Boot newBoot) {
+        SettingsChange change = SettingsChange.between(boot, newBoot);
+        boot = newBoot;
+        metrics.reload(newBoot.settings(), change.formerClasses(), change.formerTenants());
         policyEvents.submit(
-                now -> policy.reload(now, to.settings(), change.formerClasses(), change.formerTenants(), this));
+                now -> policy.reload(now, newBoot.settings(), change.formerClasses(), change.formerTenants(), this));
     }
 
     /** The endpoint list, or what has changed of it; null: the fetch or the watch has failed. */
@@ -258,11 +258,11 @@
         updateEndpoints(kind, update, 0);
     }
 
-    /** The same, which may have counted as announced for {@code announcedFor} µs before it was received. */
-    public void updateEndpoints(Policy.ListKind kind, EndpointUpdate update, long announcedFor) {
+    /** The same, which may have counted as announced for {@code announcementAgeMicros} µs before it was received. */
+    public void updateEndpoints(Policy.ListKind kind, EndpointUpdate update, long announcementAgeMicros) {
         if (update != null) {
-            requestLog.process(RequestLog.Event.LIST_RECEIVED, update.rev());
-            transport.updateEndpoints(update, now() - stallMonitor.unreadFor() - announcedFor);
+            requestLog.process(RequestLog.Event.LIST_RECEIVED, update.version());
+            transport.updateEndpoints(update, now() - stallMonitor.maxUnreadMicros() - announcementAgeMicros);
         }
         policyEvents.submitEndpointUpdate(
                 now -> policy.updateEndpoints(now, kind, update == null ? List.of() : update.servers(), this));
@@ -270,19 +270,19 @@
 
     /**
      * Shutdown has begun. What is accepted from here on gets its response before the process may be killed:
-     * that is no sooner than the longest deadline and {@code slack} µs from now, whatever a client asks for.
+     * that is no sooner than the longest deadline and {@code slackMicros} µs from now, whatever a client asks for.
      */
-    public void beginShutdown(long slack) {
-        long longest = boot.settings().classes().stream()
+    public void beginShutdown(long slackMicros) {
+        long longestDeadlineMicros = boot.settings().classes().stream()
                 .mapToLong(Policy.RequestClass::deadline)
                 .max()
                 .getAsLong();
-        deadlines.limitTo(now() + longest + slack);
+        deadlines.limitDeadlines(now() + longestDeadlineMicros + slackMicros);
     }
 
     /** The policy is notified of nothing more, and so asks for nothing. */
-    public void retire() {
-        policyEvents.retire();
+    public void stopPolicyEvents() {
+        policyEvents.stop();
     }
 
     /** How many final responses are pending. */
@@ -305,15 +305,15 @@
     // ---------------------------------------------------------------- the policy's actions
 
     @Override
-    public void send(String request, String server, long timeout) {
-        send(request, server, timeout, Long.MAX_VALUE);
+    public void send(String request, String server, long timeoutMicros) {
+        send(request, server, timeoutMicros, Long.MAX_VALUE);
     }
 
     @Override
-    public void send(String request, String server, long timeout, long within) {
+    public void send(String request, String server, long timeoutMicros, long startWithinMicros) {
         PendingRequest pending = requests.find(request);
         if (pending != null) {
-            attempts.send(pending, server, timeout, within);
+            attempts.send(pending, server, timeoutMicros, startWithinMicros);
         }
     }
 
@@ -323,13 +323,13 @@
     }
 
     @Override
-    public void reject(String request, long retryAfter) {
+    public void reject(String request, long retryAfterMicros) {
         PendingRequest pending = requests.find(request);
         if (pending != null && !pending.isClosed()) {
             close(pending);
             metrics.rejected();
-            requestLog.request(RequestLog.Event.RESPONSE_REFUSED, pending.clientId(), retryAfter);
-            pending.response().reject(retryAfter);
+            requestLog.request(RequestLog.Event.RESPONSE_REFUSED, pending.clientId(), retryAfterMicros);
+            pending.response().reject(retryAfterMicros);
             releaseAttempts(pending);
         }
     }
@@ -356,18 +356,18 @@
 
     @Override
     public void probe(String server) {
-        long sentAt = now();
+        long sentAtMicros = now();
         boolean withLoadReport = boot.settings().reports() != Policy.Reports.NONE;
         transport.probe(
                 server,
                 withLoadReport,
                 (outcome, response, load) -> policyEvents.submit(
-                        now -> policy.probeCompleted(now, server, outcome, now - sentAt, load, this)));
+                        now -> policy.probeCompleted(now, server, outcome, now - sentAtMicros, load, this)));
     }
 
     @Override
-    public void watch(boolean on) {
-        endpointSource.watch(on);
+    public void watch(boolean enabled) {
+        endpointSource.watch(enabled);
     }
 
     @Override
@@ -387,8 +387,8 @@
     }
 
     @Override
-    public void wakeAfter(long delay) {
-        stallMonitor.schedule(delay, () -> policyEvents.submit(now -> policy.wake(now, this)));
+    public void wakeAfter(long delayMicros) {
+        stallMonitor.schedule(delayMicros, () -> policyEvents.submit(now -> policy.wake(now, this)));
     }
 
     @Override
--- a/src/main/java/loadbalancer/proxy/DrainGrace.java
+++ b/src/main/java/loadbalancer/proxy/DrainGrace.java
@@ -8,7 +8,7 @@
     /** The end of the grace of an upstream that is not draining. */
     public static final long NEVER = Long.MAX_VALUE;
     /** How long a drained upstream is kept after its grace, so that the table of upstreams stays bounded. */
-    public static final long FORGET = 60_000_000;
+    public static final long RETENTION_MICROS = 60_000_000;
 
     private static final long MARGIN_MICROS = 50_000; // the clock is not shared with the upstream
 
@@ -17,11 +17,14 @@
     /**
      * When the grace of a drain is over.
      *
-     * @param earlier the result of an earlier announcement, or {@link #NEVER}; a repeated one extends nothing
-     * @param now when the drain was announced
-     * @param grace as the settings have it
+     * @param earlierDeadlineMicros the result of an earlier announcement, or {@link #NEVER}; a repeated one
+     *     extends nothing
+     * @param announcedAtMicros when the drain was announced
+     * @param graceMicros as the settings have it
      */
-    public static long stopAt(long earlier, long now, long grace) {
-        return Math.min(earlier, now + Math.max(0, grace - Math.min(MARGIN_MICROS, grace / 2)));
+    public static long drainDeadlineMicros(long earlierDeadlineMicros, long announcedAtMicros, long graceMicros) {
+        return Math.min(
+                earlierDeadlineMicros,
+                announcedAtMicros + Math.max(0, graceMicros - Math.min(MARGIN_MICROS, graceMicros / 2)));
     }
 }
--- a/src/main/java/loadbalancer/proxy/EndpointUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointUpdate.java
@@ -7,27 +7,27 @@
 /**
  * An update of the endpoint list.
  *
- * @param rev the version by its source
- * @param all whether {@code list} is complete, or holds only what has changed
- * @param list the upstreams
+ * @param version the version by its source
+ * @param complete whether {@code endpoints} is complete, or holds only what has changed
+ * @param endpoints the upstreams
  */
-public record EndpointUpdate(long rev, boolean all, List<Endpoint> list) {
+public record EndpointUpdate(long version, boolean complete, List<Endpoint> endpoints) {
     /**
      * One upstream.
      *
      * @param server as the policy knows it
-     * @param endpoint where this balancer reaches it
-     * @param http3 where it serves HTTP/3, or null
+     * @param address where this balancer reaches it
+     * @param http3Address where it serves HTTP/3, or null
      */
-    public record Endpoint(Policy.Server server, InetSocketAddress endpoint, InetSocketAddress http3) {
+    public record Endpoint(Policy.Server server, InetSocketAddress address, InetSocketAddress http3Address) {
         /** One that serves HTTP/1.1 only. */
-        public Endpoint(Policy.Server server, InetSocketAddress endpoint) {
-            this(server, endpoint, null);
+        public Endpoint(Policy.Server server, InetSocketAddress address) {
+            this(server, address, null);
         }
     }
 
     /** The upstreams as the policy knows them. */
     public List<Policy.Server> servers() {
-        return list.stream().map(Endpoint::server).toList();
+        return endpoints.stream().map(Endpoint::server).toList();
     }
 }
--- a/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallDetector.java
@@ -19,51 +19,53 @@
 
     private static final long NEVER_POLLED = Long.MAX_VALUE;
 
-    private final PriorityQueue<Long> expectedTimers = new PriorityQueue<>();
-    private long reportedAt = Long.MIN_VALUE / 2;
-    private long lastPollBegan = NEVER_POLLED;
+    private final PriorityQueue<Long> expectedTimersMicros = new PriorityQueue<>();
+    private long reportedAtMicros = Long.MIN_VALUE / 2;
+    private long lastPollStartMicros = NEVER_POLLED;
 
     /** A timer is due at that time. */
-    void timerExpected(long dueAt) {
-        expectedTimers.add(dueAt);
+    void timerExpected(long dueAtMicros) {
+        expectedTimersMicros.add(dueAtMicros);
     }
 
     /** A timer that was due at that time has fired. */
-    void timerFired(long dueAt) {
-        expectedTimers.remove(dueAt);
+    void timerFired(long dueAtMicros) {
+        expectedTimersMicros.remove(dueAtMicros);
     }
 
     /** For how long what is read now may have lain unread. */
-    long unreadFor(long now) {
-        return expectedTimers.isEmpty() ? 0 : Math.max(0, now - expectedTimers.peek());
+    long maxUnreadMicros(long now) {
+        return expectedTimersMicros.isEmpty() ? 0 : Math.max(0, now - expectedTimersMicros.peek());
     }
 
     /** Whether an update of the endpoint list may lie unread behind what is read now. */
-    boolean mayHideUpdates(long now) {
-        return unreadFor(now) > STALE_LIST_MICROS;
+    boolean mayHaveUnreadUpdates(long now) {
+        return maxUnreadMicros(now) > STALE_LIST_MICROS;
     }
 
-    /** All sockets have been polled since {@code began}. */
-    void socketsPolled(long began) {
-        lastPollBegan = lastPollBegan == NEVER_POLLED ? began : Math.max(lastPollBegan, began);
+    /** All sockets have been polled since {@code pollStartMicros}. */
+    void socketsPolled(long pollStartMicros) {
+        lastPollStartMicros =
+                lastPollStartMicros == NEVER_POLLED ? pollStartMicros : Math.max(lastPollStartMicros, pollStartMicros);
     }
 
     /**
      * Until when the grace of a drain that has not been read can't be over: the drain may have been announced
      * right behind the begin of the last poll.
      */
-    long graceHolds(long grace) {
-        return lastPollBegan == NEVER_POLLED
+    long unreadDrainDeadlineMicros(long graceMicros) {
+        return lastPollStartMicros == NEVER_POLLED
                 ? NEVER_POLLED
                 : Math.max(
-                        lastPollBegan + STALE_LIST_MICROS, DrainGrace.stopAt(DrainGrace.NEVER, lastPollBegan, grace));
+                        lastPollStartMicros + STALE_LIST_MICROS,
+                        DrainGrace.drainDeadlineMicros(DrainGrace.NEVER, lastPollStartMicros, graceMicros));
     }
 
     /** Whether a heartbeat that late is to be logged; not each time while stalls go on. */
-    boolean shouldReport(long lateness, long now) {
-        boolean report = lateness > REPORT_MIN_MICROS && now - reportedAt >= REPORT_INTERVAL_MICROS;
+    boolean shouldReport(long latenessMicros, long now) {
+        boolean report = latenessMicros > REPORT_MIN_MICROS && now - reportedAtMicros >= REPORT_INTERVAL_MICROS;
         if (report) {
-            reportedAt = now;
+            reportedAtMicros = now;
         }
         return report;
     }
--- a/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
@@ -19,42 +19,42 @@
         this.log = log;
     }
 
-    /** As {@link PendingUpdates#mayHaveUnread} says. */
-    boolean mayHaveUnread() {
-        return detector.mayHideUpdates(clock.now());
+    /** As {@link PendingUpdates#mayHaveUnreadUpdates} says. */
+    boolean mayHaveUnreadUpdates() {
+        return detector.mayHaveUnreadUpdates(clock.now());
     }
 
-    /** As {@link PendingUpdates#graceHolds} says, for a drain's grace as the settings have it. */
-    long graceHolds(long drainGrace) {
-        return detector.graceHolds(drainGrace);
+    /** As {@link PendingUpdates#unreadDrainDeadlineMicros} says, for a drain's grace as the settings have it. */
+    long unreadDrainDeadlineMicros(long drainGraceMicros) {
+        return detector.unreadDrainDeadlineMicros(drainGraceMicros);
     }
 
     /** For how long what is read now may have lain unread. */
-    long unreadFor() {
-        return detector.unreadFor(clock.now());
+    long maxUnreadMicros() {
+        return detector.maxUnreadMicros(clock.now());
     }
 
-    /** As {@link PendingUpdates#afterUpdates} says. */
-    void afterUpdates(Runnable task) {
-        if (!mayHaveUnread()) {
+    /** As {@link PendingUpdates#runAfterUpdates} says. */
+    void runAfterUpdates(Runnable task) {
+        if (!mayHaveUnreadUpdates()) {
             task.run();
             return;
         }
         scheduler.execute(() -> {
-            long pollBegan = clock.now();
+            long pollStartMicros = clock.now();
             scheduler.schedule(0, () -> {
-                detector.socketsPolled(pollBegan);
+                detector.socketsPolled(pollStartMicros);
                 task.run();
             });
         });
     }
 
-    /** Runs a task after {@code delay}; how late it runs tells of stalls too. */
-    void schedule(long delay, Runnable task) {
-        long dueAt = clock.now() + delay;
-        detector.timerExpected(dueAt);
-        scheduler.schedule(delay, () -> {
-            detector.timerFired(dueAt);
+    /** Runs a task after {@code delayMicros}; how late it runs tells of stalls too. */
+    void schedule(long delayMicros, Runnable task) {
+        long dueAtMicros = clock.now() + delayMicros;
+        detector.timerExpected(dueAtMicros);
+        scheduler.schedule(delayMicros, () -> {
+            detector.timerFired(dueAtMicros);
             task.run();
         });
     }
@@ -66,30 +66,30 @@
         scheduleHeartbeat(now);
     }
 
-    private void scheduleHeartbeat(long from) {
-        long dueAt = from + EventLoopStallDetector.HEARTBEAT_MICROS;
-        detector.timerExpected(dueAt);
-        scheduler.schedule(Math.max(0, dueAt - clock.now()), () -> {
-            detector.socketsPolled(from);
-            heartbeat(dueAt, false);
+    private void scheduleHeartbeat(long pollStartMicros) {
+        long dueAtMicros = pollStartMicros + EventLoopStallDetector.HEARTBEAT_MICROS;
+        detector.timerExpected(dueAtMicros);
+        scheduler.schedule(Math.max(0, dueAtMicros - clock.now()), () -> {
+            detector.socketsPolled(pollStartMicros);
+            heartbeat(dueAtMicros, false);
         });
     }
 
     // The next heartbeat counts from the time read here: a stall right behind that read makes it late. A stall
     // between the poll of the sockets and here has hidden what arrived meanwhile, so they are polled once more.
-    private void heartbeat(long dueAt, boolean repolled) {
+    private void heartbeat(long dueAtMicros, boolean repolled) {
         long now = clock.now();
-        if (detector.mayHideUpdates(now) && !repolled) {
+        if (detector.mayHaveUnreadUpdates(now) && !repolled) {
             scheduler.schedule(0, () -> {
                 detector.socketsPolled(now);
-                heartbeat(dueAt, true);
+                heartbeat(dueAtMicros, true);
             });
             return;
         }
         try {
-            detector.timerFired(dueAt);
-            if (detector.shouldReport(now - dueAt, now)) {
-                log.accept("event=event_loop_stalled duration_ms=" + (now - dueAt) / 1000);
+            detector.timerFired(dueAtMicros);
+            if (detector.shouldReport(now - dueAtMicros, now)) {
+                log.accept("event=event_loop_stalled duration_ms=" + (now - dueAtMicros) / 1000);
             }
         } finally {
             scheduleHeartbeat(now);
--- a/src/main/java/loadbalancer/proxy/HeaderFields.java
+++ b/src/main/java/loadbalancer/proxy/HeaderFields.java
@@ -23,7 +23,7 @@
         }
 
         @Override
-        public void each(BiConsumer<String, String> action) {}
+        public void forEach(BiConsumer<String, String> action) {}
     };
 
     /** The first value of a field; null where there is none. */
@@ -33,10 +33,10 @@
     List<String> all(String name);
 
     /** Whether there is more than one line of a field. */
-    default boolean several(String name) {
+    default boolean hasMultiple(String name) {
         return all(name).size() > 1;
     }
 
     /** Calls {@code action} with every name and value, in their order. */
-    void each(BiConsumer<String, String> action);
+    void forEach(BiConsumer<String, String> action);
 }
--- a/src/main/java/loadbalancer/proxy/PendingRequest.java
+++ b/src/main/java/loadbalancer/proxy/PendingRequest.java
@@ -41,7 +41,7 @@
     private RequestMetrics.Entry metrics;
 
     // Kept by RequestDeadlines.
-    private long deadline;
+    private long deadlineMicros;
     private Scheduler.Timer deadlineTimer;
     private Scheduler.Timer uploadStallTimer;
 
@@ -63,7 +63,7 @@
         this.maxAttempts = maxAttempts;
         this.effect = effect;
         this.invariants = invariants;
-        this.bodyState = request.rest() == null ? BodyState.COMPLETE : BodyState.RECEIVING;
+        this.bodyState = request.remainingBody() == null ? BodyState.COMPLETE : BodyState.RECEIVING;
     }
 
     // ---------------------------------------------------------------- transitions
@@ -100,8 +100,8 @@
     }
 
     /** Adds an attempt that starts at {@code now}. */
-    ProxyAttempt addAttempt(long now) {
-        ProxyAttempt attempt = new ProxyAttempt(this, attempts.size(), now, invariants);
+    ProxyAttempt addAttempt(long startedAtMicros) {
+        ProxyAttempt attempt = new ProxyAttempt(this, attempts.size(), startedAtMicros, invariants);
         attempts.add(attempt);
         attemptsInFlight++;
         return attempt;
@@ -144,7 +144,7 @@
     boolean allows(ProxyAttempt attempt) {
         return !isClosed()
                 && attempt.number() < maxAttempts
-                && (request.rest() == null || !request.rest().started());
+                && (request.remainingBody() == null || !request.remainingBody().hasSubscriber());
     }
 
     /** The balancer's own name for it, which the policy uses. */
@@ -189,12 +189,12 @@
     // ---------------------------------------------------------------- deadline and timers
 
     /** When its client stops waiting, by the balancer's clock. */
-    long deadline() {
-        return deadline;
+    long deadlineMicros() {
+        return deadlineMicros;
     }
 
-    void setDeadline(long at) {
-        deadline = at;
+    void setDeadlineMicros(long newDeadlineMicros) {
+        deadlineMicros = newDeadlineMicros;
     }
 
     /** Keeps the timer of its deadline, in place of an earlier one that has fired or been cancelled. */
--- a/src/main/java/loadbalancer/proxy/PendingUpdates.java
+++ b/src/main/java/loadbalancer/proxy/PendingUpdates.java
@@ -8,34 +8,34 @@
     /** For an event loop that receives no endpoint list. */
     PendingUpdates NONE = new PendingUpdates() {
         @Override
-        public boolean mayHaveUnread() {
+        public boolean mayHaveUnreadUpdates() {
             return false;
         }
 
         @Override
-        public long graceHolds() {
+        public long unreadDrainDeadlineMicros() {
             return Long.MAX_VALUE;
         }
 
         @Override
-        public void afterUpdates(Runnable task) {
+        public void runAfterUpdates(Runnable task) {
             task.run();
         }
     };
 
     /** Whether the event loop was stalled, and has not polled its sockets since. */
-    boolean mayHaveUnread();
+    boolean mayHaveUnreadUpdates();
 
     /**
      * Until when an attempt may leave, in µs of the balancer's clock (rule 3): from then on the grace of a
      * drain whose announcement lies unread may be over.
      */
-    long graceHolds();
+    long unreadDrainDeadlineMicros();
 
     /**
      * Runs {@code task} once updates of the endpoint list that may lie unread have been read: at once where the
      * event loop keeps up, otherwise after a complete poll of its sockets. The poll that is under way may have
      * begun before the stall, and miss sockets that became ready since.
      */
-    void afterUpdates(Runnable task);
+    void runAfterUpdates(Runnable task);
 }
--- a/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
@@ -26,7 +26,7 @@
         /** Hands events over. */
         DRAINING,
         /** Drops all events. */
-        RETIRED
+        STOPPED
     }
 
     PolicyEventQueue(EventLoopStallMonitor stallMonitor, Clock clock, Consumer<String> log) {
@@ -46,13 +46,13 @@
     }
 
     private void submit(ArrayDeque<LongConsumer> queue, LongConsumer event) {
-        if (state == State.RETIRED) {
+        if (state == State.STOPPED) {
             return;
         }
         queue.add(event);
         if (state == State.IDLE) {
             state = State.SCHEDULED;
-            stallMonitor.afterUpdates(this::drain);
+            stallMonitor.runAfterUpdates(this::drain);
         }
     }
 
@@ -88,8 +88,8 @@
     }
 
     /** Drops all events from here on, and those that wait. */
-    void retire() {
-        state = State.RETIRED;
+    void stop() {
+        state = State.STOPPED;
         endpointUpdates.clear();
         events.clear();
     }
--- a/src/main/java/loadbalancer/proxy/ProxyAttempt.java
+++ b/src/main/java/loadbalancer/proxy/ProxyAttempt.java
@@ -22,14 +22,14 @@
     private final Invariants invariants;
     private State state = State.CREATED;
     private AttemptTransport.Attempt transportAttempt;
-    private long startedAt;
-    private long timeout;
+    private long startedAtMicros;
+    private long timeoutMicros;
     private Scheduler.Timer timeoutTimer;
 
-    ProxyAttempt(PendingRequest pending, int number, long startedAt, Invariants invariants) {
+    ProxyAttempt(PendingRequest pending, int number, long startedAtMicros, Invariants invariants) {
         this.pending = pending;
         this.number = number;
-        this.startedAt = startedAt;
+        this.startedAtMicros = startedAtMicros;
         this.invariants = invariants;
     }
 
@@ -65,7 +65,7 @@
 
     /** Its latency counts from {@code now}: the last byte of the request has been received. */
     void restartLatency(long now) {
-        startedAt = now;
+        startedAtMicros = now;
     }
 
     // ---------------------------------------------------------------- actions on the transport
@@ -102,17 +102,17 @@
     }
 
     /** From when its latency counts. */
-    long startedAt() {
-        return startedAt;
+    long startedAtMicros() {
+        return startedAtMicros;
     }
 
     /** How long its response is waited for. */
-    long timeout() {
-        return timeout;
+    long timeoutMicros() {
+        return timeoutMicros;
     }
 
-    void setTimeout(long micros) {
-        timeout = micros;
+    void setTimeoutMicros(long newTimeoutMicros) {
+        timeoutMicros = newTimeoutMicros;
     }
 
     void setTimeoutTimer(Scheduler.Timer timer) {
--- a/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -12,12 +12,12 @@
  * @param requestClass the number of its class in the settings
  * @param tenant the number of its tenant in the settings; 0 where they name none
  * @param key the key for server affinity, or null
- * @param timeLeft how long the client waits, in µs
- * @param work the client's estimate of the work, in µs; -1 where it gives none
+ * @param timeLeftMicros how long the client waits, in µs
+ * @param workMicros the client's estimate of the work, in µs; -1 where it gives none
  * @param resubmission whether the client has sent it before
- * @param rest the bytes that follow {@code body} where the request is long; null where there are none
- * @param length bytes of {@code body} and {@code rest} together; -1 if unknown
- * @param passes whether its downstream forwards long responses while they are received
+ * @param remainingBody the bytes that follow {@code body} where the request is long; null where there are none
+ * @param contentLength bytes of {@code body} and {@code remainingBody} together; -1 if unknown
+ * @param acceptsStreamedResponse whether its downstream forwards long responses while they are received
  */
 @SuppressWarnings("ArrayRecordComponent") // bodies are shared, not copied, and never changed
 public record ProxyRequest(
@@ -29,12 +29,12 @@
         int requestClass,
         int tenant,
         String key,
-        long timeLeft,
-        long work,
+        long timeLeftMicros,
+        long workMicros,
         boolean resubmission,
-        BodyStream rest,
-        long length,
-        boolean passes) {
+        BodyStream remainingBody,
+        long contentLength,
+        boolean acceptsStreamedResponse) {
     /** One whose body is complete, and whose response has to be too. */
     public ProxyRequest(
             String id,
@@ -45,8 +45,8 @@
             int requestClass,
             int tenant,
             String key,
-            long timeLeft,
-            long work,
+            long timeLeftMicros,
+            long workMicros,
             boolean resubmission) {
         this(
                 id,
@@ -57,8 +57,8 @@
                 requestClass,
                 tenant,
                 key,
-                timeLeft,
-                work,
+                timeLeftMicros,
+                workMicros,
                 resubmission,
                 null,
                 body.length,
@@ -66,11 +66,11 @@
     }
 
     /** Bytes of the longest body, of a request or a response, that is buffered; longer ones are streamed. */
-    public static final int BODY_MOST = 64 * 1024;
+    public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
     /** Bytes of the longest body that is streamed. */
-    public static final long LENGTH_MOST = 48L << 20;
+    public static final long MAX_STREAMED_BODY_BYTES = 48L << 20;
     /** The header field that says how long the sender waits for a response, in ms. */
-    public static final String DEADLINE = "Req-Deadline-Ms";
+    public static final String DEADLINE_FIELD = "Req-Deadline-Ms";
 
     /** The same request for another path. */
     public ProxyRequest withUri(String newUri) {
@@ -83,16 +83,16 @@
                 requestClass,
                 tenant,
                 key,
-                timeLeft,
-                work,
+                timeLeftMicros,
+                workMicros,
                 resubmission,
-                rest,
-                length,
-                passes);
+                remainingBody,
+                contentLength,
+                acceptsStreamedResponse);
     }
 
     /** The same request with the rest of its body, or null, from a downstream that streams long responses. */
-    public ProxyRequest withBodyStream(BodyStream newRest, long newLength) {
+    public ProxyRequest withBodyStream(BodyStream newRemainingBody, long newContentLength) {
         return new ProxyRequest(
                 id,
                 method,
@@ -102,11 +102,11 @@
                 requestClass,
                 tenant,
                 key,
-                timeLeft,
-                work,
+                timeLeftMicros,
+                workMicros,
                 resubmission,
-                newRest,
-                newLength,
+                newRemainingBody,
+                newContentLength,
                 true);
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestDeadlines.java
+++ b/src/main/java/loadbalancer/proxy/RequestDeadlines.java
@@ -28,7 +28,7 @@
     private final Clock clock;
     private final EventLoopStallMonitor stallMonitor;
     private final Listener listener;
-    private long lastResponseAt = Long.MAX_VALUE; // during shutdown, no response may be later
+    private long latestDeadlineMicros = Long.MAX_VALUE; // during shutdown, no response may be later
 
     RequestDeadlines(Scheduler scheduler, Clock clock, EventLoopStallMonitor stallMonitor, Listener listener) {
         this.scheduler = scheduler;
@@ -37,30 +37,31 @@
         this.listener = listener;
     }
 
-    /** From here on no request gets a deadline behind {@code at}; the earliest such time holds. */
-    void limitTo(long at) {
-        lastResponseAt = Math.min(lastResponseAt, at);
+    /** From here on no request gets a deadline behind {@code latestMicros}; the earliest such time holds. */
+    void limitDeadlines(long latestMicros) {
+        latestDeadlineMicros = Math.min(latestDeadlineMicros, latestMicros);
     }
 
     /** Sets the deadline of a request, which counts from when it may have become readable. */
     void assign(PendingRequest pending) {
-        long timeLeft = pending.request().timeLeft();
-        pending.setDeadline(Math.min(clock.now() + timeLeft - stallMonitor.unreadFor(), lastResponseAt));
+        long timeLeftMicros = pending.request().timeLeftMicros();
+        pending.setDeadlineMicros(
+                Math.min(clock.now() + timeLeftMicros - stallMonitor.maxUnreadMicros(), latestDeadlineMicros));
     }
 
     /** Starts the timer of a request's deadline. */
     void arm(PendingRequest pending) {
-        arm(pending, pending.deadline() - clock.now());
+        arm(pending, pending.deadlineMicros() - clock.now());
     }
 
-    private void arm(PendingRequest pending, long timeLeft) {
-        long delay = Math.max(0, timeLeft - LAST_RESORT_LEAD_MICROS);
-        pending.setDeadlineTimer(scheduler.schedule(delay, () -> expire(pending)));
+    private void arm(PendingRequest pending, long timeLeftMicros) {
+        long delayMicros = Math.max(0, timeLeftMicros - LAST_RESORT_LEAD_MICROS);
+        pending.setDeadlineTimer(scheduler.schedule(delayMicros, () -> expire(pending)));
     }
 
     private void expire(PendingRequest pending) {
         if (pending.isReceivingBody() && pending.attemptsInFlight() > 0) {
-            arm(pending, pending.request().timeLeft()); // being forwarded: its time has not begun
+            arm(pending, pending.request().timeLeftMicros()); // being forwarded: its time has not begun
         } else {
             listener.deadlineReached(pending);
         }
@@ -72,20 +73,23 @@
         pending.cancelUploadStallTimer();
     }
 
-    /** How long an attempt that starts at {@code now} is waited for; {@code timeout}: the policy's, 0 for none. */
-    long attemptTimeout(PendingRequest pending, long timeout, long now) {
-        long timeLeft = pending.isReceivingBody() ? pending.request().timeLeft() : pending.deadline() - now;
-        long latest = timeLeft - LAST_RESORT_LEAD_MICROS - LAST_ATTEMPT_LEAD_MICROS;
-        return timeout == 0 ? latest : Math.min(timeout, latest);
+    /**
+     * How long an attempt that starts at {@code now} is waited for; {@code timeoutMicros}: the policy's, 0 for none.
+     */
+    long attemptTimeoutMicros(PendingRequest pending, long timeoutMicros, long now) {
+        long timeLeftMicros =
+                pending.isReceivingBody() ? pending.request().timeLeftMicros() : pending.deadlineMicros() - now;
+        long maxTimeoutMicros = timeLeftMicros - LAST_RESORT_LEAD_MICROS - LAST_ATTEMPT_LEAD_MICROS;
+        return timeoutMicros == 0 ? maxTimeoutMicros : Math.min(timeoutMicros, maxTimeoutMicros);
     }
 
     /** Starts the timer of an attempt's time-out. */
     void arm(ProxyAttempt attempt) {
-        attempt.setTimeoutTimer(scheduler.schedule(attempt.timeout(), () -> listener.attemptTimedOut(attempt)));
+        attempt.setTimeoutTimer(scheduler.schedule(attempt.timeoutMicros(), () -> listener.attemptTimedOut(attempt)));
     }
 
     /** Notifies of what happens to a request's streamed body from here on. */
-    void observe(StreamedUpload upload, PendingRequest pending) {
+    void trackUpload(StreamedUpload upload, PendingRequest pending) {
         upload.setListener(new StreamedUpload.Listener() {
             @Override
             public void uploadComplete() {
--- a/src/main/java/loadbalancer/proxy/RequestMetrics.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -75,10 +75,10 @@
      * @param ofClass the counts of its class
      * @param ofTenant the counts of its tenant
      * @param worth what it earns in time
-     * @param latencyObjective in µs
+     * @param latencyObjectiveMicros in µs
      * @param lateShare the share of {@code worth} that a late response earns
      */
-    public record Entry(Counts ofClass, Counts ofTenant, double worth, long latencyObjective, double lateShare) {}
+    public record Entry(Counts ofClass, Counts ofTenant, double worth, long latencyObjectiveMicros, double lateShare) {}
 
     /**
      * Other settings hold from here on; known classes and tenants keep their counts under their new numbers.
@@ -86,10 +86,10 @@
      * @param formerClasses for each class its number before, -1 where it is new
      * @param formerTenants for each tenant its number before, -1 where it is new
      */
-    public void reload(Policy.Settings to, List<Integer> formerClasses, List<Integer> formerTenants) {
-        settings = to;
+    public void reload(Policy.Settings newSettings, List<Integer> formerClasses, List<Integer> formerTenants) {
+        settings = newSettings;
         byClass = renumbered(byClass, formerClasses);
-        byTenant = to.tenants().isEmpty() ? zeros(1) : renumbered(byTenant, formerTenants);
+        byTenant = newSettings.tenants().isEmpty() ? zeros(1) : renumbered(byTenant, formerTenants);
     }
 
     private static Counts[] renumbered(Counts[] before, List<Integer> formerNumbers) {
@@ -101,12 +101,12 @@
     /** Counts an accepted request. */
     public Entry received(ProxyRequest request) {
         Policy.RequestClass requestClass = settings.classes().get(request.requestClass());
-        long stretch = request.work() > 0 ? (long) (requestClass.aimStretch() * request.work()) : 0;
+        long stretchMicros = request.workMicros() > 0 ? (long) (requestClass.aimStretch() * request.workMicros()) : 0;
         Entry entry = new Entry(
                 byClass[request.requestClass()],
                 byTenant[request.tenant()],
                 worth(request),
-                requestClass.aim() + stretch,
+                requestClass.aim() + stretchMicros,
                 requestClass.lateShare());
         received(all, entry.worth());
         received(entry.ofClass(), entry.worth());
@@ -119,9 +119,9 @@
         counts.offeredWorth += worth;
     }
 
-    /** Counts a served request; {@code latency}: in µs since it was accepted. */
-    public void served(Entry entry, long latency) {
-        boolean inTime = latency <= entry.latencyObjective();
+    /** Counts a served request; {@code latencyMicros}: in µs since it was accepted. */
+    public void served(Entry entry, long latencyMicros) {
+        boolean inTime = latencyMicros <= entry.latencyObjectiveMicros();
         double earned = entry.worth() * (inTime ? 1 : entry.lateShare());
         served(all, inTime, earned);
         served(entry.ofClass(), inTime, earned);
@@ -153,14 +153,14 @@
     }
 
     /** Counts an attempt by its outcome. */
-    public void ended(Policy.Outcome outcome) {
+    public void attemptEnded(Policy.Outcome outcome) {
         Long count = attemptsByOutcome.get(outcome);
         attemptsByOutcome.put(outcome, count == null ? 1 : count + 1);
     }
 
     private double worth(ProxyRequest request) {
         double worth = settings.classes().get(request.requestClass()).worth();
-        return settings.worthByWork() && request.work() > 0 ? worth * request.work() : worth;
+        return settings.worthByWork() && request.workMicros() > 0 ? worth * request.workMicros() : worth;
     }
 
     /** The counts in total. */
--- a/src/main/java/loadbalancer/proxy/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -10,7 +10,7 @@
     private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is held no longer than that
     private static final long MAX_COST_MICROS = 600_000_000; // a longer estimate is ignored
     private static final List<String> SINGLE_FIELDS = List.of(
-            "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
+            "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE_FIELD, "Req-Cost", "Req-Retry", "Idempotency-Key");
 
     private RequestValidator() {}
 
@@ -24,7 +24,7 @@
     public static ProxyRequest validate(
             String method, String uri, HeaderFields fields, byte[] body, SettingsReader.Boot boot) {
         for (String name : SINGLE_FIELDS) {
-            if (fields.several(name)) {
+            if (fields.hasMultiple(name)) {
                 throw new IllegalArgumentException("more than one " + name);
             }
         }
@@ -33,9 +33,9 @@
             throw new IllegalArgumentException("no or bad Req-Id");
         }
         int requestClass = requestClass(method, fields, boot);
-        long timeLeftMillis = number(fields.get(ProxyRequest.DEADLINE), -1);
+        long timeLeftMillis = number(fields.get(ProxyRequest.DEADLINE_FIELD), -1);
         if (timeLeftMillis <= 0 || timeLeftMillis > MAX_DEADLINE_MILLIS) {
-            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE);
+            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE_FIELD);
         }
         if (!uri.startsWith("/")) {
             throw new IllegalArgumentException("not a path");
@@ -43,7 +43,7 @@
         String path = uri.split("[?#]", 2)[0];
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = Math.max(0, boot.tenants().indexOf(text(fields, "Req-Owner")));
-        long cost = number(fields.get("Req-Cost"), -1);
+        long costMicros = number(fields.get("Req-Cost"), -1);
         return new ProxyRequest(
                 id,
                 method,
@@ -54,7 +54,7 @@
                 tenant,
                 key.isEmpty() ? null : key,
                 timeLeftMillis * 1000,
-                cost > MAX_COST_MICROS ? -1 : cost,
+                costMicros > MAX_COST_MICROS ? -1 : costMicros,
                 "1".equals(fields.get("Req-Retry")));
     }
 
--- a/src/main/java/loadbalancer/proxy/ResponseWriter.java
+++ b/src/main/java/loadbalancer/proxy/ResponseWriter.java
@@ -9,8 +9,8 @@
     /** Forwards an upstream's response. */
     void serve(UpstreamResponse response);
 
-    /** Rejects the request: a retry is harmless; {@code retryAfter} in µs, 0 where none is advised. */
-    void reject(long retryAfter);
+    /** Rejects the request: a retry is harmless; {@code retryAfterMicros} in µs, 0 where none is advised. */
+    void reject(long retryAfterMicros);
 
     /** Fails the request: whether a server has run it is not known. */
     void fail();
--- a/src/main/java/loadbalancer/proxy/Scheduler.java
+++ b/src/main/java/loadbalancer/proxy/Scheduler.java
@@ -11,6 +11,6 @@
     /** Runs {@code task} on the event loop, never from within this call. May be called from any thread. */
     void execute(Runnable task);
 
-    /** Runs {@code task} on the event loop once, after {@code delay} µs. */
-    Timer schedule(long delay, Runnable task);
+    /** Runs {@code task} on the event loop once, after {@code delayMicros} µs. */
+    Timer schedule(long delayMicros, Runnable task);
 }
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -10,36 +10,46 @@
  */
 public final class SendGuard {
     /** How long after a client's close its request may still be forwarded (the operators' rule). */
-    public static final long CLOSE_GRACE = 100_000;
+    public static final long CLOSE_GRACE_MICROS = 100_000;
     /** By how much a permit is shorter than that: the write takes time, and the clock is not shared. */
-    static final long MARGIN = 50_000;
+    static final long PERMIT_MARGIN_MICROS = 50_000;
     /** In place of a time: nobody waits for the attempt any more. */
-    public static final long NOBODY = Long.MIN_VALUE;
+    public static final long NOT_AWAITED = Long.MIN_VALUE;
 
     private SendGuard() {}
 
-    /** Until when an attempt may begin whose client's connection was read completely at {@code readAt}. */
-    static long awaitedUntil(long readAt) {
-        return readAt + CLOSE_GRACE - MARGIN;
+    /** Until when an attempt may begin whose client's connection was read completely at {@code readAtMicros}. */
+    static long awaitedUntilMicros(long readAtMicros) {
+        return readAtMicros + CLOSE_GRACE_MICROS - PERMIT_MARGIN_MICROS;
     }
 
     /**
      * Decides whether an attempt may begin.
      *
-     * @param awaitedUntil as {@link AttemptTransport.Listener#awaitedUntil} says
-     * @param before from then on it may not run any more, or its response would be too late
-     * @param stopAt when the grace of its upstream's drain is over; {@link DrainGrace#NEVER} while it serves
-     * @param moved whether its upstream has another address now: the server at this one is not that upstream
-     * @param graceHolds as {@link PendingUpdates#graceHolds} says
+     * @param awaitedUntilMicros as {@link AttemptTransport.Listener#awaitedUntilMicros} says
+     * @param startDeadlineMicros from then on it may not run any more, or its response would be too late
+     * @param drainDeadlineMicros when the grace of its upstream's drain is over; {@link DrainGrace#NEVER} while it
+     *     serves
+     * @param addressChanged whether its upstream has another address now: the server at this one is not that upstream
+     * @param unreadDrainDeadlineMicros as {@link PendingUpdates#unreadDrainDeadlineMicros} says
      */
     public static SendPermit decide(
-            long now, long awaitedUntil, long before, long stopAt, boolean moved, long graceHolds) {
-        if (awaitedUntil == NOBODY || now >= before) {
+            long now,
+            long awaitedUntilMicros,
+            long startDeadlineMicros,
+            long drainDeadlineMicros,
+            boolean addressChanged,
+            long unreadDrainDeadlineMicros) {
+        if (awaitedUntilMicros == NOT_AWAITED || now >= startDeadlineMicros) {
             return SendPermit.refused(Outcome.NOT_SENT);
         }
-        if (now >= stopAt || moved) {
+        if (now >= drainDeadlineMicros || addressChanged) {
             return SendPermit.refused(Outcome.CONNECT_FAILED); // another upstream may run it
         }
-        return new SendPermit(null, Math.min(Math.min(awaitedUntil, before), Math.min(stopAt, graceHolds)));
+        return new SendPermit(
+                null,
+                Math.min(
+                        Math.min(awaitedUntilMicros, startDeadlineMicros),
+                        Math.min(drainDeadlineMicros, unreadDrainDeadlineMicros)));
     }
 }
--- a/src/main/java/loadbalancer/proxy/StreamedUpload.java
+++ b/src/main/java/loadbalancer/proxy/StreamedUpload.java
@@ -22,32 +22,32 @@
     }
 
     /** To be called before the body is subscribed to. */
-    void setListener(Listener to) {
-        listener = to;
+    void setListener(Listener newListener) {
+        listener = newListener;
     }
 
     @Override
-    public boolean started() {
-        return source.started();
+    public boolean hasSubscriber() {
+        return source.hasSubscriber();
     }
 
     @Override
-    public void subscribe(Taker taker) {
-        source.subscribe(new Taker() {
+    public void subscribe(Subscriber subscriber) {
+        source.subscribe(new Subscriber() {
             @Override
             public void onData(byte[] bytes) {
-                taker.onData(bytes);
+                subscriber.onData(bytes);
             }
 
             @Override
             public void onComplete() {
                 listener.uploadComplete();
-                taker.onComplete();
+                subscriber.onComplete();
             }
 
             @Override
             public void onError() {
-                taker.onError();
+                subscriber.onError();
             }
         });
     }
--- a/src/main/java/loadbalancer/proxy/UpstreamResponse.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamResponse.java
@@ -8,11 +8,12 @@
  * @param status the HTTP status
  * @param fields the header fields that are forwarded
  * @param body the first bytes of the body, or all of them; not to be changed
- * @param rest the bytes that follow {@code body} where the response is long; null where there are none
- * @param length bytes of {@code body} and {@code rest} together; -1 if unknown
+ * @param remainingBody the bytes that follow {@code body} where the response is long; null where there are none
+ * @param contentLength bytes of {@code body} and {@code remainingBody} together; -1 if unknown
  */
 @SuppressWarnings("ArrayRecordComponent") // bodies are shared, not copied, and never changed
-public record UpstreamResponse(int status, HeaderFields fields, byte[] body, BodyStream rest, long length) {
+public record UpstreamResponse(
+        int status, HeaderFields fields, byte[] body, BodyStream remainingBody, long contentLength) {
     /** A complete one. */
     public UpstreamResponse(int status, HeaderFields fields, byte[] body) {
         this(status, fields, body, null, body.length);
@@ -31,7 +32,7 @@
     }
 
     /** The media type; null where the response names none. */
-    public String type() {
+    public String contentType() {
         return fields.get("Content-Type");
     }
 }
--- a/src/main/java/loadbalancer/server/ConfiguredEndpointSource.java
+++ b/src/main/java/loadbalancer/server/ConfiguredEndpointSource.java
@@ -21,7 +21,7 @@
                     server.loop,
                     config.discovery(),
                     config.boot(),
-                    config.known().rev(),
+                    config.known().version(),
                     readiness::updateEndpoints,
                     server.log);
             staticList = null;
@@ -62,6 +62,6 @@
     String describe(Config fresh) {
         return discovery != null
                 ? "discovery=" + Addresses.text(fresh.discovery())
-                : "endpoints=" + fresh.known().list().size();
+                : "endpoints=" + fresh.known().endpoints().size();
     }
 }
--- a/src/main/java/loadbalancer/server/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/server/GracefulShutdown.java
@@ -34,13 +34,13 @@
             server.taskFailures.run(server.extension::stopping);
         });
         ShutdownDrain drain = new ShutdownDrain();
-        ReadBeforeTimers.after(server.loop, LINGER_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
+        ReadBeforeTimers.schedule(server.loop, LINGER_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
         await();
         server.log.accept("event=stopped " + server.dispatcher.summary() + "; " + server.taskFailures.summary() + "; "
                 + server.budget.summary());
         // With an inherited listener the end of the loop would close standard error too, and with it the last lines.
         if (!server.config.inherited()) {
-            server.group.end();
+            server.group.shutdownAsync();
         }
     }
 
@@ -73,7 +73,7 @@
             ended = advance(drain);
         } finally {
             if (!ended) {
-                ReadBeforeTimers.after(
+                ReadBeforeTimers.schedule(
                         server.loop, OBSERVATION_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
             }
         }
--- a/src/main/java/loadbalancer/server/NettyScheduler.java
+++ b/src/main/java/loadbalancer/server/NettyScheduler.java
@@ -14,6 +14,6 @@
 
     @Override
     public Timer schedule(long delay, Runnable task) {
-        return ReadBeforeTimers.after(loop, delay, TimeUnit.MICROSECONDS, task)::cancel;
+        return ReadBeforeTimers.schedule(loop, delay, TimeUnit.MICROSECONDS, task)::cancel;
     }
 }
--- a/src/main/java/loadbalancer/server/ReadinessTracker.java
+++ b/src/main/java/loadbalancer/server/ReadinessTracker.java
@@ -39,7 +39,7 @@
 
     private static boolean hasServerInService(EndpointUpdate endpoints) {
         return endpoints != null
-                && endpoints.list().stream()
+                && endpoints.endpoints().stream()
                         .anyMatch(endpoint -> endpoint.server().state() == Policy.State.UP);
     }
 
--- a/src/main/java/loadbalancer/server/ServerComponents.java
+++ b/src/main/java/loadbalancer/server/ServerComponents.java
@@ -6,7 +6,7 @@
 import loadbalancer.config.Config;
 import loadbalancer.connections.ConnectionBudget;
 import loadbalancer.downstream.http1.Http1Listener;
-import loadbalancer.eventloop.MillisecondTimer;
+import loadbalancer.eventloop.MillisecondEventLoopGroup;
 import loadbalancer.eventloop.TaskFailures;
 import loadbalancer.lifecycle.LifeCycle;
 import loadbalancer.policy.Policy;
@@ -26,7 +26,7 @@
     /** Of tasks of the event loop; on the loop. */
     final TaskFailures taskFailures;
 
-    final MillisecondTimer group;
+    final MillisecondEventLoopGroup group;
     final EventLoop loop;
     final LifeCycle lifeCycle = new LifeCycle(System.nanoTime());
     final ConnectionBudget budget;
@@ -45,14 +45,14 @@
         this.config = config;
         this.log = log;
         taskFailures = new TaskFailures(log);
-        group = new MillisecondTimer(taskFailures);
+        group = new MillisecondEventLoopGroup(taskFailures);
         loop = group.next();
         budget = new ConnectionBudget(config.connections(), System.nanoTime());
         Policy policy = policyFactory.apply(config.boot().settings(), config.seed());
         dispatcher = new Dispatcher(new NettyScheduler(loop), Clock.system(), config.boot(), policy, log);
         dispatcher.setRequestLog(RequestLog.of(System.getenv(), log));
         upstreams = new Http1ConnectionPool(loop, config.boot(), budget, dispatcher::now, dispatcher);
-        BodyMemoryBudget bodyMemory = new BodyMemoryBudget(BodyMemoryBudget.CLIENTS);
+        BodyMemoryBudget bodyMemory = new BodyMemoryBudget(BodyMemoryBudget.MAX_CLIENT_BODY_BYTES);
         listener = new Http1Listener(loop, config.boot(), dispatcher, budget, bodyMemory, lifeCycle, log);
         this.extension = create(extension, bodyMemory);
     }
--- a/src/main/java/loadbalancer/server/ServerStartup.java
+++ b/src/main/java/loadbalancer/server/ServerStartup.java
@@ -63,7 +63,7 @@
             server.log.accept("event=http3_listening address=" + Addresses.text(besideClients));
             extensionAddress = besideClients;
         }
-        ReadBeforeTimers.every(
+        ReadBeforeTimers.scheduleWithFixedDelay(
                 server.loop, LIFE_CYCLE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, shutdown::advanceLifeCycle);
         server.loop.execute(() -> begin(clientAddress));
         return clientAddress;
--- a/src/main/java/loadbalancer/server/WarmUp.java
+++ b/src/main/java/loadbalancer/server/WarmUp.java
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public boolean knows(HeaderFields fields) {
+    public boolean isWarmUp(HeaderFields fields) {
         return token.equals(fields.get(TOKEN_HEADER));
     }
 
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public boolean declines() {
+    public boolean shouldDeclineNext() {
         upstreamRequests++;
         return startedRequests > REQUESTS / 2 && upstreamRequests % REJECT_INTERVAL == 0;
     }
@@ -181,7 +181,7 @@
         if (!ended) {
             ended = true;
             startedRequests = REQUESTS; // no more are sent
-            dispatcher.retire();
+            dispatcher.stopPolicyEvents();
             clientPool.close();
             upstreamPool.close();
             onEnd.run();
--- a/src/main/java/loadbalancer/upstream/http1/Http1Attempt.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1Attempt.java
@@ -28,7 +28,7 @@
  * cancelled or withdrawn before. On the event loop.
  */
 final class Http1Attempt implements Attempt {
-    private static final AsciiString DEADLINE = AsciiString.cached(ProxyRequest.DEADLINE);
+    private static final AsciiString DEADLINE = AsciiString.cached(ProxyRequest.DEADLINE_FIELD);
     private static final long NO_DEADLINE_HEADER = 0;
 
     private final ProxyRequest request;
@@ -74,7 +74,7 @@
 
     /** Whether the rest of its body follows as a stream, piece by piece. */
     boolean hasStreamedBody() {
-        return request.rest() != null;
+        return request.remainingBody() != null;
     }
 
     /** It waits for this connection, or is being sent on it. */
@@ -152,10 +152,10 @@
     }
 
     private HttpRequest encodeHead(HttpHeaders headers) {
-        if (request.length() < 0) {
+        if (request.contentLength() < 0) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, request.length());
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, request.contentLength());
         }
         return new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()), request.uri(), headers);
--- a/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
@@ -127,12 +127,12 @@
     @Override
     public void updateEndpoints(EndpointUpdate update, long nowMicros) {
         Set<String> listed = new HashSet<>();
-        for (EndpointUpdate.Endpoint entry : update.list()) {
+        for (EndpointUpdate.Endpoint entry : update.endpoints()) {
             listed.add(entry.server().id());
             Http1Upstream upstream = upstreams.computeIfAbsent(entry.server().id(), Http1Upstream::new);
-            if (entry.endpoint() != null && !entry.endpoint().equals(upstream.endpoint())) {
+            if (entry.address() != null && !entry.address().equals(upstream.endpoint())) {
                 upstream.closeIdle();
-                upstream.moveTo(entry.endpoint());
+                upstream.moveTo(entry.address());
             }
             if (entry.server().state() == Policy.State.UP) {
                 upstream.stopAt(DrainGrace.NEVER);
@@ -140,7 +140,7 @@
                 drain(upstream, nowMicros);
             }
         }
-        if (update.all()) {
+        if (update.complete()) {
             upstreams.values().stream()
                     .filter(upstream -> !listed.contains(upstream.id()))
                     .forEach(upstream -> drain(upstream, nowMicros));
@@ -149,7 +149,7 @@
 
     private void drain(Http1Upstream upstream, long nowMicros) {
         long graceMicros = boot.settings().bounds().drainGrace();
-        upstream.stopAt(DrainGrace.stopAt(upstream.stopAtMicros(), nowMicros, graceMicros));
+        upstream.stopAt(DrainGrace.drainDeadlineMicros(upstream.stopAtMicros(), nowMicros, graceMicros));
         upstream.closeIdle();
     }
 
@@ -224,7 +224,7 @@
     private void sweep() {
         long nowMicros = clock.now();
         // Guards against a table that grows with every server that was ever listed.
-        upstreams.values().removeIf(upstream -> upstream.stopAtMicros() < nowMicros - DrainGrace.FORGET);
+        upstreams.values().removeIf(upstream -> upstream.stopAtMicros() < nowMicros - DrainGrace.RETENTION_MICROS);
         for (Http1Upstream upstream : upstreams.values()) {
             upstream.closeExpired(idleTimeout, nowMicros);
         }
--- a/src/main/java/loadbalancer/upstream/http1/Http1UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1UpstreamConnection.java
@@ -141,7 +141,7 @@
     // the endpoint list where the event loop has stalled since the policy decided; never from within a read of
     // a client's connection.
     private void startAfterUpdates() {
-        pool.loop.execute(() -> pool.updates.afterUpdates(this::start));
+        pool.loop.execute(() -> pool.updates.runAfterUpdates(this::start));
     }
 
     // The connection is open, and updates of the endpoint list have been read.
@@ -167,7 +167,7 @@
 
     // Looking at the client's connection may withdraw the attempt.
     private SendPermit decide() {
-        long awaitedUntilMicros = attempt.listener().awaitedUntil();
+        long awaitedUntilMicros = attempt.listener().awaitedUntilMicros();
         long startBeforeMicros = attempt == null ? Long.MIN_VALUE : attempt.startBeforeMicros();
         return SendGuard.decide(
                 pool.clock.now(),
@@ -175,7 +175,7 @@
                 startBeforeMicros,
                 upstream.stopAtMicros(),
                 !endpoint.equals(upstream.endpoint()),
-                pool.updates.graceHolds());
+                pool.updates.unreadDrainDeadlineMicros());
     }
 
     private void write(Http1Attempt next, SendPermit sendPermit) {
@@ -198,15 +198,15 @@
         BodyWriter writer = new BodyWriter(channel);
         writer.begin(next.encode(endpoint), next.request().body());
         if (flushWithin(sendPermit) && attempt == next) { // else the connection broke at its first bytes
-            next.request().rest().subscribe(new StreamedRequestBody(this, next, writer));
+            next.request().remainingBody().subscribe(new StreamedRequestBody(this, next, writer));
         }
     }
 
     // Flushes what has been encoded, unless the process was stopped for too long since the permit: then
     // nothing of it is written, and the attempt starts anew behind updates of the endpoint list.
     private boolean flushWithin(SendPermit sendPermit) {
-        if (pool.clock.now() < sendPermit.until()) {
-            limitNextWrite(sendPermit.until(), attempt);
+        if (pool.clock.now() < sendPermit.expiresAtMicros()) {
+            limitNextWrite(sendPermit.expiresAtMicros(), attempt);
             channel.flush();
             return true;
         }
@@ -220,7 +220,7 @@
     /** The next flush is written before that time, or fails unwritten: the process may be stopped in between. */
     void limitNextWrite(long untilMicros, Http1Attempt next) {
         if (channel instanceof TimedChannel timed) {
-            timed.limitNextWrite(untilMicros, next.listener()::heldUp);
+            timed.limitNextWrite(untilMicros, next.listener()::sendDelayed);
         }
     }
 
@@ -266,13 +266,13 @@
     @Override
     public void onWritabilityChanged(boolean writable) {
         if (attempt != null && attempt.hasStreamedBody() && !hasSentRequest()) {
-            attempt.request().rest().setReady(writable);
+            attempt.request().remainingBody().setReady(writable);
         }
     }
 
     @Override
     public boolean mayStream() {
-        return attempt != null && attempt.request().passes();
+        return attempt != null && attempt.request().acceptsStreamedResponse();
     }
 
     @Override
--- a/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -145,9 +145,11 @@
         boolean delimited = codings.isEmpty() || chunked;
         endsWithConnection = codings.isEmpty() && !HttpUtil.isContentLengthSet(response);
         long contentLength = HttpUtil.getContentLength(response, -1L);
-        if (!delimited || contentLength > (mayStream() ? ProxyRequest.LENGTH_MOST : ProxyRequest.BODY_MOST)) {
+        if (!delimited
+                || contentLength
+                        > (mayStream() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : ProxyRequest.MAX_BUFFERED_BODY_BYTES)) {
             rejectMalformed();
-        } else if (contentLength > ProxyRequest.BODY_MOST) {
+        } else if (contentLength > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(contentLength);
         }
     }
@@ -165,7 +167,7 @@
     // Returns false where the response is malformed for that.
     private boolean aggregate(ByteBuf content) {
         int count = content.readableBytes();
-        if (bodyLength + count > ProxyRequest.BODY_MOST) {
+        if (bodyLength + count > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             if (!mayStream()) {
                 rejectMalformed();
                 return false;
@@ -178,7 +180,7 @@
             body = ByteBufUtil.getBytes(content);
         } else if (count > 0) {
             if (bodyLength + count > body.length) {
-                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (bodyLength + count)));
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.MAX_BUFFERED_BODY_BYTES, 2 * (bodyLength + count)));
             }
             content.readBytes(body, bodyLength, count);
         }
@@ -201,7 +203,7 @@
 
     /** The connection has been closed; a response that is under way breaks off. */
     void onConnectionClosed() {
-        if (stream != null && !stream.ended && stream.started()) {
+        if (stream != null && !stream.ended && stream.hasSubscriber()) {
             stream.ended = true;
             stream.taker().onError();
         }
--- a/src/main/java/loadbalancer/upstream/http1/StreamedRequestBody.java
+++ b/src/main/java/loadbalancer/upstream/http1/StreamedRequestBody.java
@@ -8,7 +8,7 @@
  * Writes the rest of a streamed request body to an upstream. The last piece is held back until the client is
  * known to be there still: a request whose client disconnects before never runs. On the event loop.
  */
-final class StreamedRequestBody implements BodyStream.Taker {
+final class StreamedRequestBody implements BodyStream.Subscriber {
     private final Http1UpstreamConnection connection;
     private final Http1Attempt attempt;
     private final BodyWriter writer;
@@ -20,7 +20,7 @@
         this.connection = connection;
         this.attempt = attempt;
         this.writer = writer;
-        long length = attempt.request().length();
+        long length = attempt.request().contentLength();
         remainingBytes =
                 length < 0 ? Long.MAX_VALUE : length - attempt.request().body().length;
     }
@@ -34,7 +34,7 @@
         }
         lastWrite = writer.write(bytes);
         if (!writer.room()) {
-            attempt.request().rest().setReady(false);
+            attempt.request().remainingBody().setReady(false);
         }
     }
 
@@ -51,7 +51,7 @@
         if (!connection.carries(attempt)) {
             return;
         }
-        long untilMicros = attempt.listener().awaitedUntil();
+        long untilMicros = attempt.listener().awaitedUntilMicros();
         if (!connection.carries(attempt)) { // withdrawn: its client has disconnected
             return;
         }
--- a/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3Attempt.java
@@ -115,14 +115,14 @@
 
     /** Decides right before the first byte; its client may turn out to be disconnected, and then it has ended. */
     SendPermit decide(long stopAtMicros) {
-        long awaitedUntilMicros = ended ? SendGuard.NOBODY : listener.awaitedUntil();
+        long awaitedUntilMicros = ended ? SendGuard.NOT_AWAITED : listener.awaitedUntilMicros();
         return SendGuard.decide(
                 transport.clock.now(),
                 awaitedUntilMicros,
                 startBeforeMicros,
                 stopAtMicros,
                 false,
-                transport.updates.graceHolds());
+                transport.updates.unreadDrainDeadlineMicros());
     }
 
     /** Sends the request on its stream, unless the permit has expired since it was granted. */
@@ -131,7 +131,7 @@
             CodecErrors.reset(opened, Http3ErrorCodes.REQUEST_CANCELLED);
             return;
         }
-        if (transport.clock.now() >= permit.until()) {
+        if (transport.clock.now() >= permit.expiresAtMicros()) {
             CodecErrors.reset(opened, Http3ErrorCodes.REQUEST_CANCELLED);
             end(Policy.Outcome.NOT_SENT);
             return;
--- a/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
@@ -62,7 +62,7 @@
     private static final long SWEEP_MILLIS = 250; // between two looks for idle connections
     private static final long CLOSE_MILLIS = 100; // for the last packets to leave
     private static final long DEFAULT_CONNECT_MICROS = 1_000_000; // where the settings give no limit
-    private static final long CONNECTION_WINDOW_BYTES = 16L * ProxyRequest.BODY_MOST;
+    private static final long CONNECTION_WINDOW_BYTES = 16L * ProxyRequest.MAX_BUFFERED_BODY_BYTES;
     private static final int MAX_UNIDIRECTIONAL_STREAMS = 3; // control and the two of QPACK (RFC 9114, section 6.2)
     private static final int UNIDIRECTIONAL_WINDOW_BYTES = 4 * 1024;
     private static final int MAX_DATAGRAM_BYTES = 1_350;
@@ -133,7 +133,7 @@
                 .maxSendUdpPayloadSize(MAX_DATAGRAM_BYTES)
                 .maxRecvUdpPayloadSize(MAX_DATAGRAM_BYTES)
                 .initialMaxData(CONNECTION_WINDOW_BYTES)
-                .initialMaxStreamDataBidirectionalLocal(ProxyRequest.BODY_MOST)
+                .initialMaxStreamDataBidirectionalLocal(ProxyRequest.MAX_BUFFERED_BODY_BYTES)
                 .initialMaxStreamDataUnidirectional(UNIDIRECTIONAL_WINDOW_BYTES)
                 .initialMaxStreamsUnidirectional(MAX_UNIDIRECTIONAL_STREAMS)
                 .initialMaxStreamsBidirectional(0)
@@ -165,11 +165,11 @@
             fallback.updateEndpoints(update, nowMicros);
         }
         Set<String> listed = new HashSet<>();
-        for (EndpointUpdate.Endpoint entry : update.list()) {
+        for (EndpointUpdate.Endpoint entry : update.endpoints()) {
             listed.add(entry.server().id());
             updateEndpoint(entry, nowMicros);
         }
-        if (update.all()) {
+        if (update.complete()) {
             upstreams.values().stream()
                     .filter(upstream -> !listed.contains(upstream.id()))
                     .forEach(upstream -> drain(upstream, nowMicros));
@@ -179,13 +179,13 @@
     private void updateEndpoint(EndpointUpdate.Endpoint entry, long nowMicros) {
         String id = entry.server().id();
         Http3Upstream upstream = upstreams.get(id);
-        if (upstream != null && !upstream.endpoint().equals(entry.http3())) {
+        if (upstream != null && !upstream.endpoint().equals(entry.http3Address())) {
             upstream.retire();
             upstreams.remove(id);
             upstream = null;
         }
-        if (upstream == null && entry.http3() != null) {
-            upstream = new Http3Upstream(this, id, entry.http3(), new Http3ConnectionPlan(limits.plan()));
+        if (upstream == null && entry.http3Address() != null) {
+            upstream = new Http3Upstream(this, id, entry.http3Address(), new Http3ConnectionPlan(limits.plan()));
             upstreams.put(id, upstream);
         }
         if (upstream == null) {
@@ -200,7 +200,7 @@
 
     private void drain(Http3Upstream upstream, long nowMicros) {
         long graceMicros = boot.settings().bounds().drainGrace();
-        upstream.stopAt(DrainGrace.stopAt(upstream.stopAtMicros(), nowMicros, graceMicros));
+        upstream.stopAt(DrainGrace.drainDeadlineMicros(upstream.stopAtMicros(), nowMicros, graceMicros));
     }
 
     // ---------------------------------------------------------------- attempts and health checks
@@ -209,7 +209,7 @@
     public Attempt send(
             String server, ProxyRequest request, long waitMicros, long startBeforeMicros, Listener listener) {
         Http3Upstream upstream = upstreams.get(server);
-        boolean streamedBody = request.rest() != null; // goes over HTTP/1.1
+        boolean streamedBody = request.remainingBody() != null; // goes over HTTP/1.1
         if (upstream == null || (streamedBody && fallback != null)) {
             return fallback.send(server, request, waitMicros, startBeforeMicros, listener);
         }
@@ -270,7 +270,8 @@
         long nowMicros = clock.now();
         upstreams
                 .values()
-                .removeIf(upstream -> upstream.stopAtMicros() < nowMicros - DrainGrace.FORGET && upstream.isEmpty());
+                .removeIf(upstream ->
+                        upstream.stopAtMicros() < nowMicros - DrainGrace.RETENTION_MICROS && upstream.isEmpty());
         // Well before the upstream's own idle timeout: a request on a connection that is being closed may have run.
         long idleSinceMicros = nowMicros - limits.idle() * 1000 / 2;
         upstreams.values().forEach(upstream -> upstream.closeIdleSince(idleSinceMicros));
--- a/src/main/java/loadbalancer/upstream/http3/Http3ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3ResponseDecoder.java
@@ -26,7 +26,7 @@
     private static final long NO_CODE = -1;
 
     private final Http3Attempt attempt;
-    private final MessageState state = new MessageState(ProxyRequest.BODY_MOST);
+    private final MessageState state = new MessageState(ProxyRequest.MAX_BUFFERED_BODY_BYTES);
     private final AggregatedBody body = new AggregatedBody();
     private Http3Headers headers;
     private int status;
--- a/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3UpstreamConnection.java
@@ -158,7 +158,7 @@
     // unread.
     private void startAfterUpdates(Http3Attempt attempt) {
         Http3AttemptTransport transport = upstream.transport();
-        transport.loop.execute(() -> transport.updates.afterUpdates(() -> openStream(attempt)));
+        transport.loop.execute(() -> transport.updates.runAfterUpdates(() -> openStream(attempt)));
     }
 
     private void openStream(Http3Attempt attempt) {
--- a/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -68,7 +68,7 @@
     @Test
     void memoryOfABodyIsReleasedOnceWhenItIsSubscribedToOrDropped() {
         EmbeddedChannel channel = channelWithLongBody(60_000);
-        rest.subscribe(new BodyStream.Taker() {
+        rest.subscribe(new BodyStream.Subscriber() {
             @Override
             public void onData(byte[] bytes) {
                 receivedBytes += bytes.length;
--- a/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
+++ b/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.eventloop.MillisecondTimer;
+import loadbalancer.eventloop.MillisecondEventLoopGroup;
 import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.http3.TlsIdentity;
 import loadbalancer.server.Certificates;
@@ -42,8 +42,8 @@
             new Http3ConnectionLimiter.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
 
     private final X509Bundle certificate = Certificates.selfSigned();
-    private final MillisecondTimer servers = new MillisecondTimer();
-    private final MillisecondTimer clients = new MillisecondTimer();
+    private final MillisecondEventLoopGroup servers = new MillisecondEventLoopGroup();
+    private final MillisecondEventLoopGroup clients = new MillisecondEventLoopGroup();
     private final EventLoop loop = servers.next();
     private final Http3Listener listener = new Http3Listener(
             loop,
@@ -57,8 +57,8 @@
 
     @AfterEach
     void end() {
-        servers.end();
-        clients.end();
+        servers.shutdownAsync();
+        clients.shutdownAsync();
     }
 
     private void connectAll() throws Exception {
--- a/src/test/java/loadbalancer/eventloop/MillisecondTimerTest.java
+++ b/src/test/java/loadbalancer/eventloop/MillisecondEventLoopGroupTest.java
@@ -22,53 +22,57 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-class MillisecondTimerTest {
-    private static final int TIMERS = 100;
-    private static final long APART = 4_300_000; // ns: a wait of whole milliseconds ends before it
+class MillisecondEventLoopGroupTest {
+    private static final int TIMER_COUNT = 100;
+    private static final long INTERVAL_NANOS = 4_300_000; // ns: a wait of whole milliseconds ends before it
 
     /** Turns of a loop for each of its timers, one after the other. */
-    private static double turns(Function<SelectStrategyFactory, EventLoopGroup> groups) throws InterruptedException {
-        AtomicInteger turns = new AtomicInteger();
-        EventLoopGroup group = groups.apply(() -> (now, tasks) -> {
-            turns.incrementAndGet();
+    private static double iterationsPerTimer(Function<SelectStrategyFactory, EventLoopGroup> groupFactory)
+            throws InterruptedException {
+        AtomicInteger iterations = new AtomicInteger();
+        EventLoopGroup group = groupFactory.apply(() -> (now, tasks) -> {
+            iterations.incrementAndGet();
             return tasks ? now.get() : SelectStrategy.SELECT;
         });
         try {
-            CountDownLatch done = new CountDownLatch(TIMERS);
-            next(group.next(), done);
+            CountDownLatch done = new CountDownLatch(TIMER_COUNT);
+            scheduleNext(group.next(), done);
             assertTrue(done.await(60, TimeUnit.SECONDS));
-            return (double) turns.get() / TIMERS;
+            return (double) iterations.get() / TIMER_COUNT;
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
     }
 
-    private static void next(EventLoop loop, CountDownLatch left) {
+    private static void scheduleNext(EventLoop loop, CountDownLatch remaining) {
         loop.schedule(
                 () -> {
-                    left.countDown();
-                    if (left.getCount() > 0) {
-                        next(loop, left);
+                    remaining.countDown();
+                    if (remaining.getCount() > 0) {
+                        scheduleNext(loop, remaining);
                     }
                 },
-                APART,
+                INTERVAL_NANOS,
                 TimeUnit.NANOSECONDS);
     }
 
     @Test
-    void aLoopSleepsUntilItsTimersAreDue() throws InterruptedException {
-        double ours = turns(MillisecondTimer::new);
-        double plain = turns(strategy ->
+    void theLoopSleepsUntilItsTimersAreDue() throws InterruptedException {
+        double millisecondIterations = iterationsPerTimer(MillisecondEventLoopGroup::new);
+        double defaultIterations = iterationsPerTimer(strategy ->
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), strategy)));
-        assertTrue(ours < 4, ours + " turns a timer, Netty's own " + plain);
-        assertTrue(plain > 2 * ours, "without need: Netty's own takes " + plain + ", this one " + ours);
+        assertTrue(
+                millisecondIterations < 4, millisecondIterations + " turns a timer, Netty's own " + defaultIterations);
+        assertTrue(
+                defaultIterations > 2 * millisecondIterations,
+                "without need: Netty's own takes " + defaultIterations + ", this one " + millisecondIterations);
     }
 
     /** Asked for while tasks run, as at the end of a balancer's last wait. */
     @Test
-    void itsEndClosesTheConnections() throws Exception {
+    void shutdownClosesTheConnections() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
-            MillisecondTimer group = new MillisecondTimer();
+            MillisecondEventLoopGroup group = new MillisecondEventLoopGroup();
             new Bootstrap()
                     .group(group)
                     .channel(NioSocketChannel.class)
@@ -77,7 +81,7 @@
                     .sync();
             try (Socket peer = server.accept()) {
                 peer.setSoTimeout(20_000);
-                group.next().execute(group::end);
+                group.next().execute(group::shutdownAsync);
                 assertEquals(-1, peer.getInputStream().read());
             }
         }
--- a/src/test/java/loadbalancer/eventloop/RepeatedTasksTest.java
+++ b/src/test/java/loadbalancer/eventloop/RepeatedTasksTest.java
@@ -11,42 +11,42 @@
 
 /** A task that is repeated on the event loop is repeated also where it has thrown once. */
 class RepeatedTasksTest {
-    private final MillisecondTimer group = new MillisecondTimer();
+    private final MillisecondEventLoopGroup group = new MillisecondEventLoopGroup();
     private final EventLoop loop = group.next();
-    private final CountDownLatch runs = new CountDownLatch(3);
-    private final AtomicInteger calls = new AtomicInteger();
+    private final CountDownLatch remainingRuns = new CountDownLatch(3);
+    private final AtomicInteger runCount = new AtomicInteger();
 
     @AfterEach
-    void end() {
-        group.end();
+    void shutDown() {
+        group.shutdownAsync();
     }
 
     private void runAndThrowOnce() {
-        runs.countDown();
-        if (calls.incrementAndGet() == 1) {
+        remainingRuns.countDown();
+        if (runCount.incrementAndGet() == 1) {
             throw new IllegalStateException("thrown once");
         }
     }
 
-    private void assertRepeated() throws InterruptedException {
-        assertTrue(runs.await(10, TimeUnit.SECONDS), () -> "it ran " + calls + " times");
+    private void assertRunsRepeatedly() throws InterruptedException {
+        assertTrue(remainingRuns.await(10, TimeUnit.SECONDS), () -> "it ran " + runCount + " times");
     }
 
     @Test
-    void withAFixedDelay() throws InterruptedException {
+    void aTaskWithAFixedDelayIsRepeated() throws InterruptedException {
         loop.scheduleWithFixedDelay(this::runAndThrowOnce, 1, 1, TimeUnit.MILLISECONDS);
-        assertRepeated();
+        assertRunsRepeatedly();
     }
 
     @Test
-    void atAFixedRate() throws InterruptedException {
+    void aTaskAtAFixedRateIsRepeated() throws InterruptedException {
         loop.scheduleAtFixedRate(this::runAndThrowOnce, 1, 1, TimeUnit.MILLISECONDS);
-        assertRepeated();
+        assertRunsRepeatedly();
     }
 
     @Test
-    void behindThePassOverTheSockets() throws InterruptedException {
-        ReadBeforeTimers.every(loop, 1, TimeUnit.MILLISECONDS, this::runAndThrowOnce);
-        assertRepeated();
+    void aTaskOfReadBeforeTimersIsRepeated() throws InterruptedException {
+        ReadBeforeTimers.scheduleWithFixedDelay(loop, 1, TimeUnit.MILLISECONDS, this::runAndThrowOnce);
+        assertRunsRepeatedly();
     }
 }
--- a/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -53,7 +53,7 @@
             }
 
             @Override
-            public void each(BiConsumer<String, String> to) {
+            public void forEach(BiConsumer<String, String> to) {
                 to.accept("x-a", "1");
             }
         };
--- a/src/test/java/loadbalancer/http3/TlsIdentityTest.java
+++ b/src/test/java/loadbalancer/http3/TlsIdentityTest.java
@@ -94,7 +94,7 @@
         assertEquals(77, config.http3().sessions().connections());
         assertEquals(made.getCertificate(), config.http3().identity().chain().get(0));
         assertEquals(1, config.http3().trust().size());
-        assertEquals(9002, config.known().list().get(0).http3().getPort());
+        assertEquals(9002, config.known().endpoints().get(0).http3Address().getPort());
         assertEquals(null, read("").http3());
         assertTrue(config.waiting(read("")).contains("http3"));
     }
--- a/src/test/java/loadbalancer/logging/NettyLogBridgeTest.java
+++ b/src/test/java/loadbalancer/logging/NettyLogBridgeTest.java
@@ -34,12 +34,13 @@
     @Test
     void suppressedMessagesAreCountedInTheNextLine() {
         LogRateLimiter limiter = new LogRateLimiter();
-        assertNotNull(limiter.line("warning", "A", "first", null, 0));
-        assertNull(limiter.line("warning", "A", "second", null, LogRateLimiter.INTERVAL_NANOS - 1));
-        assertNotNull(limiter.line("error", "A", "another level", null, LogRateLimiter.INTERVAL_NANOS - 1));
-        assertNull(limiter.line("warning", "A", "third", null, LogRateLimiter.INTERVAL_NANOS - 1));
+        assertNotNull(limiter.formatUnlessSuppressed("warning", "A", "first", null, 0));
+        assertNull(limiter.formatUnlessSuppressed("warning", "A", "second", null, LogRateLimiter.INTERVAL_NANOS - 1));
+        assertNotNull(
+                limiter.formatUnlessSuppressed("error", "A", "another level", null, LogRateLimiter.INTERVAL_NANOS - 1));
+        assertNull(limiter.formatUnlessSuppressed("warning", "A", "third", null, LogRateLimiter.INTERVAL_NANOS - 1));
         assertEquals(
                 "event=netty_warning logger=A fourth held_back=1",
-                limiter.line("warning", "A", "fourth", null, LogRateLimiter.INTERVAL_NANOS));
+                limiter.formatUnlessSuppressed("warning", "A", "fourth", null, LogRateLimiter.INTERVAL_NANOS));
     }
 }
--- a/src/test/java/loadbalancer/proxy/DispatcherFixture.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -21,10 +21,11 @@
         return dispatchFor(100_000);
     }
 
-    /** The same for a client that waits for {@code timeLeft} µs. */
-    final Runnable dispatchFor(long timeLeft) {
+    /** The same for a client that waits for {@code timeLeftMicros} µs. */
+    final Runnable dispatchFor(long timeLeftMicros) {
         return dispatcher.dispatch(
-                new ProxyRequest("r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", timeLeft, -1, false),
+                new ProxyRequest(
+                        "r1", "GET", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", timeLeftMicros, -1, false),
                 client);
     }
 
--- a/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
@@ -13,18 +13,18 @@
 class DispatcherStallTest extends DispatcherFixture {
     /** A wake is 40 ms overdue: the event loop has not polled its sockets for so long. */
     @Test
-    void aRequestThatMayHaveLainUnreadGetsAnEarlierDeadline() {
+    void aRequestThatMayHaveBeenUnreadGetsAnEarlierDeadline() {
         policy.neverFails = true;
         dispatcher.wakeAfter(5_000);
         scheduler.stall(45_000);
         dispatch();
-        assertEquals(48_000, transport.started.get(0).wait);
-        scheduler.pass(53_999);
+        assertEquals(48_000, transport.started.get(0).responseTimeoutMicros);
+        scheduler.advance(53_999);
         assertEquals(List.of(), client.responses);
-        scheduler.pass(1);
+        scheduler.advance(1);
         assertEquals(List.of("failed"), client.responses, "6 ms before its client's time is over");
         dispatch(); // the wake has run: nothing has lain unread
-        assertEquals(50_000, transport.started.get(1).wait);
+        assertEquals(50_000, transport.started.get(1).responseTimeoutMicros);
     }
 
     /** Requests and two updates lay unread, and the requests are read first: the last update holds for them. */
@@ -42,9 +42,9 @@
                         false,
                         List.of(new EndpointUpdate.Endpoint(
                                 new Policy.Server("s", Policy.State.DRAINING, 0, 1, 0, 0, 0), null))));
-        assertEquals(scheduler.now() - 500_000, transport.updatedAt, "it was announced as long ago");
+        assertEquals(scheduler.now() - 500_000, transport.lastAnnouncedAtMicros, "it was announced as long ago");
         assertEquals(List.of(), policy.events);
-        scheduler.pass(0);
+        scheduler.advance(0);
         assertEquals(List.of("list of 0", "list of 1", "request", "request"), policy.events);
         policy.events.clear();
         dispatchFor(900_000); // the loop keeps up: at once
@@ -73,26 +73,26 @@
                 stallingDispatcher.attach(new FakeTransport(), EndpointSource.NONE);
                 stallingDispatcher.startStallDetection();
                 readsLeft[0] = clockRead;
-                stallingScheduler.pass(EventLoopStallDetector.HEARTBEAT_MICROS);
+                stallingScheduler.advance(EventLoopStallDetector.HEARTBEAT_MICROS);
                 boolean stalled = readsLeft[0] <= 0;
                 readsLeft[0] = Integer.MAX_VALUE;
                 String where = (before ? "before clock read " : "behind clock read ") + clockRead;
                 if (stalled) {
-                    assertTrue(stallingDispatcher.mayHaveUnread(), where);
-                    stallingScheduler.pass(0); // polls the sockets
+                    assertTrue(stallingDispatcher.mayHaveUnreadUpdates(), where);
+                    stallingScheduler.advance(0); // polls the sockets
                     // Its next heartbeat may have been scheduled behind the stall.
-                    stallingScheduler.pass(EventLoopStallDetector.HEARTBEAT_MICROS);
+                    stallingScheduler.advance(EventLoopStallDetector.HEARTBEAT_MICROS);
                 } else {
                     assertTrue(clockRead > 1, "the clock is read");
                 }
-                assertFalse(stallingDispatcher.mayHaveUnread(), where);
+                assertFalse(stallingDispatcher.mayHaveUnreadUpdates(), where);
             }
         }
     }
 
     /** After a stall, and on a loop that is late in each iteration, what has waited for a poll may leave. */
     @Test
-    void tasksThatWaitedForAPollAreNotHeldBackOnceMore() {
+    void tasksThatWaitedForAPollAreNotDelayedAgain() {
         for (long iterationMicros : new long[] {1_000, 150_000, 700_000}) {
             VirtualTimeScheduler lateScheduler = new VirtualTimeScheduler();
             Dispatcher slowDispatcher = new Dispatcher(
@@ -101,19 +101,20 @@
             slowDispatcher.startStallDetection();
             lateScheduler.stall(1_300_000);
             assertTrue(
-                    lateScheduler.now() >= slowDispatcher.graceHolds(),
+                    lateScheduler.now() >= slowDispatcher.unreadDrainDeadlineMicros(),
                     "nothing has been polled for longer than a grace");
-            List<Boolean> graceOver = new ArrayList<>();
+            List<Boolean> deadlinePassed = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                slowDispatcher.afterUpdates(() -> graceOver.add(lateScheduler.now() >= slowDispatcher.graceHolds()));
+                slowDispatcher.runAfterUpdates(
+                        () -> deadlinePassed.add(lateScheduler.now() >= slowDispatcher.unreadDrainDeadlineMicros()));
                 lateScheduler.stall(iterationMicros);
-                lateScheduler.pass(0);
+                lateScheduler.advance(0);
             }
-            lateScheduler.pass(EventLoopStallDetector.HEARTBEAT_MICROS);
-            assertEquals(20, graceOver.size());
-            assertFalse(graceOver.contains(true), iterationMicros + ": " + graceOver);
+            lateScheduler.advance(EventLoopStallDetector.HEARTBEAT_MICROS);
+            assertEquals(20, deadlinePassed.size());
+            assertFalse(deadlinePassed.contains(true), iterationMicros + ": " + deadlinePassed);
             lateScheduler.stall(1_300_000);
-            assertTrue(lateScheduler.now() >= slowDispatcher.graceHolds());
+            assertTrue(lateScheduler.now() >= slowDispatcher.unreadDrainDeadlineMicros());
         }
     }
 
@@ -123,15 +124,15 @@
         dispatcher.startStallDetection();
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 500_000);
         dispatchFor(900_000).run();
-        scheduler.pass(0);
+        scheduler.advance(0);
         assertEquals(List.of(), policy.events);
         assertEquals(List.of(), policy.notifications);
         assertFalse(dispatcher.isOpen("r1"));
         assertEquals(0, dispatcher.pendingResponses());
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 500_000);
         dispatchFor(900_000);
-        dispatcher.retire();
-        scheduler.pass(0);
+        dispatcher.stopPolicyEvents();
+        scheduler.advance(0);
         assertEquals(List.of(), policy.events, "nor is anything after its retirement");
     }
 
@@ -142,15 +143,15 @@
         dispatcher.startStallDetection();
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 40_000);
         dispatch();
-        assertEquals(48_000, transport.started.get(0).wait);
-        scheduler.pass(0); // the heartbeat has run
+        assertEquals(48_000, transport.started.get(0).responseTimeoutMicros);
+        scheduler.advance(0); // the heartbeat has run
         dispatch();
-        assertEquals(50_000, transport.started.get(1).wait);
+        assertEquals(50_000, transport.started.get(1).responseTimeoutMicros);
         assertEquals(List.of(), log);
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000);
-        scheduler.pass(0);
+        scheduler.advance(0);
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000); // right after that: no second line
-        scheduler.pass(0);
+        scheduler.advance(0);
         assertEquals(
                 List.of("event=event_loop_stalled duration_ms=730"),
                 log.stream()
--- a/src/test/java/loadbalancer/proxy/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -14,10 +14,10 @@
     @Test
     void aResponseInTimeEarnsItsWorthAndALateOneItsShare() {
         dispatch();
-        scheduler.pass(20_000);
+        scheduler.advance(20_000);
         transport.started.get(0).listener.ended(Outcome.OK, ok(), null);
         dispatch();
-        scheduler.pass(20_001);
+        scheduler.advance(20_001);
         transport.started.get(1).listener.ended(Outcome.OK, ok(), null);
         assertEquals(List.of("served", "served"), client.responses);
         RequestMetrics.Counts all = dispatcher.metrics().all();
@@ -33,10 +33,10 @@
     @Test
     void whetherAnAttemptNeverRanIsDecidedByTheTransport() {
         dispatch();
-        scheduler.pass(50_000);
+        scheduler.advance(50_000);
         dispatch();
         transport.started.get(1).effect = AttemptTransport.AttemptEffect.NEVER_RAN;
-        scheduler.pass(50_000);
+        scheduler.advance(50_000);
         assertEquals(List.of("TIMEOUT", "NOT_SENT"), policy.notifications);
         assertTrue(transport.started.get(0).stopped && transport.started.get(1).stopped);
         assertEquals(List.of("failed", "failed"), client.responses);
@@ -56,7 +56,7 @@
     void anAttemptThatEndsWithinItsSendIsReportedAfterwards() {
         transport.failsWithinSend = true;
         dispatch();
-        scheduler.pass(200_000);
+        scheduler.advance(200_000);
         assertEquals(List.of("NOT_SENT"), policy.notifications);
         assertEquals(List.of("failed"), client.responses);
         assertFalse(dispatcher.isOpen("r1"));
@@ -66,11 +66,11 @@
     void whereThePolicyNeverRespondsTheLastResortFailsTheRequestInTime() {
         policy.neverFails = true;
         dispatch();
-        scheduler.pass(100_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
+        scheduler.advance(100_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
         assertEquals(List.of("failed"), client.responses);
         assertEquals(List.of("event=last_resort_responses count=1"), log);
         assertFalse(dispatcher.isOpen("r1"));
-        scheduler.pass(1_000_000);
+        scheduler.advance(1_000_000);
         assertEquals(1, client.responses.size());
         assertEquals(1, dispatcher.metrics().failures());
     }
@@ -81,7 +81,7 @@
         client.unreadClose = dispatch();
         FakeTransport.StartedAttempt attempt = transport.started.get(0);
         attempt.connecting = true;
-        assertEquals(SendGuard.NOBODY, attempt.listener.awaitedUntil());
+        assertEquals(SendGuard.NOT_AWAITED, attempt.listener.awaitedUntilMicros());
         assertTrue(attempt.stopped);
         assertEquals(List.of("disconnected", "NOT_SENT closed"), policy.notifications);
     }
@@ -90,8 +90,8 @@
     void anAttemptMayBeginWithinTheGraceOfAClientClose() {
         dispatch();
         long now = scheduler.now();
-        long until = transport.started.get(0).listener.awaitedUntil();
-        assertTrue(until > now && until < now + SendGuard.CLOSE_GRACE);
+        long until = transport.started.get(0).listener.awaitedUntilMicros();
+        assertTrue(until > now && until < now + SendGuard.CLOSE_GRACE_MICROS);
     }
 
     @Test
@@ -102,12 +102,12 @@
         unsafe.dispatch(
                 new ProxyRequest("r1", "POST", "/k", HeaderFields.NONE, new byte[0], 0, 0, "k", 100_000, -1, false),
                 client);
-        assertEquals(SendGuard.NOBODY, transport.started.get(1).listener.awaitedUntil());
+        assertEquals(SendGuard.NOT_AWAITED, transport.started.get(1).listener.awaitedUntilMicros());
         assertEquals(1, unsafe.invariants().count(Invariants.Violation.SECOND_RUN));
         assertEquals(List.of("event=invariant_violated invariant=second_run subject=r1 count=1"), log);
         policy.neverFails = true;
         transport.started.get(0).listener.ended(Outcome.CONNECT_FAILED, null, null);
-        assertTrue(transport.started.get(1).listener.awaitedUntil() > scheduler.now(), "the first one never ran");
+        assertTrue(transport.started.get(1).listener.awaitedUntilMicros() > scheduler.now(), "the first one never ran");
     }
 
     @Test
@@ -142,13 +142,13 @@
 
     @Test
     void anAttemptBeginsOnlyWithinItsWindowAndTimeout() {
-        policy.within = 30_000;
+        policy.startWithinMicros = 30_000;
         dispatch();
-        assertEquals(scheduler.now() + 30_000, transport.started.get(0).before);
-        policy.within = Long.MAX_VALUE;
+        assertEquals(scheduler.now() + 30_000, transport.started.get(0).startDeadlineMicros);
+        policy.startWithinMicros = Long.MAX_VALUE;
         dispatch();
-        assertEquals(scheduler.now() + 50_000, transport.started.get(1).before, "its time-out");
-        policy.within = 0;
+        assertEquals(scheduler.now() + 50_000, transport.started.get(1).startDeadlineMicros, "its time-out");
+        policy.startWithinMicros = 0;
         dispatch();
         assertEquals(2, transport.started.size(), "too late at once");
         assertEquals(List.of("NOT_SENT"), policy.notifications);
@@ -157,13 +157,13 @@
     @Test
     void requestsDuringShutdownAreAnsweredBeforeTheProcessMayBeKilled() {
         dispatcher.beginShutdown(600_000); // the longest deadline is 100 ms
-        scheduler.pass(650_000);
+        scheduler.advance(650_000);
         dispatchFor(5_000_000);
         assertEquals(
                 50_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS - RequestDeadlines.LAST_ATTEMPT_LEAD_MICROS,
-                transport.started.get(0).wait);
+                transport.started.get(0).responseTimeoutMicros);
         policy.neverFails = true;
-        scheduler.pass(50_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
+        scheduler.advance(50_000 - RequestDeadlines.LAST_RESORT_LEAD_MICROS);
         assertEquals(List.of("failed"), client.responses);
     }
 
@@ -173,22 +173,22 @@
         disconnect.run();
         assertEquals(List.of("disconnected", "CANCELLED closed"), policy.notifications);
         assertTrue(transport.started.get(0).stopped);
-        scheduler.pass(1_000_000);
+        scheduler.advance(1_000_000);
         assertEquals(List.of(), client.responses);
         assertEquals(1, dispatcher.metrics().disconnects());
         boolean[] idle = new boolean[1];
         dispatcher.whenIdle(() -> idle[0] = true);
-        scheduler.pass(0);
+        scheduler.advance(0);
         assertTrue(idle[0]);
     }
 
     @Test
     void noAttemptOutlivesItsClientsDeadline() {
         dispatch();
-        assertEquals(50_000, transport.started.get(0).wait);
-        scheduler.pass(200_000);
+        assertEquals(50_000, transport.started.get(0).responseTimeoutMicros);
+        scheduler.advance(200_000);
         dispatch();
-        scheduler.pass(1);
+        scheduler.advance(1);
         assertEquals(2, transport.started.size());
     }
 }
--- a/src/test/java/loadbalancer/proxy/DispatcherUploadTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherUploadTest.java
@@ -11,16 +11,16 @@
 class DispatcherUploadTest extends DispatcherFixture {
     /** A long body; the test says when it is complete. */
     private static final class FakeBodyStream implements BodyStream {
-        private Taker taker;
+        private Subscriber subscriber;
 
         @Override
-        public boolean started() {
-            return taker != null;
+        public boolean hasSubscriber() {
+            return subscriber != null;
         }
 
         @Override
-        public void subscribe(Taker subscriber) {
-            taker = subscriber;
+        public void subscribe(Subscriber newSubscriber) {
+            subscriber = newSubscriber;
         }
 
         @Override
@@ -30,7 +30,7 @@
         public void cancel() {}
     }
 
-    private static final class DiscardingTaker implements BodyStream.Taker {
+    private static final class DiscardingSubscriber implements BodyStream.Subscriber {
         @Override
         public void onData(byte[] bytes) {}
 
@@ -51,14 +51,14 @@
         FakeBodyStream body = new FakeBodyStream();
         RecordingResponseWriter uploader = new RecordingResponseWriter();
         dispatcher.dispatch(upload(body), uploader);
-        transport.requests.get(0).rest().subscribe(new DiscardingTaker());
-        scheduler.pass(5_000_000);
+        transport.requests.get(0).remainingBody().subscribe(new DiscardingSubscriber());
+        scheduler.advance(5_000_000);
         assertEquals(List.of(), uploader.responses);
         assertFalse(transport.started.get(0).stopped);
-        body.taker.onComplete();
-        scheduler.pass(49_000);
+        body.subscriber.onComplete();
+        scheduler.advance(49_000);
         assertFalse(transport.started.get(0).stopped);
-        scheduler.pass(2_000);
+        scheduler.advance(2_000);
         assertTrue(transport.started.get(0).stopped);
         assertEquals(List.of("failed"), uploader.responses);
     }
@@ -70,7 +70,7 @@
         transport.failsWithinSend = true;
         policy.neverFails = true;
         dispatcher.dispatch(upload(new FakeBodyStream()), uploader);
-        scheduler.pass(400_000);
+        scheduler.advance(400_000);
         assertEquals(List.of("failed"), uploader.responses);
     }
 
@@ -79,16 +79,16 @@
         FakeBodyStream body = new FakeBodyStream();
         RecordingResponseWriter uploader = new RecordingResponseWriter();
         dispatcher.dispatch(upload(body), uploader);
-        BodyStream rest = transport.requests.get(0).rest();
-        rest.subscribe(new DiscardingTaker());
+        BodyStream rest = transport.requests.get(0).remainingBody();
+        rest.subscribe(new DiscardingSubscriber());
         transport.started.get(0).effect = AttemptTransport.AttemptEffect.NEVER_RAN;
         rest.setReady(false);
-        scheduler.pass(9_000_000);
+        scheduler.advance(9_000_000);
         rest.setReady(true);
-        scheduler.pass(9_000_000);
+        scheduler.advance(9_000_000);
         assertEquals(List.of(), uploader.responses);
         rest.setReady(false);
-        scheduler.pass(11_000_000);
+        scheduler.advance(11_000_000);
         assertTrue(transport.started.get(0).stopped);
         assertEquals(List.of("NOT_SENT"), policy.notifications);
         assertEquals(List.of("failed"), uploader.responses);
--- a/src/test/java/loadbalancer/proxy/DrainGraceTest.java
+++ b/src/test/java/loadbalancer/proxy/DrainGraceTest.java
@@ -6,10 +6,10 @@
 
 class DrainGraceTest {
     @Test
-    void aDrainStopsBeforeItsGraceEndsAndARepeatedAnnouncementExtendsNothing() {
-        assertEquals(1_950_000, DrainGrace.stopAt(DrainGrace.NEVER, 1_000_000, 1_000_000));
-        assertEquals(1_950_000, DrainGrace.stopAt(1_950_000, 1_500_000, 1_000_000));
-        assertEquals(1_040_000, DrainGrace.stopAt(DrainGrace.NEVER, 1_000_000, 80_000), "half of it");
-        assertEquals(1_000_000, DrainGrace.stopAt(DrainGrace.NEVER, 1_000_000, 0));
+    void theDeadlineIsBeforeTheGraceEndsAndIsNotExtendedByARepeatedAnnouncement() {
+        assertEquals(1_950_000, DrainGrace.drainDeadlineMicros(DrainGrace.NEVER, 1_000_000, 1_000_000));
+        assertEquals(1_950_000, DrainGrace.drainDeadlineMicros(1_950_000, 1_500_000, 1_000_000));
+        assertEquals(1_040_000, DrainGrace.drainDeadlineMicros(DrainGrace.NEVER, 1_000_000, 80_000), "half of it");
+        assertEquals(1_000_000, DrainGrace.drainDeadlineMicros(DrainGrace.NEVER, 1_000_000, 0));
     }
 }
--- a/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
+++ b/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
@@ -30,18 +30,18 @@
     /** One client's request: when it was sent, and the responses to it. */
     private static final class ClientRequest implements ResponseWriter {
         private final VirtualTimeScheduler loop;
-        private final long sentAt;
+        private final long sentAtMicros;
         private final List<String> responses = new ArrayList<>();
-        private long respondedAt;
+        private long respondedAtMicros;
 
         ClientRequest(VirtualTimeScheduler loop) {
             this.loop = loop;
-            this.sentAt = loop.now();
+            this.sentAtMicros = loop.now();
         }
 
         private void record(String response) {
             responses.add(response);
-            respondedAt = loop.now();
+            respondedAtMicros = loop.now();
         }
 
         @Override
@@ -50,7 +50,7 @@
         }
 
         @Override
-        public void reject(long retryAfter) {
+        public void reject(long retryAfterMicros) {
             record("rejected");
         }
 
@@ -66,7 +66,12 @@
         public void updateEndpoints(EndpointUpdate update, long now) {}
 
         @Override
-        public Attempt send(String server, ProxyRequest request, long wait, long before, Listener listener) {
+        public Attempt send(
+                String server,
+                ProxyRequest request,
+                long responseTimeoutMicros,
+                long startDeadlineMicros,
+                Listener listener) {
             boolean[] ended = new boolean[1];
             long serviceMicros = 5_000 + random.nextLong(random.nextInt(6) == 0 ? 600_000 : 60_000);
             arrivals.add(new Arrival(loop.now() + serviceMicros, () -> {
@@ -90,14 +95,14 @@
         }
 
         @Override
-        public void probe(String server, boolean report, Listener listener) {}
+        public void probe(String server, boolean withLoadReport, Listener listener) {}
 
         @Override
         public void closeIdle(String server) {}
     }
 
     /** Bytes that arrive in a socket at a time, and what reading them does. */
-    private record Arrival(long at, Runnable read) {}
+    private record Arrival(long arrivedAtMicros, Runnable read) {}
 
     private final VirtualTimeScheduler loop = new VirtualTimeScheduler();
     private final List<Arrival> arrivals = new ArrayList<>();
@@ -106,15 +111,16 @@
 
     // One iteration of the event loop: its sockets, then its timers.
     private void runIteration() {
-        List<Arrival> readable =
-                arrivals.stream().filter(arrival -> arrival.at() <= loop.now()).toList();
+        List<Arrival> readable = arrivals.stream()
+                .filter(arrival -> arrival.arrivedAtMicros() <= loop.now())
+                .toList();
         arrivals.removeAll(readable);
         readable.forEach(arrival -> arrival.read().run());
-        loop.pass(0);
+        loop.advance(0);
     }
 
     private void run(long micros) {
-        for (long until = loop.now() + micros; loop.now() < until; ) {
+        for (long endMicros = loop.now() + micros; loop.now() < endMicros; ) {
             loop.stall(1_000);
             runIteration();
         }
@@ -153,7 +159,7 @@
     }
 
     /** When the event loop was stalled. */
-    private record Stall(long began, long ended) {}
+    private record Stall(long startMicros, long endMicros) {}
 
     private Stall runWithOneStall(Dispatcher dispatcher, List<ClientRequest> requests) {
         Stall stall = null;
@@ -173,23 +179,24 @@
     }
 
     private Stall stall(Dispatcher dispatcher, List<ClientRequest> requests) {
-        long began = loop.now();
-        long length = 100_000 + random.nextLong(900_000);
+        long startMicros = loop.now();
+        long durationMicros = 100_000 + random.nextLong(900_000);
         for (int i = 0; i < 20; i++) { // clients go on sending
-            loop.stall(length / 20);
+            loop.stall(durationMicros / 20);
             sendRequest(dispatcher, requests);
         }
-        return new Stall(began, loop.now());
+        return new Stall(startMicros, loop.now());
     }
 
     private static void assertOneResponseInTime(ClientRequest request, Stall stall, int seed) {
-        String result = "seed " + seed + ": " + request.responses + " " + (request.respondedAt - request.sentAt);
+        String result =
+                "seed " + seed + ": " + request.responses + " " + (request.respondedAtMicros - request.sentAtMicros);
         assertEquals(1, request.responses.size(), result);
-        long deadline = request.sentAt + DEADLINE_MICROS;
-        boolean overlapsStall = request.sentAt <= stall.ended() && deadline >= stall.began();
+        long deadlineMicros = request.sentAtMicros + DEADLINE_MICROS;
+        boolean overlapsStall = request.sentAtMicros <= stall.endMicros() && deadlineMicros >= stall.startMicros();
         // Right behind the stall at the latest, where its deadline passed meanwhile.
-        long latest = Math.max(deadline + SLACK_MICROS, overlapsStall ? stall.ended() + 2_000 : 0);
-        assertTrue(request.respondedAt <= latest, result);
+        long latestMicros = Math.max(deadlineMicros + SLACK_MICROS, overlapsStall ? stall.endMicros() + 2_000 : 0);
+        assertTrue(request.respondedAtMicros <= latestMicros, result);
     }
 
     private void sendRequest(Dispatcher dispatcher, List<ClientRequest> requests) {
--- a/src/test/java/loadbalancer/proxy/FakeTransport.java
+++ b/src/test/java/loadbalancer/proxy/FakeTransport.java
@@ -9,16 +9,16 @@
     /** An attempt that has been handed over. */
     static final class StartedAttempt implements AttemptTransport.Attempt {
         final AttemptTransport.Listener listener;
-        final long wait;
-        final long before;
+        final long responseTimeoutMicros;
+        final long startDeadlineMicros;
         boolean connecting;
         AttemptTransport.AttemptEffect effect = AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
         boolean stopped;
 
-        StartedAttempt(AttemptTransport.Listener listener, long wait, long before) {
-            this.before = before;
+        StartedAttempt(AttemptTransport.Listener listener, long responseTimeoutMicros, long startDeadlineMicros) {
+            this.startDeadlineMicros = startDeadlineMicros;
             this.listener = listener;
-            this.wait = wait;
+            this.responseTimeoutMicros = responseTimeoutMicros;
         }
 
         @Override
@@ -37,16 +37,21 @@
     final List<StartedAttempt> started = new ArrayList<>();
     final List<ProxyRequest> requests = new ArrayList<>();
     boolean failsWithinSend;
-    long updatedAt; // of the last endpoint update
+    long lastAnnouncedAtMicros; // of the last endpoint update
 
     @Override
-    public void updateEndpoints(EndpointUpdate update, long now) {
-        updatedAt = now;
+    public void updateEndpoints(EndpointUpdate update, long announcedAtMicros) {
+        lastAnnouncedAtMicros = announcedAtMicros;
     }
 
     @Override
-    public Attempt send(String server, ProxyRequest request, long wait, long before, Listener listener) {
-        StartedAttempt next = new StartedAttempt(listener, wait, before);
+    public Attempt send(
+            String server,
+            ProxyRequest request,
+            long responseTimeoutMicros,
+            long startDeadlineMicros,
+            Listener listener) {
+        StartedAttempt next = new StartedAttempt(listener, responseTimeoutMicros, startDeadlineMicros);
         started.add(next);
         requests.add(request);
         if (failsWithinSend) {
@@ -56,7 +61,7 @@
     }
 
     @Override
-    public void probe(String server, boolean report, Listener listener) {}
+    public void probe(String server, boolean withLoadReport, Listener listener) {}
 
     @Override
     public void closeIdle(String server) {}
--- a/src/test/java/loadbalancer/proxy/RecordingResponseWriter.java
+++ b/src/test/java/loadbalancer/proxy/RecordingResponseWriter.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void reject(long retryAfter) {
+    public void reject(long retryAfterMicros) {
         responses.add("rejected");
     }
 
--- a/src/test/java/loadbalancer/proxy/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -10,8 +10,9 @@
 class SendGuardTest {
     private static final long NEVER = Long.MAX_VALUE;
 
-    private static SendPermit decide(long now, long before, long stopAt, boolean moved) {
-        return SendGuard.decide(now, NEVER, before, stopAt, moved, NEVER);
+    private static SendPermit decide(
+            long now, long startDeadlineMicros, long drainDeadlineMicros, boolean addressChanged) {
+        return SendGuard.decide(now, NEVER, startDeadlineMicros, drainDeadlineMicros, addressChanged, NEVER);
     }
 
     @Test
@@ -27,7 +28,7 @@
 
     @Test
     void nothingBeginsForAClientThatHasClosed() {
-        SendPermit permit = SendGuard.decide(0, SendGuard.NOBODY, NEVER, NEVER, false, NEVER);
+        SendPermit permit = SendGuard.decide(0, SendGuard.NOT_AWAITED, NEVER, NEVER, false, NEVER);
         assertFalse(permit.granted());
         assertEquals(Outcome.NOT_SENT, permit.refusal());
         assertTrue(permit.refusal().neverRan());
@@ -35,16 +36,16 @@
 
     @Test
     void aPermitExpiresAtTheEarliestOfItsLimits() {
-        assertEquals(10, SendGuard.decide(0, 10, 20, 30, false, 40).until());
-        assertEquals(10, SendGuard.decide(0, 20, 10, 30, false, 40).until());
-        assertEquals(10, SendGuard.decide(0, 20, 30, 10, false, 40).until());
-        assertEquals(10, SendGuard.decide(0, 20, 30, 40, false, 10).until());
+        assertEquals(10, SendGuard.decide(0, 10, 20, 30, false, 40).expiresAtMicros());
+        assertEquals(10, SendGuard.decide(0, 20, 10, 30, false, 40).expiresAtMicros());
+        assertEquals(10, SendGuard.decide(0, 20, 30, 10, false, 40).expiresAtMicros());
+        assertEquals(10, SendGuard.decide(0, 20, 30, 40, false, 10).expiresAtMicros());
     }
 
     @Test
-    void aPermitEndsBeforeTheGraceOfACloseRightBehindTheRead() {
-        long readAt = 1_000_000;
-        assertTrue(SendGuard.awaitedUntil(readAt) < readAt + SendGuard.CLOSE_GRACE);
-        assertTrue(SendGuard.awaitedUntil(readAt) > readAt);
+    void aPermitExpiresBeforeTheGraceOfACloseRightAfterTheRead() {
+        long readAtMicros = 1_000_000;
+        assertTrue(SendGuard.awaitedUntilMicros(readAtMicros) < readAtMicros + SendGuard.CLOSE_GRACE_MICROS);
+        assertTrue(SendGuard.awaitedUntilMicros(readAtMicros) > readAtMicros);
     }
 }
--- a/src/test/java/loadbalancer/proxy/SingleAttemptPolicy.java
+++ b/src/test/java/loadbalancer/proxy/SingleAttemptPolicy.java
@@ -11,7 +11,7 @@
     boolean neverFails;
     boolean ignoresDisconnects;
     int attemptsPerRequest = 1;
-    long within = Long.MAX_VALUE;
+    long startWithinMicros = Long.MAX_VALUE;
 
     @Override
     public void reload(
@@ -29,13 +29,13 @@
             int requestClass,
             int tenant,
             String key,
-            long timeLeft,
-            long work,
+            long timeLeftMicros,
+            long workMicros,
             boolean resubmission,
             Actions actions) {
         events.add("request");
         for (int i = 0; i < attemptsPerRequest; i++) {
-            actions.send(request, "s", 50_000, within);
+            actions.send(request, "s", 50_000, startWithinMicros);
         }
     }
 
@@ -45,7 +45,7 @@
             String request,
             int attempt,
             Outcome outcome,
-            long latency,
+            long latencyMicros,
             boolean closed,
             Load load,
             Actions actions) {
@@ -67,7 +67,8 @@
     }
 
     @Override
-    public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions actions) {}
+    public void probeCompleted(
+            long now, String server, Outcome outcome, long latencyMicros, Load load, Actions actions) {}
 
     @Override
     public void wake(long now, Actions actions) {}
--- a/src/test/java/loadbalancer/proxy/TestSettings.java
+++ b/src/test/java/loadbalancer/proxy/TestSettings.java
@@ -21,7 +21,7 @@
             "Rules.Fall", "1");
 
     /** A request class; {@code idempotency} as the settings word it. */
-    record RequestClass(String name, String idempotency, long latencyObjective, long deadline) {}
+    record RequestClass(String name, String idempotency, long latencyObjectiveMicros, long deadlineMicros) {}
 
     private TestSettings() {}
 
@@ -47,8 +47,8 @@
             String prefix = "Classes." + i + ".";
             values.put(prefix + "Name", classes[i].name());
             values.put(prefix + "Idempotency", classes[i].idempotency());
-            values.put(prefix + "GoalTime", Long.toString(classes[i].latencyObjective()));
-            values.put(prefix + "GiveUp", Long.toString(classes[i].deadline()));
+            values.put(prefix + "GoalTime", Long.toString(classes[i].latencyObjectiveMicros()));
+            values.put(prefix + "GiveUp", Long.toString(classes[i].deadlineMicros()));
             values.put(prefix + "Gain", "4");
             values.put(prefix + "LateShare", "0.25");
         }
--- a/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
+++ b/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
@@ -5,12 +5,12 @@
 
 /** An event loop in virtual time: runs the tasks that are due, in order, when a test lets time pass. */
 final class VirtualTimeScheduler implements Scheduler, Clock {
-    private record Entry(long dueAt, long number, Runnable task) {}
+    private record Entry(long dueAtMicros, long sequenceNumber, Runnable task) {}
 
     private final PriorityQueue<Entry> entries =
-            new PriorityQueue<>(Comparator.comparingLong(Entry::dueAt).thenComparingLong(Entry::number));
+            new PriorityQueue<>(Comparator.comparingLong(Entry::dueAtMicros).thenComparingLong(Entry::sequenceNumber));
     private long now = 1_000_000;
-    private long nextNumber;
+    private long nextSequenceNumber;
 
     @Override
     public long now() {
@@ -23,8 +23,8 @@
     }
 
     @Override
-    public Timer schedule(long delay, Runnable task) {
-        Entry entry = new Entry(now + Math.max(0, delay), nextNumber++, task);
+    public Timer schedule(long delayMicros, Runnable task) {
+        Entry entry = new Entry(now + Math.max(0, delayMicros), nextSequenceNumber++, task);
         entries.add(entry);
         return () -> entries.remove(entry);
     }
@@ -35,13 +35,13 @@
     }
 
     /** Time passes, and the tasks that become due run. */
-    void pass(long micros) {
-        long until = now + micros;
-        while (!entries.isEmpty() && entries.peek().dueAt() <= until) {
+    void advance(long micros) {
+        long endMicros = now + micros;
+        while (!entries.isEmpty() && entries.peek().dueAtMicros() <= endMicros) {
             Entry next = entries.poll();
-            now = Math.max(now, next.dueAt());
+            now = Math.max(now, next.dueAtMicros());
             next.task().run();
         }
-        now = Math.max(now, until); // a task may have stalled
+        now = Math.max(now, endMicros); // a task may have stalled
     }
 }
--- a/src/test/java/loadbalancer/server/StallBeforeSendTest.java
+++ b/src/test/java/loadbalancer/server/StallBeforeSendTest.java
@@ -57,12 +57,12 @@
         private long holds = Long.MAX_VALUE; // where it is not over
 
         @Override
-        public boolean mayHaveUnread() {
+        public boolean mayHaveUnreadUpdates() {
             return false;
         }
 
         @Override
-        public long graceHolds() {
+        public long unreadDrainDeadlineMicros() {
             Runnable now = duringStall;
             duringStall = null;
             if (now != null) {
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void afterUpdates(Runnable task) {
+        public void runAfterUpdates(Runnable task) {
             task.run();
         }
     }
@@ -82,12 +82,12 @@
         private boolean started;
 
         @Override
-        public boolean started() {
+        public boolean hasSubscriber() {
             return started;
         }
 
         @Override
-        public void subscribe(Taker taker) {
+        public void subscribe(Subscriber taker) {
             assertTrue(!started, "it was handed over before");
             started = true;
             taker.onData(BODY);
@@ -244,7 +244,7 @@
         Policy.Outcome end = end();
         assertTrue(end.neverRan(), end::toString);
         assertNothingCame();
-        assertTrue(bodies.stream().noneMatch(LongBody::started));
+        assertTrue(bodies.stream().noneMatch(LongBody::hasSubscriber));
     }
 
     // What has been written to a connection has come before one that is opened behind it is served.
@@ -285,7 +285,7 @@
         send("late", 0, route == Route.UPLOAD);
         Policy.Outcome end = end();
         assertTrue(end.neverRan(), end::toString);
-        assertTrue(bodies.stream().noneMatch(LongBody::started));
+        assertTrue(bodies.stream().noneMatch(LongBody::hasSubscriber));
         onLoop(() -> updates.holds = Long.MAX_VALUE);
         assertNothingCame();
     }
@@ -310,7 +310,7 @@
             Policy.Outcome end = end();
             assertTrue(end.neverRan(), end::toString);
             onLoop(() -> {});
-            assertTrue(bodies.stream().noneMatch(LongBody::started));
+            assertTrue(bodies.stream().noneMatch(LongBody::hasSubscriber));
         }
     }
 
