--- a/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -175,7 +175,7 @@
     /** Waits once more for as long as the service may be silent. */
     void restartSilenceTimer() {
         // After a stall of this process, what was received meanwhile is read before the timer fires.
-        silenceTimer = ReadBeforeTimers.after(
+        silenceTimer = ReadBeforeTimers.schedule(
                 loop, timeout.maxSilenceMillis(answered), TimeUnit.MILLISECONDS, this::silenceTimeoutElapsed);
     }
 
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -188,11 +188,11 @@
 
     private void handleUpdate(DiscoveryCall call, EndpointUpdate update) {
         VersionTracker.Decision decision =
-                versions.evaluate(update.rev(), update.all(), call.versionAtRequest(), !call.isAnswered());
+                versions.evaluate(update.version(), update.complete(), call.versionAtRequest(), !call.isAnswered());
         switch (decision) {
             case ACCEPT -> deliver(call, update);
             case STALE -> deliver(call, unchanged()); // the call is answered, and the newer list stays in use
-            case OUT_OF_ORDER -> restartFromCompleteList(call, update.rev());
+            case OUT_OF_ORDER -> restartFromCompleteList(call, update.version());
             default -> throw new IllegalStateException("no such verdict: " + decision);
         }
     }
@@ -206,7 +206,7 @@
             openWatches().stream().filter(watch -> watch != call).forEach(this::cancel);
             notifiedForMicros = timeout.takeNotifiedForMillis(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
         }
-        listener.onUpdate(update.all() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
+        listener.onUpdate(update.complete() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
         if (!call.isWatch()) {
             cancel(call);
         }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -287,7 +287,7 @@
     void respond(FinalResponse response, boolean keepAlive) {
         clientClosedCallback = null;
         // A client may write all of a long body before it reads.
-        maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : DEFAULT_MAX_DRAINED_BYTES;
+        maxDrainedBytes = input.isStreaming() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : DEFAULT_MAX_DRAINED_BYTES;
         queue.releaseServed();
         boolean moreInput = hasMoreInput();
         boolean staysOpen =
@@ -340,7 +340,7 @@
         boolean selfDelimited = ResponseHeads.isSelfDelimited(response, http10);
         boolean mayStayOpen = mayStayOpen(keepAlive) && selfDelimited;
         timeouts.streamStarted(System.nanoTime());
-        streamer = new ResponseStreamer(this, channel, response.rest(), mayStayOpen);
+        streamer = new ResponseStreamer(this, channel, response.remainingBody(), mayStayOpen);
         streamer.start(ResponseHeads.streamed(response, selfDelimited, mayStayOpen), response.body());
     }
 
--- a/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
@@ -39,7 +39,7 @@
         if (contentLength < 0) {
             return badRequest("bad Content-Length");
         }
-        if (contentLength > ProxyRequest.LENGTH_MOST) {
+        if (contentLength > ProxyRequest.MAX_STREAMED_BODY_BYTES) {
             return new Problem(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
         }
         String expectation = request.headers().get(HttpHeaderNames.EXPECT);
--- a/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
+++ b/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.eventloop.MillisecondTimer;
+import loadbalancer.eventloop.MillisecondEventLoopGroup;
 import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.http3.TlsIdentity;
 import loadbalancer.server.Certificates;
@@ -43,8 +43,8 @@
             new Http3ConnectionLimiter.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
 
     private final X509Bundle certificate = Certificates.selfSigned();
-    private final MillisecondTimer serverLoops = new MillisecondTimer();
-    private final MillisecondTimer clientLoops = new MillisecondTimer();
+    private final MillisecondEventLoopGroup serverLoops = new MillisecondEventLoopGroup();
+    private final MillisecondEventLoopGroup clientLoops = new MillisecondEventLoopGroup();
     private final EventLoop loop = serverLoops.next();
     private final Http3Listener listener = new Http3Listener(
             loop,
@@ -58,8 +58,8 @@
 
     @AfterEach
     void closeLoops() {
-        serverLoops.end();
-        clientLoops.end();
+        serverLoops.shutdownAsync();
+        clientLoops.shutdownAsync();
     }
 
     private void connectAll() throws Exception {
