--- a/src/test/java/loadbalancer/policy/LearnedFiguresTest.java
+++ b/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The small figures that the parts share: latencies of classes, rates, decaying counts, budgets, the log. */
-class LearnedFiguresTest {
+class LearnedStatisticsTest {
     private static final long NOW = PolicyFixtures.NOW;
 
     private final ClassLatency latency = new ClassLatency(PolicyFixtures.SAFE);
--- a/src/test/java/loadbalancer/policy/FurtherRulesTest.java
+++ b/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Order by key and placement. */
-class FurtherRulesTest {
+class OrderAndPlacementTest {
     private static final RequestClass SAFE = PolicyTestHarness.kind(Effect.SAFE, Scope.ALL);
 
     private static RequestClass ordered(Effect effect) {
--- a/src/test/java/loadbalancer/policy/LearningTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One test for each failure found: it fails without the answer to it in Rules. */
-class LearningTest {
+class PolicyRegressionTest {
     private static final Policy.RequestClass SAFE = PolicyTestHarness.kind(Effect.SAFE, Scope.ALL);
     private static final Policy.RequestClass UNSAFE = PolicyTestHarness.kind(Effect.UNSAFE, Scope.ALL);
 
