--- a/src/main/java/loadbalancer/eventloop/MillisecondEventLoopGroup.java
+++ b/src/main/java/loadbalancer/eventloop/MillisecondEventLoopGroup.java
@@ -13,29 +13,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A group of one event loop whose wait for the next timer is rounded up to whole milliseconds, and whose scheduled
- * tasks are reported where they throw; a repeated task is repeated all the same.
+ * A group with one event loop that rounds its wait for the next timer up to whole milliseconds, and that logs
+ * exceptions of scheduled tasks. A periodic task that throws keeps running periodically.
  *
- * <p>Netty's selector waits whole milliseconds and rounds to the nearest. Where it wakes up to half a millisecond early
- * it polls its sockets without waiting until the timer is due: hundreds of iterations without any work, on a core that
- * other processes share. Here timers run up to a millisecond late instead.
+ * <p>Netty's selector waits for whole milliseconds and rounds to the nearest one. If it wakes up early, by up to half a
+ * millisecond, it polls its sockets without waiting until the timer is due: hundreds of iterations that do no work, on
+ * a core that other processes share. With this group timers run up to one millisecond late instead.
  */
 public final class MillisecondEventLoopGroup extends MultiThreadIoEventLoopGroup {
     private static final long NANOS_PER_MILLISECOND = 1_000_000;
     private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 100;
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
 
-    /** A loop with Netty's default select strategy, where nobody reads of failed tasks. */
+    /** Creates a loop with Netty's default select strategy that does not log failed tasks. */
     public MillisecondEventLoopGroup() {
         this(new TaskFailures(line -> {}));
     }
 
-    /** A loop with Netty's default select strategy, whose scheduled tasks are reported there where they throw. */
+    /** Creates a loop with Netty's default select strategy that reports exceptions of tasks to {@code failures}. */
     public MillisecondEventLoopGroup(TaskFailures failures) {
         this(DefaultSelectStrategyFactory.INSTANCE, failures);
     }
 
-    /** A loop with a select strategy of its own, by which tests count iterations. */
+    /** Creates a loop with the given select strategy; tests use the strategy to count iterations. */
     MillisecondEventLoopGroup(SelectStrategyFactory strategy) {
         this(strategy, new TaskFailures(line -> {}));
     }
@@ -45,9 +45,10 @@
     }
 
     /**
-     * Shuts the loop down, closes its channels, and does not wait for that; from any thread. Netty closes channels in
-     * the iteration behind the one in which the shutdown is requested; without a quiet period there is no such
-     * iteration where it is requested while tasks run, and the connections would stay open.
+     * Shuts the loop down and closes its channels, without waiting for either. May be called from any thread.
+     *
+     * <p>Netty closes channels in the iteration after the one in which the shutdown is requested. Without a quiet
+     * period a shutdown that is requested while tasks run has no such iteration, and the connections would stay open.
      */
     public void shutdownAsync() {
         shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -91,7 +92,7 @@
             return super.scheduleWithFixedDelay(() -> failures.run(task), initialDelay, delay, unit);
         }
 
-        // Its future fails as well.
+        // Rethrows, so that the task's future fails as well.
         private void runOnce(Runnable task) {
             try {
                 task.run();
--- a/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
+++ b/src/main/java/loadbalancer/eventloop/ReadBeforeTimers.java
@@ -5,19 +5,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Timers that, when they run late, let the event loop read its sockets first.
+ * Timers that let the event loop read its sockets first if they run late.
  *
- * <p>After a stall of the process (SIGSTOP, a machine without a free core) the selector returns with the timers due and
- * with none of the sockets that became readable meanwhile. Without the extra pass an attempt would time out whose
- * response has arrived, an idle connection would be closed on the request in it, and the age of a request would be
- * counted from after the stall.
+ * <p>After a stall of the process (SIGSTOP, a machine without a free core) the selector returns with timers due, but
+ * without the sockets that became readable during the stall. If the timers ran at once, an attempt would time out
+ * although its response has arrived, an idle connection would be closed although a request is unread in its socket, and
+ * the age of a request would be counted from the end of the stall.
  *
- * <p>For the loop's own thread, except {@link #schedule}.
+ * <p>To be used on the loop's own thread, except {@link #schedule} and {@link Handle#cancel}.
  */
 public final class ReadBeforeTimers {
-    /** A timer that runs later than this, in ns, is late: no iteration of a loop that keeps up takes so long. */
+    /** A timer that runs later than this is late: no iteration of an event loop that keeps up takes so long. */
     static final long LATE_NANOS = 5_000_000;
-    /** Passes over the sockets that a timer waits for at most, so that it also runs on a loop that is always late. */
+    /** Max. passes over the sockets that a timer waits for, so that it also runs on a loop that is always late. */
     private static final int MAX_SOCKET_PASSES = 3;
 
     private ReadBeforeTimers() {}
@@ -38,12 +38,12 @@
             this.future = loop.schedule(this::runOrReschedule, delayNanos, TimeUnit.NANOSECONDS);
         }
 
-        // A task scheduled within an iteration runs in the next one, behind the pass over the sockets.
+        // A task that is scheduled within an iteration runs in the next one, after the pass over the sockets.
         private void runOrReschedule() {
             if (cancelled) {
                 return;
             }
-            // Checked on each pass: the process may have been stalled between the pass and this task.
+            // Checked after each pass: the process may have stalled again between the pass and this task.
             long now = System.nanoTime();
             if (now - dueNanos > LATE_NANOS && socketPasses++ < MAX_SOCKET_PASSES) {
                 dueNanos = now;
@@ -53,7 +53,7 @@
             }
         }
 
-        /** Cancels the task; no effect once it has run. From any thread. */
+        /** Cancels the task; has no effect once the task has run. May be called from any thread. */
         public void cancel() {
             cancelled = true;
             future.cancel(false);
@@ -65,7 +65,10 @@
         return new Handle(loop, unit.toNanos(Math.max(0, delay)), task);
     }
 
-    /** Runs {@code task} repeatedly, each time {@code delay} after its last end, until the loop shuts down. */
+    /**
+     * Runs {@code task} repeatedly, each time {@code delay} after the end of the previous run, until the loop shuts
+     * down. An exception of the task does not end the repetition.
+     */
     public static void scheduleWithFixedDelay(EventLoop loop, long delay, TimeUnit unit, Runnable task) {
         schedule(loop, delay, unit, () -> {
             try {
--- a/src/main/java/loadbalancer/eventloop/TaskFailures.java
+++ b/src/main/java/loadbalancer/eventloop/TaskFailures.java
@@ -3,19 +3,19 @@
 import java.util.function.Consumer;
 
 /**
- * Counts and logs tasks of the event loop that have thrown. Netty keeps the exception of a scheduled task in a future
- * that nobody reads, and repeats such a task no more. On the event loop.
+ * Counts and logs event loop tasks that throw. Netty itself stores the exception of a scheduled task in a future that
+ * nobody reads, and stops repeating a periodic task that has thrown. To be used on the event loop.
  */
 public final class TaskFailures {
     private final Consumer<String> log;
     private long count;
 
-    /** {@code log} takes a line, and must not block. */
+    /** Creates a counter of 0; {@code log} receives the log lines and must not block. */
     public TaskFailures(Consumer<String> log) {
         this.log = log;
     }
 
-    /** Runs a task whose failure must not keep its caller from going on. */
+    /** Runs a task; an exception of the task is recorded and not thrown to the caller. */
     public void run(Runnable task) {
         try {
             task.run();
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Counts a failure; the first is logged, then the second, the fourth and so on. */
+    /** Counts a failure, and logs the failure if the count is a power of two. */
     void record(Throwable cause) {
         count++;
         if (Long.bitCount(count) == 1) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** For the end of a run. */
+    /** Returns the count as text, for the summary at the end of a run. */
     public String summary() {
         return count + " failed tasks";
     }
--- a/src/main/java/loadbalancer/eventloop/package-info.java
+++ b/src/main/java/loadbalancer/eventloop/package-info.java
@@ -1,2 +1,2 @@
-/** How the event loop schedules: a group with timers in whole milliseconds, and timers that run behind a read. */
+/** Event loop scheduling: timers rounded up to whole milliseconds, and timers that run after a read of the sockets. */
 package loadbalancer.eventloop;
--- a/src/main/java/loadbalancer/logging/AsyncLogWriter.java
+++ b/src/main/java/loadbalancer/logging/AsyncLogWriter.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts lines from any thread and writes them on a thread of its own, so that a stream that blocks, such as a pipe
- * that nobody reads, does not stall the event loop. While the queue is full, lines are dropped and counted; the count
- * is written once the queue is empty.
+ * Accepts log lines from any thread and writes them on a separate thread, so that a blocked stream, such as a pipe that
+ * nobody reads, does not stall the event loop. While the queue is full, lines are dropped and counted; the count is
+ * written once the queue is empty.
  */
 public final class AsyncLogWriter implements Consumer<String> {
-    /** Max. lines that wait to be written. */
+    /** Max. number of lines that wait to be written. */
     static final int QUEUE_CAPACITY = 512;
 
     private final PrintStream out;
@@ -23,17 +23,17 @@
     private long dropped;
 
     /**
-     * A writer whose thread is started by the first line.
+     * Creates a writer; its thread is started when the first line is accepted.
      *
      * @param out receives the lines
-     * @param prefix each line begins with it
+     * @param prefix is written before each line
      */
     public AsyncLogWriter(PrintStream out, String prefix) {
         this.out = out;
         this.prefix = prefix;
     }
 
-    /** Enqueues a line, or drops it where the queue is full or the writer closed. Never waits for the stream. */
+    /** Enqueues a line, or drops it if the queue is full or the writer is closed. Never waits for the stream. */
     @Override
     public synchronized void accept(String line) {
         if (closed) {
@@ -52,7 +52,7 @@
         notifyAll();
     }
 
-    /** The next line to write; waits for one. Null where the writer is closed and all has been written. */
+    /** Waits for the next line to write; returns null once the writer is closed and all lines have been written. */
     private synchronized String nextLine() throws InterruptedException {
         writing = false;
         notifyAll();
@@ -82,8 +82,9 @@
     }
 
     /**
-     * Accepts no more lines, and waits until all accepted ones are written, or the time is over: nobody may be reading.
-     * May be called more than once. An interrupt ends the wait and stays set.
+     * Stops accepting lines and waits until all accepted lines are written. The wait is limited, because the reader of
+     * the stream may have stopped reading. May be called more than once. An interrupt ends the wait, and the thread's
+     * interrupt status stays set.
      *
      * @param timeoutMillis max. time to wait
      */
--- a/src/main/java/loadbalancer/logging/LogRateLimiter.java
+++ b/src/main/java/loadbalancer/logging/LogRateLimiter.java
@@ -5,21 +5,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which messages of one logger are written, and formats their lines: at most one for each level in an
- * interval. The next line that is written counts those that were suppressed, of all levels. Thread-safe.
+ * Limits the messages of one logger to one line per level and interval, and formats the lines. The next line that is
+ * written gives the number of messages that were suppressed before it, of all levels together. Thread-safe.
  */
 final class LogRateLimiter {
-    /** Min. time between two lines of one level. */
+    /** Min. time between two lines of the same level. */
     static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final Map<String, Long> lastNanosByLevel = new HashMap<>();
     private long suppressed;
 
     /**
-     * Returns the line for the log, or null where another one of that level was written less than an interval ago.
+     * Returns the log line, or null if a line of the same level was written less than an interval ago.
      *
-     * @param cause null where there is none
-     * @param nowNanos as {@link System#nanoTime} gives it
+     * @param cause the logged exception, or null
+     * @param nowNanos the current time by {@link System#nanoTime}
      */
     synchronized String formatUnlessSuppressed(
             String level, String logger, String message, Throwable cause, long nowNanos) {
--- a/src/main/java/loadbalancer/logging/NettyLogBridge.java
+++ b/src/main/java/loadbalancer/logging/NettyLogBridge.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * Takes Netty's own warnings and errors to the program's log: one line each, with the cause in place of a stack trace,
- * and at most one of each level in five seconds from each of Netty's classes. Netty's default loggers write to standard
- * error on the event loop, which stalls where nobody reads that. Thread-safe.
+ * Forwards Netty's own warnings and errors to the log of this program: one line per message, with the cause in place of
+ * a stack trace, and at most one line per level in five seconds from each of Netty's classes. Netty's default loggers
+ * write to standard error on the event loop, which stalls the loop if nobody reads standard error. Thread-safe.
  */
 public final class NettyLogBridge extends InternalLoggerFactory {
     private final Consumer<String> sink;
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Makes the loggers that Netty creates from here on write there; those that exist are left as they are.
+     * Makes all loggers that Netty creates after this call write to {@code sink}; existing loggers do not change.
      *
-     * @param sink receives the lines on any thread; it must not block
+     * @param sink receives the lines, on any thread; must not block
      */
     public static void install(Consumer<String> sink) {
         InternalLoggerFactory.setDefaultFactory(new NettyLogBridge(sink));
--- a/src/main/java/loadbalancer/logging/NettyLogger.java
+++ b/src/main/java/loadbalancer/logging/NettyLogger.java
@@ -3,7 +3,7 @@
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import java.util.function.Consumer;
 
-/** One of Netty's loggers, for one of its classes. Only warnings and errors are written. Thread-safe. */
+/** The logger of one of Netty's classes. Writes warnings and errors only. Thread-safe. */
 final class NettyLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
     private static final String WARNING = "warning";
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Fills in Netty's placeholders; an exception that has none is the cause. */
+    /** Fills in Netty's placeholders; an exception without a placeholder of its own is logged as the cause. */
     private void format(String level, String format, Object... arguments) {
         String message = format;
         Throwable cause = null;
--- a/src/test/java/loadbalancer/eventloop/MillisecondEventLoopGroupTest.java
+++ b/src/test/java/loadbalancer/eventloop/MillisecondEventLoopGroupTest.java
@@ -24,9 +24,9 @@
 
 class MillisecondEventLoopGroupTest {
     private static final int TIMER_COUNT = 100;
-    private static final long INTERVAL_NANOS = 4_300_000; // ns: a wait of whole milliseconds ends before it
+    private static final long INTERVAL_NANOS = 4_300_000; // no whole milliseconds: a rounded wait ends early
 
-    /** Turns of a loop for each of its timers, one after the other. */
+    /** Runs timers one after the other on a new loop; returns the number of loop iterations per timer. */
     private static double iterationsPerTimer(Function<SelectStrategyFactory, EventLoopGroup> groupFactory)
             throws InterruptedException {
         AtomicInteger iterations = new AtomicInteger();
@@ -62,13 +62,15 @@
         double defaultIterations = iterationsPerTimer(strategy ->
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), strategy)));
         assertTrue(
-                millisecondIterations < 4, millisecondIterations + " turns a timer, Netty's own " + defaultIterations);
+                millisecondIterations < 4,
+                millisecondIterations + " iterations per timer, Netty's default group " + defaultIterations);
         assertTrue(
                 defaultIterations > 2 * millisecondIterations,
-                "without need: Netty's own takes " + defaultIterations + ", this one " + millisecondIterations);
+                "too few iterations saved: Netty's default group takes " + defaultIterations + " and this group "
+                        + millisecondIterations);
     }
 
-    /** Asked for while tasks run, as at the end of a balancer's last wait. */
+    /** The shutdown is requested by a task on the loop, as at the end of a balancer's shutdown. */
     @Test
     void shutdownClosesTheConnections() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/loadbalancer/eventloop/RepeatedTasksTest.java
+++ b/src/test/java/loadbalancer/eventloop/RepeatedTasksTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A task that is repeated on the event loop is repeated also where it has thrown once. */
+/** A periodic task on the event loop must keep running after it has thrown; with Netty's own loops it would stop. */
 class RepeatedTasksTest {
     private final MillisecondEventLoopGroup group = new MillisecondEventLoopGroup();
     private final EventLoop loop = group.next();
@@ -29,7 +29,7 @@
     }
 
     private void assertRunsRepeatedly() throws InterruptedException {
-        assertTrue(remainingRuns.await(10, TimeUnit.SECONDS), () -> "it ran " + runCount + " times");
+        assertTrue(remainingRuns.await(10, TimeUnit.SECONDS), () -> "the task ran " + runCount + " times");
     }
 
     @Test
--- a/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
+++ b/src/test/java/loadbalancer/logging/AsyncLogWriterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 
 class AsyncLogWriterTest {
-    /** A stream that blocks until it is opened, as a full pipe does. */
+    /** A stream that blocks writes until {@code opened} is counted down, like a full pipe without a reader. */
     static final class BlockedStream extends OutputStream {
         final CountDownLatch opened = new CountDownLatch(1);
         final CountDownLatch writeStarted = new CountDownLatch(1);
@@ -49,7 +49,7 @@
         for (int i = 1; i <= 10_000; i++) {
             writer.accept(Integer.toString(i));
         }
-        writer.close(10); // nobody reads: the wait ends without the lines
+        writer.close(10); // the stream is blocked: the wait ends before the lines are written
         stream.opened.countDown();
         writer.close(20_000);
         List<String> lines = stream.lines();
