--- a/src/main/java/loadbalancer/proxy/Addresses.java
+++ b/src/main/java/loadbalancer/proxy/Addresses.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Socket addresses as literals: names are rejected, so that a DNS lookup never blocks the caller. */
+/** Parses literal socket addresses. Host names are rejected, so that a DNS lookup never blocks the caller. */
 public final class Addresses {
     private Addresses() {}
 
-    /** Reads {@code address:port}; throws IllegalArgumentException where {@code text} is something else. */
+    /** Parses {@code address:port}; throws IllegalArgumentException if {@code text} has another form. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         String port = text.substring(colon + 1);
@@ -26,7 +26,7 @@
         }
     }
 
-    /** The address in the form that {@link #parse} reads. */
+    /** Formats an address in the form that {@link #parse} accepts. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/main/java/loadbalancer/proxy/AttemptExecutor.java
+++ b/src/main/java/loadbalancer/proxy/AttemptExecutor.java
@@ -4,14 +4,15 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Carries out the policy's attempts: starts them at the transport, gives them up, withdraws them, and reports
- * each one's outcome once. An attempt is begun by the transport only, behind the {@link SendGuard}, which asks
- * {@link AttemptTransport.Listener#awaitedUntilMicros} here. On the event loop; times in µs.
+ * Executes the attempts that the policy requests: hands them to the transport, cancels or withdraws them, and
+ * reports the outcome of each attempt once. Only the transport writes an attempt to a connection, after a check by
+ * {@link SendGuard} that uses the result of {@link AttemptTransport.Listener#awaitedUntilMicros} of this class.
+ * To be used on the event loop; times are in µs.
  */
 final class AttemptExecutor {
-    /** Whom it notifies of outcomes. */
+    /** Is notified of the outcomes of attempts. */
     interface Listener {
-        /** An attempt has ended; {@code response} and {@code load} are null where none was received. */
+        /** An attempt has ended; {@code response} and {@code load} are null if none was received. */
         void attemptEnded(
                 ProxyAttempt attempt,
                 Policy.Outcome outcome,
@@ -34,7 +35,7 @@
         this.listener = listener;
     }
 
-    /** To be called before the first attempt. */
+    /** Sets the transport; to be called before the first attempt. */
     void attach(AttemptTransport attemptTransport) {
         transport = attemptTransport;
     }
@@ -44,10 +45,10 @@
     }
 
     /**
-     * Starts an attempt, or ends it as not sent where it is not allowed any more.
+     * Starts an attempt, or ends it as NOT_SENT if the limits of the request no longer allow it.
      *
-     * @param timeoutMicros how long its response is waited for; 0: as long as the client waits
-     * @param startWithinMicros from now on, it may begin for so long
+     * @param timeoutMicros max. time to wait for the response; 0: as long as the client waits
+     * @param startWithinMicros max. time from now until the first byte of the attempt is sent
      */
     void send(PendingRequest pending, String server, long timeoutMicros, long startWithinMicros) {
         long now = clock.now();
@@ -60,7 +61,8 @@
             return;
         }
         attempt.setTimeoutMicros(responseTimeoutMicros);
-        // It is not begun once nobody waits for it; the time of a long body begins when it has been received.
+        // No attempt starts after its response time-out. While a streamed body is received the time-out has not
+        // started: it counts from the last byte of the body.
         long effectiveStartWithinMicros =
                 pending.isReceivingBody() ? startWithinMicros : Math.min(startWithinMicros, responseTimeoutMicros);
         long startDeadlineMicros =
@@ -73,10 +75,10 @@
     }
 
     /**
-     * Gives an attempt up, unless it has ended. What the transport has not taken over has not run; of all else
-     * the transport says whether it may have.
+     * Gives up an attempt, unless it has ended. An attempt that the transport has not accepted has not run; for any
+     * other attempt the transport tells whether a server may have run it.
      *
-     * @param outcomeIfRan its outcome where a server may have run it
+     * @param outcomeIfRan the outcome to report if a server may have run the attempt
      */
     void giveUp(ProxyAttempt attempt, Policy.Outcome outcomeIfRan) {
         if (!attempt.hasEnded()) {
@@ -88,9 +90,9 @@
     }
 
     /**
-     * Withdraws the attempts of a closed request that have not been written completely: nothing is forwarded
-     * for it any more, and they need no cancellation. The others are left to the policy, which cancels them
-     * where the settings allow it.
+     * Withdraws the attempts of a closed request that have not been written completely: nothing may be forwarded
+     * for a closed request, and an attempt that was not sent needs no cancellation. Attempts that were sent are left
+     * to the policy, which cancels them if the settings allow it.
      */
     void withdrawUnsent(PendingRequest pending) {
         for (ProxyAttempt attempt : List.copyOf(pending.attempts())) {
@@ -103,7 +105,7 @@
 
     private void end(ProxyAttempt attempt, Policy.Outcome outcome, UpstreamResponse response, Policy.Load load) {
         if (attempt.hasEnded()) {
-            return; // a second outcome is ignored: it may follow a time-out or a cancellation
+            return; // the transport may report an outcome after a time-out or a cancellation
         }
         attempt.end(outcome.neverRan());
         long latencyMicros = clock.now() - attempt.startedAtMicros();
@@ -111,7 +113,7 @@
         listener.attemptEnded(attempt, outcome, response, load, latencyMicros);
     }
 
-    /** What the transport reports of an attempt, and asks before it begins it. */
+    /** Receives the transport's reports on one attempt, and its check before the attempt's first byte. */
     private final class TransportListener implements AttemptTransport.Listener {
         private final ProxyAttempt attempt;
         private final PendingRequest pending;
--- a/src/main/java/loadbalancer/proxy/AttemptTransport.java
+++ b/src/main/java/loadbalancer/proxy/AttemptTransport.java
@@ -3,61 +3,62 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Carries attempts to upstreams: starts an attempt, gives it up, and reports its outcome. Never chooses a
- * server, retries, queues or sheds load. An attempt counts as never run only where the transport's protocol
- * proves it. Everything runs on the event loop.
+ * Sends attempts to upstreams: starts and cancels attempts, and reports their outcomes. A transport never chooses
+ * a server, retries, queues or sheds load. It reports an attempt as never run only if its protocol proves that.
+ * Everything runs on the event loop.
  */
 public interface AttemptTransport {
-    /** What is certain of an attempt that has been given up. */
+    /** Whether a server may have run an attempt that has been cancelled. */
     enum AttemptEffect {
         NEVER_RAN,
         MAY_HAVE_RUN
     }
 
-    /** Whom the transport notifies, once for each attempt, unless the attempt is given up before. */
+    /** Is notified by the transport of the outcome, once for each attempt that is not cancelled or withdrawn before. */
     interface Listener {
-        /** The attempt has ended; {@code response} and {@code load} are null where none was received. */
+        /** The attempt has ended; {@code response} and {@code load} are null if none was received. */
         void ended(Policy.Outcome outcome, UpstreamResponse response, Policy.Load load);
 
         /**
-         * Checks whether somebody still waits for the attempt. To be called right before its first byte and,
-         * where that is much later, before its last. Reads the client's connection: not to be called from
-         * within a read of any connection.
+         * Checks whether the client still waits for this attempt. To be called right before the attempt's first
+         * byte and, if the last byte follows much later, before the last byte. Reads the client's connection, so
+         * it must not be called from within a read of any connection.
          *
-         * @return until when somebody certainly waits, in µs of the balancer's clock;
-         *     {@link SendGuard#NOT_AWAITED} where nobody does, and the attempt has been withdrawn by then
+         * @return the time until which the client is certain to wait, in µs of the balancer's clock;
+         *     {@link SendGuard#NOT_AWAITED} if no client waits, and the attempt has then been withdrawn
          */
         default long awaitedUntilMicros() {
             return Long.MAX_VALUE;
         }
 
-        /** Its first bytes have left, possibly after its permit had expired: the process was stalled meanwhile. */
+        /** The first bytes were sent, possibly after the permit expired because the process was stalled. */
         default void sendDelayed() {}
     }
 
     /** An attempt that has been started. */
     interface Attempt {
-        /** Stops waiting for the response; the listener is not notified from here on. */
+        /** Stops waiting for the response; the listener is not notified after this call. */
         AttemptEffect cancel();
 
         /**
-         * Withdraws the attempt if its last byte has not been written yet; the listener is not notified from
-         * here on. Not a cancellation of work: there is none yet, whatever the settings say of cancellation.
+         * Withdraws the attempt if its last byte has not been written yet; then the listener is not notified after
+         * this call. This does not depend on the setting for cancellation, since the server has no work to cancel.
          *
-         * @return false where the attempt goes on
+         * @return whether the attempt was withdrawn; otherwise it goes on
          */
         boolean withdraw();
     }
 
-    /** The endpoint list has changed; {@code announcedAtMicros} in µs of the balancer's clock. */
+    /** Applies an update of the endpoint list, announced at {@code announcedAtMicros} by the balancer's clock. */
     void updateEndpoints(EndpointUpdate update, long announcedAtMicros);
 
     /**
      * Starts an attempt.
      *
      * @param server the upstream's name in the endpoint list
-     * @param responseTimeoutMicros how long its response is waited for, in µs
-     * @param startDeadlineMicros in µs of the balancer's clock: from then on it is not begun, and ends as NOT_SENT
+     * @param responseTimeoutMicros max. time to wait for the response
+     * @param startDeadlineMicros a time by the balancer's clock; an attempt that has not been started by then ends
+     *     as NOT_SENT
      */
     Attempt send(
             String server,
@@ -66,12 +67,12 @@
             long startDeadlineMicros,
             Listener listener);
 
-    /** Whether an attempt that starts now finds an established connection; true where that is not known. */
+    /** Whether an attempt that starts now finds an established connection; true if that is not known. */
     default boolean isConnected(String server) {
         return true;
     }
 
-    /** Sends a health check to an upstream; {@code withLoadReport}: asks for its load report as well. */
+    /** Sends a health check to an upstream, with a request for its load report if {@code withLoadReport} is set. */
     void probe(String server, boolean withLoadReport, Listener listener);
 
     /** Closes the idle connections to an upstream. */
--- a/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
+++ b/src/main/java/loadbalancer/proxy/BodyMemoryBudget.java
@@ -1,23 +1,23 @@
 package loadbalancer.proxy;
 
 /**
- * The memory that the bodies of all clients' requests may take together, from their receipt until the
- * response. Each connection has a limit of its own; this one guards against a heap that many connections fill
- * together. For the event loop's thread.
+ * Limits the memory that the request bodies of all clients take together, from the receipt of a body until the
+ * response. Each connection has its own limit; this limit prevents many connections from filling the heap together.
+ * To be used on the event loop's thread.
  */
 public final class BodyMemoryBudget {
-    /** Bytes of request bodies that a process holds at once, over all downstream protocols. */
+    /** Max. bytes of request bodies that a process holds at once, over all downstream protocols. */
     public static final long MAX_CLIENT_BODY_BYTES = 6 << 20;
 
     private final long maxBytes;
     private long reservedBytes;
 
-    /** A budget of {@code maxBytes}, of which nothing is reserved. */
+    /** Creates a budget of {@code maxBytes}, none of which are reserved. */
     public BodyMemoryBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Reserves {@code bytes}; false where they don't fit into the budget, and nothing is reserved then. */
+    /** Reserves {@code bytes}; reserves nothing and returns false if they exceed the budget. */
     public boolean tryReserve(int bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
@@ -26,7 +26,7 @@
         return true;
     }
 
-    /** Gives reserved bytes back. */
+    /** Releases reserved bytes. */
     public void release(int bytes) {
         reservedBytes -= bytes;
     }
--- a/src/main/java/loadbalancer/proxy/BodyStream.java
+++ b/src/main/java/loadbalancer/proxy/BodyStream.java
@@ -1,31 +1,31 @@
 package loadbalancer.proxy;
 
 /**
- * The rest of a message's body, forwarded while it is received: a connection's reader provides it and hands it
- * to one taker, piece by piece and in order. Everything runs on the event loop.
+ * The remaining body of a message, forwarded while it is received. The reader of a connection provides the stream
+ * and passes the bytes to one subscriber, in order. Everything runs on the event loop.
  */
 public interface BodyStream {
-    /** Where the bytes go. Nothing follows {@link #onComplete} or {@link #onError}; one of them is called once. */
+    /** Receives the bytes. The last call is exactly one call of {@link #onComplete} or {@link #onError}. */
     interface Subscriber {
-        /** The next bytes; the array belongs to the taker. */
+        /** Receives the next bytes; the array is owned by the subscriber from then on. */
         void onData(byte[] bytes);
 
-        /** All bytes have been handed over. */
+        /** All bytes have been passed on. */
         void onComplete();
 
-        /** The rest can't be received. */
+        /** The remaining bytes cannot be received. */
         void onError();
     }
 
-    /** Whether it has a taker: bytes that have been handed over are not kept, so there is no second one. */
+    /** Whether the stream has a subscriber. It never gets a second one, since bytes passed on are not kept. */
     boolean hasSubscriber();
 
-    /** Begins to hand over; throws IllegalStateException where it has begun before. */
+    /** Starts to pass bytes to {@code subscriber}; throws IllegalStateException if the stream has a subscriber. */
     void subscribe(Subscriber subscriber);
 
-    /** Backpressure: while the taker is not ready reading stops; a few bytes may still follow. */
+    /** Applies backpressure: while the subscriber is not ready, reading stops; a few more bytes may still arrive. */
     void setReady(boolean ready);
 
-    /** Nobody needs the rest. */
+    /** Cancels the stream: the remaining bytes are not needed. */
     void cancel();
 }
--- a/src/main/java/loadbalancer/proxy/Clock.java
+++ b/src/main/java/loadbalancer/proxy/Clock.java
@@ -1,12 +1,12 @@
 package loadbalancer.proxy;
 
-/** A clock in µs since 1970 that never goes back: comparable with the start time that an upstream reports. */
+/** A clock in µs since 1970 that never goes back. Its times can be compared with the start times of upstreams. */
 @FunctionalInterface
 public interface Clock {
-    /** The time in µs since 1970. */
+    /** Returns the time in µs since 1970. */
     long now();
 
-    /** The monotonic clock, anchored to Unix time once. */
+    /** Returns the system's monotonic clock, with its offset to Unix time set once, by this call. */
     static Clock system() {
         long unixMicrosAtStart = System.currentTimeMillis() * 1000;
         long nanosAtStart = System.nanoTime();
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -6,13 +6,13 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Connects downstreams, the policy and the upstream transport: accepts requests, notifies the policy of what
- * happens and carries out the actions that it answers with. Decides nothing itself. Everything runs on the
- * event loop's thread; all times are in µs.
+ * Connects the downstreams, the policy and the upstream transport: accepts requests, notifies the policy of events
+ * and executes the actions that the policy requests. The dispatcher itself makes no decisions. Everything runs on
+ * the event loop's thread; all times are in µs.
  *
- * <p>The life of a request is {@link PendingRequest}, that of an attempt {@link ProxyAttempt}; timers are in
- * {@link RequestDeadlines}, attempts are carried out by {@link AttemptExecutor}, and events reach the policy
- * through {@link PolicyEventQueue}.
+ * <p>{@link PendingRequest} holds the state of a request, {@link ProxyAttempt} that of an attempt. {@link
+ * RequestDeadlines} owns the timers, {@link AttemptExecutor} executes attempts, and {@link PolicyEventQueue} passes
+ * events to the policy.
  */
 public final class Dispatcher implements Policy.Actions, PendingUpdates {
     private final Clock clock;
@@ -31,7 +31,7 @@
     private RequestLog requestLog = RequestLog.OFF;
     private long lastResortResponses;
 
-    /** {@code clock} is read on the loop's thread; {@code log} must not block. */
+    /** Creates a dispatcher; {@code clock} is read on the event loop's thread, {@code log} must not block. */
     public Dispatcher(Scheduler scheduler, Clock clock, SettingsReader.Boot boot, Policy policy, Consumer<String> log) {
         this.clock = clock;
         this.boot = boot;
@@ -47,35 +47,35 @@
         attempts = new AttemptExecutor(clock, deadlines, invariants, listener);
     }
 
-    /** Sets the transport of attempts and the source of endpoint lists; to be called before anything else. */
+    /** Sets the transport for attempts and the source of endpoint lists; to be called before any other method. */
     public void attach(AttemptTransport attemptTransport, EndpointSource source) {
         transport = attemptTransport;
         endpointSource = source;
         attempts.attach(attemptTransport);
     }
 
-    /** From here on events of requests and attempts are logged there. */
+    /** Sets the log for all further events of requests and attempts. */
     public void setRequestLog(RequestLog newRequestLog) {
         requestLog = newRequestLog;
         attempts.setRequestLog(newRequestLog);
     }
 
-    /** Where violated invariants are counted. */
+    /** Returns the counters of violated invariants. */
     public Invariants invariants() {
         return invariants;
     }
 
-    /** Where downstreams log events of connections. */
+    /** Returns the log to which downstreams write the events of connections. */
     public RequestLog requestLog() {
         return requestLog;
     }
 
-    /** The time by the balancer's clock, in µs since 1970. */
+    /** Returns the time by the balancer's clock, in µs since 1970. */
     public long now() {
         return clock.now();
     }
 
-    /** The counts of requests and attempts so far. */
+    /** Returns the counts of requests and attempts. */
     public RequestMetrics metrics() {
         return metrics;
     }
@@ -95,7 +95,7 @@
         stallMonitor.runAfterUpdates(task);
     }
 
-    /** Starts the heartbeat: from here on it is known at any time when the sockets were last polled. */
+    /** Starts the heartbeat, which records when the sockets were last polled. */
     public void startStallDetection() {
         stallMonitor.start();
     }
@@ -103,9 +103,9 @@
     // ---------------------------------------------------------------- requests
 
     /**
-     * Accepts a request, for one final response.
+     * Accepts a request, which then gets one final response.
      *
-     * @return what to run if the client disconnects before its response
+     * @return the callback to run if the client disconnects before the response
      */
     public Runnable dispatch(ProxyRequest received, ResponseWriter response) {
         String id = requests.nextId();
@@ -129,7 +129,7 @@
 
     private void notifyPolicy(PendingRequest pending, long now) {
         if (pending.isClosed()) {
-            return; // its client has disconnected while the event waited
+            return; // the client disconnected while the event was queued
         }
         pending.activate();
         ProxyRequest request = pending.request();
@@ -145,7 +145,7 @@
                 this);
     }
 
-    /** Whether a request by that name of its client's is open, or an attempt of it. */
+    /** Whether a request with this client-assigned id, or an attempt of such a request, has not ended. */
     public boolean isOpen(String id) {
         return requests.isOpen(id);
     }
@@ -160,8 +160,8 @@
         }
     }
 
-    // One final response for each request (rule 1), also where the policy stays silent or has thrown: the
-    // client gets a failure while it still listens.
+    // Each request gets one final response (rule 1). If the policy requests none, or has thrown, the request is
+    // failed here while the client still waits.
     private void failAsLastResort(PendingRequest pending) {
         if (!pending.isClosed()) {
             lastResortResponses++;
@@ -198,7 +198,7 @@
         requests.removeIfFinished(closed);
     }
 
-    /** What timers and attempts report back. */
+    /** Handles the notifications of timers and attempts. */
     private final class LifecycleListener implements RequestDeadlines.Listener, AttemptExecutor.Listener {
         @Override
         public void deadlineReached(PendingRequest pending) {
@@ -222,9 +222,9 @@
             if (outcome == Policy.Outcome.OK && !pending.isClosed()) {
                 serve(attempt, response);
             } else if (response != null && response.remainingBody() != null) {
-                response.remainingBody().cancel(); // nobody waits for it any more
+                response.remainingBody().cancel(); // no client receives this response
             }
-            // Whether the request is closed counts when the policy gets this, which may be later.
+            // isClosed() is evaluated when the policy handles this event, which may be later than now.
             policyEvents.submit(now -> policy.outcome(
                     now, pending.id(), attempt.number(), outcome, latency, pending.isClosed(), load, Dispatcher.this));
             if (pending.isClosed()) {
@@ -242,8 +242,8 @@
     }
 
     /**
-     * Other settings hold from here on, for the policy as well; open requests keep the limits that they were
-     * accepted under. Classes and tenants of the same name are the same.
+     * Replaces the settings, also those of the policy. Open requests keep the limits under which they were accepted.
+     * Classes and tenants are matched by name.
      */
     public void reload(SettingsReader.Boot newBoot) {
         SettingsChange change = SettingsChange.between(boot, newBoot);
@@ -253,12 +253,12 @@
                 now -> policy.reload(now, newBoot.settings(), change.formerClasses(), change.formerTenants(), this));
     }
 
-    /** The endpoint list, or what has changed of it; null: the fetch or the watch has failed. */
+    /** Applies an endpoint list, or changes to the list; {@code update} is null if the fetch or the watch failed. */
     public void updateEndpoints(Policy.ListKind kind, EndpointUpdate update) {
         updateEndpoints(kind, update, 0);
     }
 
-    /** The same, which may have counted as announced for {@code announcementAgeMicros} µs before it was received. */
+    /** Applies an update that may have been announced {@code announcementAgeMicros} before its receipt. */
     public void updateEndpoints(Policy.ListKind kind, EndpointUpdate update, long announcementAgeMicros) {
         if (update != null) {
             requestLog.process(RequestLog.Event.LIST_RECEIVED, update.version());
@@ -269,8 +269,9 @@
     }
 
     /**
-     * Shutdown has begun. What is accepted from here on gets its response before the process may be killed:
-     * that is no sooner than the longest deadline and {@code slackMicros} µs from now, whatever a client asks for.
+     * Limits the deadlines of requests that are accepted during shutdown, so that each gets its response before the
+     * process may be killed. The process is killed no sooner than the longest deadline of all classes plus
+     * {@code slackMicros} from now; clients may request longer deadlines than that.
      */
     public void beginShutdown(long slackMicros) {
         long longestDeadlineMicros = boot.settings().classes().stream()
@@ -280,29 +281,29 @@
         deadlines.limitDeadlines(now() + longestDeadlineMicros + slackMicros);
     }
 
-    /** The policy is notified of nothing more, and so asks for nothing. */
+    /** Stops notifying the policy, which then requests no more actions. */
     public void stopPolicyEvents() {
         policyEvents.stop();
     }
 
-    /** How many final responses are pending. */
+    /** Returns the number of requests whose final response is pending. */
     public int pendingResponses() {
         return requests.pendingResponses();
     }
 
-    /** Runs {@code task} on the loop, once no final response is pending any more. */
+    /** Runs {@code task} on the event loop whenever no final response is pending. */
     public void whenIdle(Runnable task) {
         requests.whenIdle(task);
     }
 
-    /** The counts in one line, for the end of a run. */
+    /** Returns the counts as one line, for the summary at the end of a run. */
     public String summary() {
         return requests.accepted() + " requests taken, " + requests.pendingResponses() + " unanswered, "
                 + lastResortResponses + " last-resort answers, " + policyEvents.faults() + " faults; "
                 + metrics.summary() + "; " + invariants.summary();
     }
 
-    // ---------------------------------------------------------------- the policy's actions
+    // ---------------------------------------------------------------- actions of the policy
 
     @Override
     public void send(String request, String server, long timeoutMicros) {
@@ -340,7 +341,7 @@
         if (pending != null && !pending.isClosed()) {
             close(pending);
             metrics.failed();
-            requestLog.request(RequestLog.Event.RESPONSE_FAILED, pending.clientId(), "module");
+            requestLog.request(RequestLog.Event.RESPONSE_FAILED, pending.clientId(), "policy");
             pending.response().fail();
             releaseAttempts(pending);
         }
@@ -380,10 +381,10 @@
         transport.closeIdle(server);
     }
 
-    /** Balancers share nothing here: the policy sends no messages, and there is no way for one. */
+    /** Not supported: balancers share no state, the policy sends no messages, and no channel for them exists. */
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        throw new UnsupportedOperationException("messages between balancers");
+        throw new UnsupportedOperationException("messages to peer balancers are not supported");
     }
 
     @Override
--- a/src/main/java/loadbalancer/proxy/DrainGrace.java
+++ b/src/main/java/loadbalancer/proxy/DrainGrace.java
@@ -1,26 +1,27 @@
 package loadbalancer.proxy;
 
 /**
- * Until when a transport may still begin an attempt to a draining upstream (rule 3). No I/O and no clock; times
- * in µs.
+ * Computes the time until which a transport may start an attempt to a draining upstream (rule 3). Does no I/O and
+ * reads no clock; times are in µs.
  */
 public final class DrainGrace {
-    /** The end of the grace of an upstream that is not draining. */
+    /** The drain deadline of an upstream that is not draining. */
     public static final long NEVER = Long.MAX_VALUE;
-    /** How long a drained upstream is kept after its grace, so that the table of upstreams stays bounded. */
+    /** How long a drained upstream is kept after its grace; the limit keeps the table of upstreams bounded. */
     public static final long RETENTION_MICROS = 60_000_000;
 
-    private static final long MARGIN_MICROS = 50_000; // the clock is not shared with the upstream
+    private static final long MARGIN_MICROS = 50_000; // balancer and upstream do not share a clock
 
     private DrainGrace() {}
 
     /**
-     * When the grace of a drain is over.
+     * Returns the time from which no attempt may start any more: the end of the grace, less a margin of at most half
+     * of the grace.
      *
-     * @param earlierDeadlineMicros the result of an earlier announcement, or {@link #NEVER}; a repeated one
-     *     extends nothing
+     * @param earlierDeadlineMicros the deadline by an earlier announcement of the drain, or {@link #NEVER}; a
+     *     repeated announcement does not extend the deadline
      * @param announcedAtMicros when the drain was announced
-     * @param graceMicros as the settings have it
+     * @param graceMicros the grace from the settings
      */
     public static long drainDeadlineMicros(long earlierDeadlineMicros, long announcedAtMicros, long graceMicros) {
         return Math.min(
--- a/src/main/java/loadbalancer/proxy/EndpointUpdate.java
+++ b/src/main/java/loadbalancer/proxy/EndpointUpdate.java
@@ -7,26 +7,26 @@
 /**
  * An update of the endpoint list.
  *
- * @param version the version by its source
- * @param complete whether {@code endpoints} is complete, or holds only what has changed
- * @param endpoints the upstreams
+ * @param version the version of the list, as numbered by its source
+ * @param complete whether {@code endpoints} is the complete list; otherwise it holds the changed endpoints only
+ * @param endpoints the endpoints of the upstreams
  */
 public record EndpointUpdate(long version, boolean complete, List<Endpoint> endpoints) {
     /**
-     * One upstream.
+     * The endpoint of one upstream.
      *
-     * @param server as the policy knows it
-     * @param address where this balancer reaches it
-     * @param http3Address where it serves HTTP/3, or null
+     * @param server the upstream in the form that the policy uses
+     * @param address the address for HTTP/1.1
+     * @param http3Address the address for HTTP/3, or null
      */
     public record Endpoint(Policy.Server server, InetSocketAddress address, InetSocketAddress http3Address) {
-        /** One that serves HTTP/1.1 only. */
+        /** Creates an endpoint that serves HTTP/1.1 only. */
         public Endpoint(Policy.Server server, InetSocketAddress address) {
             this(server, address, null);
         }
     }
 
-    /** The upstreams as the policy knows them. */
+    /** Returns the upstreams in the form that the policy uses. */
     public List<Policy.Server> servers() {
         return endpoints.stream().map(Endpoint::server).toList();
     }
--- a/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Watches for event loop stalls with a heartbeat timer, and holds tasks back after one until the sockets have
- * been polled. What follows from the measured times is {@link EventLoopStallDetector}'s. On the event loop;
- * times in µs.
+ * Monitors the event loop for stalls with a heartbeat timer, and delays tasks after a stall until the sockets have
+ * been polled. {@link EventLoopStallDetector} evaluates the measured times. To be used on the event loop; times are
+ * in µs.
  */
 final class EventLoopStallMonitor {
     private final Scheduler scheduler;
@@ -19,22 +19,22 @@
         this.log = log;
     }
 
-    /** As {@link PendingUpdates#mayHaveUnreadUpdates} says. */
+    /** Implements {@link PendingUpdates#mayHaveUnreadUpdates}. */
     boolean mayHaveUnreadUpdates() {
         return detector.mayHaveUnreadUpdates(clock.now());
     }
 
-    /** As {@link PendingUpdates#unreadDrainDeadlineMicros} says, for a drain's grace as the settings have it. */
+    /** Implements {@link PendingUpdates#unreadDrainDeadlineMicros} for the drain grace from the settings. */
     long unreadDrainDeadlineMicros(long drainGraceMicros) {
         return detector.unreadDrainDeadlineMicros(drainGraceMicros);
     }
 
-    /** For how long what is read now may have lain unread. */
+    /** Returns the max. time for which data read now may have been unread in a socket. */
     long maxUnreadMicros() {
         return detector.maxUnreadMicros(clock.now());
     }
 
-    /** As {@link PendingUpdates#runAfterUpdates} says. */
+    /** Implements {@link PendingUpdates#runAfterUpdates}. */
     void runAfterUpdates(Runnable task) {
         if (!mayHaveUnreadUpdates()) {
             task.run();
@@ -49,7 +49,7 @@
         });
     }
 
-    /** Runs a task after {@code delayMicros}; how late it runs tells of stalls too. */
+    /** Runs a task after {@code delayMicros}; its lateness is used to detect stalls as well. */
     void schedule(long delayMicros, Runnable task) {
         long dueAtMicros = clock.now() + delayMicros;
         detector.timerExpected(dueAtMicros);
@@ -59,7 +59,7 @@
         });
     }
 
-    /** Starts the heartbeat: from here on it is known at any time when the sockets were last polled. */
+    /** Starts the heartbeat, which records when the sockets were last polled. */
     void start() {
         long now = clock.now();
         detector.socketsPolled(now);
@@ -75,8 +75,9 @@
         });
     }
 
-    // The next heartbeat counts from the time read here: a stall right behind that read makes it late. A stall
-    // between the poll of the sockets and here has hidden what arrived meanwhile, so they are polled once more.
+    // The next heartbeat is due relative to the time read here, so that a stall right after that read makes it late.
+    // Data that arrived during a stall between the poll of the sockets and this method is still unread, so the
+    // sockets are polled once more.
     private void heartbeat(long dueAtMicros, boolean repolled) {
         long now = clock.now();
         if (detector.mayHaveUnreadUpdates(now) && !repolled) {
--- a/src/main/java/loadbalancer/proxy/HeaderFields.java
+++ b/src/main/java/loadbalancer/proxy/HeaderFields.java
@@ -4,13 +4,13 @@
 import java.util.function.BiConsumer;
 
 /**
- * The header fields of a message, whatever its protocol (RFC 9110, section 5): names are compared without
- * regard to case. A downstream provides its own protocol's representation behind this; a transport of the same
- * protocol forwards that representation as it is, and only one of another translates it. For the event loop's
- * thread.
+ * The header fields of a message, independent of the protocol version (RFC 9110, section 5). Names are
+ * case-insensitive. A downstream implements this interface with the representation of its own protocol; a transport
+ * of the same protocol forwards that representation unchanged, and a transport of another protocol translates it. To
+ * be used on the event loop's thread.
  */
 public interface HeaderFields {
-    /** No fields. */
+    /** The fields of a message that has none. */
     HeaderFields NONE = new HeaderFields() {
         @Override
         public String get(String name) {
@@ -26,17 +26,17 @@
         public void forEach(BiConsumer<String, String> action) {}
     };
 
-    /** The first value of a field; null where there is none. */
+    /** Returns the first value of a field, or null if the field is absent. */
     String get(String name);
 
-    /** All values of a field, in their order. */
+    /** Returns all values of a field, in the order of the message. */
     List<String> all(String name);
 
-    /** Whether there is more than one line of a field. */
+    /** Whether the message has more than one line of a field. */
     default boolean hasMultiple(String name) {
         return all(name).size() > 1;
     }
 
-    /** Calls {@code action} with every name and value, in their order. */
+    /** Calls {@code action} with each name and value, in the order of the message. */
     void forEach(BiConsumer<String, String> action);
 }
--- a/src/main/java/loadbalancer/proxy/Invariants.java
+++ b/src/main/java/loadbalancer/proxy/Invariants.java
@@ -7,33 +7,34 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts violated invariants at run time: each violation is prevented by a check, and a count above 0 is a bug.
- * The first of each kind is logged, then the second, the fourth and so on. On the event loop.
+ * Counts violations of invariants at run time. Checks prevent each violation before it takes effect, so a count above 0
+ * indicates a bug. A log line is written for a violation if the count of its kind is a power of two. To be used on the
+ * event loop.
  */
 public final class Invariants {
-    /** What must never happen. */
+    /** The kinds of violations. */
     public enum Violation {
-        /** An attempt was about to begin after its request's final response or its client's close. */
+        /** An attempt was about to start after the final response to its request or after its client disconnected. */
         SEND_AFTER_END,
-        /** An attempt of a request that must run once only was about to begin while another one may run. */
+        /** An attempt of a request that must run only once was about to start while another attempt may run. */
         SECOND_RUN,
         /** A request was about to get a second final response. */
         SECOND_RESPONSE,
         /** The balancer closed a client's connection while a response on it was pending. */
         CLOSED_UNANSWERED,
-        /** A request or attempt was about to leave a state that it can only be in once. */
+        /** A request or an attempt was about to make a state transition that its state does not allow. */
         ILLEGAL_TRANSITION
     }
 
     private final Map<Violation, Long> counts = new EnumMap<>(Violation.class);
     private final Consumer<String> log;
 
-    /** {@code log} must not block. */
+    /** Creates counters of 0; {@code log} receives the log lines and must not block. */
     public Invariants(Consumer<String> log) {
         this.log = log;
     }
 
-    /** Counts a violation; {@code subject}: the request or connection that it happened to. */
+    /** Counts a violation by the request or connection named {@code subject}. */
     public void violated(Violation violation, String subject) {
         long count = counts.merge(violation, 1L, Long::sum);
         if (Long.bitCount(count) == 1) {
@@ -42,12 +43,12 @@
         }
     }
 
-    /** How often that violation has happened. */
+    /** Returns the number of violations of one kind. */
     public long count(Violation violation) {
         return counts.getOrDefault(violation, 0L);
     }
 
-    /** For the end of a run: each kind that has happened, with its count. */
+    /** Returns the kinds of violations that have occurred, with their counts, for the summary at the end of a run. */
     public String summary() {
         if (counts.isEmpty()) {
             return "no invariant violated";
--- a/src/main/java/loadbalancer/proxy/PendingRequest.java
+++ b/src/main/java/loadbalancer/proxy/PendingRequest.java
@@ -5,24 +5,24 @@
 import loadbalancer.policy.Policy;
 
 /**
- * The life of one accepted request, from {@link Dispatcher#dispatch} until its response has been written or
- * its client has disconnected, and its last attempt has ended. Holds state only: no I/O and no clock. For the
- * event loop's thread; times in µs.
+ * The state of one accepted request, from {@link Dispatcher#dispatch} until the response has been written or the
+ * client has disconnected, and the last attempt has ended. Does no I/O and reads no clock. To be used on the event
+ * loop's thread; times are in µs.
  */
 final class PendingRequest {
-    /** How far the request has got. */
+    /** The progress of a request. */
     enum State {
         /** Accepted; the policy has not been notified yet. */
         QUEUED,
         /** The policy has been notified, and the final response is pending. */
         ACTIVE,
-        /** Responded to, or its client has disconnected, after the policy had been notified. */
+        /** After the policy was notified, the response was sent or the client disconnected. */
         CLOSED,
-        /** The same, before the policy had been notified: the policy never hears of this request. */
+        /** The request was closed before the policy was notified; the policy is never notified of this request. */
         CLOSED_UNDISPATCHED
     }
 
-    /** Whether all of the request's body has been received. */
+    /** The progress of the receipt of the request's body. */
     enum BodyState {
         RECEIVING,
         COMPLETE
@@ -40,15 +40,15 @@
     private int attemptsInFlight;
     private RequestMetrics.Entry metrics;
 
-    // Kept by RequestDeadlines.
+    // Managed by RequestDeadlines.
     private long deadlineMicros;
     private Scheduler.Timer deadlineTimer;
     private Scheduler.Timer uploadStallTimer;
 
     /**
-     * @param id the balancer's own name for it, unique in the process
-     * @param maxAttempts by the settings that it was accepted under
-     * @param effect of its class, by the same settings
+     * @param id the balancer's internal id of the request, unique in the process
+     * @param maxAttempts the limit by the settings under which the request was accepted
+     * @param effect the effect of the request's class, by the same settings
      */
     PendingRequest(
             String id,
@@ -68,7 +68,7 @@
 
     // ---------------------------------------------------------------- transitions
 
-    /** The policy is notified of it now: {@code QUEUED} to {@code ACTIVE}. */
+    /** Changes from {@code QUEUED} to {@code ACTIVE}, when the policy is notified of the request. */
     void activate() {
         if (state == State.QUEUED) {
             state = State.ACTIVE;
@@ -78,9 +78,9 @@
     }
 
     /**
-     * No response is pending any more: to {@code CLOSED} or {@code CLOSED_UNDISPATCHED}.
+     * Changes to {@code CLOSED} or {@code CLOSED_UNDISPATCHED}, when no response is pending any more.
      *
-     * @return false where it was closed before, which is counted as a bug
+     * @return false if the request was closed before, which is counted as a violated invariant
      */
     boolean close() {
         switch (state) {
@@ -94,12 +94,12 @@
         return true;
     }
 
-    /** The last byte of its body has been received. */
+    /** Records that the last byte of the body has been received. */
     void completeBody() {
         bodyState = BodyState.COMPLETE;
     }
 
-    /** Adds an attempt that starts at {@code now}. */
+    /** Adds an attempt that starts at {@code startedAtMicros}. */
     ProxyAttempt addAttempt(long startedAtMicros) {
         ProxyAttempt attempt = new ProxyAttempt(this, attempts.size(), startedAtMicros, invariants);
         attempts.add(attempt);
@@ -107,77 +107,79 @@
         return attempt;
     }
 
-    /** One of its attempts has ended; to be called by that attempt. */
+    /** Records the end of an attempt; to be called by that attempt. */
     void attemptEnded() {
         attemptsInFlight--;
     }
 
     // ---------------------------------------------------------------- queries
 
-    /** Whether it has been responded to, or its client has disconnected. */
+    /** Whether the response was sent or the client has disconnected. */
     boolean isClosed() {
         return state == State.CLOSED || state == State.CLOSED_UNDISPATCHED;
     }
 
-    /** Whether the policy has been notified of it. */
+    /** Whether the policy has been notified of the request. */
     boolean isKnownToPolicy() {
         return state == State.ACTIVE || state == State.CLOSED;
     }
 
-    /** Whether nothing more can happen to it. */
+    /** Whether the request is closed and all attempts have ended. */
     boolean isFinished() {
         return isClosed() && attemptsInFlight == 0;
     }
 
-    /** Whether its body is still being received. */
+    /** Whether the body is still being received. */
     boolean isReceivingBody() {
         return bodyState == BodyState.RECEIVING;
     }
 
-    /** Whether an attempt besides {@code attempt} may run or have run although the request must run once only. */
+    /** Whether the request must run only once and an attempt other than {@code attempt} may run or have run. */
     boolean mayRunTwice(ProxyAttempt attempt) {
         return effect == Policy.Effect.UNSAFE
                 && attempts.stream().anyMatch(other -> other != attempt && !other.neverRan());
     }
 
-    /** Whether its limits and its body still allow this attempt. */
+    /**
+     * Whether {@code attempt} may start: the request is open, the attempt is within the limit, and no earlier attempt
+     * has subscribed to a streamed body.
+     */
     boolean allows(ProxyAttempt attempt) {
         return !isClosed()
                 && attempt.number() < maxAttempts
                 && (request.remainingBody() == null || !request.remainingBody().hasSubscriber());
     }
 
-    /** The balancer's own name for it, which the policy uses. */
+    /** Returns the balancer's internal id of the request, which the policy uses. */
     String id() {
         return id;
     }
 
-    /** What the client asked for. */
     ProxyRequest request() {
         return request;
     }
 
-    /** The client's own name for it, as it is logged. */
+    /** Returns the id that the client assigned to the request; used in logs. */
     String clientId() {
         return request.id();
     }
 
-    /** Where its one final response goes. */
+    /** Returns the writer of the one final response. */
     ResponseWriter response() {
         return response;
     }
 
-    /** All attempts so far, by number. */
+    /** Returns all attempts so far, indexed by their numbers. */
     List<ProxyAttempt> attempts() {
         return attempts;
     }
 
-    /** Attempts that have not ended. */
+    /** Returns the number of attempts that have not ended. */
     int attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** Its place in the metrics. */
+    /** Returns the entry of the request in the metrics. */
     RequestMetrics.Entry metrics() {
         return metrics;
     }
@@ -188,7 +190,7 @@
 
     // ---------------------------------------------------------------- deadline and timers
 
-    /** When its client stops waiting, by the balancer's clock. */
+    /** Returns the time when the client stops waiting, by the balancer's clock. */
     long deadlineMicros() {
         return deadlineMicros;
     }
@@ -197,7 +199,7 @@
         deadlineMicros = newDeadlineMicros;
     }
 
-    /** Keeps the timer of its deadline, in place of an earlier one that has fired or been cancelled. */
+    /** Sets the timer of the deadline; an earlier timer has fired or been cancelled before. */
     void setDeadlineTimer(Scheduler.Timer timer) {
         deadlineTimer = timer;
     }
@@ -206,7 +208,7 @@
         deadlineTimer.cancel();
     }
 
-    /** Keeps the timer that runs while its upstream accepts nothing of its body. */
+    /** Sets the timer that runs while the upstream accepts no more bytes of the body. */
     void setUploadStallTimer(Scheduler.Timer timer) {
         uploadStallTimer = timer;
     }
--- a/src/main/java/loadbalancer/proxy/PendingUpdates.java
+++ b/src/main/java/loadbalancer/proxy/PendingUpdates.java
@@ -1,11 +1,11 @@
 package loadbalancer.proxy;
 
 /**
- * Updates of the endpoint list that may lie unread because the event loop was stalled (rule 3): what a
- * transport asks before it begins an attempt. On the event loop.
+ * Tells whether updates of the endpoint list may be unread in a socket because the event loop was stalled (rule 3).
+ * Used by transports before they start an attempt. To be used on the event loop.
  */
 public interface PendingUpdates {
-    /** For an event loop that receives no endpoint list. */
+    /** The implementation for an event loop that receives no endpoint lists. */
     PendingUpdates NONE = new PendingUpdates() {
         @Override
         public boolean mayHaveUnreadUpdates() {
@@ -23,19 +23,19 @@
         }
     };
 
-    /** Whether the event loop was stalled, and has not polled its sockets since. */
+    /** Whether the event loop was stalled and has not polled its sockets since. */
     boolean mayHaveUnreadUpdates();
 
     /**
-     * Until when an attempt may leave, in µs of the balancer's clock (rule 3): from then on the grace of a
-     * drain whose announcement lies unread may be over.
+     * Returns the time until which an attempt may be sent, in µs of the balancer's clock (rule 3). After this time the
+     * grace of a drain may be over whose announcement is still unread.
      */
     long unreadDrainDeadlineMicros();
 
     /**
-     * Runs {@code task} once updates of the endpoint list that may lie unread have been read: at once where the
-     * event loop keeps up, otherwise after a complete poll of its sockets. The poll that is under way may have
-     * begun before the stall, and miss sockets that became ready since.
+     * Runs {@code task} when no update of the endpoint list can be unread: immediately if the event loop was not
+     * stalled, otherwise after a complete poll of its sockets. The current poll does not count: it may have begun
+     * before the stall, and miss sockets that became ready since.
      */
     void runAfterUpdates(Runnable task);
 }
--- a/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/PolicyEventQueue.java
@@ -5,10 +5,11 @@
 import java.util.function.LongConsumer;
 
 /**
- * Hands events to the policy one at a time, with the time of the call. The policy is not re-entrant: what
- * happens while it handles an event, or one of its actions is carried out, waits. After an event loop stall
- * events wait until the sockets have been polled, so that endpoint updates are handled first whichever socket
- * was read first: no attempt starts to an upstream whose drain is still unread. On the event loop.
+ * Passes events to the policy one at a time, with the time of the call. The policy is not re-entrant, so events that
+ * occur while the policy handles an event, or while one of its actions is executed, are queued. After an event loop
+ * stall, events are queued until the sockets have been polled. Endpoint updates are then handled before all other
+ * events, in whatever order the sockets were read, so that no attempt starts to an upstream whose drain is still
+ * unread. To be used on the event loop.
  */
 final class PolicyEventQueue {
     private final EventLoopStallMonitor stallMonitor;
@@ -21,11 +22,11 @@
 
     private enum State {
         IDLE,
-        /** Waits until the sockets have been polled. */
+        /** Waiting until the sockets have been polled. */
         SCHEDULED,
-        /** Hands events over. */
+        /** Passing events to the policy. */
         DRAINING,
-        /** Drops all events. */
+        /** Dropping all events. */
         STOPPED
     }
 
@@ -35,12 +36,12 @@
         this.log = log;
     }
 
-    /** Hands an event over, now or as soon as the policy can handle it. */
+    /** Passes an event to the policy, immediately or as soon as the policy can handle the event. */
     void submit(LongConsumer event) {
         submit(events, event);
     }
 
-    /** The same for an update of the endpoint list, which overtakes all other events. */
+    /** Passes an endpoint list update to the policy, before all other events that are queued. */
     void submitEndpointUpdate(LongConsumer event) {
         submit(endpointUpdates, event);
     }
@@ -79,7 +80,8 @@
         try {
             event.accept(clock.now());
         } catch (RuntimeException e) {
-            // The deadline fails what this leaves without a response; one event must not end the balancer.
+            // A failed event must not end the balancer. Requests that it leaves without a response are failed at
+            // their deadlines.
             faults++;
             StackTraceElement[] trace = e.getStackTrace();
             log.accept("event=policy_fault count=" + faults + " cause=" + e
@@ -87,14 +89,14 @@
         }
     }
 
-    /** Drops all events from here on, and those that wait. */
+    /** Drops all queued events and all further ones. */
     void stop() {
         state = State.STOPPED;
         endpointUpdates.clear();
         events.clear();
     }
 
-    /** Events at which the policy, or an action of it, has thrown. */
+    /** Returns the number of events at which the policy, or one of its actions, has thrown. */
     long faults() {
         return faults;
     }
--- a/src/main/java/loadbalancer/proxy/ProxyAttempt.java
+++ b/src/main/java/loadbalancer/proxy/ProxyAttempt.java
@@ -1,19 +1,19 @@
 package loadbalancer.proxy;
 
 /**
- * The life of one attempt of a request: from the policy's choice of a server until its outcome is known.
- * Holds state only: no I/O and no clock. For the event loop's thread; times in µs.
+ * The state of one attempt of a request, from the policy's choice of a server until the outcome is known. Does no I/O
+ * and reads no clock. To be used on the event loop's thread; times are in µs.
  */
 final class ProxyAttempt {
-    /** How far the attempt has got. */
+    /** The progress of an attempt. */
     enum State {
-        /** Chosen; the transport has not taken it over. */
+        /** The server is chosen; the transport has not accepted the attempt yet. */
         CREATED,
-        /** The transport has taken it over. */
+        /** The transport has accepted the attempt. */
         STARTED,
-        /** Ended, and its outcome proves that no server has run it. */
+        /** Ended, with an outcome that proves that no server has run the attempt. */
         ENDED_NEVER_RAN,
-        /** Ended; a server may have run it. */
+        /** Ended; a server may have run the attempt. */
         ENDED_MAY_HAVE_RUN
     }
 
@@ -36,8 +36,8 @@
     // ---------------------------------------------------------------- transitions
 
     /**
-     * The transport has taken it over: {@code CREATED} to {@code STARTED}. An attempt that failed within the
-     * transport's {@code send} has ended by then, and stays so.
+     * Changes from {@code CREATED} to {@code STARTED}, when the transport has accepted the attempt. An attempt that
+     * failed within the transport's {@code send} has ended before this call and stays ended.
      */
     void start(AttemptTransport.Attempt handle) {
         if (state == State.CREATED) {
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Its outcome is known; ends its timer.
+     * Ends the attempt and cancels its timer, when the outcome is known.
      *
-     * @param neverRan whether the outcome proves that no server has run it
+     * @param neverRan whether the outcome proves that no server has run the attempt
      */
     void end(boolean neverRan) {
         if (hasEnded()) {
@@ -63,19 +63,19 @@
         pending.attemptEnded();
     }
 
-    /** Its latency counts from {@code now}: the last byte of the request has been received. */
+    /** Measures the latency from {@code now}, when the last byte of the request has been received. */
     void restartLatency(long now) {
         startedAtMicros = now;
     }
 
     // ---------------------------------------------------------------- actions on the transport
 
-    /** Cancels it in the transport, if that has it; whether a server may run it all the same. */
+    /** Cancels the attempt in the transport; returns whether a server may have run or may still run the attempt. */
     boolean cancelMayHaveRun() {
         return state == State.STARTED && transportAttempt.cancel() == AttemptTransport.AttemptEffect.MAY_HAVE_RUN;
     }
 
-    /** Withdraws it from the transport where that has it, and has not written it completely. */
+    /** Withdraws the attempt if the transport has not written it completely; returns whether it was withdrawn. */
     boolean withdraw() {
         return state == State.STARTED && transportAttempt.withdraw();
     }
@@ -86,27 +86,27 @@
         return state == State.ENDED_NEVER_RAN || state == State.ENDED_MAY_HAVE_RUN;
     }
 
-    /** Whether it is proven that no server has run it, nor will. */
+    /** Whether the attempt has ended and no server has run or will run it, by proof of the protocol. */
     boolean neverRan() {
         return state == State.ENDED_NEVER_RAN;
     }
 
-    /** The request that it belongs to. */
+    /** Returns the request of this attempt. */
     PendingRequest pending() {
         return pending;
     }
 
-    /** Its number among the attempts of its request, from 0. */
+    /** Returns the number of this attempt among the attempts of the request, from 0. */
     int number() {
         return number;
     }
 
-    /** From when its latency counts. */
+    /** Returns the time from which the latency is measured. */
     long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** How long its response is waited for. */
+    /** Returns the max. time to wait for the response. */
     long timeoutMicros() {
         return timeoutMicros;
     }
--- a/src/main/java/loadbalancer/proxy/ProxyRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxyRequest.java
@@ -1,23 +1,23 @@
 package loadbalancer.proxy;
 
 /**
- * A client's request, whatever protocol it was received by: what is forwarded to an upstream unchanged, and
- * what the policy learns of it.
+ * A client's request, independent of the protocol by which it was received: the data that is forwarded to an upstream
+ * unchanged, and the data that is passed to the policy.
  *
- * @param id the client's own name for the request
+ * @param id the id that the client assigned to the request
  * @param method the HTTP method
  * @param uri path and query
- * @param fields the header fields that are forwarded; none that belong to one connection only
- * @param body the first bytes of the body, or all of them; not to be changed
+ * @param fields the header fields that are forwarded; without connection-specific fields
+ * @param body the first bytes of the body, or the complete body; must not be modified
  * @param requestClass the number of its class in the settings
- * @param tenant the number of its tenant in the settings; 0 where they name none
+ * @param tenant the number of its tenant in the settings; 0 if the settings name no tenants
  * @param key the key for server affinity, or null
- * @param timeLeftMicros how long the client waits, in µs
- * @param workMicros the client's estimate of the work, in µs; -1 where it gives none
- * @param resubmission whether the client has sent it before
- * @param remainingBody the bytes that follow {@code body} where the request is long; null where there are none
- * @param contentLength bytes of {@code body} and {@code remainingBody} together; -1 if unknown
- * @param acceptsStreamedResponse whether its downstream forwards long responses while they are received
+ * @param timeLeftMicros how long the client waits
+ * @param workMicros the client's estimate of the work; -1 if the client gives none
+ * @param resubmission whether the client has sent the request before
+ * @param remainingBody the bytes of a long body that follow {@code body}, or null
+ * @param contentLength the length of {@code body} and {@code remainingBody} together, in bytes; -1 if unknown
+ * @param acceptsStreamedResponse whether the downstream forwards long responses while they are received
  */
 @SuppressWarnings("ArrayRecordComponent") // bodies are shared, not copied, and never changed
 public record ProxyRequest(
@@ -35,7 +35,7 @@
         BodyStream remainingBody,
         long contentLength,
         boolean acceptsStreamedResponse) {
-    /** One whose body is complete, and whose response has to be too. */
+    /** Creates a request with a complete body that accepts no streamed response. */
     public ProxyRequest(
             String id,
             String method,
@@ -65,14 +65,14 @@
                 false);
     }
 
-    /** Bytes of the longest body, of a request or a response, that is buffered; longer ones are streamed. */
+    /** Max. length of a request or response body that is buffered; longer bodies are streamed. */
     public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
-    /** Bytes of the longest body that is streamed. */
+    /** Max. length of a body that is streamed. */
     public static final long MAX_STREAMED_BODY_BYTES = 48L << 20;
-    /** The header field that says how long the sender waits for a response, in ms. */
+    /** The name of the header field that tells how long the sender waits for a response, in ms. */
     public static final String DEADLINE_FIELD = "Req-Deadline-Ms";
 
-    /** The same request for another path. */
+    /** Returns a copy of this request with another path and query. */
     public ProxyRequest withUri(String newUri) {
         return new ProxyRequest(
                 id,
@@ -91,7 +91,11 @@
                 acceptsStreamedResponse);
     }
 
-    /** The same request with the rest of its body, or null, from a downstream that streams long responses. */
+    /**
+     * Returns a copy of this request, from a downstream that streams long responses.
+     *
+     * @param newRemainingBody the remaining body, or null
+     */
     public ProxyRequest withBodyStream(BodyStream newRemainingBody, long newContentLength) {
         return new ProxyRequest(
                 id,
--- a/src/main/java/loadbalancer/proxy/RequestDeadlines.java
+++ b/src/main/java/loadbalancer/proxy/RequestDeadlines.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * The deadlines of requests and the time-outs of attempts, with their timers. Decides when; what is done then
- * is its listener's. On the event loop; times in µs.
+ * Sets the deadlines of requests and the time-outs of attempts, and runs their timers. The listener acts when a timer
+ * fires. To be used on the event loop; times are in µs.
  */
 final class RequestDeadlines {
-    /** How long before its client stops waiting a request without a response is failed. */
+    /** A request without a response is failed this long before its client stops waiting. */
     static final long LAST_RESORT_LEAD_MICROS = 6_000;
-    /** How long before that the last attempt times out, so that the policy can choose the response itself. */
+    /** The last attempt times out this long before the request is failed, so that the policy can choose a response. */
     static final long LAST_ATTEMPT_LEAD_MICROS = 6_000;
 
-    /** How long an upstream may accept nothing of a long body that is ready for it. */
+    /** Max. time for which an upstream may accept no more bytes of a streamed body although bytes are ready. */
     private static final long UPLOAD_STALL_TIMEOUT_MICROS = 10_000_000;
 
-    /** What happens when a timer fires. */
+    /** Is notified when a timer fires. */
     interface Listener {
-        /** The client stops waiting soon, and has no response. */
+        /** The client stops waiting soon and has no response. */
         void deadlineReached(PendingRequest pending);
 
-        /** The response to this attempt is not waited for any longer; it may have ended already. */
+        /** The time-out of this attempt is over; the attempt may have ended before. */
         void attemptTimedOut(ProxyAttempt attempt);
     }
 
@@ -37,12 +37,12 @@
         this.listener = listener;
     }
 
-    /** From here on no request gets a deadline behind {@code latestMicros}; the earliest such time holds. */
+    /** Limits all deadlines that are assigned after this call; the earliest limit of all calls applies. */
     void limitDeadlines(long latestMicros) {
         latestDeadlineMicros = Math.min(latestDeadlineMicros, latestMicros);
     }
 
-    /** Sets the deadline of a request, which counts from when it may have become readable. */
+    /** Sets the deadline of a request, counted from the earliest time at which the request may have been readable. */
     void assign(PendingRequest pending) {
         long timeLeftMicros = pending.request().timeLeftMicros();
         pending.setDeadlineMicros(
@@ -61,20 +61,22 @@
 
     private void expire(PendingRequest pending) {
         if (pending.isReceivingBody() && pending.attemptsInFlight() > 0) {
-            arm(pending, pending.request().timeLeftMicros()); // being forwarded: its time has not begun
+            arm(pending, pending.request().timeLeftMicros()); // forwarding the body: its deadline has not started
         } else {
             listener.deadlineReached(pending);
         }
     }
 
-    /** Ends the timers of a request that is closed. */
+    /** Cancels the timers of a request that is closed. */
     void cancel(PendingRequest pending) {
         pending.cancelDeadlineTimer();
         pending.cancelUploadStallTimer();
     }
 
     /**
-     * How long an attempt that starts at {@code now} is waited for; {@code timeoutMicros}: the policy's, 0 for none.
+     * Returns the max. time to wait for the response to an attempt that starts at {@code now}.
+     *
+     * @param timeoutMicros the time-out that the policy requests, or 0 for none
      */
     long attemptTimeoutMicros(PendingRequest pending, long timeoutMicros, long now) {
         long timeLeftMicros =
@@ -88,7 +90,7 @@
         attempt.setTimeoutTimer(scheduler.schedule(attempt.timeoutMicros(), () -> listener.attemptTimedOut(attempt)));
     }
 
-    /** Notifies of what happens to a request's streamed body from here on. */
+    /** Observes the streamed body of a request, to set the timers that depend on its progress. */
     void trackUpload(StreamedUpload upload, PendingRequest pending) {
         upload.setListener(new StreamedUpload.Listener() {
             @Override
@@ -103,7 +105,7 @@
         });
     }
 
-    // While its upstream accepts no more of a long body the attempt has not run; it is not waited for for ever.
+    // While the upstream accepts no more bytes of a streamed body the attempt has not run, and the wait is limited.
     private void setUploadStalled(PendingRequest pending, boolean stalled) {
         pending.cancelUploadStallTimer();
         if (stalled && !pending.isClosed()) {
@@ -113,7 +115,7 @@
         }
     }
 
-    // The time of a request counts from its last byte, and so do the time-outs of its attempts.
+    // The deadline of a request counts from its last byte, and so do the time-outs of its attempts.
     private void bodyComplete(PendingRequest pending) {
         pending.completeBody();
         pending.cancelUploadStallTimer();
--- a/src/main/java/loadbalancer/proxy/RequestLog.java
+++ b/src/main/java/loadbalancer/proxy/RequestLog.java
@@ -5,17 +5,17 @@
 import java.util.function.Consumer;
 
 /**
- * Logs the events of each connection, request and attempt, one line an event, for the analysis of a failure.
- * Off unless operators switch it on ({@value #VARIABLE}): at full load it writes thousands of lines a second,
- * and the sink drops what it can't keep up with. On the event loop.
+ * Logs the events of each connection, request and attempt, one line per event, for the analysis of failures. Off by
+ * default; operators enable it with {@value #VARIABLE}. At full load it writes thousands of lines per second, and the
+ * sink drops lines that it cannot write in time. To be used on the event loop.
  */
 public final class RequestLog {
-    /** The environment variable that switches it on, by the value {@code on}. */
+    /** The environment variable that enables the request log if its value is {@code on}. */
     public static final String VARIABLE = "ROUTER_REQUEST_LOG";
-    /** Its former name, which is read where {@link #VARIABLE} is not set. */
+    /** The former name of the variable, which is read if {@link #VARIABLE} is not set. */
     static final String FORMER_VARIABLE = "HONEYSPINDLE_REQUEST_LOG";
 
-    /** The events; each is logged by its name in lower case. */
+    /** The events; each is logged under its name in lower case. */
     public enum Event {
         CONNECTION_ACCEPTED,
         CONNECTION_CLOSED,
@@ -44,33 +44,33 @@
         this.sink = sink;
     }
 
-    /** A log that writes to {@code sink} where the environment switches it on; {@code sink} must not block. */
+    /** Returns a log that writes to {@code sink} if the environment enables it; {@code sink} must not block. */
     public static RequestLog of(Map<String, String> environment, Consumer<String> sink) {
         String value = environment.get(environment.containsKey(VARIABLE) ? VARIABLE : FORMER_VARIABLE);
         return "on".equals(value) ? new RequestLog(sink) : OFF;
     }
 
-    /** Whether anything is written: callers gather expensive details only then. */
+    /** Whether the log is enabled; callers compute expensive details only if it is. */
     public boolean isOn() {
         return sink != null;
     }
 
-    /** An event of a connection, by its number since the start of the process. */
+    /** Logs an event of a connection; connections are numbered from the start of the process. */
     public void connection(Event event, long number, Object detail) {
         write(event, "connection=" + number, detail);
     }
 
-    /** An event of a request, by its client's own name for it. */
+    /** Logs an event of a request; {@code id} is the id that the client assigned to the request. */
     public void request(Event event, String id, Object detail) {
         write(event, "request=" + id, detail);
     }
 
-    /** An event of one attempt of a request. */
+    /** Logs an event of one attempt of a request. */
     public void attempt(Event event, String id, int number, Object detail) {
         write(event, "request=" + id + " attempt=" + number, detail);
     }
 
-    /** An event of the process. */
+    /** Logs an event of the process. */
     public void process(Event event, Object detail) {
         write(event, "process", detail);
     }
--- a/src/main/java/loadbalancer/proxy/RequestMetrics.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -6,9 +6,9 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Counts requests by their result, in total and by class and tenant. The worth of a request is its class's
- * priority weight, times the work where the settings say so; a late response earns its class's share of it.
- * Reads no clock; for the event loop's thread.
+ * Counts requests by result, in total, per class and per tenant. The worth of a request is the priority weight of its
+ * class, multiplied by the work if the settings say so; a late response earns a share of the worth that is set for the
+ * class. Reads no clock. To be used on the event loop's thread.
  */
 public final class RequestMetrics {
     /** The counts of one class or one tenant. */
@@ -19,27 +19,27 @@
         private double offeredWorth;
         private double earnedWorth;
 
-        /** Accepted requests. */
+        /** Returns the number of accepted requests. */
         public long accepted() {
             return accepted;
         }
 
-        /** Served within the latency objective. */
+        /** Returns the number of requests served within the latency objective. */
         public long inTime() {
             return inTime;
         }
 
-        /** Served after the latency objective. */
+        /** Returns the number of requests served after the latency objective. */
         public long late() {
             return late;
         }
 
-        /** Worth of all accepted requests. */
+        /** Returns the worth of all accepted requests. */
         public double offeredWorth() {
             return offeredWorth;
         }
 
-        /** Worth earned by the served requests. */
+        /** Returns the worth earned by the served requests. */
         public double earnedWorth() {
             return earnedWorth;
         }
@@ -54,7 +54,7 @@
     private long failed;
     private long disconnected;
 
-    /** Counts of 0 for the classes and tenants of {@code settings}. */
+    /** Creates counts of 0 for the classes and tenants of {@code settings}. */
     public RequestMetrics(Policy.Settings settings) {
         this.settings = settings;
         byClass = zeros(settings.classes().size());
@@ -70,21 +70,21 @@
     }
 
     /**
-     * A request's place in the counts, by the settings that it was accepted under.
+     * The counts that a request belongs to, and its worth, by the settings under which it was accepted.
      *
      * @param ofClass the counts of its class
      * @param ofTenant the counts of its tenant
-     * @param worth what it earns in time
-     * @param latencyObjectiveMicros in µs
+     * @param worth the worth of a response in time
+     * @param latencyObjectiveMicros the max. latency of a response in time
      * @param lateShare the share of {@code worth} that a late response earns
      */
     public record Entry(Counts ofClass, Counts ofTenant, double worth, long latencyObjectiveMicros, double lateShare) {}
 
     /**
-     * Other settings hold from here on; known classes and tenants keep their counts under their new numbers.
+     * Replaces the settings; classes and tenants that existed before keep their counts under their new numbers.
      *
-     * @param formerClasses for each class its number before, -1 where it is new
-     * @param formerTenants for each tenant its number before, -1 where it is new
+     * @param formerClasses the former number of each class, -1 for a new class
+     * @param formerTenants the former number of each tenant, -1 for a new tenant
      */
     public void reload(Policy.Settings newSettings, List<Integer> formerClasses, List<Integer> formerTenants) {
         settings = newSettings;
@@ -119,7 +119,7 @@
         counts.offeredWorth += worth;
     }
 
-    /** Counts a served request; {@code latencyMicros}: in µs since it was accepted. */
+    /** Counts a served request; {@code latencyMicros} is the time since the request was accepted. */
     public void served(Entry entry, long latencyMicros) {
         boolean inTime = latencyMicros <= entry.latencyObjectiveMicros();
         double earned = entry.worth() * (inTime ? 1 : entry.lateShare());
@@ -163,43 +163,43 @@
         return settings.worthByWork() && request.workMicros() > 0 ? worth * request.workMicros() : worth;
     }
 
-    /** The counts in total. */
+    /** Returns the counts of all requests. */
     public Counts all() {
         return all;
     }
 
-    /** The counts of a class, by its number in the settings. */
+    /** Returns the counts of the class with this number in the settings. */
     public Counts ofClass(int number) {
         return byClass[number];
     }
 
-    /** The counts of a tenant, by its number; 0 where the settings name none. */
+    /** Returns the counts of the tenant with this number in the settings; 0 if the settings name no tenants. */
     public Counts ofTenant(int number) {
         return byTenant[number];
     }
 
-    /** Attempts by outcome; outcomes that have not happened are left out. */
+    /** Returns the number of attempts by outcome; outcomes that have not occurred are absent. */
     public Map<Policy.Outcome, Long> attempts() {
         return new EnumMap<>(attemptsByOutcome);
     }
 
-    /** The counts in one line, for the end of a run. */
+    /** Returns the counts as one line, for the summary at the end of a run. */
     public String summary() {
         return all.inTime + " served in time, " + all.late + " late, " + rejected + " refused, " + failed + " failed, "
                 + disconnected + " gone";
     }
 
-    /** Rejected requests. */
+    /** Returns the number of rejected requests. */
     public long rejections() {
         return rejected;
     }
 
-    /** Failed requests. */
+    /** Returns the number of failed requests. */
     public long failures() {
         return failed;
     }
 
-    /** Requests whose clients disconnected before a response. */
+    /** Returns the number of requests whose clients disconnected before the response. */
     public long disconnects() {
         return disconnected;
     }
--- a/src/main/java/loadbalancer/proxy/RequestTable.java
+++ b/src/main/java/loadbalancer/proxy/RequestTable.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All requests that are not finished, and the number of responses that are pending. On the event loop. */
+/** The requests that are not finished, and the number of pending responses. To be used on the event loop. */
 final class RequestTable {
     private final Scheduler scheduler;
     private final Map<String, PendingRequest> requestsById = new HashMap<>();
@@ -18,29 +18,29 @@
         this.scheduler = scheduler;
     }
 
-    /** The balancer's own name for the next request. */
+    /** Returns the balancer's internal id for the next request, and counts the request as accepted. */
     String nextId() {
         return Long.toString(++accepted, Character.MAX_RADIX);
     }
 
-    /** A request has been accepted: one more response is pending. */
+    /** Adds an accepted request, whose response is pending. */
     void add(PendingRequest pending) {
         requestsById.put(pending.id(), pending);
         clientIds.add(pending.clientId());
         pendingResponses++;
     }
 
-    /** The request by the balancer's own name; null where it is finished. */
+    /** Returns the request with this internal id, or null if the request is finished. */
     PendingRequest find(String id) {
         return requestsById.get(id);
     }
 
-    /** Whether a request by that name of its client's is not finished. */
+    /** Whether a request with this client-assigned id is not finished. */
     boolean isOpen(String clientId) {
         return clientIds.contains(clientId);
     }
 
-    /** A request has been closed: one response less is pending. */
+    /** Records that the response to one request is no longer pending. */
     void responseDone() {
         pendingResponses--;
         runIfIdle();
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Runs {@code task} on the event loop each time that no response is pending any more, now included. */
+    /** Runs {@code task} on the event loop whenever no response is pending, also if that is so at this call. */
     void whenIdle(Runnable task) {
         whenIdle = task;
         runIfIdle();
@@ -69,7 +69,7 @@
         return pendingResponses;
     }
 
-    /** How many requests have been accepted. */
+    /** Returns the number of accepted requests. */
     long accepted() {
         return accepted;
     }
--- a/src/main/java/loadbalancer/proxy/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -4,10 +4,10 @@
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
-/** Validates a request before it is accepted, whatever protocol it was received by. No I/O and no clock. */
+/** Validates requests before they are accepted, independent of the protocol. Does no I/O and reads no clock. */
 public final class RequestValidator {
-    private static final int MAX_NAME_LENGTH = 256; // characters of an id or a key
-    private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is held no longer than that
+    private static final int MAX_NAME_LENGTH = 256; // of an id or a key, in characters
+    private static final long MAX_DEADLINE_MILLIS = 600_000; // the max. time for which a request is held
     private static final long MAX_COST_MICROS = 600_000_000; // a longer estimate is ignored
     private static final List<String> SINGLE_FIELDS = List.of(
             "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE_FIELD, "Req-Cost", "Req-Retry", "Idempotency-Key");
@@ -15,11 +15,11 @@
     private RequestValidator() {}
 
     /**
-     * Validates a request.
+     * Returns the validated request.
      *
      * @param uri path and query
-     * @param fields the header fields that are forwarded, among them those that describe the request
-     * @throws IllegalArgumentException with the reason, where the request can't be accepted
+     * @param fields the header fields that are forwarded, which include the fields that describe the request
+     * @throws IllegalArgumentException if the request cannot be accepted; the message gives the reason
      */
     public static ProxyRequest validate(
             String method, String uri, HeaderFields fields, byte[] body, SettingsReader.Boot boot) {
@@ -58,7 +58,8 @@
                 "1".equals(fields.get("Req-Retry")));
     }
 
-    // A name occurs twice where its class was changed lately: clients learn of that later than this balancer.
+    // A name occurs more than once if its class was changed recently: clients learn of the change later than this
+    // balancer.
     private static int requestClass(String method, HeaderFields fields, SettingsReader.Boot boot) {
         String name = text(fields, "Req-Kind");
         int first = boot.classes().indexOf(name);
--- a/src/main/java/loadbalancer/proxy/SendGuard.java
+++ b/src/main/java/loadbalancer/proxy/SendGuard.java
@@ -3,35 +3,36 @@
 import loadbalancer.policy.Policy.Outcome;
 
 /**
- * The last check of every attempt, right before its first byte, whatever transport carries it and however long
- * it waited. What was true when the policy chose the server may have changed since, and the change may lie
- * unread in a socket: the client has closed, its time or the window for retries is over, the upstream drains or
- * has another address. No I/O and no clock; times in µs of the balancer's clock.
+ * The last check of every attempt, right before its first byte, for all transports and however long the attempt was
+ * queued. The conditions under which the policy chose the server may have changed, and the change may be unread in a
+ * socket: the client has closed its connection, the client's deadline or the window for retries is over, or the
+ * upstream drains or has another address. Does no I/O and reads no clock; times are in µs of the balancer's clock.
  */
 public final class SendGuard {
-    /** How long after a client's close its request may still be forwarded (the operators' rule). */
+    /** How long after a client's close its request may still be forwarded; a requirement of the operators. */
     public static final long CLOSE_GRACE_MICROS = 100_000;
-    /** By how much a permit is shorter than that: the write takes time, and the clock is not shared. */
+    /** A permit is shorter than the grace by this margin: the write takes time, and clocks are not shared. */
     static final long PERMIT_MARGIN_MICROS = 50_000;
-    /** In place of a time: nobody waits for the attempt any more. */
+    /** Used in place of a time if no client waits for the attempt any more. */
     public static final long NOT_AWAITED = Long.MIN_VALUE;
 
     private SendGuard() {}
 
-    /** Until when an attempt may begin whose client's connection was read completely at {@code readAtMicros}. */
+    /** Returns until when an attempt may start if the client's connection was read completely at that time. */
     static long awaitedUntilMicros(long readAtMicros) {
         return readAtMicros + CLOSE_GRACE_MICROS - PERMIT_MARGIN_MICROS;
     }
 
     /**
-     * Decides whether an attempt may begin.
+     * Decides whether an attempt may start.
      *
-     * @param awaitedUntilMicros as {@link AttemptTransport.Listener#awaitedUntilMicros} says
-     * @param startDeadlineMicros from then on it may not run any more, or its response would be too late
-     * @param drainDeadlineMicros when the grace of its upstream's drain is over; {@link DrainGrace#NEVER} while it
-     *     serves
-     * @param addressChanged whether its upstream has another address now: the server at this one is not that upstream
-     * @param unreadDrainDeadlineMicros as {@link PendingUpdates#unreadDrainDeadlineMicros} says
+     * @param awaitedUntilMicros the result of {@link AttemptTransport.Listener#awaitedUntilMicros}
+     * @param startDeadlineMicros the time from which the attempt may not run, or its response would be too late
+     * @param drainDeadlineMicros the result of {@link DrainGrace#drainDeadlineMicros} for the upstream;
+     *     {@link DrainGrace#NEVER} if the upstream is not draining
+     * @param addressChanged whether the upstream has another address now, so that the server at the address of the
+     *     connection is no longer that upstream
+     * @param unreadDrainDeadlineMicros the result of {@link PendingUpdates#unreadDrainDeadlineMicros}
      */
     public static SendPermit decide(
             long now,
@@ -44,7 +45,7 @@
             return SendPermit.refused(Outcome.NOT_SENT);
         }
         if (now >= drainDeadlineMicros || addressChanged) {
-            return SendPermit.refused(Outcome.CONNECT_FAILED); // another upstream may run it
+            return SendPermit.refused(Outcome.CONNECT_FAILED); // the policy may choose another upstream
         }
         return new SendPermit(
                 null,
--- a/src/main/java/loadbalancer/proxy/SendPermit.java
+++ b/src/main/java/loadbalancer/proxy/SendPermit.java
@@ -3,17 +3,18 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Whether an attempt may begin, as {@link SendGuard} decided right before the first byte.
+ * The decision of {@link SendGuard}, made right before the first byte of an attempt, whether the attempt may start.
  *
- * @param refusal the outcome of an attempt that may not begin; null where it may
- * @param expiresAtMicros where it may begin: its first byte has to leave before, in µs of the balancer's clock
+ * @param refusal the outcome of an attempt that may not start; null if the attempt may start
+ * @param expiresAtMicros the time by which the first byte must be sent, by the balancer's clock, if the attempt may
+ *     start
  */
 public record SendPermit(Policy.Outcome refusal, long expiresAtMicros) {
     static SendPermit refused(Policy.Outcome outcome) {
         return new SendPermit(outcome, Long.MIN_VALUE);
     }
 
-    /** Whether it may begin. */
+    /** Whether the attempt may start. */
     public boolean granted() {
         return refusal == null;
     }
--- a/src/main/java/loadbalancer/proxy/SettingsChange.java
+++ b/src/main/java/loadbalancer/proxy/SettingsChange.java
@@ -4,10 +4,10 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * What a reload changes in the numbering of classes and tenants: those of the same name are the same.
+ * The changes that a reload makes to the numbers of classes and tenants, which are matched by name.
  *
- * @param formerClasses for each class its number before, -1 where it is new
- * @param formerTenants for each tenant its number before, -1 where it is new
+ * @param formerClasses the former number of each class, -1 for a new class
+ * @param formerTenants the former number of each tenant, -1 for a new tenant
  */
 record SettingsChange(List<Integer> formerClasses, List<Integer> formerTenants) {
     static SettingsChange between(SettingsReader.Boot before, SettingsReader.Boot after) {
@@ -15,7 +15,7 @@
                 formerNumbers(after.classes(), before.classes()), formerNumbers(after.tenants(), before.tenants()));
     }
 
-    // Of several by one name the first is meant: the others are former ones that are about to be removed.
+    // If a name occurs more than once, the first entry is matched: the others are former entries about to be removed.
     private static List<Integer> formerNumbers(List<String> names, List<String> formerNames) {
         return names.stream().map(formerNames::indexOf).toList();
     }
--- a/src/main/java/loadbalancer/proxy/StreamedUpload.java
+++ b/src/main/java/loadbalancer/proxy/StreamedUpload.java
@@ -1,11 +1,11 @@
 package loadbalancer.proxy;
 
 /**
- * A client's long body that is forwarded as it is received: passes everything through, and notifies a
- * listener when the last byte has been received and when the upstream stops or resumes accepting bytes.
+ * A decorator of a client's streamed body that notifies a listener when the last byte has been received, and when the
+ * upstream stops or resumes accepting bytes.
  */
 final class StreamedUpload implements BodyStream {
-    /** Whom it notifies, on the event loop. */
+    /** Is notified on the event loop. */
     interface Listener {
         /** The last byte has been received; called before it is forwarded. */
         void uploadComplete();
@@ -21,7 +21,7 @@
         this.source = source;
     }
 
-    /** To be called before the body is subscribed to. */
+    /** Sets the listener; to be called before {@link #subscribe}. */
     void setListener(Listener newListener) {
         listener = newListener;
     }
--- a/src/main/java/loadbalancer/proxy/WarmUpRequests.java
+++ b/src/main/java/loadbalancer/proxy/WarmUpRequests.java
@@ -1,18 +1,18 @@
 package loadbalancer.proxy;
 
-/** The balancer's own requests, which downstreams accept during the warm-up, before clients connect. */
+/** The balancer's own requests, which downstreams accept during warm-up, before clients connect. */
 public interface WarmUpRequests {
-    /** The path of these requests. */
+    /** The path of the requests as they are received from the warm-up client. */
     String PATH = "/-/rehearsal";
-    /** The path on which they return to this process, in the role of the upstream. */
+    /** The path on which the requests are forwarded to this process, in the role of the upstream. */
     String UPSTREAM_PATH = "/-/rehearsed";
 
-    /** Whether a request with these fields is one of the balancer's own. */
+    /** Whether a request with these fields is a warm-up request. */
     boolean isWarmUp(HeaderFields fields);
 
-    /** In the role of the upstream: whether the request that has returned is to be declined. */
+    /** Whether this process, in the role of the upstream, declines the request; to be called once per request. */
     boolean shouldDeclineNext();
 
-    /** The dispatcher of these requests, in place of the one for clients. */
+    /** Returns the dispatcher of warm-up requests, used in place of the dispatcher for clients. */
     Dispatcher dispatcher();
 }
