--- a/src/test/java/loadbalancer/proxy/DispatcherFixture.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherFixture.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A dispatcher in virtual time, with a transport, a policy and a client that record what they get. */
+/** A dispatcher in virtual time, with a fake transport, policy and client that record the calls they receive. */
 abstract class DispatcherFixture {
     final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
     final FakeTransport transport = new FakeTransport();
@@ -16,12 +16,12 @@
         dispatcher.attach(transport, EndpointSource.NONE);
     }
 
-    /** Dispatches a request of a client that waits for 100 ms; returns what to run when it disconnects. */
+    /** Dispatches a request of a client that waits for 100 ms; returns the callback for the client's disconnect. */
     final Runnable dispatch() {
         return dispatchFor(100_000);
     }
 
-    /** The same for a client that waits for {@code timeLeftMicros} µs. */
+    /** Dispatches a request of a client that waits for {@code timeLeftMicros}. */
     final Runnable dispatchFor(long timeLeftMicros) {
         return dispatcher.dispatch(
                 new ProxyRequest(
--- a/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherStallTest.java
@@ -9,9 +9,9 @@
 import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 
-/** What an event loop stall changes for requests, endpoint updates and attempts. */
+/** The effects of an event loop stall on requests, endpoint updates and attempts. */
 class DispatcherStallTest extends DispatcherFixture {
-    /** A wake is 40 ms overdue: the event loop has not polled its sockets for so long. */
+    /** A wake-up of the policy is 40 ms overdue, so the event loop has not polled its sockets for 40 ms. */
     @Test
     void aRequestThatMayHaveBeenUnreadGetsAnEarlierDeadline() {
         policy.neverFails = true;
@@ -22,12 +22,12 @@
         scheduler.advance(53_999);
         assertEquals(List.of(), client.responses);
         scheduler.advance(1);
-        assertEquals(List.of("failed"), client.responses, "6 ms before its client's time is over");
-        dispatch(); // the wake has run: nothing has lain unread
+        assertEquals(List.of("failed"), client.responses, "6 ms before the client's deadline");
+        dispatch(); // the wake-up has run: no data was unread
         assertEquals(50_000, transport.started.get(1).responseTimeoutMicros);
     }
 
-    /** Requests and two updates lay unread, and the requests are read first: the last update holds for them. */
+    /** Requests and two updates are unread, and the requests are read first: they must see the last update. */
     @Test
     void afterAStallEndpointUpdatesAreHandledFirst() {
         dispatcher.startStallDetection();
@@ -42,16 +42,19 @@
                         false,
                         List.of(new EndpointUpdate.Endpoint(
                                 new Policy.Server("s", Policy.State.DRAINING, 0, 1, 0, 0, 0), null))));
-        assertEquals(scheduler.now() - 500_000, transport.lastAnnouncedAtMicros, "it was announced as long ago");
+        assertEquals(
+                scheduler.now() - 500_000,
+                transport.lastAnnouncedAtMicros,
+                "the update may have been announced 500 ms ago");
         assertEquals(List.of(), policy.events);
         scheduler.advance(0);
         assertEquals(List.of("list of 0", "list of 1", "request", "request"), policy.events);
         policy.events.clear();
-        dispatchFor(900_000); // the loop keeps up: at once
+        dispatchFor(900_000); // the loop is not stalled: handled immediately
         assertEquals(List.of("request"), policy.events);
     }
 
-    /** The thread stalls within the heartbeat, before or behind each read of the clock: updates lie unread. */
+    /** The thread stalls within the heartbeat, before or after each read of the clock; updates may be unread then. */
     @Test
     void aStallWithinTheHeartbeatItselfIsNoticed() {
         for (int clockRead = 1; clockRead <= 4; clockRead++) {
@@ -76,21 +79,21 @@
                 stallingScheduler.advance(EventLoopStallDetector.HEARTBEAT_MICROS);
                 boolean stalled = readsLeft[0] <= 0;
                 readsLeft[0] = Integer.MAX_VALUE;
-                String where = (before ? "before clock read " : "behind clock read ") + clockRead;
+                String where = (before ? "before clock read " : "after clock read ") + clockRead;
                 if (stalled) {
                     assertTrue(stallingDispatcher.mayHaveUnreadUpdates(), where);
                     stallingScheduler.advance(0); // polls the sockets
-                    // Its next heartbeat may have been scheduled behind the stall.
+                    // The next heartbeat may have been scheduled after the stall.
                     stallingScheduler.advance(EventLoopStallDetector.HEARTBEAT_MICROS);
                 } else {
-                    assertTrue(clockRead > 1, "the clock is read");
+                    assertTrue(clockRead > 1, "the heartbeat reads the clock at least once");
                 }
                 assertFalse(stallingDispatcher.mayHaveUnreadUpdates(), where);
             }
         }
     }
 
-    /** After a stall, and on a loop that is late in each iteration, what has waited for a poll may leave. */
+    /** After a stall, and on a loop that is late in each iteration, attempts that waited for a poll may be sent. */
     @Test
     void tasksThatWaitedForAPollAreNotDelayedAgain() {
         for (long iterationMicros : new long[] {1_000, 150_000, 700_000}) {
@@ -102,7 +105,7 @@
             lateScheduler.stall(1_300_000);
             assertTrue(
                     lateScheduler.now() >= slowDispatcher.unreadDrainDeadlineMicros(),
-                    "nothing has been polled for longer than a grace");
+                    "the last poll is longer ago than the drain grace");
             List<Boolean> deadlinePassed = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 slowDispatcher.runAfterUpdates(
@@ -118,7 +121,7 @@
         }
     }
 
-    /** The policy would count its attempt as in flight for ever: one that never began is never reported. */
+    /** The policy would count the attempt as in flight for ever, since an attempt that never starts never ends. */
     @Test
     void aClientThatDisconnectsBeforeThePolicyIsNotifiedIsNeverReported() {
         dispatcher.startStallDetection();
@@ -133,10 +136,10 @@
         dispatchFor(900_000);
         dispatcher.stopPolicyEvents();
         scheduler.advance(0);
-        assertEquals(List.of(), policy.events, "nor is anything after its retirement");
+        assertEquals(List.of(), policy.events, "no event after stopPolicyEvents()");
     }
 
-    /** With no wake of the policy pending the heartbeat shows for how long the sockets have not been polled. */
+    /** Without a pending wake-up of the policy, the heartbeat tells for how long the sockets have not been polled. */
     @Test
     void aStallIsNoticedWithoutWakesOfThePolicy() {
         policy.neverFails = true;
@@ -150,7 +153,7 @@
         assertEquals(List.of(), log);
         scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000);
         scheduler.advance(0);
-        scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000); // right after that: no second line
+        scheduler.stall(EventLoopStallDetector.HEARTBEAT_MICROS + 730_000); // right after the first: not logged
         scheduler.advance(0);
         assertEquals(
                 List.of("event=event_loop_stalled duration_ms=730"),
--- a/src/test/java/loadbalancer/proxy/DispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Requests and attempts without sockets, in virtual time: the transport does what the test says. */
+/** Requests and attempts without sockets, in virtual time; the tests control the fake transport. */
 class DispatcherTest extends DispatcherFixture {
     @Test
     void aResponseInTimeEarnsItsWorthAndALateOneItsShare() {
@@ -107,7 +107,9 @@
         assertEquals(List.of("event=invariant_violated invariant=second_run subject=r1 count=1"), log);
         policy.neverFails = true;
         transport.started.get(0).listener.ended(Outcome.CONNECT_FAILED, null, null);
-        assertTrue(transport.started.get(1).listener.awaitedUntilMicros() > scheduler.now(), "the first one never ran");
+        assertTrue(
+                transport.started.get(1).listener.awaitedUntilMicros() > scheduler.now(),
+                "the first attempt never ran");
     }
 
     @Test
@@ -117,10 +119,11 @@
         Runnable disconnect = dispatch();
         transport.started.get(0).connecting = true;
         disconnect.run();
-        assertTrue(transport.started.get(0).stopped, "nothing is forwarded for a client that has disconnected");
-        assertFalse(transport.started.get(1).stopped, "it may run, and cancellation is not allowed");
+        assertTrue(transport.started.get(0).stopped, "no attempt is sent for a client that has disconnected");
+        assertFalse(
+                transport.started.get(1).stopped, "a server may run the attempt, and the policy has not cancelled it");
         assertEquals(List.of("disconnected", "NOT_SENT closed"), policy.notifications);
-        assertTrue(dispatcher.isOpen("r1"), "an attempt of it is in flight");
+        assertTrue(dispatcher.isOpen("r1"), "an attempt of the request is in flight");
         transport.started.get(1).listener.ended(Outcome.OK, ok(), null);
         assertEquals(List.of("disconnected", "NOT_SENT closed", "OK closed"), policy.notifications);
         assertFalse(dispatcher.isOpen("r1"));
@@ -134,7 +137,7 @@
         dispatch();
         transport.started.get(1).connecting = true;
         transport.started.get(0).listener.ended(Outcome.OK, ok(), null);
-        assertTrue(transport.started.get(1).stopped, "nothing is forwarded after the final response");
+        assertTrue(transport.started.get(1).stopped, "no attempt is sent after the final response");
         assertEquals(List.of("OK closed", "NOT_SENT closed"), policy.notifications);
         assertEquals(List.of("served"), client.responses);
         assertFalse(dispatcher.isOpen("r1"));
@@ -147,10 +150,13 @@
         assertEquals(scheduler.now() + 30_000, transport.started.get(0).startDeadlineMicros);
         policy.startWithinMicros = Long.MAX_VALUE;
         dispatch();
-        assertEquals(scheduler.now() + 50_000, transport.started.get(1).startDeadlineMicros, "its time-out");
+        assertEquals(
+                scheduler.now() + 50_000,
+                transport.started.get(1).startDeadlineMicros,
+                "limited by the response time-out");
         policy.startWithinMicros = 0;
         dispatch();
-        assertEquals(2, transport.started.size(), "too late at once");
+        assertEquals(2, transport.started.size(), "the window is over before the attempt starts");
         assertEquals(List.of("NOT_SENT"), policy.notifications);
     }
 
--- a/src/test/java/loadbalancer/proxy/DispatcherUploadTest.java
+++ b/src/test/java/loadbalancer/proxy/DispatcherUploadTest.java
@@ -9,7 +9,7 @@
 
 /** Requests whose bodies are forwarded while they are received. */
 class DispatcherUploadTest extends DispatcherFixture {
-    /** A long body; the test says when it is complete. */
+    /** A streamed body that the test completes through the subscriber. */
     private static final class FakeBodyStream implements BodyStream {
         private Subscriber subscriber;
 
@@ -63,7 +63,10 @@
         assertEquals(List.of("failed"), uploader.responses);
     }
 
-    /** The policy never responds, nor would the deadline if its timer started with the last byte only. */
+    /**
+     * The policy never responds, and the last byte is never received: if the deadline's timer started with the last
+     * byte only, the client would get no response.
+     */
     @Test
     void anUploadThatIsNeverForwardedGetsAResponse() {
         RecordingResponseWriter uploader = new RecordingResponseWriter();
--- a/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
+++ b/src/test/java/loadbalancer/proxy/EventLoopStallTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The dispatcher and the policy in virtual time, on an event loop that is stalled for 0.1 to 1 s at any point
- * of a request's life. Clients and servers go on meanwhile: what they send is read when the stall is over,
- * before the timers run, as {@code ReadBeforeTimers} does it.
+ * The dispatcher and the policy in virtual time, on an event loop that is stalled for 0.1 to 1 s at any point of a
+ * request's life. Clients and servers keep sending during the stall; their data is read after the stall, before the
+ * timers run, as with {@code ReadBeforeTimers}.
  */
 class EventLoopStallTest {
     private static final long DEADLINE_MICROS = 400_000; // of every request
@@ -27,7 +27,7 @@
                 new TestSettings.RequestClass("c1", "unsafe", 200_000, DEADLINE_MICROS));
     }
 
-    /** One client's request: when it was sent, and the responses to it. */
+    /** A request of one client, with the responses that the client receives. */
     private static final class ClientRequest implements ResponseWriter {
         private final VirtualTimeScheduler loop;
         private final long sentAtMicros;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Servers that respond after a random time; the response waits in the socket until it is read. */
+    /** Servers that respond after a random time; the response stays in the socket until the loop reads the socket. */
     private final class Servers implements AttemptTransport {
         @Override
         public void updateEndpoints(EndpointUpdate update, long now) {}
@@ -89,7 +89,7 @@
 
                 @Override
                 public boolean withdraw() {
-                    return false; // it has been written at once
+                    return false; // the attempt was written immediately
                 }
             };
         }
@@ -101,7 +101,7 @@
         public void closeIdle(String server) {}
     }
 
-    /** Bytes that arrive in a socket at a time, and what reading them does. */
+    /** Bytes that arrive in a socket at a given time, and the action that reads them. */
     private record Arrival(long arrivedAtMicros, Runnable read) {}
 
     private final VirtualTimeScheduler loop = new VirtualTimeScheduler();
@@ -109,7 +109,7 @@
     private SplittableRandom random;
     private int requestsSent;
 
-    // One iteration of the event loop: its sockets, then its timers.
+    // One iteration of the event loop: reads the sockets, then runs the timers.
     private void runIteration() {
         List<Arrival> readable = arrivals.stream()
                 .filter(arrival -> arrival.arrivedAtMicros() <= loop.now())
@@ -141,7 +141,7 @@
                 served += request.responses.contains("served") ? 1 : 0;
             }
         }
-        assertTrue(served > 0.6 * requestsSent, "and a majority is served: " + served + " of " + requestsSent);
+        assertTrue(served > 0.6 * requestsSent, "most requests are served: " + served + " of " + requestsSent);
     }
 
     private Dispatcher startDispatcher(int seed) {
@@ -158,7 +158,7 @@
         return dispatcher;
     }
 
-    /** When the event loop was stalled. */
+    /** The time of an event loop stall. */
     private record Stall(long startMicros, long endMicros) {}
 
     private Stall runWithOneStall(Dispatcher dispatcher, List<ClientRequest> requests) {
@@ -181,7 +181,7 @@
     private Stall stall(Dispatcher dispatcher, List<ClientRequest> requests) {
         long startMicros = loop.now();
         long durationMicros = 100_000 + random.nextLong(900_000);
-        for (int i = 0; i < 20; i++) { // clients go on sending
+        for (int i = 0; i < 20; i++) { // clients keep sending
             loop.stall(durationMicros / 20);
             sendRequest(dispatcher, requests);
         }
@@ -194,7 +194,7 @@
         assertEquals(1, request.responses.size(), result);
         long deadlineMicros = request.sentAtMicros + DEADLINE_MICROS;
         boolean overlapsStall = request.sentAtMicros <= stall.endMicros() && deadlineMicros >= stall.startMicros();
-        // Right behind the stall at the latest, where its deadline passed meanwhile.
+        // A request whose deadline passes during the stall gets its response right after the stall.
         long latestMicros = Math.max(deadlineMicros + SLACK_MICROS, overlapsStall ? stall.endMicros() + 2_000 : 0);
         assertTrue(request.respondedAtMicros <= latestMicros, result);
     }
--- a/src/test/java/loadbalancer/proxy/FakeTransport.java
+++ b/src/test/java/loadbalancer/proxy/FakeTransport.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import loadbalancer.policy.Policy.Outcome;
 
-/** A transport without sockets: records the attempts, which end when the test says so. */
+/** A transport without sockets that records attempts; the test ends them through their listeners. */
 final class FakeTransport implements AttemptTransport {
-    /** An attempt that has been handed over. */
+    /** An attempt that the transport has accepted. */
     static final class StartedAttempt implements AttemptTransport.Attempt {
         final AttemptTransport.Listener listener;
         final long responseTimeoutMicros;
--- a/src/test/java/loadbalancer/proxy/PendingRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/PendingRequestTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.policy.Policy;
 import org.junit.jupiter.api.Test;
 
-/** The states of a request and of its attempts. */
+/** The state transitions of a request and its attempts. */
 class PendingRequestTest {
     private final Invariants invariants = new Invariants(line -> {});
     private final PendingRequest pending = pending(Policy.Effect.SAFE);
--- a/src/test/java/loadbalancer/proxy/RecordingResponseWriter.java
+++ b/src/test/java/loadbalancer/proxy/RecordingResponseWriter.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records the final responses to a client. */
+/** Records the final responses to a client by kind. */
 final class RecordingResponseWriter implements ResponseWriter {
     final List<String> responses = new ArrayList<>();
-    Runnable unreadClose = () -> {}; // lies in its connection
+    Runnable unreadClose = () -> {}; // run when the connection is read
 
     @Override
     public void readConnection() {
--- a/src/test/java/loadbalancer/proxy/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -19,11 +19,14 @@
     void anAttemptIsCheckedRightBeforeItsFirstByte() {
         assertTrue(decide(99, 100, DrainGrace.NEVER, false).granted());
         assertEquals(Outcome.NOT_SENT, decide(100, 100, DrainGrace.NEVER, false).refusal());
-        assertTrue(decide(99, NEVER, 100, false).granted(), "within its grace");
+        assertTrue(decide(99, NEVER, 100, false).granted(), "within the drain grace");
         assertEquals(Outcome.CONNECT_FAILED, decide(100, NEVER, 100, false).refusal());
         assertEquals(
                 Outcome.CONNECT_FAILED, decide(0, 100, DrainGrace.NEVER, true).refusal());
-        assertEquals(Outcome.NOT_SENT, decide(100, 100, 100, true).refusal(), "nor may another run it");
+        assertEquals(
+                Outcome.NOT_SENT,
+                decide(100, 100, 100, true).refusal(),
+                "no other upstream may run the request either");
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/SingleAttemptPolicy.java
+++ b/src/test/java/loadbalancer/proxy/SingleAttemptPolicy.java
@@ -4,10 +4,13 @@
 import java.util.List;
 import loadbalancer.policy.Policy;
 
-/** Sends each request once, and fails it when the attempt has ended with any outcome but OK. */
+/**
+ * A policy that starts {@code attemptsPerRequest} attempts of each request, by default one, and fails the request if
+ * an outcome is not OK.
+ */
 class SingleAttemptPolicy implements Policy {
     final List<String> notifications = new ArrayList<>();
-    final List<String> events = new ArrayList<>(); // endpoint lists and requests
+    final List<String> events = new ArrayList<>(); // endpoint lists and requests, in the order of their receipt
     boolean neverFails;
     boolean ignoresDisconnects;
     int attemptsPerRequest = 1;
--- a/src/test/java/loadbalancer/proxy/TestSettings.java
+++ b/src/test/java/loadbalancer/proxy/TestSettings.java
@@ -20,22 +20,22 @@
             "Rules.OverloadFactor", "3",
             "Rules.Fall", "1");
 
-    /** A request class; {@code idempotency} as the settings word it. */
+    /** A request class; {@code idempotency} is the value in the settings. */
     record RequestClass(String name, String idempotency, long latencyObjectiveMicros, long deadlineMicros) {}
 
     private TestSettings() {}
 
-    /** One class, {@code read}, that is safe to retry, with a deadline of 100 ms. */
+    /** Settings with one class, {@code read}, which is safe to retry and has a deadline of 100 ms. */
     static SettingsReader.Boot boot() {
         return boot("safe");
     }
 
-    /** The same class with another idempotency. */
+    /** Settings with the class {@code read} and the given idempotency. */
     static SettingsReader.Boot boot(String idempotency) {
         return boot(new RequestClass("read", idempotency, 20_000, 100_000));
     }
 
-    /** The classes given. */
+    /** Settings with the given classes. */
     static SettingsReader.Boot boot(RequestClass... classes) {
         Map<String, String> values = new HashMap<>(LIMITS);
         values.putAll(RULES);
--- a/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
+++ b/src/test/java/loadbalancer/proxy/VirtualTimeScheduler.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** An event loop in virtual time: runs the tasks that are due, in order, when a test lets time pass. */
+/** An event loop in virtual time: runs due tasks in order when a test advances the time. */
 final class VirtualTimeScheduler implements Scheduler, Clock {
     private record Entry(long dueAtMicros, long sequenceNumber, Runnable task) {}
 
@@ -29,12 +29,12 @@
         return () -> entries.remove(entry);
     }
 
-    /** Time passes and nothing runs, as during a garbage collection; tasks that are due run late. */
+    /** Advances the time without running tasks, like a garbage collection; tasks that become due run late. */
     void stall(long micros) {
         now += micros;
     }
 
-    /** Time passes, and the tasks that become due run. */
+    /** Advances the time and runs the tasks that become due. */
     void advance(long micros) {
         long endMicros = now + micros;
         while (!entries.isEmpty() && entries.peek().dueAtMicros() <= endMicros) {
@@ -42,6 +42,6 @@
             now = Math.max(now, next.dueAtMicros());
             next.task().run();
         }
-        now = Math.max(now, endMicros); // a task may have stalled
+        now = Math.max(now, endMicros); // a task may have called stall()
     }
 }
