--- a/src/main/java/loadbalancer/admin/AdminOperations.java
+++ b/src/main/java/loadbalancer/admin/AdminOperations.java
@@ -2,17 +2,17 @@
 
 import loadbalancer.lifecycle.LifeCycle;
 
-/** What operators may ask of a load balancer; called on the event loop. */
+/** The commands and queries of operators; called on the event loop. */
 public interface AdminOperations {
-    /** Whether this process takes clients. */
+    /** Returns whether this process serves clients. */
     boolean isReady();
 
     /** Moves the clients to other processes: health checks fail, and idle connections are closed. */
     LifeCycle.CommandResult evacuate();
 
-    /** Takes clients again after {@link #evacuate}. */
+    /** Serves clients again after {@link #evacuate}. */
     LifeCycle.CommandResult rejoin();
 
-    /** The state of the life cycle, in a word for the operators. */
+    /** Returns the state of the life cycle as text for operators. */
     String stateText();
 }
--- a/src/main/java/loadbalancer/admin/AdminRoutes.java
+++ b/src/main/java/loadbalancer/admin/AdminRoutes.java
@@ -4,14 +4,14 @@
 import java.util.function.Function;
 import loadbalancer.lifecycle.LifeCycle.CommandResult;
 
-/** The operators' requests: what each asks for, and the response. Decides without I/O. */
+/** Routes the requests of operators to {@link AdminOperations} and builds the responses. Does no I/O. */
 final class AdminRoutes {
     /**
-     * A response.
+     * A response without its common headers.
      *
      * @param status the status code (RFC 9110, section 15)
-     * @param text one line
-     * @param allow the value of Allow (RFC 9110, section 10.2.1), or null for none
+     * @param text the body, one line
+     * @param allow the value of the Allow header (RFC 9110, section 10.2.1), or null for none
      */
     record Response(int status, String text, String allow) {
         static Response of(int status, String text) {
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Carries a request out.
+     * Carries out a request and returns the response.
      *
-     * @param uri the path, and perhaps a query, which is ignored
+     * @param uri the path with an optional query, which is ignored
      */
     static Response respond(String method, String uri, AdminOperations operations) {
         Route route = ROUTES.get(uri.split("\\?", 2)[0]);
--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -33,34 +33,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' endpoint: HTTP/1.1, one request to a connection, which closes behind its response. Operators'
- * connections are few and trusted, but may be stuck: a new one beyond the limit closes the oldest.
+ * The HTTP/1.1 server for operators. Each connection carries one request and is closed after the response. Connections
+ * of operators are few and trusted, but may hang: a new connection beyond the limit closes the oldest one.
  */
 public final class AdminServer {
     private static final int MAX_CONNECTIONS = 16;
     private static final int ACCEPT_BACKLOG = 64;
-    private static final long REQUEST_TIMEOUT_MILLIS = 5_000; // for the request and its response
-    private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // for the response to be read
+    private static final long REQUEST_TIMEOUT_MILLIS = 5_000; // for the request and the response
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // for the client to read the response
     private static final int MAX_REQUEST_LINE_BYTES = 1_024;
     private static final int MAX_HEADER_BYTES = 4_096;
-    private static final int MAX_BODY_BYTES = 4_096; // it is ignored
+    private static final int MAX_BODY_BYTES = 4_096; // the body is ignored
 
     private final EventLoop loop;
     private final AdminOperations operations;
-    private final Set<Channel> connections = new LinkedHashSet<>(); // the oldest first
+    private final Set<Channel> connections = new LinkedHashSet<>(); // oldest first
     private Channel listener;
 
-    /** An endpoint that is not bound yet; {@code operations} is called on {@code loop}. */
+    /** Creates a server that does not listen yet; {@code operations} is called on {@code loop}. */
     public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
     /**
-     * Listens; called from another thread than the loop's.
+     * Starts to listen; must not be called on the event loop.
      *
-     * @return the address in use
-     * @throws IOException if the calling thread is interrupted; what binding fails with is thrown as it is
+     * @return the bound address
+     * @throws IOException if the calling thread is interrupted; the cause of a failed bind is thrown unchanged
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         try {
@@ -82,11 +82,11 @@
             return (InetSocketAddress) listener.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while binding the management listener");
         }
     }
 
-    /** Accepts no more connections. */
+    /** Closes the listener; open connections are not affected. */
     public void close() {
         listener.close();
     }
@@ -109,7 +109,7 @@
                         new RequestHandler(channel));
     }
 
-    /** One connection and its request. */
+    /** Handles the request of one connection. */
     private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final NioSocketChannel channel;
         private HttpRequest head;
@@ -123,7 +123,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
             if (responded) {
-                return; // one request to a connection
+                return; // only the first request is answered
             }
             if (!part.decoderResult().isSuccess()) {
                 respond(malformedResponse(part.decoderResult().cause()));
@@ -161,7 +161,7 @@
             if (response.allow() != null) {
                 message.headers().set(HttpHeaderNames.ALLOW, response.allow());
             }
-            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            // An immediate close with unread input would reset the connection before the client reads the response.
             channel.writeAndFlush(message)
                     .addListener(
                             written -> channel.shutdownOutput().addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
--- a/src/main/java/loadbalancer/admin/package-info.java
+++ b/src/main/java/loadbalancer/admin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The operators' HTTP/1.1 endpoint: whether this process takes clients, and moving them elsewhere and back.
- * {@link loadbalancer.admin.AdminServer} does the I/O, {@code AdminRoutes} decides what a request is answered, and
- * whoever composes the process carries it out behind {@link loadbalancer.admin.AdminOperations}.
+ * The HTTP/1.1 interface for operators: readiness, and moving the clients to other processes and back.
+ * {@link loadbalancer.admin.AdminServer} does the I/O, {@code AdminRoutes} selects the operation and the response, and
+ * an implementation of {@link loadbalancer.admin.AdminOperations} carries out the operations.
  */
 package loadbalancer.admin;
--- a/src/main/java/loadbalancer/connections/CapacityShares.java
+++ b/src/main/java/loadbalancer/connections/CapacityShares.java
@@ -1,12 +1,12 @@
 package loadbalancer.connections;
 
 /**
- * How the total of connections is divided between clients and upstreams. Each side can always have its floor, and
- * what it recently needed is reserved for it as far as the other's floor allows; the rest goes to whichever side asks
- * first. For one thread; times in ns of the budget's clock.
+ * Divides the total number of connections between clients and upstreams. Each side is guaranteed its floor. The
+ * capacity that a side needed recently is reserved for it as far as the other side's floor allows. The remaining
+ * capacity goes to the side that requests it first. Not thread-safe; times are in ns of the budget's clock.
  */
 final class CapacityShares {
-    private static final double DEMAND_HEADROOM = 1.25; // on a side's recent peak of busy connections
+    private static final double DEMAND_HEADROOM = 1.25; // factor on the recent peak of a side's busy connections
 
     private final ConnectionTable table;
     private ConnectionLimits limits;
@@ -36,34 +36,34 @@
         upstreamDemand = new DecayingPeak(nowNanos);
     }
 
-    /** Takes that side's present number of busy connections as its demand. */
+    /** Records the current number of busy connections of a side as its demand. */
     void recordDemand(Direction direction, long nowNanos) {
         DecayingPeak demand = direction == Direction.CLIENT ? clientDemand : upstreamDemand;
         demand.record(table.busy(direction), nowNanos);
     }
 
-    /** How many more connections of that side may be opened with no other one closed for them. */
+    /** Returns how many connections of a side can be opened without closing another connection. */
     int available(Direction direction, long nowNanos) {
         int total = limits.most() - table.open(Direction.CLIENT) - table.open(Direction.UPSTREAM);
         return Math.max(0, Math.min(total, max(direction, nowNanos) - table.open(direction)));
     }
 
-    /** Whether that side holds all that it may: closing a connection of the other side would not help it. */
+    /** Returns whether a side holds its maximum: closing a connection of the other side would not help it. */
     boolean isAtMax(Direction direction, long nowNanos) {
         return table.open(direction) >= max(direction, nowNanos);
     }
 
-    /** How many connections that side may hold together. */
+    /** Returns the maximum number of connections of a side. */
     int max(Direction direction, long nowNanos) {
         return limits.most() - reserved(direction.other(), nowNanos);
     }
 
-    /** The share of the clients' capacity in use; above 1 where they hold more than they may. */
+    /** Returns the share of the clients' capacity in use; above 1 if clients hold more than their maximum. */
     double clientUtilization(long nowNanos) {
         return (double) table.open(Direction.CLIENT) / Math.max(1, max(Direction.CLIENT, nowNanos));
     }
 
-    /** How many connections are reserved for that side: at least its floor, at most what the other's floor leaves. */
+    /** Returns the connections reserved for a side: at least its floor, at most what the other side's floor leaves. */
     int reserved(Direction direction, long nowNanos) {
         double clientExcess = demandAboveFloor(clientDemand, clientFloor, nowNanos);
         double upstreamExcess = demandAboveFloor(upstreamDemand, upstreamFloor, nowNanos);
--- a/src/main/java/loadbalancer/connections/ConnectionBudget.java
+++ b/src/main/java/loadbalancer/connections/ConnectionBudget.java
@@ -3,14 +3,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * The budget of connections: which may be opened, which may stay open after a response, for how long they may be idle,
- * and which are closed first when capacity is needed. It decides only: the owners of the connections report what
- * happens to them, and close those that it names through their {@link ConnectionPermit.Holder}. Clients' connections
- * and those to upstreams draw on one total; see {@link CapacityShares}.
+ * Limits the number of open connections. The budget decides which connections may be opened, which may stay open after
+ * a response, how long they may be idle, and which are closed first when capacity is needed. It does no I/O: the
+ * holders of the connections report events, and the budget closes a connection through its
+ * {@link ConnectionPermit.Holder}. Client and upstream connections share one total; see {@link CapacityShares}.
  *
- * <p>A connection that carries several requests at once reports each of them; one that holds no descriptor but as much
- * memory as several that do has more units. Times are in ns of one monotonic clock that all calls share. For one
- * thread. Methods that need an open connection throw IllegalStateException for a closed one.
+ * <p>Each concurrent request of a multiplexed connection is reported. A connection that needs no file descriptor of its
+ * own, but as much memory as several connections that do, counts as several units. Times are in ns of one monotonic
+ * clock that all calls share. Not thread-safe. Methods that need an open connection throw IllegalStateException for a
+ * closed one.
  */
 public final class ConnectionBudget {
     private static final int IPV6_BYTES = 16;
@@ -25,7 +26,7 @@
     private final ExpiryPolicy expiry;
     private final EvictionPolicy eviction;
 
-    /** A budget with no connection open. */
+    /** Creates a budget without open connections. */
     public ConnectionBudget(ConnectionLimits limits, long nowNanos) {
         metrics = new ConnectionMetrics(nowNanos);
         shares = new CapacityShares(table, limits, nowNanos);
@@ -36,14 +37,14 @@
         eviction = new EvictionPolicy(table, shares, transitions);
     }
 
-    /** Replaces the limits; connections in excess of them are closed by calls of {@link #evictToAdmit}. */
+    /** Replaces the limits; excess connections are closed by later calls of {@link #evictToAdmit}. */
     public void setLimits(ConnectionLimits limits) {
         shares.setLimits(limits);
     }
 
     /**
-     * Forgets what was learned of the clients, and keeps the open connections: for use after connections that were
-     * not those of real clients, such as the warm-up's.
+     * Resets the estimates of client behaviour and keeps the open connections. Used after the warm-up, whose
+     * connections do not behave like those of real clients.
      */
     public void resetEstimates(long nowNanos) {
         reuse.reset(shares.limits(), nowNanos);
@@ -52,8 +53,8 @@
     }
 
     /**
-     * The key under which the connections of an address are counted together: an IPv4 address by itself, an IPv6
-     * address by its 64-bit network, which one host usually has to itself.
+     * Returns the key under which the connections of a client address are counted: the whole IPv4 address, or the
+     * 64-bit network prefix of an IPv6 address, as one host usually has such a network to itself.
      *
      * @param addressBytes the 4 or 16 bytes of the address
      */
@@ -65,27 +66,27 @@
 
     // ---------------------------------------------------------------- capacity
 
-    /** Whether another connection of that side may be opened with no other one closed for it. */
+    /** Returns whether a connection of a side can be opened without closing another connection. */
     public boolean admits(Direction direction, long nowNanos) {
         return available(direction, nowNanos) > 0;
     }
 
-    /** How many more connections of that side may be opened with no other one closed for them. */
+    /** Returns how many connections of a side can be opened without closing another connection. */
     public int available(Direction direction, long nowNanos) {
         return shares.available(direction, nowNanos);
     }
 
-    /** How many connections clients may hold together. */
+    /** Returns the maximum number of client connections. */
     public int maxClients(long nowNanos) {
         return shares.max(Direction.CLIENT, nowNanos);
     }
 
-    // ---------------------------------------------------------------- events of connections
+    // ---------------------------------------------------------------- connection events
 
     /**
-     * A client's connection was accepted.
+     * Records an accepted client connection.
      *
-     * @param address the key of its {@link #addressKey}
+     * @param address the client address as returned by {@link #addressKey}
      * @param units how many connections it counts as
      */
     public ConnectionPermit openClient(Object address, int units, ConnectionPermit.Holder holder, long nowNanos) {
@@ -93,14 +94,14 @@
         return table.addClient(address, units, holder, nowNanos);
     }
 
-    /** A connection to an upstream is being opened, for a request that it is to carry. */
+    /** Records that a connection to an upstream is being opened for a request. */
     public ConnectionPermit openUpstream(ConnectionPermit.Holder holder, long nowNanos) {
         ConnectionPermit permit = table.addUpstream(holder, nowNanos);
         shares.recordDemand(Direction.UPSTREAM, nowNanos);
         return permit;
     }
 
-    /** Part of a client's request has arrived. */
+    /** Records that part of a client's request has arrived. */
     public void partialRequestReceived(ConnectionPermit permit, long nowNanos) {
         if (permit.isIdle()) {
             recordIfReused(permit, nowNanos);
@@ -109,12 +110,12 @@
     }
 
     /**
-     * A client's request has arrived completely, or a request is to be sent on a connection to an upstream. Throws
-     * IllegalStateException where the connection accepts no more requests.
+     * Records that a client's request has arrived completely, or that a request is about to be sent on a connection to
+     * an upstream. Throws IllegalStateException if the connection accepts no more requests.
      */
     public void requestReceived(ConnectionPermit permit, long nowNanos) {
         if (permit.isClosing()) {
-            throw new IllegalStateException("asked after its end");
+            throw new IllegalStateException("request on a connection that is closing or closed");
         }
         recordIfReused(permit, nowNanos);
         if (!permit.hasRequested && permit.isClient()) {
@@ -134,12 +135,13 @@
     }
 
     /**
-     * A response is being sent to a client. If the connection may stay open, it is idle from here on, or goes on with
-     * its other requests; otherwise the response has to announce the close, and no further request is accepted.
+     * Records that a response is being sent to a client, and decides whether the connection stays open. If so, the
+     * connection becomes idle or continues with its other requests. Otherwise the response has to announce the close,
+     * and no further request is accepted.
      *
-     * @param keepAlive whether client and server side want to keep it open
-     * @param hasPartialRequest whether part of another request has arrived already, which must not be lost
-     * @return whether it may stay open
+     * @param keepAlive whether both the client and this server want to keep the connection open
+     * @param hasPartialRequest whether part of another request has arrived, which must not be lost
+     * @return whether the connection may stay open
      */
     public boolean responseSent(ConnectionPermit permit, boolean keepAlive, boolean hasPartialRequest, long nowNanos) {
         metrics.recordResponse();
@@ -164,7 +166,7 @@
         return staysOpen;
     }
 
-    /** The request on a connection to an upstream is complete, and the connection stays open. */
+    /** Records that the request on a connection to an upstream is complete and the connection stays open. */
     public void becameIdle(ConnectionPermit permit, long nowNanos) {
         permit.requestsInFlight = 0;
         if (!permit.isClosing()) {
@@ -172,7 +174,7 @@
         }
     }
 
-    /** A connection was closed, by whichever side; further calls for it have no effect. */
+    /** Records that a connection was closed by either side; further calls for it have no effect. */
     public void closed(ConnectionPermit permit, long nowNanos) {
         if (permit.reuseExpectedEntry.isQueued()) {
             reuse.recordNoReuse(permit, nowNanos);
@@ -182,7 +184,7 @@
 
     // ---------------------------------------------------------------- closing connections
 
-    /** Closes connections until another one of that side may be opened; false where none may be closed for it. */
+    /** Closes connections until one of a side can be opened; returns false if no connection may be closed for it. */
     public boolean evictToAdmit(Direction direction, long nowNanos) {
         while (!admits(direction, nowNanos)) {
             ConnectionPermit evictedPermit = eviction.evictFor(direction, nowNanos);
@@ -199,49 +201,49 @@
         expiry.removeExpired(nowNanos).forEach(permit -> permit.holder().close());
     }
 
-    /** How long a client's connection may be idle, in ns: less where capacity is expensive and reuse unlikely. */
+    /** Returns the idle timeout of client connections in ns: shorter if capacity is scarce and reuse unlikely. */
     public long maxIdleNanos(long nowNanos) {
         return retention.maxIdleNanos(nowNanos);
     }
 
-    /** How long a new client may take for its first request before it can be closed for others, in ns. */
+    /** Returns how long a new client may take for its first request before it can be closed for others, in ns. */
     public long requestGraceNanos() {
         return reuse.requestGraceNanos(shares.limits());
     }
 
     // ---------------------------------------------------------------- metrics
 
-    /** Whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
+    /** Sets whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
     public void setClientsWaiting(boolean waiting) {
         metrics.setClientsWaiting(waiting);
     }
 
-    /** How much capacity is in use; a level is left only when use has fallen somewhat below where it begins. */
+    /** Returns the pressure level; with hysteresis, a level ends at a lower utilization than it begins at. */
     public Pressure pressure(long nowNanos) {
         return metrics.pressure(shares.clientUtilization(nowNanos));
     }
 
-    /** A log line where the pressure has changed, at most one in 5 s; otherwise null. */
+    /** Returns a log line if the pressure has changed, at most one line in 5 s; otherwise null. */
     public String pressureChangeLogLine(long nowNanos) {
         return metrics.pressureChangeLogLine(shares.clientUtilization(nowNanos), maxClients(nowNanos), table, nowNanos);
     }
 
-    /** How many connections the budget closed for that reason. */
+    /** Returns how many connections the budget closed for a reason. */
     public long closedCount(CloseReason reason) {
         return metrics.closedCount(reason);
     }
 
-    /** How many connections that side holds, in units. */
+    /** Returns how many connections a side holds, in units. */
     public int openConnections(Direction direction) {
         return table.open(direction);
     }
 
-    /** How many client addresses are remembered, connected or not. */
+    /** Returns how many client addresses are tracked, with or without open connections. */
     int rememberedAddresses() {
         return table.peerCount();
     }
 
-    /** Counts for the log: connections accepted, responses, requests on reused connections, and closes. */
+    /** Returns a log text with the counts of accepted connections, responses, reuses and closes by the budget. */
     public String summary() {
         return metrics.summary();
     }
--- a/src/main/java/loadbalancer/connections/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/connections/ConnectionLimits.java
@@ -1,18 +1,19 @@
 package loadbalancer.connections;
 
 /**
- * The limits that the connection budget keeps to. Times are in ns; floors are shares of {@code most} between 0 and 1.
- * The constructor throws IllegalArgumentException, naming the component, for a value out of range.
+ * The limits of the connection budget. Times are in ns; floors are shares of {@code most} between 0 and 1. The
+ * constructor throws IllegalArgumentException, with the name of the component, for a value out of range.
  *
- * @param most maximum of open connections, of clients and upstreams together
- * @param clientFloor the share that clients can always have
- * @param upstreamFloor the share that upstreams can always have
- * @param restLeast idle timeout of a client's connection when capacity is short
- * @param restMost idle timeout of a client's connection while capacity is ample
- * @param silentMost how long a client's connection may be open without a request
- * @param askLeast minimum grace period for the first request, within which no client's connection is closed to admit
- *     another client
- * @param askMost maximum grace period; between the two it follows how long clients take
+ * @param most maximum number of open connections to clients and upstreams together
+ * @param clientFloor the share of the connections that is guaranteed to clients
+ * @param upstreamFloor the share of the connections that is guaranteed to upstreams
+ * @param restLeast idle timeout of client connections while capacity is short
+ * @param restMost idle timeout of client connections while capacity is ample
+ * @param silentMost how long a client connection may be open without a request
+ * @param askLeast minimum grace period for the first request; within the grace period a client connection is not closed
+ *     to admit another client
+ * @param askMost maximum grace period; between the two limits, the grace period follows the observed delay of first
+ *     requests
  */
 public record ConnectionLimits(
         int most,
@@ -23,7 +24,7 @@
         long silentMost,
         long askLeast,
         long askMost) {
-    private static final int RESERVED_DESCRIPTORS = 64; // not counted by the budget: jars, selector, discovery
+    private static final int RESERVED_DESCRIPTORS = 64; // outside the budget: JAR files, selector, discovery
     private static final int MIN_CONNECTIONS = 2;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -40,11 +41,11 @@
 
     private static void check(boolean inRange, String name, Object value) {
         if (!inRange) {
-            throw new IllegalArgumentException("impossible " + name + ": " + value);
+            throw new IllegalArgumentException("out of range: " + name + "=" + value);
         }
     }
 
-    /** The same for half as many file descriptors, for a hot restart in which two processes share them. */
+    /** Returns these limits for half as many file descriptors, as two processes share them during a hot restart. */
     public ConnectionLimits halved() {
         int reserved = Math.min(RESERVED_DESCRIPTORS, most);
         return new ConnectionLimits(
@@ -58,7 +59,7 @@
                 askMost);
     }
 
-    /** The defaults for a process that may hold so many file descriptors. */
+    /** Returns the default limits of a process that may open {@code descriptors} file descriptors. */
     public static ConnectionLimits of(int descriptors) {
         return new ConnectionLimits(
                 Math.max(MIN_CONNECTIONS, descriptors - Math.min(RESERVED_DESCRIPTORS, descriptors / 2)),
--- a/src/main/java/loadbalancer/connections/ConnectionMetrics.java
+++ b/src/main/java/loadbalancer/connections/ConnectionMetrics.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The budget's counts, the level of pressure, and the log line for a change of it. For one thread; times in ns of
- * the budget's clock.
+ * The counters of the budget, the pressure level, and the log line for a change of the level. Not thread-safe; times
+ * are in ns of the budget's clock.
  */
 final class ConnectionMetrics {
-    private static final double MIN_TIGHT_UTILIZATION = 0.5; // of the clients' capacity
+    private static final double MIN_TIGHT_UTILIZATION = 0.5; // share of the clients' capacity
     private static final double MIN_SHORT_UTILIZATION = 0.95;
-    private static final double HYSTERESIS = 0.1; // a level is left this far below where it begins
+    private static final double HYSTERESIS = 0.1; // a level ends this far below the utilization at which it begins
     private static final long MIN_LOG_INTERVAL_NANOS = 5_000_000_000L;
 
     private static final class CloseCount {
@@ -55,19 +55,19 @@
         return closeCounts.get(reason).total;
     }
 
-    /** Whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
+    /** Sets whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
     void setClientsWaiting(boolean waiting) {
         clientsWaiting = waiting;
     }
 
-    /** Forgets what {@link #summary} says of requests; the counts of closed connections stay. */
+    /** Resets the request and connection counters of {@link #summary}; the counts of closed connections stay. */
     void reset() {
         opened = 0;
         responses = 0;
         reused = 0;
     }
 
-    /** The level for that share of the clients' capacity in use. */
+    /** Updates and returns the pressure level for a utilization of the clients' capacity. */
     Pressure pressure(double utilization) {
         double minShortUtilization =
                 pressure == Pressure.SHORT ? MIN_SHORT_UTILIZATION - HYSTERESIS : MIN_SHORT_UTILIZATION;
@@ -83,7 +83,7 @@
         return pressure;
     }
 
-    /** A log line where the pressure has changed and the last such line is at least 5 s old; null otherwise. */
+    /** Returns a log line if the pressure has changed and the last such line is at least 5 s old; otherwise null. */
     String pressureChangeLogLine(double utilization, int maxClients, ConnectionTable table, long nowNanos) {
         Pressure currentPressure = pressure(utilization);
         if (currentPressure == loggedPressure || nowNanos - loggedAtNanos < MIN_LOG_INTERVAL_NANOS) {
--- a/src/main/java/loadbalancer/connections/ConnectionPermit.java
+++ b/src/main/java/loadbalancer/connections/ConnectionPermit.java
@@ -1,31 +1,31 @@
 package loadbalancer.connections;
 
 /**
- * One connection's part of the budget: handed out by {@link ConnectionBudget#openClient} and
- * {@link ConnectionBudget#openUpstream}. It belongs to that budget's thread, and only the budget changes it. Times
- * in ns of the budget's clock.
+ * The state of one connection in the budget, as returned by {@link ConnectionBudget#openClient} and
+ * {@link ConnectionBudget#openUpstream}. Only the budget changes a permit, on the budget's thread. Times are in ns of
+ * the budget's clock.
  */
 public final class ConnectionPermit {
-    /** The owner of the connection itself. */
+    /** Holds the underlying connection and closes it for the budget. */
     @FunctionalInterface
     public interface Holder {
-        /** Closes the connection at once; {@link ConnectionBudget#closed} is called for it as at any end. */
+        /** Closes the connection immediately; {@link ConnectionBudget#closed} is called as for any other close. */
         void close();
     }
 
-    /** What a connection is doing. */
+    /** The state of a connection. */
     enum State {
-        /** A client's, without a request so far, within the grace period for it. */
+        /** A client connection without a request so far, within its grace period. */
         NEW,
-        /** A client's, without a request so far, past the grace period. */
+        /** A client connection without a request so far, after its grace period. */
         SILENT,
         /** Part of a client's request has arrived. */
         RECEIVING,
-        /** A request is in flight. */
+        /** At least one request is in flight. */
         BUSY,
-        /** Kept open after a response, for the next request. */
+        /** The connection is kept open after a response, for the next request. */
         IDLE,
-        /** Its last response is being sent or read: no further request is accepted. */
+        /** The last response is being sent or read: no further request is accepted. */
         LINGERING,
         CLOSED
     }
@@ -64,22 +64,22 @@
         return direction == Direction.CLIENT;
     }
 
-    /** Whether it was reused more than once, and at three quarters of its idle periods or more, give or take one. */
+    /** Returns whether it was reused at least twice, and after at least 3/4 of its idle periods but one. */
     boolean isReusedRegularly() {
         return reuses >= MIN_REGULAR_REUSES && reuses * 4 >= idlePeriods * 3 - 3;
     }
 
-    /** Whether no request is in flight and none has begun to arrive. */
+    /** Returns whether no request is in flight and none has begun to arrive. */
     public boolean isIdle() {
         return state == State.NEW || state == State.SILENT || state == State.IDLE;
     }
 
-    /** Whether its last response has been written: no request that arrives after it is accepted. */
+    /** Returns whether its last response has been written: requests that arrive later are not accepted. */
     public boolean isClosing() {
         return state == State.LINGERING || state == State.CLOSED;
     }
 
-    /** How long it has been in its present state, in ns. */
+    /** Returns how long the connection has been in its current state, in ns. */
     public long timeInStateNanos(long nowNanos) {
         return nowNanos - stateSinceNanos;
     }
--- a/src/main/java/loadbalancer/connections/ConnectionTable.java
+++ b/src/main/java/loadbalancer/connections/ConnectionTable.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * The open connections by state, and by client address. Invariants: a connection is in the queue of its state and in
- * no other queue of a state, {@code BUSY} and {@code CLOSED} have none; the counters by peer equal the sizes of the
- * peers' queues; the open counts are the units of all connections that are not closed. For one thread; times in ns.
+ * The open connections by state and by client address. Invariants: a connection is in the queue of its state and in
+ * no queue of another state, where {@code BUSY} and {@code CLOSED} have no queue; the counters by peer equal the sizes
+ * of the peers' queues; the open counts are the units of all connections that are not closed. Not thread-safe; times
+ * are in ns.
  */
 final class ConnectionTable {
     private static final int MAX_UNCONNECTED_PEERS = 1_024;
@@ -14,7 +15,7 @@
     final LinkedQueue<ConnectionPermit> newConnections = new LinkedQueue<>();
     final LinkedQueue<ConnectionPermit> silent = new LinkedQueue<>();
     final LinkedQueue<ConnectionPermit> receiving = new LinkedQueue<>();
-    final LinkedQueue<ConnectionPermit> idleClients = new LinkedQueue<>(); // without the proven ones
+    final LinkedQueue<ConnectionPermit> idleClients = new LinkedQueue<>(); // without those reused regularly
     final LinkedQueue<ConnectionPermit> regularIdleClients = new LinkedQueue<>(); // reused regularly so far
     final LinkedQueue<ConnectionPermit> reuseExpected = new LinkedQueue<>(); // idle for less than reuse usually takes
     final LinkedQueue<ConnectionPermit> lingering = new LinkedQueue<>();
@@ -23,33 +24,33 @@
     final FrequencyList<Peer> silentByPeer = new FrequencyList<>();
     final FrequencyList<Peer> idleByPeer = new FrequencyList<>();
     private final Map<Object, Peer> peers = new HashMap<>();
-    private final LinkedQueue<Peer> unconnectedPeers = new LinkedQueue<>(); // the one unconnected for longest first
+    private final LinkedQueue<Peer> unconnectedPeers = new LinkedQueue<>(); // longest unconnected first
     private int openClients;
     private int openUpstreams;
     private int busyClients;
     private int busyUpstreams;
 
-    /** The units of that side's open connections. */
+    /** Returns the units of a side's open connections. */
     int open(Direction direction) {
         return direction == Direction.CLIENT ? openClients : openUpstreams;
     }
 
-    /** How many of that side's connections have a request in flight. */
+    /** Returns how many of a side's connections have a request in flight. */
     int busy(Direction direction) {
         return direction == Direction.CLIENT ? busyClients : busyUpstreams;
     }
 
-    /** How many of the clients' connections are idle after a response. */
+    /** Returns how many client connections are idle after a response. */
     int idleClientCount() {
         return idleClients.size() + regularIdleClients.size();
     }
 
-    /** How many client addresses are remembered, connected or not. */
+    /** Returns how many client addresses are tracked, with or without open connections. */
     int peerCount() {
         return peers.size();
     }
 
-    /** Adds a client's connection, as {@code NEW}. */
+    /** Adds a client connection in state {@code NEW}. */
     ConnectionPermit addClient(Object address, int units, ConnectionPermit.Holder holder, long nowNanos) {
         Peer peer = peers.computeIfAbsent(address, key -> new Peer(key, nowNanos));
         ConnectionPermit permit = new ConnectionPermit(Direction.CLIENT, peer, units, holder, nowNanos);
@@ -60,7 +61,7 @@
         return permit;
     }
 
-    /** Adds a connection to an upstream, as {@code BUSY}. */
+    /** Adds a connection to an upstream in state {@code BUSY}. */
     ConnectionPermit addUpstream(ConnectionPermit.Holder holder, long nowNanos) {
         ConnectionPermit permit = new ConnectionPermit(Direction.UPSTREAM, null, 1, holder, nowNanos);
         openUpstreams++;
@@ -68,7 +69,7 @@
         return permit;
     }
 
-    /** Removes a connection from all queues and counts; does nothing for one that is closed already. */
+    /** Removes a connection from all queues and counts; does nothing if it is already closed. */
     void remove(ConnectionPermit permit, long nowNanos) {
         if (permit.state == ConnectionPermit.State.CLOSED) {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    // Bounds the map: without it every address that ever connected would stay in memory.
+    // Bounds the memory: otherwise the map would keep every address that ever connected.
     private void rememberUnconnected(Peer peer) {
         unconnectedPeers.addLast(peer.unconnectedEntry);
         if (unconnectedPeers.size() > MAX_UNCONNECTED_PEERS) {
@@ -95,14 +96,14 @@
         }
     }
 
-    /** Changes a connection's state; throws IllegalStateException for one that is closed. */
+    /** Changes the state of a connection; throws IllegalStateException if it is closed. */
     void enter(ConnectionPermit permit, ConnectionPermit.State state, long nowNanos) {
         ConnectionPermit.State from = permit.state;
         if (from == state) {
             return;
         }
         if (from == ConnectionPermit.State.CLOSED) {
-            throw new IllegalStateException(state + " after its end");
+            throw new IllegalStateException(state + " entered by a closed connection");
         }
         leaveState(permit);
         permit.state = state;
@@ -115,7 +116,7 @@
             case IDLE -> addIdle(permit);
             case BUSY -> addToBusyCount(permit.direction, 1);
             case CLOSED -> {}
-            default -> throw new IllegalStateException("no such state: " + state);
+            default -> throw new IllegalStateException("unknown connection state: " + state);
         }
     }
 
--- a/src/main/java/loadbalancer/connections/ConnectionTransitions.java
+++ b/src/main/java/loadbalancer/connections/ConnectionTransitions.java
@@ -1,8 +1,8 @@
 package loadbalancer.connections;
 
 /**
- * The changes of a connection's state, each with what depends on it: the demand of its side, the reuse model and the
- * counts of closed connections. For one thread; times in ns of the budget's clock.
+ * Changes the state of connections and updates what depends on the state: the demand of the side, the reuse model and
+ * the counts of closed connections. Not thread-safe; times are in ns of the budget's clock.
  */
 final class ConnectionTransitions {
     private final ConnectionTable table;
@@ -17,19 +17,19 @@
         this.metrics = metrics;
     }
 
-    /** Throws IllegalStateException where the connection is closed. */
+    /** Changes the state of a connection; throws IllegalStateException if it is closed. */
     void enter(ConnectionPermit permit, ConnectionPermit.State state, long nowNanos) {
         table.enter(permit, state, nowNanos);
         shares.recordDemand(permit.direction, nowNanos);
     }
 
-    /** Removes a connection that has been closed; does nothing for one that was removed before. */
+    /** Removes a connection that has been closed; does nothing if it was removed before. */
     void remove(ConnectionPermit permit, long nowNanos) {
         table.remove(permit, nowNanos);
         shares.recordDemand(permit.direction, nowNanos);
     }
 
-    /** Counts a connection as closed by the budget and removes it; its holder is still to close it. */
+    /** Counts a connection as closed by the budget and removes it; its holder still has to close it. */
     ConnectionPermit close(ConnectionPermit permit, CloseReason reason, long nowNanos) {
         metrics.recordClosed(reason);
         remove(permit, nowNanos);
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Applies what has fallen due: idle connections whose reuse was to be expected by now count as not reused, and
-     * new connections whose grace period is over become silent. The same period applies to all, so the oldest come
-     * first.
+     * Applies time-outs: idle connections that were not reused within the reuse window count as not reused, and new
+     * connections become silent after their grace period. One period applies to all connections of a queue, so the
+     * oldest connections time out first.
      */
     void advance(long nowNanos) {
         long reuseWindowNanos = reuse.reuseWindowNanos();
--- a/src/main/java/loadbalancer/connections/DecayingPeak.java
+++ b/src/main/java/loadbalancer/connections/DecayingPeak.java
@@ -1,8 +1,8 @@
 package loadbalancer.connections;
 
 /**
- * The recent maximum of a quantity: it rises at once with the quantity and decays exponentially towards its present
- * value. For one thread; times in ns of one clock.
+ * The recent maximum of a quantity. It rises immediately with the quantity and decays exponentially towards the current
+ * value. Not thread-safe; times are in ns of one clock.
  */
 final class DecayingPeak {
     private static final double TIME_CONSTANT_NANOS = 15e9;
@@ -15,14 +15,14 @@
         this.updatedAtNanos = nowNanos;
     }
 
-    /** Sets the present value. */
+    /** Records the current value. */
     void record(int value, long nowNanos) {
         decay(nowNanos);
         current = value;
         peak = Math.max(peak, value);
     }
 
-    /** The recent maximum, never below the present value. */
+    /** Returns the recent maximum, which is never below the current value. */
     double peak(long nowNanos) {
         decay(nowNanos);
         return peak;
--- a/src/main/java/loadbalancer/connections/EvictionPolicy.java
+++ b/src/main/java/loadbalancer/connections/EvictionPolicy.java
@@ -1,12 +1,12 @@
 package loadbalancer.connections;
 
 /**
- * Which connection is closed when another one is to be opened and capacity is missing. In this order: one that
- * lingers, one that is silent, one that is idle, one whose request arrives slowly, and for an upstream's sake one that
- * is new. A busy connection is never closed. For one thread; times in ns of the budget's clock.
+ * Selects the connection to close when another one is to be opened and no capacity is left. The order is: a lingering
+ * connection, a silent one, an idle one, one whose request arrives slowly and, only for a connection to an upstream, a
+ * new one. Busy connections are never closed. Not thread-safe; times are in ns of the budget's clock.
  */
 final class EvictionPolicy {
-    private static final long MIN_LINGER_NANOS = 500_000_000; // for the last response to be read
+    private static final long MIN_LINGER_NANOS = 500_000_000; // time for the client to read the last response
 
     private final ConnectionTable table;
     private final CapacityShares shares;
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Removes a connection for the sake of another one of side {@code direction}, which is not admitted.
+     * Removes a connection to make capacity for one of side {@code direction}.
      *
-     * @return the connection, for its holder to close; null where none may be closed: a client then waits to be
-     *     accepted, and a request is not sent to its upstream
+     * @return the removed connection, which its holder has to close; null if none may be closed: then a client waits to
+     *     be accepted, and a request is not sent to its upstream
      */
     ConnectionPermit evictFor(Direction direction, long nowNanos) {
         transitions.advance(nowNanos);
@@ -59,16 +59,18 @@
                         || table.open(Direction.UPSTREAM) > shares.reserved(Direction.UPSTREAM, nowNanos));
     }
 
-    // One new client is as good as another: those that are there soon send a request, or their grace period ends.
-    // Clients that have just been served are not closed for a new one, unless they take most of the capacity.
+    // Recently served clients are not closed for another client while new connections exist, unless idle clients hold
+    // more than half of the clients' capacity: a further client has no advantage over the new connections, which send a
+    // request soon or can be closed after their grace period.
     private boolean sparesServedClients(Direction direction, long nowNanos) {
         return direction == Direction.CLIENT
                 && !table.newConnections.isEmpty()
                 && table.idleClients.size() <= shares.max(Direction.CLIENT, nowNanos) / 2;
     }
 
-    // Of the address with the highest number of idle connections the one idle for longest, if that is long; otherwise
-    // the one idle for longest of all. Proven ones come last.
+    // Selects the longest idle connection of the address with the most idle connections, if it has been idle for
+    // restLeast or longer, and otherwise the longest idle connection of all. Connections that are reused regularly are
+    // selected last.
     private ConnectionPermit idleClientToEvict(long nowNanos) {
         if (table.idleClients.isEmpty()) {
             return table.regularIdleClients.first();
--- a/src/main/java/loadbalancer/connections/ExpiryPolicy.java
+++ b/src/main/java/loadbalancer/connections/ExpiryPolicy.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which connections have outlived their time. For one thread; times in ns of the budget's clock. */
+/** Finds the connections whose timeout has expired. Not thread-safe; times are in ns of the budget's clock. */
 final class ExpiryPolicy {
     private static final long MAX_LINGER_NANOS = 1_000_000_000;
 
@@ -23,11 +23,11 @@
         this.transitions = transitions;
     }
 
-    /** Removes the expired connections and returns them, for their holders to close. */
+    /** Removes the expired connections and returns them; their holders have to close them. */
     List<ConnectionPermit> removeExpired(long nowNanos) {
         transitions.advance(nowNanos);
         List<ConnectionPermit> expired = new ArrayList<>();
-        // The second limit is read after the first queue was cut, as this lowers the price of capacity.
+        // The second timeout is computed after the first removal, which lowers the price of capacity.
         removeIdle(table.idleClients, retention.maxIdleNanos(nowNanos), expired, nowNanos);
         removeIdle(table.regularIdleClients, retention.maxRegularIdleNanos(nowNanos), expired, nowNanos);
         removeSilent(expired, nowNanos);
@@ -53,7 +53,8 @@
         }
     }
 
-    // Counted as CloseReason.AFTER_RESPONSE, or as its client's own wish, when the last response was sent.
+    // Not counted here: the close was counted as CloseReason.AFTER_RESPONSE when the last response was sent, unless the
+    // client requested it.
     private void removeLingering(List<ConnectionPermit> expired, long nowNanos) {
         for (ConnectionPermit permit = table.lingering.first();
                 permit != null && permit.timeInStateNanos(nowNanos) > MAX_LINGER_NANOS;
--- a/src/main/java/loadbalancer/connections/FrequencyList.java
+++ b/src/main/java/loadbalancer/connections/FrequencyList.java
@@ -1,14 +1,15 @@
 package loadbalancer.connections;
 
 /**
- * Counters that change by one, and the item with the highest counter, each in constant time. Items with equal
- * counters share a bucket, and the buckets are linked by value, as in "An O(1) algorithm for implementing the LFU
- * cache eviction scheme" (Shah, Mitra, Matani, 2010), which evicts the lowest where this one finds the highest.
- * Among items with the same counter, the one that reached it first is returned. Invariants: values fall strictly
- * from bucket to bucket, no bucket is empty, and an item with counter 0 is in none. For one thread.
+ * Counters that are incremented and decremented by one, and a look-up of the item with the highest counter, all in
+ * constant time. Items with equal counters share a bucket, and the buckets are linked in the order of their values, as
+ * in "An O(1) algorithm for implementing the LFU cache eviction scheme" (Shah, Mitra, Matani, 2010); that algorithm
+ * looks up the lowest counter, this class the highest. Among items with equal counters, the one that reached the value
+ * first is returned. Invariants: values fall strictly from the highest bucket to the lowest, no bucket is empty, and an
+ * item with counter 0 is in no bucket. Not thread-safe.
  */
 final class FrequencyList<T> {
-    /** An item's counter. */
+    /** The counter of an item. */
     static final class Counter<T> {
         private final LinkedQueue.Entry<Counter<T>> entry = new LinkedQueue.Entry<>(this);
         private final T item;
@@ -37,7 +38,7 @@
     private Bucket<T> highest;
     private Bucket<T> lowest;
 
-    /** Adds one. */
+    /** Increments a counter. */
     void increment(Counter<T> counter) {
         Bucket<T> from = counter.bucket;
         Bucket<T> to = from == null ? lowest : from.higher;
@@ -48,11 +49,11 @@
         move(counter, to);
     }
 
-    /** Subtracts one; throws IllegalStateException at 0. */
+    /** Decrements a counter; throws IllegalStateException if it is 0. */
     void decrement(Counter<T> counter) {
         Bucket<T> from = counter.bucket;
         if (from == null) {
-            throw new IllegalStateException("below zero");
+            throw new IllegalStateException("counter decremented below zero");
         }
         int value = from.value - 1;
         Bucket<T> to = from.lower;
@@ -64,7 +65,7 @@
         move(counter, to);
     }
 
-    // Either neighbour may be null, at the ends of the list.
+    // A neighbour is null at the end of the list.
     private Bucket<T> insertBetween(Bucket<T> lower, Bucket<T> inserted, Bucket<T> higher) {
         inserted.lower = lower;
         inserted.higher = higher;
@@ -106,12 +107,12 @@
         }
     }
 
-    /** The item with the highest counter; null where all are 0. */
+    /** Returns the item with the highest counter, or null if all counters are 0. */
     T itemWithMaxCount() {
         return highest == null ? null : highest.counters.first().item;
     }
 
-    /** The highest counter; 0 where all are 0. */
+    /** Returns the highest counter, or 0 if all counters are 0. */
     int maxCount() {
         return highest == null ? 0 : highest.value;
     }
--- a/src/main/java/loadbalancer/connections/IdleTimeout.java
+++ b/src/main/java/loadbalancer/connections/IdleTimeout.java
@@ -1,11 +1,12 @@
 package loadbalancer.connections;
 
 /**
- * How long idle connections to one upstream are kept. The one used last is kept for longer: the next request needs it,
- * and a new handshake costs time. Spare ones, opened for requests that ran at the same time, are closed soon: an
- * upstream accepts few connections, and unused ones of many load balancers would keep out the requests of others.
+ * Decides how long idle connections to one upstream are kept. The most recently used connection is kept for longer:
+ * the next request needs it, and a new handshake costs time. Spare connections, which were opened for concurrent
+ * requests, are closed soon: an upstream accepts few connections, and unused connections of many load balancers would
+ * block the requests of others.
  *
- * <p>Decides only: no clock, no socket. Immutable. Times are in µs.
+ * <p>Uses no clock and no socket. Immutable. Times are in µs.
  */
 public final class IdleTimeout {
     private static final double SHARE_OF_UPSTREAM_TIMEOUT = 0.5;
@@ -18,9 +19,9 @@
     private final long unsolicitedResponseWaitMicros;
 
     /**
-     * The timeout for upstreams that close a connection themselves when it has been idle for so long.
+     * Creates the timeout for upstreams with an idle timeout of their own.
      *
-     * @param upstreamTimeoutMicros the upstreams' own idle timeout in µs, 0 where it isn't known
+     * @param upstreamTimeoutMicros the idle timeout of the upstreams in µs, 0 if it isn't known
      */
     public IdleTimeout(long upstreamTimeoutMicros) {
         this(upstreamTimeoutMicros, UNSOLICITED_RESPONSE_WAIT_MICROS);
@@ -33,35 +34,35 @@
         this.unsolicitedResponseWaitMicros = Math.min(unsolicitedResponseWaitMicros, maxIdleMicros / 4);
     }
 
-    /** The same for upstreams that never send a second response to one request, as those of the warm-up. */
+    /** Creates the timeout for upstreams that never send a second response to a request, such as in the warm-up. */
     public static IdleTimeout withoutUnsolicitedResponses(long upstreamTimeoutMicros) {
         return new IdleTimeout(upstreamTimeoutMicros, 0);
     }
 
     /**
-     * Whether a connection idle for so long may take the next request as far as its last response is concerned. Guards
-     * against a superfluous second response that arrives some milliseconds after the first: on a connection in use it
-     * would be taken for the response to the next request, as nothing in HTTP/1.1 tells them apart.
+     * Returns whether a connection has been idle for long enough that no unsolicited response is expected on it. Guards
+     * against a second response to a request, which arrives some milliseconds after the first. On a connection that is
+     * in use again, it would be taken for the response to the next request, as HTTP/1.1 can't distinguish them.
      */
     public boolean isPastUnsolicitedResponseWait(long idleMicros) {
         return idleMicros >= unsolicitedResponseWaitMicros;
     }
 
-    /** Whether a connection idle for so long may still take a request. */
+    /** Returns whether a connection that has been idle for {@code idleMicros} may still take a request. */
     public boolean isUsable(long idleMicros) {
         return idleMicros < maxIdleMicros;
     }
 
     /**
-     * Whether a connection idle for so long is to be closed.
+     * Returns whether a connection that has been idle for {@code idleMicros} has to be closed.
      *
-     * @param connectionsUsedLater how many idle connections to the same upstream were used later
+     * @param connectionsUsedLater how many idle connections to the same upstream were used more recently
      */
     public boolean isExpired(long idleMicros, int connectionsUsedLater) {
         return !isUsable(idleMicros) || (connectionsUsedLater > 0 && idleMicros >= MAX_SPARE_IDLE_MICROS);
     }
 
-    /** The interval in µs at which to check {@link #isExpired}. */
+    /** Returns the interval in µs at which {@link #isExpired} has to be checked. */
     public long checkIntervalMicros() {
         return Math.max(MIN_CHECK_INTERVAL_MICROS, Math.min(MAX_SPARE_IDLE_MICROS / 2, maxIdleMicros / 10));
     }
--- a/src/main/java/loadbalancer/connections/LinkedQueue.java
+++ b/src/main/java/loadbalancer/connections/LinkedQueue.java
@@ -1,12 +1,12 @@
 package loadbalancer.connections;
 
 /**
- * A doubly linked queue whose entries are part of the queued items: adding at the end and removing from any position
- * take constant time and allocate nothing. Invariants: the first entry has no previous one, the last entry has no
- * next one, and an entry is in one queue at most. For one thread.
+ * An intrusive doubly linked queue: the entries are part of the queued items, so adding at the end and removing from
+ * any position take constant time and allocate nothing. Invariants: the first entry has no previous entry, the last
+ * entry has no next entry, and an entry is in at most one queue. Not thread-safe.
  */
 final class LinkedQueue<T> {
-    /** An item's link into a queue; an item that is in two queues at once has two. */
+    /** Links an item into a queue; an item that is in two queues at once has two entries. */
     static final class Entry<T> {
         final T item;
         private LinkedQueue<T> queue;
@@ -21,7 +21,7 @@
             return queue != null;
         }
 
-        /** Removes it from its queue, if it is in one. */
+        /** Removes the entry from its queue, if it is in one. */
         void remove() {
             if (queue != null) {
                 queue.unlink(this);
@@ -33,7 +33,7 @@
     private Entry<T> last;
     private int size;
 
-    /** Adds an entry at the end; it is removed from its former queue first, which may be this one. */
+    /** Adds an entry at the end, after removing it from its current queue, which may be this queue. */
     void addLast(Entry<T> entry) {
         entry.remove();
         entry.queue = this;
@@ -64,12 +64,12 @@
         size--;
     }
 
-    /** The item that was added first; null if the queue is empty. */
+    /** Returns the item that was added first, or null if the queue is empty. */
     T first() {
         return first == null ? null : first.item;
     }
 
-    /** The item that was added last; null if the queue is empty. */
+    /** Returns the item that was added last, or null if the queue is empty. */
     T last() {
         return last == null ? null : last.item;
     }
--- a/src/main/java/loadbalancer/connections/Peer.java
+++ b/src/main/java/loadbalancer/connections/Peer.java
@@ -1,8 +1,8 @@
 package loadbalancer.connections;
 
 /**
- * One client address: the connections it holds, and how often they are reused. The counters belong to the
- * {@link ConnectionTable}, which changes them together with the queues. For one thread.
+ * A client address: its connections, and how often they are reused. The counters are maintained by
+ * {@link ConnectionTable}, which changes them together with the queues. Not thread-safe.
  */
 final class Peer {
     private static final double MAX_REUSE_WEIGHT = 32;
@@ -12,7 +12,7 @@
     final FrequencyList.Counter<Peer> silentCount = new FrequencyList.Counter<>(this);
     final FrequencyList.Counter<Peer> idleCount = new FrequencyList.Counter<>(this);
     final LinkedQueue<ConnectionPermit> silentConnections = new LinkedQueue<>();
-    final LinkedQueue<ConnectionPermit> idleConnections = new LinkedQueue<>(); // without the proven ones
+    final LinkedQueue<ConnectionPermit> idleConnections = new LinkedQueue<>(); // without those reused regularly
     final LinkedQueue.Entry<Peer> unconnectedEntry = new LinkedQueue.Entry<>(this);
     final ReuseEstimator reuse;
 
--- a/src/main/java/loadbalancer/connections/RetentionPolicy.java
+++ b/src/main/java/loadbalancer/connections/RetentionPolicy.java
@@ -1,13 +1,14 @@
 package loadbalancer.connections;
 
 /**
- * Whether a client's connection may stay open after a response, and for how long it may then be idle: its probability
- * of reuse is weighed against a price of capacity between 0 and 1. For one thread; times in ns of the budget's clock.
+ * Decides whether a client connection may stay open after a response, and how long it may then be idle. The probability
+ * that the connection is reused is compared with a price of capacity between 0 and 1. Not thread-safe; times are in ns
+ * of the budget's clock.
  */
 final class RetentionPolicy {
-    private static final double MAX_FREE_UTILIZATION = 0.25; // of the clients' capacity: below it the price is 0
+    private static final double MAX_FREE_UTILIZATION = 0.25; // of the clients' capacity: up to here the price is 0
     private static final double MIN_FULL_PRICE_UTILIZATION = 0.75; // from here on the price is 1
-    private static final double DITHER = 0.2; // spreads the threshold, so that equal connections don't all close
+    private static final double DITHER = 0.2; // varies the threshold, so that equal connections don't all close
     private static final double GOLDEN_RATIO_FRACTION = 0.6180339887498949;
     private static final double REGULAR_REUSE_PROBABILITY = 0.9;
     private static final double MIN_PROBABILITY = 0.01;
@@ -25,7 +26,7 @@
         this.transitions = transitions;
     }
 
-    /** Whether a client's connection may stay open after the response that is being sent on it. */
+    /** Returns whether a client connection may stay open after the response that is being sent on it. */
     boolean mayStayOpen(ConnectionPermit permit, long nowNanos) {
         double price = price(permit.peer, nowNanos);
         if (price <= 0) {
@@ -38,26 +39,26 @@
         return probability + dither > price;
     }
 
-    // Where one address holds a large part of the capacity, the price falls for those that hold less than it: the
-    // first to lose connections is the one that has many.
+    // If one address holds a large share of the capacity, the price is lower for addresses that hold less, so that the
+    // address with many connections is the first to lose some.
     private double price(Peer peer, long nowNanos) {
         double maxOpen = table.openByPeer.maxCount();
         double largestShare = Math.min(1, maxOpen / shares.max(Direction.CLIENT, nowNanos));
         return price(nowNanos) * (1 - largestShare * (1 - peer.openCount.value() / Math.max(1, maxOpen)));
     }
 
-    // Rises linearly with the utilization.
+    // The price rises linearly with the utilization.
     private double price(long nowNanos) {
         double utilizationAboveFree = shares.clientUtilization(nowNanos) - MAX_FREE_UTILIZATION;
         return Math.max(0, Math.min(1, utilizationAboveFree / (MIN_FULL_PRICE_UTILIZATION - MAX_FREE_UTILIZATION)));
     }
 
-    /** How long a client's connection may be idle; less where capacity is expensive and reuse unlikely. */
+    /** Returns the idle timeout of client connections; shorter if capacity is scarce and reuse unlikely. */
     long maxIdleNanos(long nowNanos) {
         return maxIdleNanos(reuse.reuseProbability(nowNanos), nowNanos);
     }
 
-    /** The same for a connection that has been reused regularly. */
+    /** Returns the idle timeout of client connections that have been reused regularly. */
     long maxRegularIdleNanos(long nowNanos) {
         return maxIdleNanos(REGULAR_REUSE_PROBABILITY, nowNanos);
     }
--- a/src/main/java/loadbalancer/connections/ReuseEstimator.java
+++ b/src/main/java/loadbalancer/connections/ReuseEstimator.java
@@ -1,13 +1,13 @@
 package loadbalancer.connections;
 
 /**
- * The probability that an idle connection is used for another request: a weighted mean of recent observations that
- * decays towards the prior. Without the decay an estimate of 0 would be final: no connection would be kept open, so
- * nothing more could be observed. Invariant: {@code 0 <= reusedWeight <= totalWeight <= maxWeight}. For one thread;
- * times in ns of one clock.
+ * Estimates the probability that an idle connection is used for another request, as a weighted mean of recent
+ * observations that decays towards a prior. Without the decay, an estimate of 0 would be final: no connection would be
+ * kept open, so that no reuse could be observed. Invariant: {@code 0 <= reusedWeight <= totalWeight <= maxWeight}. Not
+ * thread-safe; times are in ns of one clock.
  */
 final class ReuseEstimator {
-    /** The prior where nothing is known. */
+    /** The prior if nothing is known. */
     static final double DEFAULT_PRIOR = 0.5;
 
     private static final double TIME_CONSTANT_NANOS = 30e9;
@@ -17,19 +17,19 @@
     private double reusedWeight;
     private long updatedAtNanos;
 
-    /** {@code maxWeight}: how much weight of observations it remembers; more of it displaces older ones. */
+    /** {@code maxWeight}: the maximum total weight of the observations; newer observations displace older ones. */
     ReuseEstimator(double maxWeight, long nowNanos) {
         this.maxWeight = maxWeight;
         this.updatedAtNanos = nowNanos;
     }
 
-    /** An idle connection was used for another request. */
+    /** Records that an idle connection was used for another request. */
     void recordReuse(double weight, long nowNanos) {
         addWeight(weight, nowNanos);
         reusedWeight += weight;
     }
 
-    /** An idle connection was not reused, or there is a sign that it won't be. */
+    /** Records that an idle connection was not reused, or an indication that it won't be. */
     void recordNoReuse(double weight, long nowNanos) {
         addWeight(weight, nowNanos);
     }
@@ -41,7 +41,7 @@
         reusedWeight *= factor;
     }
 
-    /** The probability of reuse, with the prior counted as observations of {@code priorWeight} together. */
+    /** Returns the probability of reuse, where the prior counts as observations with the weight {@code priorWeight}. */
     double probability(double prior, double priorWeight, long nowNanos) {
         decay(nowNanos);
         return (reusedWeight + prior * priorWeight) / (totalWeight + priorWeight);
--- a/src/main/java/loadbalancer/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryCall.java
@@ -25,23 +25,23 @@
 import loadbalancer.proxy.Addresses;
 
 /**
- * One GET request to the discovery service, on a connection of its own: either a fetch, answered by one list, or a
- * watch, whose response goes on with changes and heartbeats until the connection ends. It reports what happens to its
- * {@link Listener}, and nothing more once it is cancelled. All methods run on the event loop.
+ * A GET request to the discovery service on a connection of its own. A fetch is answered by one list. The response to a
+ * watch continues with changes and heartbeats until the connection ends. The call reports events to its
+ * {@link Listener} until it is cancelled. All methods run on the event loop.
  */
 final class DiscoveryCall extends SimpleChannelInboundHandler<ByteBuf> {
-    /** What a call is for. */
+    /** The kind of a call. */
     enum Kind {
         FETCH,
         WATCH
     }
 
-    /** What a call reports. Runs on the event loop. */
+    /** Receives the events of a call. Runs on the event loop. */
     interface Listener {
         /** A JSON value was received, or a heartbeat if {@code json} is empty. */
         void onReceived(DiscoveryCall call, String json);
 
-        /** Nothing was received for as long as {@link WatchTimeout#maxSilenceMillis} allows. */
+        /** Nothing was received within {@link WatchTimeout#maxSilenceMillis}. */
         void onSilence(DiscoveryCall call);
 
         /** The connection could not be opened, or was closed. */
@@ -66,7 +66,7 @@
     private boolean answered;
     private boolean cancelled;
 
-    /** {@code versionInUse}: the version of the list in use, from which a watch goes on. */
+    /** {@code versionInUse}: the version of the list in use; a watch reports the changes after it. */
     DiscoveryCall(Kind kind, long versionInUse, WatchTimeout timeout, Listener listener, Consumer<String> log) {
         this.kind = kind;
         this.versionAtRequest = versionInUse;
@@ -75,7 +75,7 @@
         this.log = log;
     }
 
-    /** The time in ms of the clock that {@link WatchTimeout} is given. */
+    /** Returns the time in ms of the clock that is used for {@link WatchTimeout}. */
     static long nowMillis() {
         return System.nanoTime() / 1_000_000;
     }
@@ -84,7 +84,7 @@
     void open(EventLoop eventLoop, InetSocketAddress address) {
         loop = eventLoop;
         recordReceived();
-        // Not by the bootstrap: it reports a socket that can't be created on another thread.
+        // The bootstrap does not create the socket, as it reports a failure to do so on another thread.
         NioSocketChannel socket;
         try {
             socket = new NioSocketChannel();
@@ -134,11 +134,11 @@
         }
     }
 
-    /** Closes the connection; the listener is not notified of it. */
+    /** Closes the connection without notifying the listener. */
     void cancel() {
         cancelled = true;
         silenceTimer.cancel();
-        if (channel != null) { // else its socket could not be created
+        if (channel != null) { // null if the socket could not be created
             channel.close();
         }
     }
@@ -147,23 +147,23 @@
         return kind == Kind.WATCH;
     }
 
-    /** Whether it has brought what it was made for: a list, or that nothing has changed. */
+    /** Returns whether a list was received, or the information that it has not changed. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** It has brought what it was made for. */
+    /** Records that a list was received, or the information that it has not changed. */
     void markAnswered() {
         answered = true;
         recordReceived();
     }
 
-    /** The version in use when the call was made. */
+    /** Returns the version that was in use when the call was made. */
     long versionAtRequest() {
         return versionAtRequest;
     }
 
-    /** When something was received last, or the call was made. */
+    /** Returns when data was last received; initially when the call was made. */
     long lastReceivedAtMillis() {
         return lastReceivedAtMillis;
     }
@@ -172,14 +172,14 @@
         return nowMillis() - startedAtMillis;
     }
 
-    /** Waits once more for as long as the service may be silent. */
+    /** Starts another period in which the service may be silent. */
     void restartSilenceTimer() {
-        // After a stall of this process, what was received meanwhile is read before the timer fires.
+        // After a stall of this process, data that arrived during the stall is read before the timer fires.
         silenceTimer = ReadBeforeTimers.after(
                 loop, timeout.maxSilenceMillis(answered), TimeUnit.MILLISECONDS, this::silenceTimeoutElapsed);
     }
 
-    // Guards against a discovery service that is cut off by the network: its connection stays open and silent.
+    // Detects a discovery service that is unreachable after a network failure: its connection stays open and silent.
     private void recordReceived() {
         lastReceivedAtMillis = nowMillis();
         if (silenceTimer != null) {
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -14,26 +14,27 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Fetches the endpoint list from the discovery service and watches it. Where the service is polled, it does so as the
- * policy requests; where lists are pushed by an agent, it always watches. Each request is a {@link DiscoveryCall};
- * {@link VersionTracker} orders the lists, and {@link WatchTimeout} says when a watch is replaced.
+ * Fetches the endpoint list from the discovery service and watches it for changes. If the service is polled, fetches
+ * and watches are made at the request of the policy; if an agent pushes the lists, the client always watches. Each
+ * request is a {@link DiscoveryCall}; {@link VersionTracker} orders the lists, and {@link WatchTimeout} decides when a
+ * watch is replaced.
  *
- * <p>Runs on the event loop. Nothing is thrown for faults of the service: they are logged, and reported to the listener
- * where the policy waits for a response.
+ * <p>Runs on the event loop. Failures of the service cause no exceptions: they are logged, and reported to the listener
+ * if the policy waits for a response.
  */
 public final class DiscoveryClient implements EndpointSource {
     private static final int MAX_UNANSWERED_WATCHES = 3;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Is notified of lists. Runs on the event loop. */
+    /** Receives endpoint lists and failures. Runs on the event loop. */
     @FunctionalInterface
     public interface UpdateListener {
         /**
-         * A list was received, or a fetch or watch has failed.
+         * Called when a list was received, or a fetch or watch has failed.
          *
-         * @param kind what the list holds; FAILED if there is none
+         * @param kind whether the list is complete or partial; FAILED if there is no list
          * @param update the list; null if there is none
-         * @param notifiedForMicros µs for which it may already have counted as notified
+         * @param notifiedForMicros how long the platform may already have considered this balancer as notified, in µs
          */
         void onUpdate(ListKind kind, EndpointUpdate update, long notifiedForMicros);
     }
@@ -52,11 +53,11 @@
     private boolean watchRequested;
 
     /**
-     * A client that has sent nothing yet.
+     * Creates a client that has not yet sent a request.
      *
-     * @param address of the discovery service
-     * @param versionInUse the version of the list that is in use
-     * @param log takes a line where the service sends what can't be used
+     * @param address the address of the discovery service
+     * @param versionInUse the version of the list in use
+     * @param log receives a line for each unusable response
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -76,7 +77,7 @@
         this.timeout = new WatchTimeout(pushed, settings.rank(), settings.balancers());
     }
 
-    /** Opens the watch where lists are pushed. */
+    /** Opens the watch if lists are pushed. */
     public void start() {
         if (pushed) {
             watch(true);
@@ -100,9 +101,9 @@
     }
 
     /**
-     * Continues at another discovery service: open requests are repeated there at once. The list stays in use
-     * meanwhile, and no failure is reported, as there was none. The watch starts with the complete list, as another
-     * service may have other versions.
+     * Switches to another discovery service and repeats the open requests there immediately. The current list stays in
+     * use, and no failure is reported, as none has occurred. The new watch starts with the complete list, because the
+     * versions of another service may differ.
      */
     public void switchTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -174,7 +175,7 @@
         try {
             update = EndpointUpdateReader.parse(json, boot);
         } catch (IllegalArgumentException e) {
-            // A change may be lost with it: the next watch, from the version in use, brings it.
+            // A change may be lost with this list. The next watch starts from the version in use and reports it again.
             log.accept("event=endpoint_list_invalid reason=" + e.getMessage());
             handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
             return;
@@ -193,7 +194,7 @@
             case ACCEPT -> deliver(call, update);
             case STALE -> deliver(call, unchanged()); // the call is answered, and the newer list stays in use
             case OUT_OF_ORDER -> restartFromCompleteList(call, update.rev());
-            default -> throw new IllegalStateException("no such verdict: " + decision);
+            default -> throw new IllegalStateException("unknown decision: " + decision);
         }
     }
 
@@ -213,7 +214,7 @@
     }
 
     private void restartFromCompleteList(DiscoveryCall call, long receivedVersion) {
-        if (newestWatch != call) { // the newest watch will bring the list
+        if (newestWatch != call) { // the newest watch will receive the list
             handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
@@ -237,7 +238,7 @@
         }
     }
 
-    // Unanswered watches stay open besides: any of them may be the first to get a response.
+    // The unanswered watches stay open as well, as any of them may be the first to be answered.
     private void openAdditionalWatch() {
         List<DiscoveryCall> unanswered = openWatches();
         unanswered.stream()
@@ -255,7 +256,7 @@
             return;
         }
         if (!newest) {
-            return; // another watch is open in its place
+            return; // another watch is open instead
         }
         if (call.isAnswered()) {
             timeout.watchEnded(DiscoveryCall.nowMillis(), call.lastReceivedAtMillis(), cause);
@@ -274,7 +275,7 @@
         }
     }
 
-    // The listener is not notified: the list stays in use meanwhile.
+    // The listener is not notified, as the list stays in use until the watch is open again.
     private void scheduleWatch(long delayMillis) {
         if (delayMillis == 0) {
             reopenWatch();
--- a/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
@@ -14,18 +14,18 @@
 import java.util.List;
 
 /**
- * Divides a response of the discovery service into JSON values, which may extend over several lines. An empty buffer
- * stands for empty lines after a value, the heartbeat of a watch; whitespace within a value is no heartbeat. Malformed
- * or truncated JSON ends in a {@link io.netty.handler.codec.DecoderException} with the line that shows it: otherwise
- * the changes after it would be taken for parts of it.
+ * Splits a response of the discovery service into JSON values, which may span several lines. Empty lines between values
+ * are the heartbeat of a watch and are passed on as an empty buffer; whitespace within a value is not a heartbeat.
+ * Malformed or truncated JSON causes a {@link io.netty.handler.codec.DecoderException} at the end of the first line
+ * that reveals it: otherwise the changes that follow would be treated as parts of the malformed value.
  */
 final class EndpointListDecoder extends JsonObjectDecoder {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
-    private JsonParser incompleteValueParser; // null unless a value extends over lines
+    private JsonParser incompleteValueParser; // null unless a value spans several lines
     private int checkedBytes; // of the incomplete value
 
-    /** {@code maxValueBytes}: longer values end in a {@link io.netty.handler.codec.TooLongFrameException}. */
+    /** {@code maxValueBytes}: longer values cause a {@link io.netty.handler.codec.TooLongFrameException}. */
     EndpointListDecoder(int maxValueBytes) {
         super(maxValueBytes);
     }
@@ -46,7 +46,7 @@
         }
     }
 
-    // Checks what has arrived of a value, up to its last line end.
+    // Checks the received part of an incomplete value up to its last line end.
     private void checkCompleteLines(ByteBuf in) throws IOException {
         byte[] unchecked = ByteBufUtil.getBytes(in, in.readerIndex() + checkedBytes, in.readableBytes() - checkedBytes);
         int length = lengthOfCompleteLines(unchecked);
@@ -75,10 +75,10 @@
 
     private void rejectEmptyLines(byte[] lines, int length) {
         for (int i = 0; i < length; i++) {
-            // The previous line ended right before this byte, within these bytes or with the last checked one.
+            // True if the preceding byte is a line end: it is in this array, or it is the last byte checked before.
             boolean atLineStart = i > 0 ? lines[i - 1] == '\n' : checkedBytes > 0;
             if (lines[i] == '\n' && atLineStart) {
-                throw new CorruptedFrameException("an empty line within a list");
+                throw new CorruptedFrameException("empty line within a JSON value");
             }
         }
     }
--- a/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
@@ -14,8 +14,8 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Reads endpoint lists in the JSON form of the platform's discovery service. Stateless; for any thread. All methods
- * throw IllegalArgumentException, with a message for the log, for what is no such list.
+ * Reads endpoint lists in the JSON format of the platform's discovery service. Stateless and thread-safe. All methods
+ * throw IllegalArgumentException, with a message for the log, for a value that is not a valid endpoint list.
  */
 public final class EndpointUpdateReader {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
@@ -34,22 +34,22 @@
         try (JsonParser parser = JSON_FACTORY.createParser(json)) {
             Object value = JSON.std.anyFrom(parser);
             if (parser.nextToken() != null) {
-                throw new InvalidEndpointListException("more than one value");
+                throw new InvalidEndpointListException("data after the end of the JSON value");
             }
             return fromJsonValue(value, boot);
         } catch (IOException e) {
-            throw new InvalidEndpointListException("not JSON", e);
+            throw new InvalidEndpointListException("malformed JSON", e);
         }
     }
 
     /**
-     * Reads a list from JSON that has been parsed into maps, lists, strings and numbers.
+     * Reads a list from a JSON value that has been parsed into maps, lists, strings and numbers.
      *
      * @param boot the settings that name the kinds and zones of servers
      */
     public static EndpointUpdate fromJsonValue(Object json, SettingsReader.Boot boot) {
         if (!(json instanceof Map<?, ?> list) || !(list.get("targets") instanceof List<?> entries)) {
-            throw new InvalidEndpointListException("no list of targets");
+            throw new InvalidEndpointListException("not a JSON object with an array 'targets'");
         }
         List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
         for (Object entry : entries) {
@@ -62,7 +62,7 @@
 
     private static EndpointUpdate.Endpoint endpoint(Object json, SettingsReader.Boot boot) {
         if (!(json instanceof Map<?, ?> entry) || !(entry.get("uid") instanceof String uid) || uid.isEmpty()) {
-            throw new InvalidEndpointListException("a target without uid");
+            throw new InvalidEndpointListException("target without a non-empty string 'uid'");
         }
         Policy.State state = state(entry.get("state"));
         Object endpoint = entry.get("endpoint");
@@ -86,7 +86,7 @@
             case "in_service" -> Policy.State.UP;
             case "terminating" -> Policy.State.DRAINING;
             case "terminated" -> Policy.State.GONE;
-            default -> throw new InvalidEndpointListException("unknown state: '" + json + "'");
+            default -> throw new InvalidEndpointListException("unknown target state: '" + json + "'");
         };
     }
 
--- a/src/main/java/loadbalancer/discovery/InvalidEndpointListException.java
+++ b/src/main/java/loadbalancer/discovery/InvalidEndpointListException.java
@@ -1,6 +1,6 @@
 package loadbalancer.discovery;
 
-/** A text or value that is no endpoint list; the message says what is wrong with it. */
+/** Thrown for a text or value that is not a valid endpoint list; the message describes the error. */
 final class InvalidEndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loadbalancer/discovery/ResponseBodyDecoder.java
+++ b/src/main/java/loadbalancer/discovery/ResponseBodyDecoder.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Passes on the body of a 200 response and closes the connection after it, or at once for any other response. */
+/** Passes on the body of a 200 response and then closes the connection; other responses close it immediately. */
 final class ResponseBodyDecoder extends MessageToMessageDecoder<HttpObject> {
     @Override
     protected void decode(ChannelHandlerContext context, HttpObject part, List<Object> out) {
@@ -22,7 +22,7 @@
                 out.add(content.content().retain());
             }
             if (part instanceof LastHttpContent) {
-                // Deferred, as its content has not been read yet. A list that is incomplete by then is dropped.
+                // Deferred until the last content has been decoded. A list that is still incomplete then is dropped.
                 context.channel().eventLoop().execute(context::close);
             }
         }
--- a/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
+++ b/src/main/java/loadbalancer/discovery/StaticEndpointSource.java
@@ -5,12 +5,12 @@
 import loadbalancer.proxy.EndpointSource;
 import loadbalancer.proxy.EndpointUpdate;
 
-/** The endpoint list of the configuration as a source of upstreams. Does no I/O; runs on the event loop. */
+/** Provides the endpoint list of the configuration. Does no I/O; runs on the event loop. */
 public final class StaticEndpointSource implements EndpointSource {
     private final BiConsumer<ListKind, EndpointUpdate> listener;
     private EndpointUpdate current;
 
-    /** {@code listener} is notified of the list and of each that replaces it, always as a complete one. */
+    /** {@code listener} is notified of the list and of each replacement, always as a complete list. */
     public StaticEndpointSource(EndpointUpdate list, BiConsumer<ListKind, EndpointUpdate> listener) {
         this.current = list;
         this.listener = listener;
@@ -21,7 +21,7 @@
         notifyListener();
     }
 
-    /** Replaces the list, where it differs: endpoints that are no longer listed are drained, as with any list. */
+    /** Replaces the list if it differs; endpoints that are no longer listed are drained, as for any source. */
     public void replace(EndpointUpdate other) {
         if (!other.list().equals(current.list())) {
             current = new EndpointUpdate(current.rev() + 1, true, other.list());
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Notifies the listener of the present list; later ones follow at once, whether watched or not. */
+    /** Notifies the listener of the current list; replacements are always reported immediately, watched or not. */
     @Override
     public void watch(boolean on) {
         if (on) {
--- a/src/main/java/loadbalancer/discovery/VersionTracker.java
+++ b/src/main/java/loadbalancer/discovery/VersionTracker.java
@@ -1,19 +1,19 @@
 package loadbalancer.discovery;
 
 /**
- * Which lists of one discovery service are newer than the one in use. Responses overtake one another: a complete list
- * that was requested before a change may arrive after the watch has reported that change, and would undo it, for
- * example a drain. A discovery service that has lost its state starts to count from the beginning, and has to be
- * believed. Decides without I/O; for one thread.
+ * Decides whether a list of the discovery service is newer than the list in use. Responses may be reordered: a complete
+ * list that was requested before a change may arrive after the watch has reported the change, and would undo it, for
+ * example a drain. A discovery service that has lost its state counts versions from the beginning, and its lists have
+ * to be accepted. Does no I/O; not thread-safe.
  */
 final class VersionTracker {
-    /** What is to be done with a list. */
+    /** What has to be done with a list. */
     enum Decision {
-        /** It is at least as new as the list in use, and takes its place. */
+        /** The list is at least as new as the list in use and replaces it. */
         ACCEPT,
-        /** The list in use is newer: it stays. */
+        /** The list in use is newer and stays in use. */
         STALE,
-        /** It can't be ordered against the list in use: the complete list has to be requested. */
+        /** The list can't be ordered relative to the list in use: the complete list has to be requested. */
         OUT_OF_ORDER
     }
 
@@ -23,18 +23,18 @@
         this.version = version;
     }
 
-    /** The version of the list in use. */
+    /** Returns the version of the list in use. */
     long inUse() {
         return version;
     }
 
-    /** Accepts any next list: from another discovery service, or from one whose versions went back. */
+    /** Accepts any next list; used after a switch to another discovery service or a version regression. */
     void reset() {
         version = 0;
     }
 
     /**
-     * Judges a list; one that is accepted is the list in use from here on.
+     * Decides on a list; if it is accepted, its version becomes the version in use.
      *
      * @param listVersion the list's version
      * @param complete whether it is a complete list, not only changes
@@ -49,7 +49,7 @@
         if (!firstOfResponse || !complete) {
             return Decision.OUT_OF_ORDER;
         }
-        if (listVersion < versionAtRequest) { // a response is never that old, unless versions start anew
+        if (listVersion < versionAtRequest) { // only possible if the service counts versions from the beginning
             version = listVersion;
             return Decision.ACCEPT;
         }
--- a/src/main/java/loadbalancer/lifecycle/HotRestart.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestart.java
@@ -4,36 +4,35 @@
 import java.util.Set;
 
 /**
- * The predecessor's side of a hot restart: which processes may succeed this one, and what follows from their
- * messages. A message that it does not know is ignored, since the other process may be of another version.
+ * The predecessor's side of a hot restart: tracks the processes that may succeed this process, and decides what their
+ * messages require. Unknown messages are ignored, as the other process may run another version.
  *
- * <p>Decides without I/O: the caller reports messages and disconnects of the connections that it holds. For one
- * thread.
+ * <p>Does no I/O: the caller reports the messages and disconnects of its connections. Not thread-safe.
  */
 public final class HotRestart {
-    /** Message: a process has started and may succeed; followed by a space and the protocol's version. */
+    /** Message: the sender has started and may succeed; followed by a space and the protocol version. */
     public static final String HELLO = "hello";
-    /** Message: the sender accepts clients from here on. */
+    /** Message: the sender accepts clients from now on. */
     public static final String READY = "ready";
 
-    /** What this process does after a message or a disconnect. */
+    /** The action that a message or a disconnect requires of this process. */
     public enum Step {
-        /** Nothing changes. */
+        /** No action is required. */
         NO_ACTION,
-        /** File descriptors and memory are shared with another process from here on. */
+        /** File descriptors and memory are shared with another process from now on. */
         SHARE_RESOURCES,
-        /** A successor accepts the clients from here on. */
+        /** A successor accepts clients from now on: this process stops accepting them. */
         HAND_OVER,
-        /** The successor has ended: this process accepts clients, as it did before. */
+        /** The successor has ended: this process accepts clients again. */
         RESUME,
-        /** No other process is left. */
+        /** The last other process has ended: resources are no longer shared. */
         NO_PEER_LEFT
     }
 
     private final Set<Object> peers = new HashSet<>();
-    private Object successor; // of the peers, the first that was ready; null while there is none
+    private Object successor; // the first ready peer; null while there is none
 
-    /** Handles a message; {@code peer} identifies the connection, and with it the process. */
+    /** Handles a message; {@code peer} identifies the connection and therefore the sending process. */
     public Step received(Object peer, String line) {
         String message = line.strip().split(" ", 2)[0];
         if (message.equals(HELLO)) {
@@ -46,7 +45,7 @@
         return Step.NO_ACTION;
     }
 
-    /** Handles the end of a peer's connection, and with it of the process. */
+    /** Handles the end of a connection, which means that the process of {@code peer} has ended. */
     public Step disconnected(Object peer) {
         boolean known = peers.remove(peer);
         if (peer == successor) {
@@ -56,7 +55,7 @@
         return known && peers.isEmpty() ? Step.NO_PEER_LEFT : Step.NO_ACTION;
     }
 
-    /** Whether another process shares this one's resources. */
+    /** Returns whether another process shares the resources of this process. */
     public boolean hasPeer() {
         return !peers.isEmpty();
     }
--- a/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -23,17 +23,17 @@
 import loadbalancer.lifecycle.HotRestart.Step;
 
 /**
- * Carries the messages of a hot restart between a process and its successor, one line each, over a Unix-domain socket
- * at a path that both know. The kernel closes a process's connection when the process ends, so that a closed
- * connection stands for an ended process.
+ * Exchanges the messages of a hot restart between a process and its successor, one message per line, over a Unix-domain
+ * socket at a path that both processes know. The kernel closes the connections of a process that ends, so a closed
+ * connection means that the process at the other end has ended.
  *
- * <p>All but the constructor runs on the event loop. Where the socket can't be used, neither process learns of the
- * other and both go on independently.
+ * <p>All methods have to be called on the event loop. If the socket can't be used, neither process detects the other
+ * one, and both run independently.
  */
 public final class HotRestartChannel {
     private static final String PROTOCOL_VERSION = "1";
     private static final int MAX_LINE_BYTES = 1_024;
-    /** A Unix-domain socket's address holds little more than 100 bytes. */
+    /** The address of a Unix-domain socket holds little more than 100 bytes. */
     private static final int MAX_PATH_LENGTH = 100;
 
     private final EventLoop loop;
@@ -45,11 +45,11 @@
     private boolean readyAnnounced;
 
     /**
-     * Creates a channel that is not connected yet.
+     * Creates a channel that is not yet connected.
      *
-     * @param sharedPath where the serving process listens and its successor connects
-     * @param stepListener receives what this process has to do, on the loop
-     * @param log must not block
+     * @param sharedPath the socket path at which the serving process listens and its successor connects
+     * @param stepListener called on the event loop with each action that is required of this process
+     * @param log receives log lines; must not block
      */
     public HotRestartChannel(EventLoop loop, Path sharedPath, Consumer<Step> stepListener, Consumer<String> log) {
         this.loop = loop;
@@ -58,7 +58,7 @@
         this.log = log;
     }
 
-    /** Connects to a predecessor; {@code onConnected} is called in any case, with whether there is one. */
+    /** Connects to a predecessor; {@code onConnected} is always called, with whether a predecessor exists. */
     public void connect(Consumer<Boolean> onConnected) {
         if (!Files.exists(sharedPath)) {
             onConnected.accept(false);
@@ -77,7 +77,7 @@
         connectFuture.addListener(result -> {
             if (loop.inEventLoop()) {
                 connectCompleted(connectFuture, onConnected);
-            } else { // a socket that can't be created is reported on another thread
+            } else { // Netty reports a failure to create the socket on another thread
                 loop.execute(() -> connectCompleted(connectFuture, onConnected));
             }
         });
@@ -92,15 +92,15 @@
             });
             predecessor.writeAndFlush(HotRestart.HELLO + " " + PROTOCOL_VERSION + "\n");
         }
-        onConnected.accept(connectFuture.isSuccess()); // refused: the socket file of a process that has ended
+        onConnected.accept(connectFuture.isSuccess()); // failure: the socket file belongs to a process that has ended
     }
 
-    /** Whether another process shares this one's resources. */
+    /** Returns whether another process shares the resources of this process. */
     public boolean hasPeer() {
         return predecessor != null || hotRestart.hasPeer();
     }
 
-    /** This process accepts clients: notifies the predecessor and listens for successors. Idempotent. */
+    /** Notifies the predecessor that this process accepts clients, and listens for successors. Idempotent. */
     public void announceReady() {
         if (readyAnnounced) {
             return;
@@ -112,12 +112,12 @@
         }
     }
 
-    // Binds beside the path and then moves there, so that the path always leads to a process that listens.
+    // Binds to a path of its own and then renames it, so that the shared path always refers to a listening process.
     private void listen() {
         Path ownPath = sharedPath.resolveSibling(
                 sharedPath.getFileName() + "." + ProcessHandle.current().pid());
         if (ownPath.toString().length() > MAX_PATH_LENGTH) {
-            log.accept("event=hot_restart_unavailable reason=too long a path: " + ownPath);
+            log.accept("event=hot_restart_unavailable reason=socket path too long: " + ownPath);
             return;
         }
         try {
@@ -154,7 +154,7 @@
         }
     }
 
-    /** The connection of a process that may succeed this one. */
+    /** Handles the connection of a process that may succeed this process. */
     private final class SuccessorHandler extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
--- a/src/main/java/loadbalancer/lifecycle/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -1,67 +1,68 @@
 package loadbalancer.lifecycle;
 
 /**
- * The life cycle of a balancer's process, and what follows from its state: whether it reports readiness, accepts
- * connections and keeps them open.
+ * The life cycle of a balancer process. The state determines whether the process reports readiness, accepts connections
+ * and keeps them open.
  *
- * <p>Evacuation, hot restart and graceful shutdown drain connections in the same way: responses close their
- * connections first; idle connections are closed later, since each such close may cross a request on its way.
+ * <p>Evacuation, hot restart and graceful shutdown drain connections in the same way: first, connections are closed
+ * after their responses; later, idle connections are closed, as the close of an idle connection may race with a request
+ * that the client is sending.
  *
- * <p>Decides without I/O. Times are ns of one monotonic clock that all calls share. For one thread.
+ * <p>Does no I/O. Times are in ns of one monotonic clock that all calls share. Not thread-safe.
  */
 public final class LifeCycle {
     /** The states of a process. */
     public enum State {
-        /** It can't serve yet: no endpoint list, or the warm-up still runs. */
+        /** The process can't serve yet: there is no endpoint list, or the warm-up is still running. */
         STARTING,
-        /** It serves clients. */
+        /** The process serves clients. */
         READY,
-        /** Operators are moving its clients elsewhere; some may still arrive. */
+        /** Operators are moving the clients to other processes; some clients may still arrive. */
         EVACUATING,
-        /** The evacuation has ended: no connection from before it is left idle. */
+        /** The evacuation has ended: the idle connections from before the evacuation are closed. */
         EVACUATED,
-        /** A successor accepts the clients; requests in flight are answered. */
+        /** A successor accepts the clients; this process completes the requests in flight. */
         HANDING_OVER,
-        /** A graceful shutdown: it ends once all requests are answered. */
+        /** A graceful shutdown: the process ends once all requests are answered. */
         STOPPING
     }
 
     /** The result of an operator's command. */
     public enum CommandResult {
-        /** Carried out. */
+        /** The command was carried out. */
         DONE,
-        /** Nothing to do: the state is the one asked for. */
+        /** The process is already in the requested state. */
         NO_CHANGE,
-        /** Not possible in this state. */
+        /** The command is not possible in this state. */
         NOT_POSSIBLE
     }
 
-    private static final long NANOS_PER_MILLI = 1_000_000; // in ns
-    /** For so long after a drain has begun clients may still open connections and send requests, in ns. */
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** Time in ns after the start of a drain during which clients may still open connections and send requests. */
     public static final long DRAIN_LINGER_NANOS = 600 * NANOS_PER_MILLI;
 
-    /** A client that has been idle for so long is unlikely to send a request just then. */
+    /** Idle timeout during a drain: a client that has been idle for this long is unlikely to be sending a request. */
     private static final long DRAIN_MAX_IDLE_NANOS = 500 * NANOS_PER_MILLI;
 
     private static final long EVACUATION_NANOS = 1_600 * NANOS_PER_MILLI;
-    /** Idle time of connections that arrive after an evacuation. */
+    /** Idle timeout of connections that are opened after an evacuation. */
     private static final long EVACUATED_MAX_IDLE_NANOS = 200 * NANOS_PER_MILLI;
 
     private static final long HAND_OVER_NANOS = 2_000 * NANOS_PER_MILLI;
     private static final long NO_LIMIT = Long.MAX_VALUE;
 
     private State state = State.STARTING;
-    private long stateEnteredAtNanos; // when the state was entered, ns
-    private boolean canServe; // has all that serving needs
+    private long stateEnteredAtNanos;
+    private boolean canServe; // endpoint list and warm-up are complete
     private boolean successorAccepts; // a successor accepts new connections
     private boolean listenerClosed; // as part of a graceful shutdown
 
-    /** A process that starts at {@code nowNanos}. */
+    /** Creates the life cycle of a process that starts at {@code nowNanos}. */
     public LifeCycle(long nowNanos) {
         stateEnteredAtNanos = nowNanos;
     }
 
-    /** The present state. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
@@ -72,7 +73,7 @@
         return CommandResult.DONE;
     }
 
-    /** Records that the process could serve; returns whether it serves clients from here on. */
+    /** Records that the process is able to serve; returns whether it is ready. */
     public boolean markPrepared(long nowNanos) {
         canServe = true;
         if (state == State.STARTING) {
@@ -81,7 +82,7 @@
         return state == State.READY;
     }
 
-    /** Starts an evacuation; a process that is still starting has no clients, and does not become ready either. */
+    /** Starts an evacuation; a process that is still starting has no clients, and does not become ready. */
     public CommandResult evacuate(long nowNanos) {
         return switch (state) {
             case STARTING -> enter(State.EVACUATED, nowNanos);
@@ -91,7 +92,7 @@
         };
     }
 
-    /** Ends an evacuation: the process serves clients once it can. */
+    /** Ends an evacuation: the process serves clients as soon as it is able to. */
     public CommandResult rejoin(long nowNanos) {
         return switch (state) {
             case EVACUATING, EVACUATED -> enter(canServe ? State.READY : State.STARTING, nowNanos);
@@ -100,7 +101,11 @@
         };
     }
 
-    /** A successor is ready and accepts the clients; false where this process is handing over or stopping already. */
+    /**
+     * Hands the clients over to a successor that is ready.
+     *
+     * @return false if this process is already handing over or stopping
+     */
     public boolean handOver(long nowNanos) {
         successorAccepts = true;
         if (state == State.STOPPING || state == State.HANDING_OVER) {
@@ -110,7 +115,7 @@
         return true;
     }
 
-    /** The successor has ended: this process accepts clients as before. False where it was not handing over. */
+    /** Accepts clients again after the successor has ended; returns false if this process was not handing over. */
     public boolean resume(long nowNanos) {
         if (state != State.HANDING_OVER) {
             return false;
@@ -127,12 +132,12 @@
         }
     }
 
-    /** The listener has been closed by a graceful shutdown: see {@link ShutdownDrain}. */
+    /** Records that a graceful shutdown has closed the listener; see {@link ShutdownDrain}. */
     public void markListenerClosed() {
         listenerClosed = state == State.STOPPING;
     }
 
-    /** Applies the passing of time; returns whether an evacuation has ended by it. */
+    /** Ends an evacuation once its time has elapsed; returns whether this call ended it. */
     public boolean advance(long nowNanos) {
         if (state == State.EVACUATING && nowNanos - stateEnteredAtNanos >= EVACUATION_NANOS) {
             enter(State.EVACUATED, nowNanos);
@@ -141,15 +146,16 @@
         return false;
     }
 
-    /** Whether the process reports itself ready. */
+    /** Returns whether the process reports readiness. */
     public boolean isReady() {
         return state == State.READY;
     }
 
     /**
-     * Whether the process accepts connections.
+     * Returns whether the process accepts connections.
      *
-     * @param listenerShared whether the listener is shared with another process; then only a ready process accepts
+     * @param listenerShared whether the listener is shared with another process; if so, a starting process does not
+     *     accept connections
      */
     public boolean acceptsConnections(boolean listenerShared) {
         return switch (state) {
@@ -160,18 +166,21 @@
         };
     }
 
-    /** Whether the process may end without a signal once it holds no connection: its successor has taken over. */
+    /**
+     * Returns whether a successor has taken over, so that the process may end without a signal once it has no
+     * connections.
+     */
     public boolean mayExit(long nowNanos) {
         return (state == State.HANDING_OVER && nowNanos - stateEnteredAtNanos >= HAND_OVER_NANOS)
                 || (state == State.STOPPING && successorAccepts);
     }
 
-    /** Whether a response leaves its connection open, unless the request or the response asks for a close. */
+    /** Returns whether connections stay open after a response, unless the request or response requires a close. */
     public boolean keepsConnectionsOpen() {
         return state == State.STARTING || state == State.READY;
     }
 
-    /** How long a client's connection may be idle, in ns; {@link Long#MAX_VALUE}: no limit by the state. */
+    /** Returns the idle timeout of client connections in ns; {@link Long#MAX_VALUE} if the state sets no limit. */
     public long maxIdleNanos(long nowNanos) {
         long ageNanos = nowNanos - stateEnteredAtNanos;
         return switch (state) {
--- a/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
+++ b/src/main/java/loadbalancer/lifecycle/ShutdownDrain.java
@@ -1,32 +1,32 @@
 package loadbalancer.lifecycle;
 
 /**
- * The last part of a graceful shutdown: decides when the listener is closed and when the process may end.
+ * The last phase of a graceful shutdown: decides when the listener is closed and when the process may end.
  *
- * <p>Elapsed time alone is no evidence: a process that was stalled wakes with its timers due while connections and
- * requests that the kernel accepted meanwhile are still unread. The caller therefore observes repeatedly, each time
- * behind a pass of the event loop over its sockets, and the drain advances only after passes that found nothing new.
- * Its limits are counted in observations, so that a stall uses up none of them.
+ * <p>Elapsed time alone does not show that all requests have been read: after a stall of the process, its timers are
+ * due while connections and requests that the kernel accepted during the stall are still unread. The caller therefore
+ * makes repeated observations, each after a pass of the event loop over its sockets, and the drain advances only after
+ * passes that found nothing new. The limits are numbers of observations, so that a stall does not use them up.
  *
- * <p>Decides without I/O or clock. For one thread.
+ * <p>Does no I/O and uses no clock. Not thread-safe.
  */
 public final class ShutdownDrain {
-    /** What the caller does after an observation. */
+    /** The action that the caller has to take after an observation. */
     public enum Step {
-        /** Observe once more. */
+        /** Make another observation. */
         CONTINUE,
-        /** Close the listener, then observe once more. */
+        /** Close the listener, then make another observation. */
         CLOSE_LISTENER,
         /** The process may end. */
         EXIT
     }
 
     /**
-     * The state of the client connections behind one pass over the sockets.
+     * The state of the client connections after one pass over the sockets.
      *
      * @param acceptedConnections connections accepted since the start
-     * @param reads reads of clients' bytes since the start
-     * @param pendingResponses final responses that have not been handed to their connections
+     * @param reads reads from client connections since the start
+     * @param pendingResponses final responses that have not been passed to their connections
      * @param partialRequests open connections that have sent part of a request
      * @param idleConnections open connections that may still send a request
      * @param unsentResponses open connections whose responses have not been written completely
@@ -44,13 +44,13 @@
         LISTENER_CLOSED
     }
 
-    /** Consecutive observations without anything new that end a phase. */
+    /** Number of consecutive unchanged observations that end a phase. */
     private static final int UNCHANGED_OBSERVATIONS = 2;
-    /** Observations after which the listener is closed even if connections keep being accepted. */
+    /** Number of observations after which the listener is closed even if new connections are still accepted. */
     private static final int MAX_ACCEPTING_OBSERVATIONS = 80;
-    /** Observations for which the rest of a partial request is awaited. */
+    /** Number of observations for which the remainder of a partial request is awaited. */
     private static final int MAX_PARTIAL_REQUEST_OBSERVATIONS = 80;
-    /** Observations for which unsent responses are awaited. */
+    /** Number of observations for which the write of unsent responses is awaited. */
     private static final int MAX_UNSENT_RESPONSE_OBSERVATIONS = 400;
 
     private Phase phase = Phase.ACCEPTING;
@@ -58,7 +58,7 @@
     private int observations; // in this phase
     private int unchangedObservations; // in a row, in this phase
 
-    /** Takes an observation made behind a pass over the sockets; none may follow after {@link Step#EXIT}. */
+    /** Processes an observation made after a pass over the sockets; no call may follow {@link Step#EXIT}. */
     public Step observe(Observation current) {
         unchangedObservations = isUnchanged(current) ? unchangedObservations + 1 : 0;
         observations++;
--- a/src/main/java/loadbalancer/lifecycle/package-info.java
+++ b/src/main/java/loadbalancer/lifecycle/package-info.java
@@ -1,9 +1,9 @@
 /**
- * A process's life: readiness, evacuation, graceful shutdown and hot restart.
+ * The life cycle of a process: readiness, evacuation, graceful shutdown and hot restart.
  *
  * <p>{@link loadbalancer.lifecycle.LifeCycle}, {@link loadbalancer.lifecycle.ShutdownDrain} and {@link
- * loadbalancer.lifecycle.HotRestart} decide without I/O and without a clock; {@link
- * loadbalancer.lifecycle.HotRestartChannel} carries the messages between the two processes of a hot restart.
- * Everything here belongs to one thread, the event loop's.
+ * loadbalancer.lifecycle.HotRestart} do no I/O and use no clock; {@link
+ * loadbalancer.lifecycle.HotRestartChannel} exchanges the messages between the two processes of a hot restart.
+ * All objects of this package are confined to the event loop's thread.
  */
 package loadbalancer.lifecycle;
--- a/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -169,7 +169,7 @@
                         "f.toml:19: class[1].aim: longer than the deadline",
                         "f.toml:21: class[1].zones: not among [default]: [b]",
                         "f.toml:23: limits.connect: not a time like 250ms or 1.5s: '5'",
-                        "f.toml:24: limits.client-floor: with the others of the table impossible upstreamFloor: 0.2"),
+                        "f.toml:24: limits.client-floor: with the others of the table out of range: upstreamFloor=0.2"),
                 assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", FILE_WITH_PROBLEMS))
                         .problems());
     }
--- a/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
+++ b/src/test/java/loadbalancer/connections/ConnectionBudgetTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The budget's decisions; time is an argument. */
+/** Tests the decisions of the budget; the time is passed as an argument. */
 class ConnectionBudgetTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
 
     private long nowNanos = 5 * NANOS_PER_SECOND;
     private final List<String> closed = new ArrayList<>();
-    private ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(256), nowNanos); // 192 in all
+    private ConnectionBudget budget = new ConnectionBudget(ConnectionLimits.of(256), nowNanos); // 192 in total
 
     private ConnectionPermit openClient(String address, String name) {
         return budget.openClient(address, 1, () -> closed.add(name), nowNanos);
@@ -63,7 +63,7 @@
         assertEquals(Pressure.AMPLE, budget.pressure(nowNanos));
     }
 
-    /** Clients that send one request and keep their connection, at a rate far beyond what the limit can hold. */
+    /** Clients that send one request and keep their connection open, at a rate far above what the limits allow. */
     @Test
     void singleRequestClientsAreClosedAfterTheResponseAndRegularOnesStayOpen() {
         List<ConnectionPermit> regular = new ArrayList<>();
@@ -82,7 +82,7 @@
             if (i % 5 == 0) {
                 ConnectionPermit reused = regular.get(i / 5 % regular.size());
                 budget.requestReceived(reused, nowNanos);
-                assertTrue(budget.responseSent(reused, true, false, nowNanos), "a regular client, at " + i);
+                assertTrue(budget.responseSent(reused, true, false, nowNanos), "regular client closed at request " + i);
             }
             ConnectionPermit singleRequestClient = openClient("once" + i, "once");
             nowNanos += NANOS_PER_MILLI;
@@ -96,7 +96,7 @@
             budget.closeExpired(nowNanos);
             assertTrue(
                     budget.openConnections(Direction.CLIENT) < budget.maxClients(nowNanos) * 3 / 4,
-                    "capacity is left at " + i);
+                    "at most a quarter of the capacity is free at request " + i);
         }
         assertTrue(closedAfterResponse > 200, "closed " + closedAfterResponse + ", kept open " + keptOpen);
         assertFalse(closed.contains("regular"));
@@ -113,11 +113,11 @@
         assertTrue(budget.responseSent(returning, true, false, nowNanos));
     }
 
-    /** A proxy sends the requests of many clients from one address: its connections stay as long as they are reused. */
+    /** A proxy sends the requests of many clients from one address: its connections stay open while they are reused. */
     @Test
     void reusedConnectionsOfOneAddressStayOpen() {
         List<ConnectionPermit> pool = new ArrayList<>();
-        for (int i = 0; i < 60; i++) { // a proxy opens another one where all are busy
+        for (int i = 0; i < 60; i++) { // a proxy opens another connection if all are busy
             pool.add(openClient("front", "pool"));
             budget.requestReceived(pool.get(i), nowNanos);
         }
@@ -126,7 +126,7 @@
             nowNanos += NANOS_PER_MILLI;
             ConnectionPermit permit = pool.get(i % pool.size());
             budget.requestReceived(permit, nowNanos);
-            assertTrue(budget.responseSent(permit, true, false, nowNanos), "at " + i);
+            assertTrue(budget.responseSent(permit, true, false, nowNanos), "closed at request " + i);
             budget.closeExpired(nowNanos);
         }
         assertTrue(closed.isEmpty());
@@ -147,8 +147,8 @@
     void newConnectionsAreNotEvictedWithinTheirGracePeriod() {
         ConnectionPermit servedClient = openServedClient("usual", "usual");
         fillClients("crowd");
-        assertFalse(budget.evictToAdmit(Direction.CLIENT, nowNanos), "all are new: the next client waits");
-        assertTrue(closed.isEmpty(), "and the client that was just served stays");
+        assertFalse(budget.evictToAdmit(Direction.CLIENT, nowNanos), "all connections are new: the next client waits");
+        assertTrue(closed.isEmpty(), "the client that was just served stays connected");
         nowNanos += budget.requestGraceNanos();
         assertTrue(budget.evictToAdmit(Direction.CLIENT, nowNanos));
         assertEquals(List.of("crowd"), closed);
@@ -206,10 +206,10 @@
         assertEquals(1, budget.openConnections(Direction.CLIENT));
         budget.closed(busy, nowNanos);
         budget.closed(busy, nowNanos);
-        assertEquals(0, budget.openConnections(Direction.CLIENT), "closed twice, counted once");
+        assertEquals(0, budget.openConnections(Direction.CLIENT), "a second close of one connection is not counted");
     }
 
-    /** A last response that is still on its way must not be cut off for a new client. */
+    /** A last response that is still being transmitted must not be truncated for a new client. */
     @Test
     void lingeringConnectionIsNotEvictedBeforeItsLastResponseCanBeRead() {
         ConnectionPermit closingClient = openClient("slow", "slow");
@@ -226,10 +226,10 @@
         assertEquals(List.of("slow"), closed);
     }
 
-    /** A connection on which more requests have arrived stays open, whatever the pressure. */
+    /** A connection on which more requests have arrived stays open at any pressure. */
     @Test
     void connectionWithPipelinedRequestsStaysOpenAfterAResponse() {
-        for (int i = 0; i < 500; i++) { // no client sends a second request, and capacity is expensive
+        for (int i = 0; i < 500; i++) { // no client sends a second request, and the price of capacity is high
             ConnectionPermit singleRequestClient = openClient("once" + i, "once");
             budget.requestReceived(singleRequestClient, nowNanos);
             budget.responseSent(singleRequestClient, true, false, nowNanos += NANOS_PER_MILLI);
@@ -240,18 +240,20 @@
         assertTrue(budget.responseSent(pipelining, true, false, nowNanos), "another request is in flight");
         assertTrue(budget.responseSent(pipelining, true, true, nowNanos), "part of another request has arrived");
         budget.requestReceived(pipelining, nowNanos);
-        assertFalse(budget.responseSent(pipelining, true, false, nowNanos), "idle it would be too expensive");
+        assertFalse(
+                budget.responseSent(pipelining, true, false, nowNanos),
+                "the price of capacity is too high for an idle connection");
         assertThrows(IllegalStateException.class, () -> budget.requestReceived(pipelining, nowNanos));
     }
 
-    /** A connection with many concurrent requests, as of HTTP/2, is busy until its last response. */
+    /** A connection with many concurrent requests, as in HTTP/2, is busy until its last response. */
     @Test
     void multiplexedConnectionIsIdleAfterItsLastResponse() {
         ConnectionPermit multiplexed = budget.openClient("proxy", 3, () -> closed.add("many"), nowNanos);
         for (int i = 0; i < 100; i++) {
             budget.requestReceived(multiplexed, nowNanos);
         }
-        assertEquals(3, budget.openConnections(Direction.CLIENT), "its units");
+        assertEquals(3, budget.openConnections(Direction.CLIENT), "the units of the connection");
         for (int i = 0; i < 100; i++) {
             assertFalse(multiplexed.isIdle());
             assertTrue(budget.responseSent(multiplexed, true, false, nowNanos));
@@ -262,15 +264,15 @@
     @Test
     void clientsLeaveTheFloorAndTheRecentDemandOfUpstreams() {
         fillClients("crowd");
-        assertEquals(154, budget.openConnections(Direction.CLIENT), "192 less the upstreams' floor of a fifth");
+        assertEquals(154, budget.openConnections(Direction.CLIENT), "192 minus the upstreams' floor of 0.2");
         for (int i = 0; i < 38; i++) {
             assertTrue(budget.evictToAdmit(Direction.UPSTREAM, nowNanos));
             openUpstream("up");
         }
-        assertTrue(closed.isEmpty(), "nothing is closed for connections within the floor");
+        assertTrue(closed.isEmpty(), "no connection is closed for upstream connections within the floor");
         assertTrue(
                 budget.evictToAdmit(Direction.UPSTREAM, nowNanos),
-                "above it a new client is closed that has sent no request");
+                "above the floor, a new client without a request is closed");
         assertEquals(1, budget.closedCount(CloseReason.NEW_CLIENT_EVICTED));
         openUpstream("up");
         assertTrue(budget.maxClients(nowNanos) < 154, "clients may hold less while upstreams need more");
@@ -284,7 +286,7 @@
             openUpstream("up");
             openedUpstreams++;
         }
-        assertEquals(125, openedUpstreams, "192 less the clients' floor of 0.35");
+        assertEquals(125, openedUpstreams, "192 minus the clients' floor of 0.35");
         assertTrue(closed.isEmpty());
         fillClients("c");
         assertEquals(67, budget.openConnections(Direction.CLIENT));
@@ -298,16 +300,16 @@
             upstreams.add(openUpstream("up" + i));
         }
         upstreams.forEach(permit -> budget.becameIdle(permit, nowNanos));
-        nowNanos += 120 * NANOS_PER_SECOND; // by then the demand has decayed
+        nowNanos += 120 * NANOS_PER_SECOND; // the demand has decayed
         fillClients("c");
         assertEquals(92, budget.openConnections(Direction.CLIENT));
         while (budget.evictToAdmit(Direction.CLIENT, nowNanos) && budget.openConnections(Direction.CLIENT) < 154) {
             ConnectionPermit permit = openClient("c", "c");
             budget.requestReceived(permit, nowNanos);
         }
-        assertEquals("up0", closed.get(0), "the longest idle one");
+        assertEquals("up0", closed.get(0), "the longest idle connection is closed first");
         assertEquals(62, budget.closedCount(CloseReason.IDLE_UPSTREAM_EVICTED));
-        assertEquals(38, budget.openConnections(Direction.UPSTREAM), "their floor is kept");
+        assertEquals(38, budget.openConnections(Direction.UPSTREAM), "the upstreams' floor stays available");
     }
 
     @Test
@@ -322,7 +324,7 @@
                 line);
         nowNanos += 3 * NANOS_PER_SECOND;
         budget.closeExpired(nowNanos);
-        assertNull(budget.pressureChangeLogLine(nowNanos), "too soon");
+        assertNull(budget.pressureChangeLogLine(nowNanos), "less than 5 s after the previous line");
         nowNanos += 3 * NANOS_PER_SECOND;
         line = budget.pressureChangeLogLine(nowNanos);
         assertTrue(line.startsWith("event=connection_pressure level=ample clients 0 of 154"), line);
@@ -343,9 +345,9 @@
 
     static Stream<Arguments> limitsOutOfRange() {
         return Stream.of(
-                outOfRange("impossible most: 1", () -> new ConnectionLimits(1, 0.5, 0.5, 1, 1, 1, 1, 1)),
-                outOfRange("impossible upstreamFloor: 0.6", () -> new ConnectionLimits(9, 0.5, 0.6, 1, 1, 1, 1, 1)),
-                outOfRange("impossible askMost: 3", () -> new ConnectionLimits(9, 0.5, 0.5, 1, 1, 2, 1, 3)));
+                outOfRange("out of range: most=1", () -> new ConnectionLimits(1, 0.5, 0.5, 1, 1, 1, 1, 1)),
+                outOfRange("out of range: upstreamFloor=0.6", () -> new ConnectionLimits(9, 0.5, 0.6, 1, 1, 1, 1, 1)),
+                outOfRange("out of range: askMost=3", () -> new ConnectionLimits(9, 0.5, 0.5, 1, 1, 2, 1, 3)));
     }
 
     private static Arguments outOfRange(String message, Executable construction) {
--- a/src/test/java/loadbalancer/connections/FrequencyListTest.java
+++ b/src/test/java/loadbalancer/connections/FrequencyListTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The list against an array of counts, over random histories. */
+/** Compares the list with an array of counts over random operations. */
 class FrequencyListTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
--- a/src/test/java/loadbalancer/connections/IdleTimeoutTest.java
+++ b/src/test/java/loadbalancer/connections/IdleTimeoutTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which idle connections to upstreams are used and closed; times in µs. */
+/** Tests which idle connections to upstreams are used and which are closed; times are in µs. */
 class IdleTimeoutTest {
     private static final IdleTimeout LONG_UPSTREAM_TIMEOUT = new IdleTimeout(30_000_000);
     private static final IdleTimeout SHORT_UPSTREAM_TIMEOUT = new IdleTimeout(400_000);
--- a/src/test/java/loadbalancer/connections/LinkedQueueTest.java
+++ b/src/test/java/loadbalancer/connections/LinkedQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The queue against an {@link ArrayDeque}, over a random history. */
+/** Compares the queue with an {@link ArrayDeque} over random operations. */
 class LinkedQueueTest {
     @Test
     void queueKeepsTheOrderOfAdditionsOverARandomHistory() {
--- a/src/test/java/loadbalancer/connections/TurnoverTest.java
+++ b/src/test/java/loadbalancer/connections/TurnoverTest.java
@@ -11,14 +11,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulates the share of accepted requests against the turnover of connections that the limit allows: for keeping
- * every connection, for closing each after its response, and for the budget. Some clients send one request and keep
- * their connection for 2 s unused, others send a request every 0.1 s.
+ * Simulates the share of accepted requests as a function of the connection turnover, relative to the turnover that the
+ * limit allows. Three strategies are compared: keeping every connection open, closing each connection after its
+ * response, and the budget. Some clients send one request and keep their connection open for 2 s, others send a request
+ * every 0.1 s.
  */
 class TurnoverTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long DURATION_SECONDS = 20;
-    private static final int DESCRIPTORS = 128; // 64 connections in all, 52 for clients
+    private static final int DESCRIPTORS = 128; // 64 connections in total, 52 for clients
 
     enum Strategy {
         KEEP,
@@ -28,7 +29,7 @@
 
     private record Event(long timeNanos, Runnable action) {}
 
-    /** One simulation, and what it counts. */
+    /** A simulation and its counters. */
     private static final class Simulation {
         final Strategy strategy;
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.timeNanos(), b.timeNanos()));
@@ -81,7 +82,7 @@
             return budget.responseSent(permit, strategy != Strategy.CLOSE, false, nowNanos);
         }
 
-        // Reported with part of another request, so that it stays open whatever the budget would decide.
+        // Reports part of another request, so that the connection stays open regardless of the budget's decision.
         private void keepOpen(ConnectionPermit permit) {
             budget.responseSent(permit, true, true, nowNanos);
         }
@@ -110,7 +111,7 @@
             });
         }
 
-        /** A client that sends a request every 0.1 s, on the connection that it has. */
+        /** A client that sends a request every 0.1 s and reuses its connection if it is open. */
         private final class RegularClient {
             private final String address;
             private ConnectionPermit permit;
@@ -154,7 +155,7 @@
             StringBuilder row = new StringBuilder();
             row.append(String.format(Locale.ROOT, "%2d times the turnover:", loadFactor));
             for (Strategy strategy : Strategy.values()) {
-                // 42 connections of 2 s: 21 a second
+                // 42 connections that are open for 2 s each: 21 per second
                 Simulation run = new Simulation(strategy).simulate(loadFactor * 21, 10);
                 double acceptedShare = (double) run.accepted / run.offered;
                 row.append(String.format(
@@ -167,7 +168,8 @@
                 keepShareAtFactorFive =
                         strategy == Strategy.KEEP && loadFactor == 5 ? acceptedShare : keepShareAtFactorFive;
                 if (strategy == Strategy.BUDGET && loadFactor == 0) {
-                    assertTrue(run.reused > run.accepted * 0.98, "nothing is gained by closing: " + row);
+                    assertTrue(
+                            run.reused > run.accepted * 0.98, "regular clients lost connections without need: " + row);
                 }
                 if (strategy == Strategy.CLOSE) {
                     assertEquals(0, run.reused);
@@ -176,7 +178,7 @@
             rows.add(row.toString());
         }
         rows.forEach(System.out::println);
-        assertTrue(minBudgetShare > 0.99, "the budget accepts nearly all: " + rows);
-        assertTrue(keepShareAtFactorFive < 0.7, "keeping all connections does not: " + rows);
+        assertTrue(minBudgetShare > 0.99, "the budget rejected too many requests: " + rows);
+        assertTrue(keepShareAtFactorFive < 0.7, "keeping all connections open should accept fewer requests: " + rows);
     }
 }
--- a/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointListDecoderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Values end where their braces do, however the bytes are split. */
+/** Tests that JSON values are delimited by their braces, regardless of how the bytes are split. */
 class EndpointListDecoderTest {
     private static final String PLAIN = "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a}{\\\"\"}]}";
     private static final String INDENTED = "  {\r\n  \"rev\": 2,\r\n\t\"all\": false,\n  \"targets\": ["
@@ -28,7 +28,7 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    // Values without their whitespace; an empty text for a heartbeat.
+    // Returns the decoded values without whitespace; an empty string represents a heartbeat.
     private List<String> decoded() {
         List<String> values = new ArrayList<>();
         for (ByteBuf next = channel.readInbound(); next != null; next = channel.readInbound()) {
@@ -47,7 +47,7 @@
             receive(all.substring(cut));
             List<String> values = decoded();
             values.removeIf(String::isEmpty);
-            assertEquals(expected, values, "cut at " + cut);
+            assertEquals(expected, values, "split at byte " + cut);
         }
         for (int i = 0; i < all.length(); i++) {
             receive(all.substring(i, i + 1));
--- a/src/test/java/loadbalancer/discovery/VersionTrackerTest.java
+++ b/src/test/java/loadbalancer/discovery/VersionTrackerTest.java
@@ -5,7 +5,7 @@
 import loadbalancer.discovery.VersionTracker.Decision;
 import org.junit.jupiter.api.Test;
 
-/** Lists that overtake one another, are repeated, skip versions or start to count anew. */
+/** Tests lists that are reordered or repeated, that skip versions, or whose versions start from the beginning. */
 class VersionTrackerTest {
     private final VersionTracker versions = new VersionTracker(41);
 
@@ -20,7 +20,10 @@
 
     @Test
     void responseOlderThanItsRequestIsAcceptedAsACountFromTheBeginning() {
-        assertEquals(Decision.ACCEPT, versions.evaluate(3, true, 41, true), "requested at 41, the service is at 3");
+        assertEquals(
+                Decision.ACCEPT,
+                versions.evaluate(3, true, 41, true),
+                "requested at version 41, the service is at version 3");
         assertEquals(3, versions.inUse());
         assertEquals(Decision.ACCEPT, versions.evaluate(4, false, 41, false));
     }
@@ -33,7 +36,7 @@
                 Decision.OUT_OF_ORDER,
                 versions.evaluate(2, true, 41, false),
                 "a complete list in the middle of a watch");
-        assertEquals(41, versions.inUse(), "the version in use stays");
+        assertEquals(41, versions.inUse(), "the version in use is unchanged");
         versions.reset();
         assertEquals(Decision.ACCEPT, versions.evaluate(1, true, 0, true));
     }
--- a/src/test/java/loadbalancer/discovery/WatchTimeoutTest.java
+++ b/src/test/java/loadbalancer/discovery/WatchTimeoutTest.java
@@ -10,26 +10,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The platform's times: a line every 2 s, and 6 s until a missed update counts as notified; in ms. */
+/**
+ * Tests the timeouts against the times of the platform: a watch receives a line every 2 s, and a missed update counts
+ * as notified after 6 s. Times are in ms.
+ */
 class WatchTimeoutTest {
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void silentWatchIsReplacedWithTimeLeftToCatchUp(boolean pushed) {
         WatchTimeout timeout = new WatchTimeout(pushed, 0, 1);
-        assertTrue(timeout.maxSilenceMillis(true) > 4_000, "one line may be late, and one be lost");
-        assertTrue(timeout.maxSilenceMillis(true) <= 5_000, "the rest of the 6 s is for the next watch");
+        assertTrue(timeout.maxSilenceMillis(true) > 4_000, "one line may be late and another one lost");
+        assertTrue(timeout.maxSilenceMillis(true) <= 5_000, "the remainder of the 6 s is for the next watch");
         assertTrue(
                 timeout.maxSilenceMillis(false) <= 5_000,
-                "a service that accepts and does not respond is silent as well");
+                "a service that accepts connections but does not respond counts as silent");
         timeout.watchEnded(5_000, 500, EndCause.SILENCE);
-        assertEquals(0, timeout.restartDelayMillis(5_000, true), "at once");
-        assertEquals(0, timeout.takeNotifiedForMillis(6_400), "received before it counts as notified");
+        assertEquals(0, timeout.restartDelayMillis(5_000, true), "without delay");
+        assertEquals(0, timeout.takeNotifiedForMillis(6_400), "the update was received before it counts as notified");
         timeout.watchEnded(5_000, 500, EndCause.SILENCE);
-        assertEquals(700, timeout.takeNotifiedForMillis(7_200), "it counted as notified from 6.5 s on");
-        assertEquals(0, timeout.takeNotifiedForMillis(7_200), "returned once");
+        assertEquals(700, timeout.takeNotifiedForMillis(7_200), "the update counts as notified from 6.5 s on");
+        assertEquals(0, timeout.takeNotifiedForMillis(7_200), "the time is returned only once");
     }
 
-    /** One service takes one call of each balancer within some seconds, and rejects many that come at once. */
+    /** A shared service handles one call of each balancer within some seconds, but rejects many simultaneous calls. */
     @ParameterizedTest
     @CsvSource({"0, 0", "50, 500", "99, 990"})
     void reconnectsToAServiceSharedByAllAreSpreadByRank(int rank, long delayMillis) {
@@ -39,7 +42,7 @@
     @Test
     void lastBalancerReconnectsBeforeAMissedUpdateCountsAsNotified() {
         long latestMillis = new WatchTimeout(false, 99, 100).maxSilenceMillis(true) + 990;
-        assertTrue(latestMillis < 6_000, "at " + latestMillis);
+        assertTrue(latestMillis < 6_000, "reconnects after ms: " + latestMillis);
     }
 
     @Test
@@ -54,7 +57,7 @@
     void missedUpdateOfAnAgentCountsAsNotifiedSinceTheFirstWatchEnded() {
         WatchTimeout timeout = new WatchTimeout(true, 99, 100);
         timeout.watchEnded(1_000, 900, EndCause.DISCONNECT);
-        timeout.watchEnded(1_400, 900, EndCause.DISCONNECT); // the next one as well: updates are missed since the first
+        timeout.watchEnded(1_400, 900, EndCause.DISCONNECT); // updates are missed since the first watch ended
         assertEquals(500, timeout.takeNotifiedForMillis(1_500));
         WatchTimeout polled = new WatchTimeout(false, 0, 1);
         polled.watchEnded(1_000, 900, EndCause.DISCONNECT);
@@ -64,11 +67,12 @@
     @Test
     void unansweredWatchOfAnAgentStaysOpenForALimitedTime() {
         WatchTimeout timeout = new WatchTimeout(true, 99, 100);
-        assertTrue(timeout.maxSilenceMillis(false) < 1_000, "the list that it has at its return counts at once");
+        assertTrue(
+                timeout.maxSilenceMillis(false) < 1_000,
+                "the list of an agent that is available again counts as notified immediately");
         assertTrue(timeout.keepsUnansweredWatch(700));
         assertFalse(timeout.keepsUnansweredWatch(5_000));
-        assertFalse(
-                new WatchTimeout(false, 0, 1).keepsUnansweredWatch(0), "each call is load for a service shared by all");
+        assertFalse(new WatchTimeout(false, 0, 1).keepsUnansweredWatch(0), "each call adds load to a shared service");
     }
 
     @Test
@@ -77,11 +81,11 @@
         assertEquals(
                 WatchTimeout.REPORT_FAILURE,
                 polled.nextWatchDelayMillis(0, true, EndCause.DISCONNECT),
-                "it was disconnected");
+                "the watch was disconnected");
         assertEquals(
                 WatchTimeout.REPORT_FAILURE,
                 polled.nextWatchDelayMillis(0, false, EndCause.SILENCE),
-                "it brought no list");
+                "the watch received no list");
         assertEquals(0, polled.nextWatchDelayMillis(0, true, EndCause.SILENCE));
         assertTrue(
                 new WatchTimeout(true, 0, 1).nextWatchDelayMillis(0, false, EndCause.DISCONNECT) > 0,
@@ -93,7 +97,7 @@
         WatchTimeout timeout = new WatchTimeout(true, 99, 100);
         assertEquals(0, timeout.restartDelayMillis(10_000, true));
         assertTrue(timeout.restartDelayMillis(10_001, true) > 0);
-        assertTrue(timeout.restartDelayMillis(10_600, false) > 0, "it brought no list");
+        assertTrue(timeout.restartDelayMillis(10_600, false) > 0, "the watch received no list");
         assertEquals(0, timeout.restartDelayMillis(11_000, true));
     }
 }
--- a/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartChannelTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lines between an old and a new process, byte for byte: versions must upgrade into one another. */
+/** Checks the messages between predecessor and successor byte for byte, as the two may be of different versions. */
 @Timeout(60)
 class HotRestartChannelTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
+++ b/src/test/java/loadbalancer/lifecycle/HotRestartTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.lifecycle.HotRestart.Step;
 import org.junit.jupiter.api.Test;
 
-/** Which step follows from what the other processes say. */
+/** Tests which step follows from the messages and disconnects of other processes. */
 class HotRestartTest {
     private final HotRestart hotRestart = new HotRestart();
 
--- a/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
+++ b/src/test/java/loadbalancer/lifecycle/LifeCycleTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.lifecycle.LifeCycle.State;
 import org.junit.jupiter.api.Test;
 
-/** The states of a process and what follows from each. */
+/** Tests the states of a process and the behaviour that follows from each state. */
 class LifeCycleTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -28,7 +28,7 @@
         assertEquals(CommandResult.DONE, lifeCycle.evacuate(0));
         assertEquals(CommandResult.NO_CHANGE, lifeCycle.evacuate(NANOS_PER_MILLI));
         assertFalse(lifeCycle.isReady() || lifeCycle.keepsConnectionsOpen());
-        assertTrue(lifeCycle.acceptsConnections(false), "the front still sends some");
+        assertTrue(lifeCycle.acceptsConnections(false), "clients may still be routed to this process");
         assertEquals(Long.MAX_VALUE, lifeCycle.maxIdleNanos(300 * NANOS_PER_MILLI));
         assertEquals(500 * NANOS_PER_MILLI, lifeCycle.maxIdleNanos(700 * NANOS_PER_MILLI));
         assertEquals(0, lifeCycle.maxIdleNanos(1_700 * NANOS_PER_MILLI));
@@ -37,7 +37,7 @@
         assertEquals(State.EVACUATED, lifeCycle.state());
         assertTrue(
                 lifeCycle.maxIdleNanos(9_000 * NANOS_PER_MILLI) <= 300 * NANOS_PER_MILLI,
-                "who comes all the same does not stay");
+                "connections that are opened after the evacuation time out early");
         assertEquals(CommandResult.DONE, lifeCycle.rejoin(9_000 * NANOS_PER_MILLI));
         assertTrue(lifeCycle.isReady() && lifeCycle.keepsConnectionsOpen());
         assertEquals(CommandResult.NO_CHANGE, lifeCycle.rejoin(9_000 * NANOS_PER_MILLI));
@@ -54,7 +54,7 @@
         LifeCycle notPrepared = new LifeCycle(0);
         notPrepared.evacuate(0);
         notPrepared.rejoin(1);
-        assertFalse(notPrepared.isReady(), "it can't serve yet");
+        assertFalse(notPrepared.isReady(), "the process can't serve yet");
         assertTrue(notPrepared.markPrepared(2));
     }
 
@@ -93,13 +93,13 @@
         assertEquals(
                 Long.MAX_VALUE,
                 lifeCycle.maxIdleNanos(9_000 * NANOS_PER_MILLI),
-                "time alone does not tell what has come");
+                "elapsed time does not show whether all requests have been read");
         lifeCycle.markListenerClosed();
         assertFalse(lifeCycle.acceptsConnections(false));
         assertEquals(0, lifeCycle.maxIdleNanos(701 * NANOS_PER_MILLI));
     }
 
-    /** Whatever is called in whatever order: never ready while it winds down, never kept then. */
+    /** For any order of calls: a draining process is not ready and keeps no connections open. */
     @Test
     void propertiesMatchTheStateOverRandomHistories() {
         SplittableRandom random = new SplittableRandom(3);
--- a/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ShutdownDrainTest.java
@@ -9,7 +9,7 @@
 import loadbalancer.lifecycle.ShutdownDrain.Step;
 import org.junit.jupiter.api.Test;
 
-/** When the listener closes and when the process may end, also behind a stall of the process. */
+/** Tests when the listener is closed and when the process may end, including after a stall of the process. */
 class ShutdownDrainTest {
     private static ShutdownDrain.Observation observation(
             long accepted, long reads, int pendingResponses, int partialRequests, int idle, int unsent) {
@@ -20,8 +20,14 @@
     void listenerClosesAfterTwoUnchangedObservations() {
         ShutdownDrain drain = new ShutdownDrain();
         assertEquals(Step.CONTINUE, drain.observe(observation(4, 0, 0, 0, 0, 0)));
-        assertEquals(Step.CONTINUE, drain.observe(observation(8, 4, 4, 0, 0, 0)), "four a pass wait to be accepted");
-        assertEquals(Step.CONTINUE, drain.observe(observation(8, 8, 8, 0, 0, 0)), "what came last is being read");
+        assertEquals(
+                Step.CONTINUE,
+                drain.observe(observation(8, 4, 4, 0, 0, 0)),
+                "new connections were accepted, four per pass");
+        assertEquals(
+                Step.CONTINUE,
+                drain.observe(observation(8, 8, 8, 0, 0, 0)),
+                "the requests of the last connections have just been read");
         assertEquals(Step.CONTINUE, drain.observe(observation(8, 8, 8, 0, 0, 0)));
         assertEquals(Step.CLOSE_LISTENER, drain.observe(observation(8, 8, 8, 0, 0, 0)));
     }
@@ -68,12 +74,12 @@
         assertEquals(403, observations);
     }
 
-    /** A balancer's machine, its loop and its clients, with a stall of the process at any point. */
+    /** Simulates the kernel and the event loop of a balancer, and its clients. */
     private static final class SimulatedBalancer {
-        private static final int ACCEPTS_PER_PASS = 4; // a pass
+        private static final int ACCEPTS_PER_PASS = 4;
         private final SplittableRandom random;
-        private int acceptBacklog; // accepted by the machine, each with a request in it
-        private int unread; // connections that the loop holds with a request in them
+        private int acceptBacklog; // connections that the kernel has accepted, with one unread request each
+        private int unread; // connections that the loop has accepted, with one unread request each
         private int partialRequests;
         private int idleConnections = 3;
         private int pendingResponses;
@@ -105,14 +111,14 @@
 
         void runLoopPass() {
             int accepted = Math.min(ACCEPTS_PER_PASS, acceptBacklog);
-            pendingResponses += unread; // of connections that it held before
+            pendingResponses += unread; // on connections that were accepted in earlier passes
             reads += unread;
             unread = accepted;
             acceptBacklog -= accepted;
             acceptedConnections += accepted;
             if (partialRequests == 0 && accepted > 0 && random.nextInt(4) == 0) {
                 unread--;
-                partialRequests++; // part of it has arrived
+                partialRequests++; // only part of the request has arrived
                 reads++;
             }
             int answered = pendingResponses == 0 ? 0 : random.nextInt(pendingResponses + 1);
@@ -126,7 +132,10 @@
         }
     }
 
-    /** Whatever its machine accepted is answered, wherever the stall comes; the end comes all the same. */
+    /**
+     * Every request that the kernel has accepted is answered, regardless of when the process stalls, and the shutdown
+     * ends. The failure guarded against: after a stall, timers are due before the requests that arrived have been read.
+     */
     @Test
     void noRequestIsLostWhereverTheProcessStalls() {
         for (int seed = 0; seed < 2_000; seed++) {
@@ -137,10 +146,10 @@
             int observations = 0;
             List<String> history = new ArrayList<>();
             while (step != Step.EXIT) {
-                assertTrue(observations++ < 600, "no end");
+                assertTrue(observations++ < 600, "the drain does not end");
                 balancer.simulateClients(observations < 20 ? 1 : 0);
                 if (observations == stalledObservation) {
-                    balancer.simulateClients(200); // the process is stalled, then its timers are due
+                    balancer.simulateClients(200); // the process stalls while clients go on, then its timers are due
                 }
                 balancer.runLoopPass();
                 step = drain.observe(balancer.observation());
@@ -148,7 +157,7 @@
                 if (step == Step.CLOSE_LISTENER) {
                     balancer.listening = false;
                     balancer.lostRequests += balancer.acceptBacklog;
-                    balancer.idleConnections = 0; // closed, with nothing in them
+                    balancer.idleConnections = 0; // closed by the balancer, without unread requests
                 }
             }
             balancer.lostRequests += balancer.unread + balancer.pendingResponses + balancer.unsentResponses;
