--- a/src/main/java/loadbalancer/http1/BodyReader.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -4,19 +4,19 @@
 import loadbalancer.proxy.BodyStream;
 
 /**
- * A long body as it is read off a connection, for one subscriber. While the subscriber is not ready, reads of
- * the connection stop. On the event loop.
+ * A streamed body that is read from a connection and passed to one subscriber. While the subscriber is not ready, the
+ * connection is not read. Must be used on the event loop.
  */
 public abstract class BodyReader implements BodyStream {
     private final Channel channel;
     private Taker subscriber;
 
-    /** A body that is read off {@code channel}. */
+    /** Creates a body that is read from {@code channel}. */
     protected BodyReader(Channel channel) {
         this.channel = channel;
     }
 
-    /** Whom the body is handed to; null before it has a subscriber. */
+    /** Returns the receiver of the body; null before {@link #subscribe}. */
     public final Taker subscriber() {
         return subscriber;
     }
@@ -29,13 +29,13 @@
     @Override
     public final void subscribe(Taker newSubscriber) {
         if (subscriber != null) {
-            throw new IllegalStateException("taken before");
+            throw new IllegalStateException("the body stream already has a subscriber");
         }
         subscriber = newSubscriber;
         onSubscribed();
     }
 
-    /** Called once it has its subscriber. */
+    /** Called once, when the body has a subscriber. */
     protected void onSubscribed() {}
 
     @Override
--- a/src/main/java/loadbalancer/http1/BodyWriter.java
+++ b/src/main/java/loadbalancer/http1/BodyWriter.java
@@ -9,8 +9,8 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Writes a long message to a connection, within a bounded window: its caller stops while {@link #isWritable} is
- * false. On the event loop.
+ * Writes a message with a streamed body to a connection. The write buffer stays bounded because callers stop writing
+ * while {@link #isWritable} is false. Must be used on the event loop.
  */
 public final class BodyWriter {
     private static final int LOW_WATER_MARK_BYTES = 32 << 10;
@@ -22,19 +22,19 @@
     private boolean flushScheduled;
     private long writtenBytes;
 
-    /** A writer to {@code channel}, whose write window it sets. */
+    /** Creates a writer for {@code channel} and sets the write buffer water marks of the channel. */
     public BodyWriter(Channel channel) {
         this.channel = channel;
         channel.config().setWriteBufferWaterMark(WRITE_WINDOW);
     }
 
-    /** Writes the head, and the first bytes of the body. */
+    /** Writes the head and the first bytes of the body. */
     public void begin(HttpMessage head, byte[] firstBytes) {
         channel.write(head);
         write(firstBytes);
     }
 
-    /** Writes a piece, which is flushed with all others of the same pass of the event loop. */
+    /** Writes a part of the body; all parts that are written in one event loop iteration are flushed together. */
     public ChannelFuture write(byte[] bytes) {
         writtenBytes += bytes.length;
         ChannelFuture written = channel.write(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
@@ -48,17 +48,17 @@
         return written;
     }
 
-    /** Whether more may be written now. */
+    /** Whether the write buffer accepts more bytes now. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Writes the end of the message, and flushes it. */
+    /** Writes and flushes the end of the message. */
     public ChannelFuture end() {
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** A number that changes whenever bytes are written here or leave for the network. */
+    /** A number that changes whenever bytes are added to the write buffer or leave it for the network. */
     public long progress() {
         return writtenBytes - channel.bytesBeforeWritable();
     }
--- a/src/main/java/loadbalancer/http1/Http1HeaderFields.java
+++ b/src/main/java/loadbalancer/http1/Http1HeaderFields.java
@@ -12,12 +12,12 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * The header fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1
- * they are forwarded as they are: {@link #toHttpHeaders} hands them out, and translates only what came by another
- * protocol. On the event loop.
+ * The header fields of an HTTP/1.1 message in the representation of Netty's codec. If client and upstream both use
+ * HTTP/1.1, they are forwarded without a copy: {@link #toHttpHeaders} returns them as they are, and converts only the
+ * fields of other protocols. Must be used on the event loop.
  */
 public final class Http1HeaderFields implements HeaderFields {
-    // Not strings: these cache the hash that each look-up needs.
+    // AsciiString instead of String: it caches the hash code that each header look-up needs.
     private static final AsciiString[] HOP_BY_HOP = Stream.of(
                     "connection",
                     "keep-alive",
@@ -35,18 +35,18 @@
             .toArray(AsciiString[]::new);
 
     private final HttpHeaders headers;
-    private boolean hostMissing; // the client sent no Host: each upstream is named in its place
+    private boolean hostMissing; // the client sent no Host: it is set to the upstream of each attempt
 
-    /** The fields in {@code headers}, which are not copied. */
+    /** Wraps {@code headers} without copying them. */
     public Http1HeaderFields(HttpHeaders headers) {
         this.headers = headers;
     }
 
     /**
-     * The headers that are written for such fields over HTTP/1.1. Not a copy where they came by HTTP/1.1: each
-     * attempt sets the fields of its own connection anew, and is encoded before the next one.
+     * Returns the fields as headers of an HTTP/1.1 message. Fields that were received over HTTP/1.1 are not copied:
+     * each attempt overwrites the fields that belong to its own connection and is encoded before the next attempt.
      *
-     * @param host the Host of a request that names none: the upstream
+     * @param host the upstream, which becomes the Host of a request without one
      */
     public static HttpHeaders toHttpHeaders(HeaderFields fields, String host) {
         if (fields instanceof Http1HeaderFields http1Fields) {
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Removes the fields that belong to one connection only (RFC 9110, section 7.6.1), and the deadline.
+     * Removes the hop-by-hop fields (RFC 9110, section 7.6.1) and the deadline field.
      *
      * @return this
      */
--- a/src/main/java/loadbalancer/http1/package-info.java
+++ b/src/main/java/loadbalancer/http1/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP/1.1 rules that the downstream and the upstream side share: bodies that are streamed within a bounded
- * window, and header fields. All of it runs on the event loop.
+ * HTTP/1.1 code that the downstream and the upstream side share: streaming of bodies with a bounded write buffer, and
+ * header fields. All of it runs on the event loop.
  */
 package loadbalancer.http1;
--- a/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.proxy.HeaderFields;
 import org.junit.jupiter.api.Test;
 
-/** Hop-by-hop fields, the Host of a request without one, and fields of another protocol. */
+/** Tests hop-by-hop fields, requests without Host, and fields of another protocol. */
 class Http1HeaderFieldsTest {
     @Test
     void hopByHopFieldsAreRemovedAndTheOthersAreNotCopied() {
@@ -31,7 +31,7 @@
         assertEquals("a", fields.get("host"));
     }
 
-    /** The first attempt's host stayed in the fields, and would have gone to the second one's server. */
+    /** Guards against sending the Host of the first attempt, which stayed in the fields, to the second server. */
     @Test
     void aRequestWithoutAHostGetsThatOfEachAttempt() {
         Http1HeaderFields fields = new Http1HeaderFields(new DefaultHttpHeaders());
