--- a/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
+++ b/src/main/java/loadbalancer/downstream/http1/AcceptingChannel.java
@@ -7,24 +7,24 @@
 import java.util.List;
 
 /**
- * The listening socket for clients. In each pass over the sockets it accepts the connections that wait, as long as
- * there is capacity: one that waits is not read, so neither the time of its request nor the client's close is
- * known. A failed accept is reported to the {@link AcceptController}; Netty alone would stop accepting for a second. On
- * the event loop.
+ * The listening socket for clients. In each event loop iteration it accepts all waiting connections for which there is
+ * capacity: a connection that waits in the backlog is not read, so neither the arrival of its request nor a close by
+ * the client is noticed. A failed accept is reported to the {@link AcceptController}; Netty alone would stop accepting
+ * for a second. Must be used on the event loop.
  */
 final class AcceptingChannel extends NioServerSocketChannel {
-    /** Limits accepting, and is notified of failures. */
+    /** Decides how many connections are accepted, and is notified of failed accepts. */
     interface AcceptController {
-        /** Whether another connection may be accepted in this pass, which has accepted so many. */
+        /** Whether another connection may be accepted in a pass that has accepted {@code acceptedInPass} so far. */
         boolean mayAccept(int acceptedInPass);
 
-        /** An accept has failed while the listener was open; the connection, if any, still waits. */
+        /** An accept has failed while the listener was open; the connection, if any, is still in the backlog. */
         void acceptFailed(IOException cause);
     }
 
     private final AcceptController acceptController;
 
-    /** {@code inherited}: a socket that other processes accept from as well; null for an own one. */
+    /** {@code inherited}: a socket that is shared with other processes; null to open a new one. */
     static AcceptingChannel of(ServerSocketChannel inherited, AcceptController acceptController) {
         return inherited == null
                 ? new AcceptingChannel(acceptController)
@@ -42,7 +42,7 @@
         removeAcceptLimit();
     }
 
-    // An allocator that counts bytes ends each pass behind one accept, which brings none.
+    // An allocator that counts bytes would end each pass after one accept, since an accept reads no bytes.
     private void removeAcceptLimit() {
         config().setRecvByteBufAllocator(new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(Integer.MAX_VALUE));
     }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -12,23 +12,23 @@
 import loadbalancer.proxy.RequestLog.Event;
 
 /**
- * Decides whether new connections are accepted: it makes capacity by closing idle ones before an accept can fail,
- * and leaves new ones in the kernel's backlog where there is none. On the event loop.
+ * Decides whether new connections are accepted. Closes idle connections to free capacity before an accept can fail, and
+ * leaves new connections in the kernel's backlog while there is no capacity. Must be used on the event loop.
  */
 final class ConnectionAdmission implements AcceptingChannel.AcceptController {
-    /** What {@link #update} is about. */
+    /** The progress of {@link #update}. */
     private enum State {
         READY,
-        /** Connections are being closed; each of them reports its end here. */
+        /** Connections are being closed; each close calls {@link #update}, which does nothing in this state. */
         EVICTING,
-        /** Capacity is made once all sockets have been read. */
+        /** Connections are closed only after all sockets have been read. */
         AWAITING_READS
     }
 
-    private static final int MAX_ACCEPTS_PER_PASS = 16; // as Netty does
-    private static final long ACCEPT_RETRY_MILLIS = 5; // behind an accept that has failed
-    private static final long RECHECK_MILLIS = 20; // while new connections wait to be accepted
-    private static final int MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP = 8; // between two checks
+    private static final int MAX_ACCEPTS_PER_PASS = 16; // the default of Netty
+    private static final long ACCEPT_RETRY_MILLIS = 5; // after a failed accept
+    private static final long RECHECK_MILLIS = 20; // while accepting is paused
+    private static final int MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP = 8; // between two rechecks
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
@@ -36,13 +36,13 @@
     private final LifeCycle lifeCycle;
     private final Consumer<String> log;
     private Channel listener;
-    private boolean sharedListener; // other processes accept from it as well
+    private boolean sharedListener; // other processes accept from this socket, too
     private boolean warmingUp;
     private State state = State.READY;
     private boolean recheckScheduled;
-    private boolean acceptRetryPending; // it is retried soon
+    private boolean acceptRetryPending; // an accept has failed and is about to be retried
     private long failedAccepts;
-    private int acceptedSinceRecheck; // since the last recheck
+    private int acceptedSinceRecheck; // connections accepted since the last recheck
 
     ConnectionAdmission(
             EventLoop loop, Dispatcher dispatcher, ConnectionBudget budget, LifeCycle lifeCycle, Consumer<String> log) {
@@ -53,15 +53,15 @@
         this.log = log;
     }
 
-    /** The listener exists, and has not accepted anything yet. */
+    /** Called when the listening channel has been created, before it accepts connections. */
     void listenerRegistered(Channel channel, boolean shared) {
         listener = channel;
         sharedListener = shared;
-        // Before this process is ready whichever process was there before it accepts.
+        // Until this process is ready, the process that already uses the shared socket accepts.
         channel.config().setAutoRead(!shared);
     }
 
-    /** Accepts no more. A listener that other processes accept from as well stays open, unread. */
+    /** Stops accepting for good. A listener that is shared with other processes is not closed, only no longer read. */
     void stopAccepting() {
         if (sharedListener) {
             listener.config().setAutoRead(false);
@@ -70,25 +70,25 @@
         }
     }
 
-    /** While this process warms up only few connections are accepted at once. */
+    /** Sets whether this process warms up; few connections are accepted at a time during the warm-up. */
     void setWarmingUp(boolean enabled) {
         warmingUp = enabled;
     }
 
-    /** A connection has been accepted. */
+    /** Called after a connection has been accepted. */
     void connectionAccepted() {
         acceptedSinceRecheck++;
     }
 
-    /** Makes capacity where it is needed, and accepts or not from here on. */
+    /** Frees capacity if necessary, then pauses or resumes accepting. */
     void update() {
         if (state != State.READY) {
             return;
         }
         if (dispatcher.mayHaveUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
-            // Of those that seem idle some hold a request that has not been read.
+            // Some connections that seem idle may have a request that has not been read yet.
             state = State.AWAITING_READS;
-            setAccepting(false, "unread news");
+            setAccepting(false, "unread sockets");
             dispatcher.afterUpdates(() -> {
                 state = State.READY;
                 update();
@@ -102,7 +102,7 @@
         if (listener.isOpen()) {
             boolean accepting =
                     hasCapacity && !acceptRetryPending && warmUpAdmits(0) && lifeCycle.accepts(sharedListener);
-            setAccepting(accepting, !hasCapacity ? "no room" : warmingUp ? "warm-up" : "life cycle");
+            setAccepting(accepting, !hasCapacity ? "no capacity" : warmingUp ? "warm-up" : "life cycle");
             if (!accepting) {
                 scheduleRecheck();
             }
@@ -113,7 +113,7 @@
         return !warmingUp || acceptedSinceRecheck + acceptedInPass < MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP;
     }
 
-    // The fair time of a connection may be over before anything ends.
+    // A connection may become evictable after some time, without an event that triggers an update.
     private void scheduleRecheck() {
         if (recheckScheduled) {
             return;
@@ -136,7 +136,7 @@
         }
     }
 
-    // One is always accepted: capacity for it was made before the listener was read.
+    // The first connection of a pass is always accepted: capacity for it was freed before the listener was read.
     @Override
     public boolean mayAccept(int acceptedInPass) {
         return acceptedInPass == 0
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionInput.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionInput.java
@@ -5,13 +5,13 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** The handlers through which the requests of one connection arrive. On the event loop. */
+/** The inbound handlers of one connection. Must be used on the event loop. */
 final class ConnectionInput {
-    /** The text of the response to a client that sends too many requests ahead. */
+    /** The text of the response to a client that pipelines too many requests. */
     static final String TOO_MANY_PIPELINED = "too many requests sent ahead";
 
-    private static final int MAX_READS_PER_CALL = 32; // each of up to four buffers: 4 MiB, bounded all the same
-    private static final int MAX_BUFFERED_BYTES = 64 * 1024; // behind the pipelined requests
+    private static final int MAX_READS_PER_CALL = 32; // each read fills up to four buffers of 32 KiB; 4 MiB in total
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024; // input after the pipelined requests
 
     private final Http1ClientConnection connection;
     private final Channel channel;
@@ -29,17 +29,17 @@
         this.aggregator = new RequestAggregator(connection, listener.bodyMemory(), listener.unsubscribedBodyMemory());
     }
 
-    /** Puts the handlers of the connection, those of its output included, into the channel's pipeline. */
+    /** Adds the inbound and outbound handlers of the connection to the channel's pipeline. */
     void addHandlers() {
         channel.pipeline()
                 .addLast(readTracker, pipeliningLimiter, decoder, new HttpResponseEncoder(), aggregator, connection);
     }
 
     /**
-     * Reads what has arrived by now, and the end of the connection behind that. Netty reads a connection once in
-     * a pass over the sockets and stops where a read does not fill its buffer: the end of a client that closes
-     * right behind its request is seen one pass later than the request. A long body without a subscriber is left
-     * where it is.
+     * Reads all input that has been received, including a close of the connection after it. Netty reads a connection
+     * once per event loop iteration and stops when a read does not fill its buffer. If a client closes the connection
+     * right after its request, Netty alone would therefore notice the close one iteration later than the request. Does
+     * nothing while reading is off, as it is when there is no memory for a long body without a subscriber.
      */
     void readNow() {
         if (readTracker.isReading() || !isAutoRead() || !(channel.unsafe() instanceof NioUnsafe unsafe)) {
@@ -63,48 +63,48 @@
         channel.config().setAutoRead(true);
     }
 
-    /** Whether what arrives is buffered and not decoded. */
+    /** Whether input is buffered instead of decoded. */
     boolean isPaused() {
         return pipeliningLimiter.isPaused();
     }
 
-    /** Buffers what arrives from here on. */
+    /** Buffers all input from now on instead of decoding it. */
     void pause() {
         pipeliningLimiter.pause();
     }
 
-    /** Decodes what has been buffered, and what arrives from here on. */
+    /** Decodes the buffered input and all further input. */
     void resume() {
         pipeliningLimiter.resume();
     }
 
-    /** Whether the last byte of a long body has not arrived yet. */
+    /** Whether a long body is being received. */
     boolean isStreaming() {
         return aggregator.isStreaming();
     }
 
-    /** Bytes of the present long body so far. */
+    /** Bytes of the current long body received so far; 0 without one. */
     long streamedBytes() {
         return aggregator.streamedBytes();
     }
 
-    /** Whether the beginning of another request has been read and not decoded. */
+    /** Whether the beginning of another request has been read but not decoded. */
     boolean hasBufferedRequest() {
         return decoder.hasBufferedRequest();
     }
 
-    /** Decodes no request any more, and drops the one that is arriving. */
+    /** Discards the request that is being received; no further request is reported. */
     void stopAggregating() {
         aggregator.stop();
     }
 
-    /** Drops all that has been read and not been handed on. */
+    /** Discards all input that has been read but not passed on as a request. */
     void discardBuffered() {
         aggregator.stop();
         pipeliningLimiter.discardBuffered();
     }
 
-    /** Drops all that has been read, and what arrives from here on; once at most. */
+    /** Discards all input that has been read, and all further input. Must be called at most once. */
     void discardAll() {
         discardBuffered();
         channel.pipeline().replace(decoder, null, new InputDrain(connection));
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionTimeouts.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionTimeouts.java
@@ -3,43 +3,44 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long a client may take to send a request, to read responses, and to make progress with long bodies. Guards
- * against peers that send nothing, or a byte now and then. How long a connection may be idle, and stay behind its
- * last response, is decided by the connection budget. Times are in ns of {@link System#nanoTime}.
+ * Limits the time that a client may take to send a request, to read responses, and to make progress with streamed
+ * bodies. Protects against peers that send nothing or only a byte from time to time. The connection budget decides how
+ * long a connection may be idle, and how long it may stay open after its last response. Times are in ns of
+ * {@link System#nanoTime}.
  */
 final class ConnectionTimeouts {
-    /** How much of the present request has arrived. */
+    /** How much of the current request has been received. */
     enum ReceiveState {
         /** Nothing. */
         IDLE,
         /** Part of the head. */
         HEAD,
-        /** The head, and perhaps part of the body. */
+        /** The complete head, and possibly part of the body. */
         BODY
     }
 
-    // A client gets an error or a close within 3 s: the interval between two checks comes on top of these.
+    // A client gets an error response or a close within 3 s; the interval between two checks adds to these timeouts.
     private static final long HEAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_400);
-    private static final long BODY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // one that is buffered
+    private static final long BODY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // of a buffered body
     private static final long UNREAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000);
     private static final long STALL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(15_000);
 
     private long receivingSinceNanos = System.nanoTime();
-    private long lastProgress; // of long bodies, at the last check
+    private long lastProgress; // of streamed bodies, at the last check
     private long progressAtNanos;
-    private long unreadSinceNanos; // 0: responses leave
+    private long unreadSinceNanos; // 0 while the client reads responses
 
-    /** The time for the present head, or for the body behind it, begins. */
+    /** Starts the timeout of the current head, or of the body after it. */
     void receiveStarted(long nowNanos) {
         receivingSinceNanos = nowNanos;
     }
 
-    /** A long body, of a request or a response, begins. */
+    /** Starts the timeout of a streamed request or response body. */
     void streamStarted(long nowNanos) {
         progressAtNanos = nowNanos;
     }
 
-    /** Whether the present request takes too long to arrive. */
+    /** Whether the client takes too long to send the current request. */
     boolean isReceiveOverdue(ReceiveState state, long nowNanos) {
         return state != ReceiveState.IDLE
                 && nowNanos - receivingSinceNanos
@@ -47,10 +48,10 @@
     }
 
     /**
-     * Whether the long bodies of a connection have made no progress for too long.
+     * Whether the streamed bodies of a connection have made no progress for too long.
      *
-     * @param progress a number that changes with each progress
-     * @param readingPaused whether this side does not read at present: the client is not to blame then
+     * @param progress a number that changes whenever bytes are received or sent
+     * @param readingPaused whether this process has paused reading: the client does not cause the delay then
      */
     boolean isStalled(long progress, boolean readingPaused, long nowNanos) {
         unreadSinceNanos = 0;
@@ -62,7 +63,7 @@
         return nowNanos - progressAtNanos > STALL_TIMEOUT_NANOS;
     }
 
-    /** Whether the client has not read responses for too long; {@code isWritable}: it reads at present. */
+    /** Whether the client has not read responses for too long; {@code isWritable}: it reads them at the moment. */
     boolean isReadOverdue(boolean isWritable, long nowNanos) {
         if (isWritable) {
             unreadSinceNanos = 0;
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -17,8 +17,8 @@
 import loadbalancer.proxy.UpstreamResponse;
 
 /**
- * One connection of a client: its requests are served one after the other, and each one's response is written in
- * its order (RFC 9112, section 9.3). On the event loop.
+ * One connection of a client. Its requests are served one after the other, and their responses are written in the order
+ * of the requests (RFC 9112, section 9.3). Must be used on the event loop.
  */
 final class Http1ClientConnection extends ChannelInboundHandlerAdapter implements RequestAggregator.Listener {
     /** Whether a request is being served. */
@@ -41,11 +41,11 @@
     private final ConnectionPermit permit;
     private final ReceiveProgress receiveProgress = new ReceiveProgress();
     private ServeState serveState = ServeState.IDLE;
-    // Why no more requests are read; the last response if none was given.
+    // Why no further request is read, null before; becomes the last response if none has been written.
     private RequestFraming.Problem inputClosedReason;
-    private Runnable clientClosedCallback; // to be run if the client leaves; null while no response is pending
-    private ResponseStreamer streamer; // until the last byte of a long response
-    private long maxDrainedBytes = DEFAULT_MAX_DRAINED_BYTES; // behind the last response
+    private Runnable clientClosedCallback; // runs if the client disconnects; null while no response is pending
+    private ResponseStreamer streamer; // of a long response until its last byte; else null
+    private long maxDrainedBytes = DEFAULT_MAX_DRAINED_BYTES; // after the last response
     private int unflushedResponses;
     private String closeReason = CLOSED_BY_PEER;
 
@@ -62,12 +62,12 @@
         return permit;
     }
 
-    /** Whether part of a request has arrived, and not the rest. */
+    /** Whether a request has been received in part and no other request is being served. */
     boolean hasPartialRequest() {
         return receiveProgress.isReceiving() && serveState == ServeState.IDLE;
     }
 
-    /** Whether a response has not been sent completely. */
+    /** Whether a response has not been written to the socket completely. */
     boolean hasUnsentResponse() {
         return streamer != null || unflushedResponses > 0;
     }
@@ -76,9 +76,9 @@
         return streamer != null;
     }
 
-    /** Closes the connection as the connection budget or the life cycle demands. */
+    /** Closes the connection on behalf of the connection budget or the life cycle. */
     void close() {
-        close("budget");
+        close("connection budget or life cycle");
     }
 
     private void close(String reason) {
@@ -95,12 +95,12 @@
         listener.reportViolation(violation, channel.toString());
     }
 
-    /** Why the connection was closed; the peer did so where nobody here has. */
+    /** Why the connection was closed: by the peer, unless this process closed it for another reason. */
     String closeReason() {
         return closeReason;
     }
 
-    /** Ends what takes too long. */
+    /** Responds to, aborts or closes whatever exceeds its timeout. */
     void checkTimeouts(long nowNanos) {
         boolean readable = !input.isPaused() && input.isAutoRead();
         if (serveState != ServeState.CLOSING
@@ -115,22 +115,22 @@
                 abortStream();
             }
         } else if (timeouts.isReadOverdue(channel.isWritable(), nowNanos)) {
-            close("response not read");
+            close("response not read by client");
         }
     }
 
-    // The client can't take what it gets for complete, and nobody wants the rest.
+    // The client cannot mistake the truncated message for a complete one; the rest of the body is cancelled.
     private void abortStream() {
         if (streamer != null) {
             ResponseStreamer aborted = streamer;
             aborted.cancelSource();
             streamFailed(aborted);
         } else {
-            close("no progress");
+            close("request body stalled");
         }
     }
 
-    /** The connection has been closed, whoever did it. */
+    /** Called after the connection has been closed by either side. */
     void onClosed() {
         abandonPendingResponse();
         input.discardBuffered();
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Bytes have been read and are about to be handled: the connection is not idle, and its time runs. */
+    /** Called before input is handled: the connection is not idle any more, and the receive timeout starts. */
     void bytesArrived() {
         listener.bytesRead();
         if (!receiveProgress.isReceiving() && serveState != ServeState.CLOSING && !input.isStreaming()) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Reads what has arrived by now: see {@link ConnectionInput#readNow}. */
+    /** Reads all input that has been received; see {@link ConnectionInput#readNow}. */
     void readNow() {
         input.readNow();
     }
@@ -183,17 +183,17 @@
         receiveProgress.requestReceived();
         if (permit.isClosing()) {
             RequestQueue.cancelUnstarted(request.bodyStream());
-            return; // behind the last response: the client retries elsewhere
+            return; // after the last response: the client retries on another connection
         }
         listener.budget().requestReceived(permit, System.nanoTime());
         queue.reserve(request);
-        if (queue.isFull()) { // in what had been read already
+        if (queue.isFull()) { // this request had been read before input was paused
             queue.release(request);
             onMalformed(HttpResponseStatus.BAD_REQUEST, ConnectionInput.TOO_MANY_PIPELINED);
         } else if (serveState != ServeState.IDLE || !channel.isWritable()) {
             queue.add(request);
             if (queue.isFull()) {
-                input.pause(); // what follows waits until responses have left
+                input.pause(); // until the pipelined requests have been served
             }
         } else {
             serve(request);
@@ -211,10 +211,10 @@
         }
     }
 
-    // Guards against a second response: a request that has been handed over gets this one and no other.
+    // Prevents a second response: a request that has been dispatched gets this response and no other.
     @Override
     public void onStreamBroken(HttpResponseStatus status, String reason) {
-        if (!queue.isEmpty()) { // it is not being served yet
+        if (!queue.isEmpty()) { // the request is not being served yet
             queue.releaseLast();
             input.stopAggregating();
             onMalformed(status, reason);
@@ -222,13 +222,13 @@
         }
         abandonPendingResponse();
         if (streamer != null) {
-            abortStream(); // its response has begun
+            abortStream(); // the response has begun
         } else {
             refuse(status, reason);
         }
     }
 
-    /** Refuses the request that is being served, and with it all that the client sent behind it. */
+    /** Refuses the request that is being served, and drops all requests that the client has sent after it. */
     void refuse(HttpResponseStatus status, String reason) {
         queue.releasePipelined();
         if (inputClosedReason == null) {
@@ -237,16 +237,16 @@
         respondLast(status, reason);
     }
 
-    // Guards against hundreds of requests sent at once behind a bad one: they are not even decoded.
+    // Hundreds of requests may follow a malformed one: they are discarded without being decoded.
     private void closeInput(HttpResponseStatus status, String reason) {
         input.discardAll();
         inputClosedReason = new RequestFraming.Problem(status, reason);
     }
 
-    /** So many bytes were read since no further request is. */
+    /** Called with the total number of bytes that were discarded after the last request. */
     void inputDiscarded(long bytes) {
         if (serveState == ServeState.CLOSING && bytes > maxDrainedBytes) {
-            close("too much behind the last response");
+            close("too much input after the last response");
         }
     }
 
@@ -271,7 +271,7 @@
         listener.requestHandler().handle(this, request);
     }
 
-    /** A response is pending from here on; {@code onClose} runs if the client leaves before it. */
+    /** Marks a response as pending; {@code onClose} runs if the client disconnects before it is written. */
     void awaitResponse(Runnable onClose) {
         clientClosedCallback = onClose;
     }
@@ -283,12 +283,11 @@
     /**
      * Writes the response to the request that is being served.
      *
-     * @param keepAlive whether the client wants to use the connection for another request; it may be closed all
-     *     the same
+     * @param keepAlive whether the client allows the connection to stay open; it may be closed nevertheless
      */
     void respond(FinalResponse response, boolean keepAlive) {
         clientClosedCallback = null;
-        // A client may write all of a long body before it reads.
+        // A client may send its whole long body before it reads the response.
         maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : DEFAULT_MAX_DRAINED_BYTES;
         queue.releaseServed();
         boolean moreInput = hasMoreInput();
@@ -309,33 +308,33 @@
         return keepAlive && listener.keepsConnections() && !input.isStreaming();
     }
 
-    // In this state already while the response is written: what had been read behind it is not looked at.
+    // Done before the response is written, so that input which was read after the request is not decoded.
     private void closeInputAfterLast(HttpResponseStatus status) {
         if (inputClosedReason == null) {
-            inputClosedReason = new RequestFraming.Problem(status, "over");
+            inputClosedReason = new RequestFraming.Problem(status, "closing after the last response");
             input.discardAll();
         }
     }
 
-    // The last byte of a response has been written.
+    // Called when the last byte of a response has been passed to the channel.
     private void responseWritten(ChannelFuture written, boolean staysOpen, boolean moreInput) {
         unflushedResponses++;
         written.addListener(done -> unflushedResponses--);
         if (!staysOpen) {
-            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            // An immediate close with unread input would reset the connection before the client reads the response.
             serveState = ServeState.CLOSING;
             written.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
             return;
         }
         serveState = ServeState.IDLE;
         if (moreInput && inputClosedReason == null && !receiveProgress.isReceiving() && queue.isEmpty()) {
-            receiveProgress.receiveStarted(); // the beginning of the next one: its time runs from here
+            receiveProgress.receiveStarted(); // the next request has begun; its timeout starts now
             timeouts.receiveStarted(System.nanoTime());
         }
         scheduleNext();
     }
 
-    /** Begins a long response: its head and the bytes that are there; the rest follows as the client reads it. */
+    /** Writes the head and the first bytes of a long response; the rest is streamed as the client reads it. */
     void streamResponse(UpstreamResponse response, boolean keepAlive, boolean http10) {
         clientClosedCallback = null;
         queue.releaseServed();
@@ -346,7 +345,7 @@
         streamer.start(ResponseHeads.streamed(response, selfDelimited, mayStayOpen), response.body());
     }
 
-    /** All of a long response has arrived. */
+    /** Called when a long response has been received completely from the upstream. */
     void streamCompleted(ResponseStreamer completed) {
         if (streamer != completed) {
             return;
@@ -361,17 +360,17 @@
         responseWritten(completed.writeEnd(), staysOpen, moreInput);
     }
 
-    /** The rest of a long response will never arrive: a reset keeps the client from taking it for complete. */
+    /** Called when the rest of a long response is lost; a TCP reset tells the client that it is incomplete. */
     void streamFailed(ResponseStreamer failed) {
         if (streamer == failed) {
             streamer = null;
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
-            close("response broken off");
+            close("response stream failed");
         }
     }
 
-    // Later, and not from within: many pipelined requests that are answered at once would fill the stack, and
-    // keep all other clients waiting.
+    // As a separate task: with many pipelined requests that are answered immediately, recursion would overflow the
+    // stack and delay all other clients.
     private void scheduleNext() {
         if (serveState == ServeState.IDLE && (inputClosedReason != null || !queue.isEmpty())) {
             serveState = ServeState.SERVING;
@@ -389,8 +388,8 @@
         } else if (inputClosedReason != null) {
             respondLast(inputClosedReason.status(), inputClosedReason.text());
         }
-        if (input.isPaused() && queue.isEmpty()) { // one read may bring as many more
-            timeouts.receiveStarted(System.nanoTime()); // what had begun to arrive was kept waiting here
+        if (input.isPaused() && queue.isEmpty()) { // one read may contain as many requests again
+            timeouts.receiveStarted(System.nanoTime()); // a partial request was held back by this process
             input.resume();
         }
         if (!input.isAutoRead() && !input.isStreaming()) {
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -32,18 +32,18 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * The listener for clients over HTTP/1.1: accepts their connections, keeps them, and closes those that take or rest
- * too long. All of it runs on the event loop but {@link #listen}.
+ * The listener for clients over HTTP/1.1: accepts connections, tracks them, and closes those that exceed a timeout or
+ * are idle for too long. All methods except {@link #listen} must be called on the event loop.
  */
 public final class Http1Listener {
     private static final int BACKLOG = 1024;
-    private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200; // between checks of the connections' time limits
+    private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200; // between checks of the timeouts of all connections
     private static final int MIN_READ_BYTES = 64;
     private static final int INITIAL_READ_BYTES = 2_048;
     private static final int MAX_READ_BYTES = 32 << 10;
-    private static final int MAX_READS_PER_PASS = 4; // none keeps the others waiting
+    private static final int MAX_READS_PER_PASS = 4; // no connection delays the reads of the others
     private static final int MAX_IDLE_CLOSES_PER_TASK = 8; // in one task of the event loop
-    private static final long MAX_UNSUBSCRIBED_BODY_BYTES = 2 << 20; // of long bodies that wait for their attempts
+    private static final long MAX_UNSUBSCRIBED_BODY_BYTES = 2 << 20; // of long bodies that no attempt reads yet
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
@@ -51,20 +51,20 @@
     private final Consumer<String> log;
     private final BodyMemoryBudget bodyMemory;
     private final BodyMemoryBudget unsubscribedBodyMemory = new BodyMemoryBudget(MAX_UNSUBSCRIBED_BODY_BYTES);
-    private final Set<Http1ClientConnection> connections = new LinkedHashSet<>(); // the oldest first
+    private final Set<Http1ClientConnection> connections = new LinkedHashSet<>(); // oldest first
     private final LifeCycle lifeCycle;
     private final Http1RequestHandler requestHandler;
     private final ConnectionAdmission admission;
-    private boolean idleCloseScheduled; // more idle connections are about to be closed
+    private boolean idleCloseScheduled; // a task that closes further idle connections is scheduled
     private long acceptedConnections;
     private long readCount;
-    private String alternativeService; // another protocol at which clients may ask, or null
+    private String alternativeService; // the Alt-Svc value, which advertises another protocol; or null
 
     /**
-     * A listener that is not bound yet.
+     * Creates a listener that is not bound yet.
      *
-     * @param bodyMemory what the buffered bodies of all clients may take together
-     * @param log takes a line for the operators; must not block
+     * @param bodyMemory the limit on the memory of the buffered bodies of all clients
+     * @param log receives log lines; must not block
      */
     public Http1Listener(
             EventLoop loop,
@@ -85,12 +85,12 @@
     }
 
     /**
-     * Listens; called from another thread than the loop's.
+     * Starts listening. Must not be called on the event loop.
      *
-     * @param address where to listen; not used with an inherited socket
-     * @param inherited a listening socket that other processes accept from as well, in place of an own one; or null
-     * @return the address in use
-     * @throws IOException if the calling thread is interrupted; what binding fails with is thrown as it is
+     * @param address the address to bind; ignored with an inherited socket
+     * @param inherited a listening socket that is shared with other processes, to use instead of a new one; or null
+     * @return the bound address
+     * @throws IOException if the calling thread is interrupted; an exception of the bind is thrown unchanged
      */
     public InetSocketAddress listen(InetSocketAddress address, ServerSocketChannel inherited) throws IOException {
         boolean shared = inherited != null;
@@ -103,7 +103,7 @@
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while binding the HTTP/1.1 listener");
         }
     }
 
@@ -111,8 +111,9 @@
         return new ServerBootstrap()
                 .group(loop, loop)
                 .channelFactory(() -> AcceptingChannel.of(inherited, admission))
-                // Known before it listens: on a slow machine a connection came in before bind had returned
-                // to the starting thread, found no listener, and was dropped unanswered.
+                // Registered before the socket listens: on a slow machine a client connected before bind had
+                // returned to the starting thread; there was no listener yet, and the connection was dropped
+                // without a response.
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -139,9 +140,9 @@
     }
 
     /**
-     * Listens for a warm-up at a socket of the file system as well.
+     * Also listens at a Unix domain socket, for the warm-up.
      *
-     * @param onBound gets the listening channel, or null if it can't listen; on the event loop
+     * @param onBound receives the listening channel, or null if the bind failed; runs on the event loop
      */
     public void listenForWarmUp(Path path, Consumer<Channel> onBound) {
         ChannelFuture bound = new ServerBootstrap()
@@ -149,28 +150,28 @@
                 .channel(NioServerDomainSocketChannel.class)
                 .childHandler(connectionInitializer())
                 .bind(UnixDomainSocketAddress.of(path));
-        // On the loop: a socket that can't be created is reported on another thread.
+        // Switches to the event loop: the failure to create a socket is reported on another thread.
         bound.addListener(done -> loop.execute(() -> onBound.accept(done.isSuccess() ? bound.channel() : null)));
     }
 
-    /** Serves a warm-up's requests as well; null when it is over. */
+    /** Also serves the requests of a warm-up from now on; null ends the warm-up. */
     public void setWarmUp(WarmUpRequests requests) {
         requestHandler.setWarmUp(requests);
         admission.setWarmingUp(requests != null);
     }
 
-    /** Other settings hold for the requests from here on. */
+    /** Replaces the settings for all further requests. */
     public void reload(SettingsReader.Boot settings) {
         requestHandler.reload(settings);
     }
 
-    /** Accepts connections or not as the life cycle says by now, and closes those that have been idle too long. */
+    /** Applies the state of the life cycle: pauses or resumes accepting, and closes connections idle for too long. */
     public void applyLifeCycle() {
         admission.update();
         closeIdle();
     }
 
-    // A few at a time: what has arrived meanwhile is read between them, and not cut off.
+    // A few at a time: requests that have been received meanwhile are read between two tasks and are not cut off.
     private void closeIdle() {
         long nowNanos = System.nanoTime();
         long maxIdleNanos = lifeCycle.maxIdleTime(nowNanos);
@@ -192,7 +193,7 @@
     }
 
     /**
-     * From here on responses advertise another protocol's address as well (Alt-Svc, RFC 7838).
+     * Sets the address of another protocol that responses advertise from now on (Alt-Svc, RFC 7838).
      *
      * @param service the value of the field; null for none
      */
@@ -200,17 +201,17 @@
         alternativeService = service;
     }
 
-    /** Accepts no more connections. A socket that other processes listen at as well stays open, unread. */
+    /** Stops accepting for good. A socket that is shared with other processes is not closed, only no longer read. */
     public void stopAccepting() {
         admission.stopAccepting();
     }
 
-    /** Whether a long response is on its way. */
+    /** Whether a connection is streaming a long response. */
     public boolean isStreamingResponse() {
         return connections.stream().anyMatch(Http1ClientConnection::isStreamingResponse);
     }
 
-    /** How the connections stand, for a process that is to end and has so many responses to give. */
+    /** Observes the connections for the shutdown of a process that still owes {@code pendingResponses} responses. */
     public ShutdownDrain.Observation observe(int pendingResponses) {
         int partialRequests = 0;
         int idle = 0;
@@ -224,7 +225,7 @@
                 acceptedConnections, readCount, pendingResponses, partialRequests, idle, unsentResponses);
     }
 
-    /** How many connections clients hold here. */
+    /** The number of open client connections. */
     public int connectionCount() {
         return connections.size();
     }
@@ -261,7 +262,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- for its connections
+    // ---------------------------------------------------------------- called by the connections
 
     ConnectionPermit openPermit(Http1ClientConnection connection, Channel channel) {
         return budget.openClient(ClientAddress.key(channel.remoteAddress()), 1, connection::close, System.nanoTime());
@@ -271,12 +272,12 @@
         return budget;
     }
 
-    /** The memory of buffered bodies, until their requests are answered. */
+    /** The memory budget of buffered bodies, which are held until their requests are answered. */
     BodyMemoryBudget bodyMemory() {
         return bodyMemory;
     }
 
-    /** The memory of long bodies that nobody has subscribed to yet. */
+    /** The memory budget of long bodies that have no subscriber yet. */
     BodyMemoryBudget unsubscribedBodyMemory() {
         return unsubscribedBodyMemory;
     }
@@ -285,7 +286,7 @@
         return requestHandler;
     }
 
-    /** Whether connections may stay open behind a response. */
+    /** Whether connections may stay open after a response. */
     boolean keepsConnections() {
         return lifeCycle.keepsConnections();
     }
--- a/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -14,8 +14,8 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Decides what a decoded request is for: the readiness path, this process's own warm-up, or the dispatcher. On
- * the event loop.
+ * Routes a decoded request to the management paths, to the warm-up of this process, or to the dispatcher. Must be used
+ * on the event loop.
  */
 final class Http1RequestHandler {
     private static final int WARM_UP_BODY_BYTES = 256;
@@ -23,7 +23,7 @@
     private final Dispatcher dispatcher;
     private final LifeCycle lifeCycle;
     private SettingsReader.Boot settings;
-    private WarmUpRequests warmUp; // null when it is over
+    private WarmUpRequests warmUp; // null outside the warm-up
 
     Http1RequestHandler(Dispatcher dispatcher, LifeCycle lifeCycle, SettingsReader.Boot settings) {
         this.dispatcher = dispatcher;
@@ -31,17 +31,17 @@
         this.settings = settings;
     }
 
-    /** Other settings hold for the requests from here on. */
+    /** Replaces the settings for all further requests. */
     void reload(SettingsReader.Boot newSettings) {
         settings = newSettings;
     }
 
-    /** Serves a warm-up's requests as well; null when it is over. */
+    /** Also serves the requests of a warm-up from now on; null ends the warm-up. */
     void setWarmUp(WarmUpRequests requests) {
         warmUp = requests;
     }
 
-    /** Responds to a request, at once or when the dispatcher does. */
+    /** Responds to a request, either immediately or when the dispatcher provides a response. */
     void handle(Http1ClientConnection connection, ReceivedRequest request) {
         HttpRequest head = request.head();
         boolean keepAlive = HttpUtil.isKeepAlive(head);
@@ -58,7 +58,7 @@
         }
     }
 
-    // What this process says as its own upstream.
+    // During the warm-up this process acts as its own upstream; this is the response of that upstream.
     private static FinalResponse warmUpResponse(boolean declined) {
         byte[] body = new byte[WARM_UP_BODY_BYTES];
         return declined
@@ -82,7 +82,7 @@
         boolean isWarmUp = path.equals(WarmUpRequests.PATH);
         Dispatcher target = isWarmUp ? warmUp.dispatcher() : dispatcher;
         if (target.isOpen(request.id())) {
-            // An upstream could not tell the two apart, and might answer one with the other's response.
+            // An upstream could not distinguish the two requests, and might send the response to one for the other.
             connection.refuse(HttpResponseStatus.CONFLICT, FinalResponse.DUPLICATE_REQUEST_ID);
             return;
         }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
@@ -5,7 +5,7 @@
 import loadbalancer.proxy.ResponseWriter;
 import loadbalancer.proxy.UpstreamResponse;
 
-/** The final response to one request; the dispatcher gives it once. On the event loop. */
+/** Writes the final response to one request, exactly once. Must be used on the event loop. */
 final class Http1ResponseWriter implements ResponseWriter {
     private final Http1ClientConnection connection;
     private final boolean keepAlive;
@@ -18,7 +18,7 @@
         this.http10 = http10;
     }
 
-    /** Whether the response has been given. */
+    /** Whether the final response, or the beginning of a streamed one, has been written. */
     boolean hasResponded() {
         return responded;
     }
--- a/src/main/java/loadbalancer/downstream/http1/InputDrain.java
+++ b/src/main/java/loadbalancer/downstream/http1/InputDrain.java
@@ -6,9 +6,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Takes the decoder's place once no further request is read, and discards what the client still sends. Without
- * it the connection would be closed with bytes unread, and a TCP reset could destroy the last response before
- * the client has read it (RFC 9112, section 9.6). On the event loop.
+ * Replaces the decoder once no further request is decoded, and discards all further input of the client. Without this
+ * handler the connection would be closed while input is unread, and the resulting TCP reset could discard the last
+ * response before the client has read it (RFC 9112, section 9.6). Must be used on the event loop.
  */
 final class InputDrain extends ChannelInboundHandlerAdapter {
     private final Http1ClientConnection connection;
--- a/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
+++ b/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
@@ -7,9 +7,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Buffers what a client sends while it has pipelined as many requests as are taken. The connection is still read:
- * with reading off its end would not be seen either, and requests whose client had left would be forwarded. On
- * the event loop.
+ * Buffers the input of a client that has reached the limit of pipelined requests. The connection is still read: with
+ * reading off, the close of the connection would not be noticed either, and requests of a client that has disconnected
+ * would be forwarded. Must be used on the event loop.
  */
 final class PipeliningLimiter extends ChannelInboundHandlerAdapter {
     private final int maxBufferedBytes;
@@ -19,7 +19,7 @@
     private int bufferedBytes;
     private boolean paused;
 
-    /** {@code onOverflow} runs where more than {@code maxBufferedBytes} would have to be buffered. */
+    /** {@code onOverflow} runs if more than {@code maxBufferedBytes} would have to be buffered. */
     PipeliningLimiter(int maxBufferedBytes, Runnable onOverflow) {
         this.maxBufferedBytes = maxBufferedBytes;
         this.onOverflow = onOverflow;
@@ -29,12 +29,12 @@
         return paused;
     }
 
-    /** Buffers what arrives from here on. */
+    /** Buffers all input from now on. */
     void pause() {
         paused = true;
     }
 
-    /** Hands on what was buffered, as far as it is not paused once more meanwhile. */
+    /** Passes the buffered input on, until the handler is paused again. */
     void resume() {
         paused = false;
         boolean hadBuffered = !buffered.isEmpty();
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Discards the buffer, and hands on at once what arrives from here on. */
+    /** Discards the buffered input, and passes further input on without buffering. */
     void discardBuffered() {
         paused = false;
         buffered.forEach(ReferenceCountUtil::release);
--- a/src/main/java/loadbalancer/downstream/http1/ReadTracker.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReadTracker.java
@@ -4,8 +4,8 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * The first handler of a connection: counts the reads, knows whether one is being handled, and reports that bytes
- * have arrived before any other handler sees them. On the event loop.
+ * The first handler of a connection: counts the reads, tracks whether a read is being handled, and notifies the
+ * connection of each read before any other handler processes it. Must be used on the event loop.
  */
 final class ReadTracker extends ChannelInboundHandlerAdapter {
     private final Http1ClientConnection connection;
@@ -16,12 +16,12 @@
         this.connection = connection;
     }
 
-    /** Reads so far. */
+    /** The number of reads so far. */
     long readCount() {
         return readCount;
     }
 
-    /** Whether it is called from within a read. */
+    /** Whether the caller runs within the handling of a read. */
     boolean isReading() {
         return reading;
     }
--- a/src/main/java/loadbalancer/downstream/http1/ReceiveProgress.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReceiveProgress.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.downstream.http1.ConnectionTimeouts.ReceiveState;
 
-/** How much of the request that a client is sending at present has arrived. On the event loop. */
+/** Tracks how much of the current request of a client has been received. Must be used on the event loop. */
 final class ReceiveProgress {
     private ReceiveState state = ReceiveState.IDLE;
     private ReceiveState stateOfNextBytes = ReceiveState.HEAD;
@@ -11,29 +11,29 @@
         return state;
     }
 
-    /** Whether part of a request has arrived, and not the rest. */
+    /** Whether a request has been received in part. */
     boolean isReceiving() {
         return state != ReceiveState.IDLE;
     }
 
-    /** The first bytes of a request have arrived, or further ones behind a malformed one. */
+    /** Called for the first bytes of a request, and for bytes after a malformed request. */
     void receiveStarted() {
         state = stateOfNextBytes;
     }
 
-    /** The head is complete. */
+    /** Called when the head has been received completely. */
     void headReceived() {
         state = ReceiveState.BODY;
     }
 
-    /** The request is complete, or its body is streamed from here on. */
+    /** Called when the request has been received completely, or when its body is streamed from now on. */
     void requestReceived() {
         state = ReceiveState.IDLE;
     }
 
     /**
-     * The request is malformed, and nothing behind it is read as a request. What arrives then still belongs to it:
-     * to its body, and has the time of a body, where its head was complete.
+     * Called when the request is malformed; nothing after it is decoded as a request. Further input counts as part of
+     * the malformed request: if the head was complete, the input counts as its body and gets the timeout of a body.
      */
     void malformed() {
         if (state != ReceiveState.IDLE) {
--- a/src/main/java/loadbalancer/downstream/http1/ReceivedRequest.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReceivedRequest.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import loadbalancer.proxy.BodyStream;
 
-/** A request that can be served. */
+/** A well-formed request that has been received completely, or up to a part of its body. */
 final class ReceivedRequest {
     private final HttpRequest head;
     private final byte[] body;
@@ -17,23 +17,23 @@
         this.contentLength = contentLength;
     }
 
-    /** A request that has arrived completely; {@code body} must not be changed. */
+    /** Creates a request that has been received completely; {@code body} must not be modified. */
     static ReceivedRequest complete(HttpRequest head, byte[] body) {
         return new ReceivedRequest(head, body, null, body.length);
     }
 
     /**
-     * A request whose body is still arriving.
+     * Creates a request whose body is still being received.
      *
-     * @param firstBytes what is there of the body; must not be changed
-     * @param bodyStream what follows behind {@code firstBytes}
-     * @param contentLength bytes of both; -1 if unknown
+     * @param firstBytes the bytes of the body received so far; must not be modified
+     * @param bodyStream the rest of the body, after {@code firstBytes}
+     * @param contentLength bytes of the whole body; -1 if unknown
      */
     static ReceivedRequest streamed(HttpRequest head, byte[] firstBytes, BodyStream bodyStream, long contentLength) {
         return new ReceivedRequest(head, firstBytes, bodyStream, contentLength);
     }
 
-    /** The request line and the fields. */
+    /** The request line and the header fields. */
     HttpRequest head() {
         return head;
     }
@@ -43,12 +43,12 @@
         return body;
     }
 
-    /** What follows behind {@link #body}; null where that is complete. */
+    /** The rest of the body after {@link #body}; null if that is complete. */
     BodyStream bodyStream() {
         return bodyStream;
     }
 
-    /** Bytes of the complete body; -1 if unknown. */
+    /** Bytes of the whole body; -1 if unknown. */
     long contentLength() {
         return contentLength;
     }
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -19,23 +19,24 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * Puts the parts of a client's requests together, copied off the socket's buffers: short ones complete, long ones as
- * a head and a stream. What is too long, or framed in a way that other readers may understand differently, is
- * reported as soon as that shows, and none of it is kept. On the event loop.
+ * Assembles the requests of a client from their decoded parts, which are copied out of Netty's buffers: a short request
+ * is passed on complete, a long one as a head and a body stream. A request that is too long, or whose framing other
+ * recipients may interpret differently, is reported as soon as this is detected, and is not buffered. Must be used on
+ * the event loop.
  */
 final class RequestAggregator extends SimpleChannelInboundHandler<HttpObject> {
-    /** Gets the requests. After {@link #onMalformed} or {@link #onStreamBroken} there are no more. */
+    /** Receives the requests. No request follows {@link #onMalformed} or {@link #onStreamBroken}. */
     interface Listener {
-        /** A well-formed head has arrived; its body follows. */
+        /** A well-formed head has been received; its body follows. */
         void onHead(HttpRequest head);
 
-        /** A request has arrived: a short one completely, a long one with the first bytes of its body. */
+        /** A request has been received: a short one completely, a long one with the first bytes of its body. */
         void onRequest(ReceivedRequest request);
 
-        /** What arrives is no request that can be served. */
+        /** The input is not a request that can be served. */
         void onMalformed(HttpResponseStatus status, String reason);
 
-        /** The body that was reported last as a stream is malformed or too long. */
+        /** The streamed body of the request that was reported last is malformed or too long. */
         void onStreamBroken(HttpResponseStatus status, String reason);
     }
 
@@ -44,11 +45,11 @@
     private final BodyMemoryBudget unsubscribedBodyMemory;
     private HttpRequest head;
     private byte[] body;
-    private int bodyLength; // bytes of the body so far
+    private int bodyLength; // bytes of the body received so far
     private boolean stopped;
-    private StreamedBody stream; // of a long body, until its last byte
+    private StreamedBody stream; // of a long body, until its last byte has been received
 
-    /** {@code unsubscribedBodyMemory}: what long bodies may take together that nobody has subscribed to yet. */
+    /** {@code unsubscribedBodyMemory}: the limit on the memory of all long bodies that have no subscriber yet. */
     RequestAggregator(Listener listener, BodyMemoryBudget bodyMemory, BodyMemoryBudget unsubscribedBodyMemory) {
         this.listener = listener;
         this.bodyMemory = bodyMemory;
@@ -116,7 +117,7 @@
         }
         if (bodyLength + bytes > ProxyRequest.BODY_MOST) {
             startStream(channel, -1);
-            if (stream != null) { // not refused at once
+            if (stream != null) { // the request was not refused immediately
                 stream.append(content, false);
             }
             return;
@@ -146,12 +147,12 @@
         listener.onRequest(ReceivedRequest.streamed(request, firstBytes, stream, contentLength));
     }
 
-    /** Whether the last byte of a long body has not arrived yet. */
+    /** Whether a long body is being received. */
     boolean isStreaming() {
         return stream != null;
     }
 
-    /** Bytes of the present long body so far. */
+    /** Bytes of the current long body received so far; 0 without one. */
     long streamedBytes() {
         return stream == null ? 0 : stream.receivedBytes;
     }
@@ -165,7 +166,7 @@
         listener.onMalformed(status, reason);
     }
 
-    /** Discards everything, now and from here on. */
+    /** Discards the current request and all further input. */
     void stop() {
         stopped = true;
         if (head != null) {
@@ -181,9 +182,9 @@
     }
 
     /**
-     * The rest of a long body. Until it has a subscriber it is read on while there is capacity: with reading off
-     * the end of its connection would not be seen either, and a request that waited for its attempt would be
-     * forwarded although its client had left.
+     * The rest of a long body. While the body has no subscriber, the connection is read as long as there is memory:
+     * with reading off, the close of the connection would not be noticed either, and a request that waits for its
+     * attempt would be forwarded although its client has disconnected.
      */
     private final class StreamedBody extends BodyReader {
         private final ArrayDeque<byte[]> buffered = new ArrayDeque<>();
@@ -213,7 +214,7 @@
             cancelled = true;
             buffered.clear();
             releaseReserved();
-            setReady(true); // its client may have to finish before it reads
+            setReady(true); // the client may read the response only after it has sent the whole body
         }
 
         private void releaseReserved() {
--- a/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestFraming.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import loadbalancer.proxy.ProxyRequest;
 
-/** Checks that every reader finds the same end of a request (RFC 9112, section 6). */
+/** Checks that all recipients agree on where a request ends (RFC 9112, section 6). */
 final class RequestFraming {
-    /** Why a request is refused: the status and the text of its response. */
+    /** Why a request is refused: the status and the text of the response. */
     record Problem(HttpResponseStatus status, String text) {}
 
     private RequestFraming() {}
 
-    /** What is wrong with the framing of a request; null if nothing is. */
+    /** Returns the reason to refuse a request; null if its framing is valid. */
     static Problem check(HttpRequest request) {
         List<String> transferCodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked =
--- a/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
@@ -5,16 +5,17 @@
 import loadbalancer.proxy.BodyStream;
 
 /**
- * The requests of one connection that have been received and not answered: the one that is being served, and those
- * pipelined behind it (RFC 9112, section 9.3.2). Keeps account of the memory of their bodies. On the event loop.
+ * The requests of one connection that have been received and not answered: the request that is being served, and the
+ * pipelined requests after it (RFC 9112, section 9.3.2). Reserves and releases the memory of their bodies. Must be used
+ * on the event loop.
  */
 final class RequestQueue {
     private static final int MAX_PIPELINED = 16;
 
     private final BodyMemoryBudget bodyMemory;
     private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
-    private int servedBodyBytes; // reserved for the request that is being served
-    private BodyStream servedBody; // of the request that is being served, if it is streamed
+    private int servedBodyBytes; // reserved for the body of the request that is being served
+    private BodyStream servedBody; // the streamed body of the request that is being served, or null
 
     RequestQueue(BodyMemoryBudget bodyMemory) {
         this.bodyMemory = bodyMemory;
@@ -25,12 +26,12 @@
         return pipelined.isEmpty();
     }
 
-    /** Whether as many requests are pipelined as are taken. */
+    /** Whether the limit of pipelined requests is reached. */
     boolean isFull() {
         return pipelined.size() >= MAX_PIPELINED;
     }
 
-    /** Reserves the memory of a request, which is added, served or released next. */
+    /** Reserves the memory for the body of a request that is added, served or released next. */
     void reserve(ReceivedRequest request) {
         bodyMemory.tryReserve(request.body().length);
     }
@@ -39,18 +40,18 @@
         pipelined.add(request);
     }
 
-    /** The next pipelined request, which is served next; null if there is none. */
+    /** Removes and returns the pipelined request to serve next; null if there is none. */
     ReceivedRequest poll() {
         return pipelined.poll();
     }
 
-    /** This request is being served from here on. */
+    /** Marks the request as the one that is being served. */
     void startServing(ReceivedRequest request) {
         servedBodyBytes = request.body().length;
         servedBody = request.bodyStream();
     }
 
-    /** Nothing of the request that was served is needed any more. */
+    /** Releases the body of the request that was being served. */
     void releaseServed() {
         bodyMemory.release(servedBodyBytes);
         servedBodyBytes = 0;
@@ -58,25 +59,25 @@
         servedBody = null;
     }
 
-    /** Drops a request that will not be served. */
+    /** Releases the body of a request that will not be served. */
     void release(ReceivedRequest unserved) {
         bodyMemory.release(unserved.body().length);
         cancelUnstarted(unserved.bodyStream());
     }
 
-    /** Drops the pipelined request that was received last. */
+    /** Removes and releases the pipelined request that was received last. */
     void releaseLast() {
         release(pipelined.removeLast());
     }
 
-    /** Drops all pipelined requests. */
+    /** Removes and releases all pipelined requests. */
     void releasePipelined() {
         while (!pipelined.isEmpty()) {
             release(pipelined.poll());
         }
     }
 
-    /** Cancels a body that nobody reads; null is none. */
+    /** Cancels a streamed body without a subscriber; does nothing for null. */
     static void cancelUnstarted(BodyStream body) {
         if (body != null && !body.started()) {
             body.cancel();
--- a/src/main/java/loadbalancer/downstream/http1/ResponseHeads.java
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseHeads.java
@@ -13,13 +13,13 @@
 import loadbalancer.downstream.FinalResponse;
 import loadbalancer.proxy.UpstreamResponse;
 
-/** Frames responses as HTTP/1.1 messages (RFC 9112, section 6). */
+/** Creates HTTP/1.1 messages with the framing of RFC 9112, section 6, from responses. */
 final class ResponseHeads {
     private static final String ALT_SVC = "Alt-Svc";
 
     private ResponseHeads() {}
 
-    /** The interim response that asks the client for the body (RFC 9110, section 15.2.1). */
+    /** The interim response (100 Continue) that asks the client for the body (RFC 9110, section 15.2.1). */
     static FullHttpResponse interimContinue() {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
     }
@@ -28,7 +28,7 @@
      * A complete response.
      *
      * @param alternativeService the value of Alt-Svc (RFC 7838), or null
-     * @param staysOpen whether the connection stays open; otherwise the head says that it closes
+     * @param staysOpen whether the connection stays open; otherwise the head contains {@code Connection: close}
      */
     static FullHttpResponse complete(FinalResponse response, String alternativeService, boolean staysOpen) {
         ByteBuf body = Unpooled.wrappedBuffer(response.body());
@@ -50,12 +50,12 @@
         return message;
     }
 
-    /** Whether the end of a streamed response shows without a close: HTTP/1.0 knows no chunks (RFC 9112, 6.1). */
+    /** Whether a streamed response can end without a close: HTTP/1.0 has no chunked coding (RFC 9112, 6.1). */
     static boolean isSelfDelimited(UpstreamResponse response, boolean http10) {
         return response.length() >= 0 || !http10;
     }
 
-    /** The head of a response whose body is streamed behind it. */
+    /** The head of a response with a streamed body. */
     static HttpResponse streamed(UpstreamResponse response, boolean selfDelimited, boolean keepAlive) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (response.type() != null) {
--- a/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
@@ -7,7 +7,8 @@
 import loadbalancer.proxy.BodyStream;
 
 /**
- * Passes a long response on to the client as it arrives, no faster than the client reads. On the event loop.
+ * Streams a long response to the client while it is received from the upstream, no faster than the client reads it.
+ * Must be used on the event loop.
  */
 final class ResponseStreamer implements BodyStream.Taker {
     private final Http1ClientConnection connection;
@@ -15,7 +16,7 @@
     private final boolean keepAlive;
     private final BodyWriter writer;
 
-    /** {@code keepAlive}: whether the connection may be used for another request behind this response. */
+    /** {@code keepAlive}: whether the connection may be used for another request after this response. */
     ResponseStreamer(Http1ClientConnection connection, Channel channel, BodyStream source, boolean keepAlive) {
         this.connection = connection;
         this.source = source;
@@ -23,13 +24,13 @@
         this.writer = new BodyWriter(channel);
     }
 
-    /** Writes the head and the bytes that are there, and subscribes to the rest. */
+    /** Writes the head and the first bytes of the body, and subscribes to the rest. */
     void start(HttpResponse head, byte[] firstBytes) {
         writer.begin(head, firstBytes);
         source.subscribe(this);
     }
 
-    /** A number that changes whenever bytes are written or leave. */
+    /** A number that changes whenever bytes are added to the write buffer or leave it for the network. */
     long progress() {
         return writer.progress();
     }
@@ -43,7 +44,7 @@
         source.setReady(ready);
     }
 
-    /** Tells the source that the rest is not wanted. */
+    /** Cancels the source: the rest of the body is not needed. */
     void cancelSource() {
         source.cancel();
     }
--- a/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/AcceptingChannelTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How many connections of those that wait are accepted in one pass over the sockets. */
+/** Tests how many waiting connections are accepted in one event loop iteration. */
 @Timeout(60)
 class AcceptingChannelTest {
     private static final int WAITING_CONNECTIONS = 6;
--- a/src/test/java/loadbalancer/downstream/http1/ConnectionTimeoutsTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/ConnectionTimeoutsTest.java
@@ -7,7 +7,7 @@
 import loadbalancer.downstream.http1.ConnectionTimeouts.ReceiveState;
 import org.junit.jupiter.api.Test;
 
-/** The time limits of a client's connection, without a connection. */
+/** Tests the timeouts of a client connection without a real connection. */
 class ConnectionTimeoutsTest {
     private static final long START_NANOS = 1_000;
 
@@ -35,10 +35,10 @@
     @Test
     void longBodyWithoutProgressStalls() {
         timeouts.streamStarted(START_NANOS);
-        assertFalse(timeouts.isStalled(10, false, nanosAfterStart(1_000)), "the first bytes");
+        assertFalse(timeouts.isStalled(10, false, nanosAfterStart(1_000)), "the first bytes are progress");
         assertFalse(timeouts.isStalled(10, false, nanosAfterStart(16_000)));
         assertTrue(timeouts.isStalled(10, false, nanosAfterStart(16_000) + 1));
-        assertFalse(timeouts.isStalled(11, false, nanosAfterStart(17_000)), "a byte of progress");
+        assertFalse(timeouts.isStalled(11, false, nanosAfterStart(17_000)), "one more byte is progress");
     }
 
     @Test
--- a/src/test/java/loadbalancer/downstream/http1/ReceiveProgressTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/ReceiveProgressTest.java
@@ -24,7 +24,7 @@
         assertEquals(ReceiveState.HEAD, progress.state());
     }
 
-    /** They counted as a new head, and so for 2.4 s in place of 2 s as a request that has come in part. */
+    /** Such bytes counted as a new head, and were waited for as a partial request for 2.4 s instead of 2 s. */
     @Test
     void bytesAfterAMalformedBodyGetTheBodyTimeout() {
         progress.receiveStarted();
@@ -43,7 +43,7 @@
         assertEquals(ReceiveState.HEAD, progress.state());
     }
 
-    /** A second time for the same request: as at the end of its time. */
+    /** The second report for the same request occurs, for example, when its timeout expires. */
     @Test
     void aMalformedBodyMayBeReportedTwice() {
         progress.receiveStarted();
@@ -54,7 +54,7 @@
         assertEquals(ReceiveState.BODY, progress.state());
     }
 
-    /** A whole request that is one too many: what follows it would have been a head. */
+    /** The complete request exceeds the pipelining limit; the bytes after it would have been the next head. */
     @Test
     void bytesAfterACompleteRequestGetTheHeadTimeout() {
         progress.receiveStarted();
--- a/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.proxy.BodyStream;
 import org.junit.jupiter.api.Test;
 
-/** How much of long request bodies is buffered before an attempt subscribes to them. */
+/** Tests how much of long request bodies is buffered before an attempt subscribes to them. */
 class RequestAggregatorTest {
     private static final int BODY_MEMORY_BYTES = 100_000;
 
@@ -57,11 +57,11 @@
     @Test
     void aLongBodyWithoutASubscriberIsReadWhileThereIsMemory() {
         EmbeddedChannel first = channelWithLongBody(60_000);
-        assertTrue(first.config().isAutoRead(), "its end has to be seen");
+        assertTrue(first.config().isAutoRead(), "the close of the connection must be noticed");
         EmbeddedChannel second = channelWithLongBody(60_000);
-        assertFalse(second.config().isAutoRead(), "no memory for as much");
+        assertFalse(second.config().isAutoRead(), "the memory does not suffice for both bodies");
         first.pipeline().get(RequestAggregator.class).stop();
-        assertTrue(unsubscribedBodyMemory.tryReserve(BODY_MEMORY_BYTES), "all is released");
+        assertTrue(unsubscribedBodyMemory.tryReserve(BODY_MEMORY_BYTES), "the whole memory must be released");
         assertFalse(unsubscribedBodyMemory.tryReserve(1));
     }
 
@@ -82,12 +82,12 @@
         });
         assertEquals(60_000, receivedBytes);
         appendToBody(channel, 90_000);
-        assertEquals(150_000, receivedBytes, "what follows is not buffered");
+        assertEquals(150_000, receivedBytes, "further bytes must not be buffered");
         channel.pipeline().get(RequestAggregator.class).stop();
         channelWithLongBody(60_000);
         bodyStream.cancel();
         bodyStream.cancel();
         assertTrue(unsubscribedBodyMemory.tryReserve(BODY_MEMORY_BYTES));
-        assertFalse(unsubscribedBodyMemory.tryReserve(1), "not more than was reserved");
+        assertFalse(unsubscribedBodyMemory.tryReserve(1), "only the reserved memory must be released");
     }
 }
