--- a/src/main/java/loadbalancer/downstream/ClientAddress.java
+++ b/src/main/java/loadbalancer/downstream/ClientAddress.java
@@ -4,17 +4,17 @@
 import java.net.SocketAddress;
 import loadbalancer.connections.ConnectionBudget;
 
-/** Under which key the connections of one client address are counted. */
+/** Computes the key under which the connections of one client address are counted. */
 public final class ClientAddress {
     private static final String UNKNOWN_ADDRESS_KEY = "unknown";
 
     private ClientAddress() {}
 
     /**
-     * The key of a remote address: see {@link ConnectionBudget#address}. All connections without an IP address,
-     * as those of a domain socket or those already closed, share one key.
+     * Returns the key of a remote address; see {@link ConnectionBudget#address}. All connections without an IP
+     * address, such as those over a Unix domain socket and those that are already closed, share one key.
      *
-     * @param remote the address, or null where it is not known any more
+     * @param remote the address, or null if it is no longer known
      */
     public static Object key(SocketAddress remote) {
         return remote instanceof InetSocketAddress address
--- a/src/main/java/loadbalancer/downstream/FinalResponse.java
+++ b/src/main/java/loadbalancer/downstream/FinalResponse.java
@@ -5,15 +5,15 @@
 import loadbalancer.proxy.UpstreamResponse;
 
 /**
- * The one final response to a request, before a protocol frames it: status, body and fields are the same
- * whatever protocol the client speaks.
+ * The final response to a request, independent of the protocol that encodes it: status, body and fields are the same
+ * for HTTP/1.1 and HTTP/3 clients.
  */
 public final class FinalResponse {
-    /** Requests to paths that begin so are for this process and are not forwarded. */
+    /** Prefix of the paths that this process answers itself; requests to them are not forwarded. */
     public static final String MANAGEMENT_PREFIX = "/-/";
-    /** Where health checks ask whether this process takes clients. */
+    /** The path at which health checks query whether this process accepts clients. */
     public static final String READINESS_PATH = "/-/ready";
-    /** The reason of a 409: an upstream could not tell two open requests with the same id apart. */
+    /** The text of a 409 response: an upstream could not distinguish two pending requests with the same id. */
     public static final String DUPLICATE_REQUEST_ID = "a request with this Req-Id is open";
 
     private static final String PLAIN_TEXT = "text/plain";
@@ -26,13 +26,14 @@
     private final String fieldValue;
 
     /**
-     * A response.
+     * Creates a response.
      *
      * @param status the status code (RFC 9110, section 15)
-     * @param body the complete content; must not be changed
+     * @param body the complete content; must not be modified
      * @param contentType the media type, or null for none
-     * @param fieldName one further field, in the case that HTTP/1.1 writes; used where {@code fieldValue} is set
-     * @param fieldValue the value of that field, or null for no such field
+     * @param fieldName the name of an additional field, in the letter case of HTTP/1.1; ignored if {@code fieldValue}
+     *     is null
+     * @param fieldValue the value of the additional field, or null for none
      */
     public FinalResponse(int status, byte[] body, String contentType, String fieldName, String fieldValue) {
         this.status = status;
@@ -42,16 +43,16 @@
         this.fieldValue = fieldValue;
     }
 
-    /** A complete upstream response that is passed on with its media type. */
+    /** A complete upstream response, forwarded with its media type. */
     public static FinalResponse served(UpstreamResponse response) {
         return new FinalResponse(200, response.body(), response.type(), null, null);
     }
 
     /**
-     * The request was not processed and may be retried.
+     * A response to a request that was not processed and may be retried.
      *
-     * @param retryAfterMicros the delay for Retry-After (RFC 9110, section 10.2.3), written in seconds; 0 or less
-     *     for none
+     * @param retryAfterMicros the delay that Retry-After (RFC 9110, section 10.2.3) states in seconds; 0 or less for
+     *     no such field
      */
     public static FinalResponse rejected(long retryAfterMicros) {
         String seconds =
@@ -60,17 +61,17 @@
                 503, textLine("refused: trying again is harmless"), PLAIN_TEXT, "Retry-After", seconds);
     }
 
-    /** The request failed; whether an upstream processed it is unknown. */
+    /** A response to a failed request; an upstream may have processed the request. */
     public static FinalResponse failed() {
         return text(502, "failed");
     }
 
-    /** A status with one line of plain text. */
+    /** A response with one line of plain text. */
     public static FinalResponse text(int status, String text) {
         return new FinalResponse(status, textLine(text), PLAIN_TEXT, null, null);
     }
 
-    /** The response to a request for a path with {@link #MANAGEMENT_PREFIX}. */
+    /** The response to a request whose path begins with {@link #MANAGEMENT_PREFIX}. */
     public static FinalResponse management(String method, String path, boolean ready) {
         if (!path.equals(READINESS_PATH) || !method.equals("GET")) {
             return text(404, "not found");
@@ -83,7 +84,7 @@
         return status;
     }
 
-    /** The complete content; not to be changed. */
+    /** The complete content; must not be modified. */
     public byte[] body() {
         return body;
     }
@@ -93,12 +94,12 @@
         return contentType;
     }
 
-    /** The name of one further field, in the case that HTTP/1.1 writes. */
+    /** The name of the additional field, in the letter case of HTTP/1.1. */
     public String fieldName() {
         return fieldName;
     }
 
-    /** The value of that field; null where there is no such field. */
+    /** The value of the additional field; null for none. */
     public String fieldValue() {
         return fieldValue;
     }
--- a/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
+++ b/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
@@ -10,12 +10,12 @@
 import loadbalancer.http3.RetryTokens;
 
 /**
- * Address validation by Retry packets (RFC 9000, section 8.1.2): new clients have to prove their address first
- * where {@link Http3ConnectionLimiter} says so. On the event loop.
+ * Address validation with Retry packets (RFC 9000, section 8.1.2): if {@link Http3ConnectionLimiter} requires address
+ * validation, a new client must prove first that it receives packets at its address. Must be used on the event loop.
  */
 final class AddressValidationHandler implements QuicTokenHandler {
     private static final int KEY_BYTES = 32;
-    private static final int INVALID_TOKEN = -1; // as the interface wants it
+    private static final int INVALID_TOKEN = -1; // the value that QuicTokenHandler specifies
 
     private final Http3ConnectionLimiter connectionLimiter;
     private final RetryTokens tokens;
--- a/src/main/java/loadbalancer/downstream/http3/DatagramCounter.java
+++ b/src/main/java/loadbalancer/downstream/http3/DatagramCounter.java
@@ -3,17 +3,20 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Counts the datagrams that are read from the socket, and knows whether a read is being handled. On the event loop. */
+/**
+ * Counts the datagrams that are read from the socket, and tracks whether a read is being handled. Must be used on the
+ * event loop.
+ */
 final class DatagramCounter extends ChannelInboundHandlerAdapter {
     private long count;
     private boolean reading;
 
-    /** Datagrams so far. */
+    /** The number of datagrams so far. */
     long count() {
         return count;
     }
 
-    /** Whether it is called from within a read. */
+    /** Whether the caller runs within the handling of a read. */
     boolean isReading() {
         return reading;
     }
--- a/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
@@ -20,12 +20,14 @@
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.UnhandledExceptionHandler;
 
-/** One connection of a client and its request streams (RFC 9114, section 6.1). On the event loop. */
+/**
+ * One QUIC connection of a client and its request streams (RFC 9114, section 6.1). Must be used on the event loop.
+ */
 final class Http3ClientConnection extends ChannelInboundHandlerAdapter {
-    // The greatest id of a stream that a client opens (RFC 9000, section 2.1), for a GOAWAY that rejects nothing.
+    // The highest possible id of a client-initiated stream (RFC 9000, section 2.1): a GOAWAY with it rejects nothing.
     private static final long MAX_CLIENT_STREAM_ID = (1L << 62) - 4;
-    private static final int STREAM_ID_STEP = 4; // between two bidirectional streams of a client
-    private static final double MAX_RESET_BURST = 100; // streams that the client ends before their responses
+    private static final int STREAM_ID_STEP = 4; // between the ids of two bidirectional streams of a client
+    private static final double MAX_RESET_BURST = 100; // streams that the client resets before their responses
     private static final double MAX_RESETS_PER_SECOND = 20;
 
     private final Http3Listener listener;
@@ -33,8 +35,8 @@
     private final Http3ConnectionLimiter.TrackedConnection trackedConnection;
     private final RapidResetGuard resetGuard;
     private final Set<Http3RequestStream> streams = new LinkedHashSet<>();
-    private long nextStreamId; // the lowest id that has not been seen
-    private long firstRejectedStreamId = Long.MAX_VALUE; // streams from here on are rejected
+    private long nextStreamId; // the lowest id of a stream that has not been opened yet
+    private long firstRejectedStreamId = Long.MAX_VALUE; // streams with this id or a higher one are rejected
     private boolean goAwayAfterHandshake;
     private boolean clientClosed;
 
@@ -63,7 +65,7 @@
         return new Http3ServerConnectionHandler(requestStreams, null, null, CodecErrors.settings(), true);
     }
 
-    /** Whether the limits admit it; otherwise it has no handlers and is to be closed. */
+    /** Whether the limits admit the connection; otherwise it has no handlers and the caller must close it. */
     boolean isAdmitted() {
         return trackedConnection != null;
     }
@@ -72,7 +74,7 @@
         return channel;
     }
 
-    /** Its place in the limits; null where it is not admitted. */
+    /** The entry of this connection in the connection limiter; null if the connection is not admitted. */
     Http3ConnectionLimiter.TrackedConnection trackedConnection() {
         return trackedConnection;
     }
@@ -81,7 +83,7 @@
         return listener;
     }
 
-    /** It was opened while the listener is draining: the client is notified once the handshake is done. */
+    /** Called for a connection that was opened while the listener drains: sends a GOAWAY after the handshake. */
     void openedWhileDraining() {
         goAwayAfterHandshake = true;
         firstRejectedStreamId = listener.isRejectingNewStreams() ? 0 : firstRejectedStreamId;
@@ -94,7 +96,7 @@
         }
         context.fireUserEventTriggered(event);
         if (event instanceof QuicConnectionCloseEvent) {
-            // Its streams close some round trips later, when the connection has drained (RFC 9000, 10.2.2).
+            // The streams close some round trips later, after the draining period (RFC 9000, section 10.2.2).
             clientClosed = true;
             List.copyOf(streams).forEach(Http3RequestStream::onClientClosed);
         }
@@ -116,36 +118,36 @@
         stream.pipeline().addLast(request);
     }
 
-    /** Whether the client has closed it; what is still read of its streams is not served. */
+    /** Whether the client has closed the connection; requests that are still read from its streams are not served. */
     boolean isClientClosed() {
         return clientClosed;
     }
 
-    /** The client has ended a stream before its response; too many of these close the connection. */
+    /** Called when the client has cancelled a stream before its response; too many of these close the connection. */
     void streamCancelled() {
         if (!resetGuard.ended(System.nanoTime())) {
             close(Http3ErrorCodes.EXCESSIVE_LOAD);
         }
     }
 
-    /** A stream has got its response. */
+    /** Called when the response to a stream has been written. */
     void streamResponded() {
         resetGuard.answered();
     }
 
-    /** Ends the streams that take too long. */
+    /** Ends the streams that exceed a timeout. */
     void checkTimeouts(long nowNanos) {
         for (Http3RequestStream stream : List.copyOf(streams)) {
             stream.checkTimeouts(nowNanos);
         }
     }
 
-    /** The first step of a graceful shutdown (RFC 9114, section 5.2): no stream is rejected yet. */
+    /** Sends the first GOAWAY of a graceful shutdown (RFC 9114, section 5.2); no stream is rejected yet. */
     void announceShutdown() {
         sendGoAway(MAX_CLIENT_STREAM_ID);
     }
 
-    /** The second step: streams that have not been seen are rejected. */
+    /** Sends the second GOAWAY of a graceful shutdown; streams that have not been opened yet are rejected. */
     void rejectNewStreams() {
         firstRejectedStreamId = nextStreamId;
         sendGoAway(nextStreamId);
--- a/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3Listener.java
@@ -30,37 +30,37 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * The listener for clients over HTTP/3 (RFC 9114) on QUIC (RFC 9000): one UDP socket on the event loop. It accepts
- * connections and their streams and writes each request's one final response; it balances, retries and sheds
- * nothing. All of it runs on the event loop but {@link #listen}.
+ * The listener for clients over HTTP/3 (RFC 9114) on QUIC (RFC 9000), with one UDP socket. Accepts connections and
+ * their streams, and writes the final response to each request; load balancing, retries and load shedding are done
+ * elsewhere. All methods except {@link #listen} must be called on the event loop.
  */
 public final class Http3Listener {
     /**
-     * Its limits.
+     * The limits of the listener.
      *
-     * @param connectionLimits of connections, by address and in all
-     * @param maxStreamsPerConnection at once on a connection
-     * @param idleTimeoutMillis ms without a packet after which a connection is closed
+     * @param connectionLimits the limits on connections, per client address and in total
+     * @param maxStreamsPerConnection the maximum number of concurrent streams of a connection
+     * @param idleTimeoutMillis the time without a packet after which a connection is closed
      */
     public record Limits(
             Http3ConnectionLimiter.Limits connectionLimits, int maxStreamsPerConnection, long idleTimeoutMillis) {}
 
-    /** Whether clients are to use this listener. */
+    /** Whether clients should use this listener. */
     private enum Phase {
         NOT_READY,
         READY,
-        /** They are notified to go elsewhere (RFC 9114, section 5.2). */
+        /** Clients are asked to use another connection (GOAWAY; RFC 9114, section 5.2). */
         DRAINING
     }
 
-    private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200; // between checks of the connections' time limits
-    // Of a connection: two complete bodies at once. What more of its streams send waits with the client.
+    private static final long TIMEOUT_CHECK_INTERVAL_MILLIS = 200; // between checks of the timeouts of all connections
+    // Flow control window of a connection: two complete bodies. Further data of its streams waits at the client.
     private static final long CONNECTION_WINDOW_BYTES = 2L * ProxyRequest.BODY_MOST;
-    private static final int CONTROL_STREAMS = 3; // and two of QPACK (RFC 9114, section 6.2)
+    private static final int CONTROL_STREAMS = 3; // the control stream and two of QPACK (RFC 9114, section 6.2)
     private static final int CONTROL_WINDOW_BYTES = 4 * 1024;
-    private static final int MAX_ACTIVE_CONNECTION_IDS = 4; // for clients whose path changes
+    private static final int MAX_ACTIVE_CONNECTION_IDS = 4; // allows clients to migrate to another network path
     private static final int MAX_DATAGRAM_BYTES = 1_350;
-    private static final int MAX_READS_PER_CALL = 16; // each of up to sixteen datagrams
+    private static final int MAX_READS_PER_CALL = 16; // each read returns up to 16 datagrams
     private static final int CONNECTION_REFUSED = 0x02; // RFC 9000, section 20.1
 
     private final EventLoop loop;
@@ -72,17 +72,17 @@
     private final Set<Http3ClientConnection> connections = new LinkedHashSet<>();
     private final DatagramCounter datagramCounter = new DatagramCounter();
     private SettingsReader.Boot settings;
-    private QuicSslContext tlsContext; // of new connections
+    private QuicSslContext tlsContext; // for new connections
     private Channel socket;
     private Future<?> timeoutChecks;
     private Phase phase = Phase.NOT_READY;
     private boolean rejectingNewStreams;
 
     /**
-     * A listener that is not bound yet.
+     * Creates a listener that is not bound yet.
      *
-     * @param bodyMemory what the buffered bodies of all clients may take together
-     * @param log takes a line for the operators; must not block
+     * @param bodyMemory the limit on the memory of the buffered bodies of all clients
+     * @param log receives log lines; must not block
      */
     public Http3Listener(
             EventLoop loop,
@@ -102,7 +102,7 @@
         tlsContext = tlsContext(identity);
     }
 
-    // Without early data: a replayed request must not reach an upstream (RFC 9114, section 10.9).
+    // Early data (0-RTT) is off: a replayed request must not reach an upstream (RFC 9114, section 10.9).
     private static QuicSslContext tlsContext(TlsIdentity identity) {
         return QuicSslContextBuilder.forServer(
                         identity.key(), null, identity.chain().toArray(X509Certificate[]::new))
@@ -112,10 +112,10 @@
     }
 
     /**
-     * Listens; called from another thread than the loop's.
+     * Starts listening. Must not be called on the event loop.
      *
-     * @return the address in use
-     * @throws IOException if the calling thread is interrupted; what binding fails with is thrown as it is
+     * @return the bound address
+     * @throws IOException if the calling thread is interrupted; an exception of the bind is thrown unchanged
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         ChannelHandler codec = quicCodec();
@@ -134,7 +134,7 @@
                     .channel();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while binding the HTTP/3 listener");
         }
         timeoutChecks = loop.scheduleWithFixedDelay(
                 this::checkTimeouts,
@@ -167,37 +167,40 @@
                 .build();
     }
 
-    /** Serves clients, for the first time or once more after {@link #startDraining}; nothing once it is closing. */
+    /**
+     * Marks the listener as ready, for the first time or again after {@link #startDraining}. The listener keeps
+     * draining after {@link #rejectNewStreams}.
+     */
     public void markReady() {
         phase = rejectingNewStreams ? Phase.DRAINING : Phase.READY;
     }
 
-    /** Other settings hold for the requests from here on. */
+    /** Replaces the settings for all further requests. */
     public void reload(SettingsReader.Boot newSettings) {
         settings = newSettings;
     }
 
-    /** New connections show this certificate; those that are open go on with theirs. */
+    /** Replaces the certificate for new connections; open connections keep theirs. */
     public void renewIdentity(TlsIdentity identity) {
         tlsContext = tlsContext(identity);
     }
 
-    /** Notifies the clients to go elsewhere, and serves what they still send (RFC 9114, section 5.2). */
+    /** Asks the clients to use another connection; further requests are still served (RFC 9114, section 5.2). */
     public void startDraining() {
         phase = Phase.DRAINING;
         connections().forEach(Http3ClientConnection::announceShutdown);
     }
 
-    /** Streams from here on are rejected as not processed; the requests that have been taken are served. */
+    /** Rejects all further streams as not processed; the requests of streams opened before are served. */
     public void rejectNewStreams() {
         rejectingNewStreams = true;
         connections().forEach(Http3ClientConnection::rejectNewStreams);
     }
 
-    /** Closes all connections, once all that was taken has been answered. */
+    /** Closes all connections; called once all accepted requests have been answered. */
     public void closeConnections() {
         if (!timeoutChecks.cancel(false)) {
-            return; // called before: more may be taken while it stops
+            return; // called before; requests may still be accepted while the listener stops
         }
         log.accept(connectionLimiter.summary());
         connections().forEach(c -> c.close(Http3ErrorCodes.NO_ERROR));
@@ -206,7 +209,7 @@
     private void connectionOpened(QuicChannel channel) {
         Http3ClientConnection connection = new Http3ClientConnection(this, channel);
         if (!connection.isAdmitted()) {
-            // Later: its first packet is still being read.
+            // In a later task: the first packet of the connection is still being processed.
             loop.execute(() -> channel.close(false, CONNECTION_REFUSED, Unpooled.EMPTY_BUFFER));
             return;
         }
@@ -228,14 +231,14 @@
         }
     }
 
-    /** A copy of the connections that are open: what is done to one may close it, or others. */
+    /** A copy of the set of open connections: an operation on one may close that connection or others. */
     List<Http3ClientConnection> connections() {
         return List.copyOf(connections);
     }
 
-    // ---------------------------------------------------------------- for its connections
+    // ---------------------------------------------------------------- called by the connections
 
-    /** Reads what has arrived by now, so that it is known which streams their clients have ended. */
+    /** Reads all datagrams that have been received, so that streams which clients have cancelled are noticed. */
     void readNow() {
         if (datagramCounter.isReading() || !(socket.unsafe() instanceof NioUnsafe unsafe)) {
             return;
@@ -264,7 +267,7 @@
         return settings;
     }
 
-    /** The memory of buffered bodies, until their requests are answered. */
+    /** The memory budget of buffered bodies, which are held until their requests are answered. */
     BodyMemoryBudget bodyMemory() {
         return bodyMemory;
     }
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -31,20 +31,20 @@
 import loadbalancer.proxy.UpstreamResponse;
 
 /**
- * One request of a client on its stream, and its one final response (RFC 9114, section 4.1). On the event loop.
+ * One request of a client on a stream, and its final response (RFC 9114, section 4.1). Must be used on the event loop.
  */
 final class Http3RequestStream extends Http3RequestStreamInboundHandler implements ResponseWriter {
     private enum State {
-        /** The request arrives, or its response is pending. */
+        /** The request is being received, or its response is pending. */
         OPEN,
         /** The response has been written. */
         RESPONDED,
-        /** Ended without a response, by either side. */
+        /** Either side has ended the stream without a response. */
         RESET
     }
 
     private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // for a complete request
-    private static final long UNREAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // for a response to be read
+    private static final long UNREAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // to read a response
 
     private final Http3ClientConnection connection;
     private final Http3Listener listener;
@@ -52,16 +52,16 @@
     private final boolean rejectedByGoAway;
     private final FinalFrame finalFrame = new FinalFrame();
     private final MessageState messageState = new MessageState(ProxyRequest.BODY_MOST);
-    private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory
+    private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory budget
     private final long openedAtNanos = System.nanoTime();
     private State state = State.OPEN;
     private HeaderValidator.Head head;
     private Http3Headers headers;
-    private Runnable clientClosedCallback; // to be run if the client leaves; null while no response is pending
+    private Runnable clientClosedCallback; // runs if the client disconnects; null while no response is pending
     private long respondedAtNanos;
-    private long unreadBytes; // of the response that have not left
+    private long unreadBytes; // of the response, until they have been sent
 
-    /** {@code rejectedByGoAway}: the stream is to be rejected as not processed (RFC 9114, section 5.2). */
+    /** {@code rejectedByGoAway}: whether to reject the stream as not processed (RFC 9114, section 5.2). */
     Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean rejectedByGoAway) {
         this.connection = connection;
         this.listener = connection.listener();
@@ -70,17 +70,17 @@
         stream.pipeline().addFirst(finalFrame);
     }
 
-    /** Ends what takes too long. */
+    /** Ends the stream if it exceeds a timeout. */
     void checkTimeouts(long nowNanos) {
         if (state == State.OPEN && !messageState.isComplete() && nowNanos - openedAtNanos > RECEIVE_TIMEOUT_NANOS) {
             respond(408, "too slow");
         } else if (state == State.RESPONDED && nowNanos - respondedAtNanos > UNREAD_TIMEOUT_NANOS) {
-            // Not read yet, or its client neither ends its request nor resets it.
+            // The client has not read the response, or neither ends its request nor resets the stream.
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
-    /** The client has closed the connection: nobody waits for the response. */
+    /** Called when the client has closed the connection: the response is not needed any more. */
     void onClientClosed() {
         Runnable pending = clientClosedCallback;
         clientClosedCallback = null;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The stream is closed, whoever did it. */
+    /** Called after the stream has been closed by either side. */
     void onClosed() {
         releaseBody();
         responseSent(unreadBytes);
@@ -110,7 +110,7 @@
             return;
         }
         if (rejectedByGoAway) {
-            // None of it has been looked at: the client may retry it elsewhere, whatever it is.
+            // Not processed at all, so the client may retry the request elsewhere, even one that is not idempotent.
             state = State.RESET;
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_REJECTED);
             return;
@@ -180,7 +180,7 @@
         cancelled();
     }
 
-    // What the codec refuses before it is read here: heads as well as frames out of their order.
+    // Errors that the codec detects before frames are read here: malformed heads, and frames in the wrong order.
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof QuicException || state != State.OPEN) {
@@ -188,11 +188,11 @@
         } else {
             long code =
                     cause instanceof Http3Exception known ? known.errorCode().code() : Http3ErrorCodes.MESSAGE_ERROR;
-            malformed(new MalformedMessageException(code, "malformed"));
+            malformed(new MalformedMessageException(code, "rejected by the HTTP/3 codec"));
         }
     }
 
-    // The client has reset it: an incomplete request is void, and the response of a complete one has no reader.
+    // The client has reset the stream: it drops an incomplete request, or the response to a complete one.
     private void cancelled() {
         if (state == State.OPEN) {
             state = State.RESET;
@@ -204,7 +204,7 @@
     private void malformed(MalformedMessageException problem) {
         state = State.RESET;
         releaseBody();
-        connection.streamCancelled(); // costs its client what a reset stream does
+        connection.streamCancelled(); // counts against the client like a reset stream
         CodecErrors.reset(stream, problem.code());
     }
 
@@ -228,7 +228,7 @@
             return;
         }
         if (listener.dispatcher().isOpen(request.id())) {
-            // Whatever protocol the other one came by: an upstream could not tell the two apart.
+            // Also if the other request uses another protocol: an upstream could not distinguish the two.
             respond(409, FinalResponse.DUPLICATE_REQUEST_ID);
             return;
         }
@@ -295,13 +295,13 @@
         written.addListener(done -> responseSent(chargedBytes));
         stream.flush();
         if (requestIncomplete) {
-            // The rest of the request is not wanted; the response stands (RFC 9114, section 4.1).
+            // The rest of the request is not needed; the response remains valid (RFC 9114, section 4.1).
             stream.shutdownInput((int) Http3ErrorCodes.NO_ERROR);
         }
         connection.streamResponded();
     }
 
-    // Names of fields are in lower case (RFC 9114, section 4.2).
+    // Field names are in lower case in HTTP/3 (RFC 9114, section 4.2).
     private static Http3Headers headersOf(FinalResponse response) {
         Http3Headers fields = new DefaultHttp3Headers();
         fields.status(Integer.toString(response.status()));
--- a/src/main/java/loadbalancer/downstream/package-info.java
+++ b/src/main/java/loadbalancer/downstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the client-facing protocols share: the wording of final responses and how a client's address is counted.
- * The protocols themselves are the packages below, which do not know each other.
+ * Code that all client-facing protocols share: the content of final responses, and the key under which the connections
+ * of a client address are counted. Each protocol has its own subpackage; the subpackages do not depend on each other.
  */
 package loadbalancer.downstream;
--- a/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
+++ b/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
@@ -29,12 +29,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Clients are notified of a shutdown while their connections close.
+ * Tests that a shutdown notifies all clients even if connections close meanwhile.
  *
- * <p>A ConcurrentModificationException was seen in {@code startDraining()} in one run of the tests. The listener
- * walked the live set of its connections, and the GOAWAY that it wrote closed a connection in the same call: its close
- * listener took it from the set. Here a handler closes each connection as the GOAWAY passes, which is that case each
- * time.
+ * <p>Guards against a ConcurrentModificationException in {@code startDraining()}, seen in one run of the tests: the
+ * listener iterated over the live set of its connections, the write of a GOAWAY closed a connection in the same call,
+ * and its close listener removed the connection from the set. To reproduce this every time, a handler closes each
+ * connection as the GOAWAY is written.
  */
 @Timeout(60)
 class Http3ListenerTest {
@@ -88,7 +88,7 @@
         }
     }
 
-    // The server opens its control stream once it has the client's last packet of the handshake.
+    // The server opens its control stream when it has received the last handshake packet of the client.
     private void awaitControlStreams() throws Exception {
         while (loop.submit(() -> listener.connections().stream()
                         .anyMatch(connection -> Http3.getLocalControlStream(connection.channel()) == null))
@@ -97,7 +97,7 @@
         }
     }
 
-    // The writes of HTTP/3 pass this handler of the control stream.
+    // HTTP/3 frames of the connection, such as GOAWAY, are written through this handler of the control stream.
     private static void closeWithNextWrite(Http3ClientConnection connection) {
         QuicChannel channel = connection.channel();
         Http3.getLocalControlStream(channel).pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
@@ -119,12 +119,10 @@
                 })
                 .get(20, TimeUnit.SECONDS);
         for (QuicChannel client : clientConnections) {
-            assertTrue(client.closeFuture().await(20, TimeUnit.SECONDS), "a client was not notified");
+            assertTrue(client.closeFuture().await(20, TimeUnit.SECONDS), "a client was not notified of the shutdown");
         }
         assertEquals(
-                0,
-                loop.submit(() -> listener.connections().size()).get(20, TimeUnit.SECONDS),
-                "connections that are left");
+                0, loop.submit(() -> listener.connections().size()).get(20, TimeUnit.SECONDS), "connections left open");
     }
 
     @Test
