--- a/src/main/java/loadbalancer/config/SettingsReload.java
+++ b/src/main/java/loadbalancer/config/SettingsReload.java
@@ -61,7 +61,8 @@
         if (hasDuplicates(reloaded.tenants())) {
             return "Realms: a name stands twice in " + reloaded.tenants();
         }
-        if (!reloaded.zones().equals(current.zones()) || !reloaded.kinds().equals(current.kinds())) {
+        if (!reloaded.zones().equals(current.zones())
+                || !reloaded.machineModels().equals(current.machineModels())) {
             return "other zones or kinds need a restart";
         }
         if (after.balancers() != before.balancers() || after.rank() != before.rank() || after.zone() != before.zone()) {
@@ -98,8 +99,8 @@
                 names,
                 reloaded.tenants(),
                 reloaded.zones(),
-                reloaded.kinds(),
-                reloaded.idleClose());
+                reloaded.machineModels(),
+                reloaded.idleCloseMicros());
     }
 
     private static boolean contains(
@@ -128,6 +129,6 @@
                 settings.warmKeys(),
                 settings.limits(),
                 settings.bounds(),
-                settings.tick());
+                settings.clockTickMicros());
     }
 }
--- a/src/main/java/loadbalancer/config/toml/MembershipTable.java
+++ b/src/main/java/loadbalancer/config/toml/MembershipTable.java
@@ -70,7 +70,7 @@
                     0,
                     weight,
                     cell,
-                    boot.kinds().indexOf(model),
+                    boot.machineModels().indexOf(model),
                     boot.zones().indexOf(zone));
             return new EndpointUpdate.Endpoint(server, address, http3);
         }
--- a/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointUpdateReader.java
@@ -75,7 +75,7 @@
                 (long) (number(entry.get("boot_ms"), 0) * MICROS_PER_MILLI),
                 weight > 0 ? weight : DEFAULT_WEIGHT,
                 (int) number(entry.get("pod_group"), NO_POD_GROUP),
-                boot.kinds().indexOf(SettingsReader.toText(entry.get("model"))),
+                boot.machineModels().indexOf(SettingsReader.toText(entry.get("model"))),
                 boot.zones().indexOf(SettingsReader.toText(entry.get("az"))));
         InetSocketAddress http3Address = entry.get("http3") instanceof String text ? address(text) : null;
         return new EndpointUpdate.Endpoint(server, address, http3Address);
--- a/src/main/java/loadbalancer/policy/AccomplishmentRanking.java
+++ b/src/main/java/loadbalancer/policy/AccomplishmentRanking.java
@@ -16,24 +16,24 @@
     private static final Comparator<ServerState> BY_ACCOMPLISHMENT = Comparator.<ServerState>comparingDouble(
                     server -> -server.accomplishment)
             .thenComparingInt(server -> server.tieBreaker);
-    /** Used where all servers are of one kind. */
+    /** Used where all servers are of one machine model. */
     private static final double DEFAULT_FAST_PROPORTION = 0.5;
 
-    private final DecayScale scale;
+    private final DecayScale decayScale;
     /** The paper's p. */
     private double fastProportion = DEFAULT_FAST_PROPORTION;
 
-    AccomplishmentRanking(DecayScale scale) {
-        this.scale = scale;
+    AccomplishmentRanking(DecayScale decayScale) {
+        this.decayScale = decayScale;
     }
 
     void recordDispatch(ServerState server) {
-        server.accomplishment += scale.unit();
+        server.accomplishment += decayScale.unit();
     }
 
     /** A failure does not earn rank: takes a dispatch back. */
     void recordFailure(ServerState server) {
-        server.accomplishment = Math.max(0, server.accomplishment - scale.unit());
+        server.accomplishment = Math.max(0, server.accomplishment - decayScale.unit());
     }
 
     /** Sorts the servers by descending accomplishment. */
@@ -46,28 +46,29 @@
         return Math.max(1, Math.min(count - 1, (int) Math.round(fastProportion * count)));
     }
 
-    /** Sets p to the proportion of servers of the kinds whose mean weight is at least the mean of all. */
-    void updateFastProportion(List<ServerState> listed) {
-        Map<Integer, KindTotals> kinds = new LinkedHashMap<>();
-        double weight = 0;
-        for (ServerState state : listed) {
-            KindTotals totals = kinds.computeIfAbsent(state.server.kind(), kind -> new KindTotals());
-            totals.weight += state.server.weight();
-            totals.servers++;
-            weight += state.server.weight();
+    /** Sets p to the proportion of servers of the machine models whose mean weight is at least the mean of all. */
+    void updateFastProportion(List<ServerState> upServers) {
+        Map<Integer, ModelTotals> totalsByModel = new LinkedHashMap<>();
+        double totalWeight = 0;
+        for (ServerState server : upServers) {
+            ModelTotals totals =
+                    totalsByModel.computeIfAbsent(server.endpoint.machineModel(), model -> new ModelTotals());
+            totals.weight += server.endpoint.weight();
+            totals.serverCount++;
+            totalWeight += server.endpoint.weight();
         }
-        double fast = 0;
-        for (KindTotals totals : kinds.values()) {
-            if (totals.weight / totals.servers >= weight / listed.size()) {
-                fast += totals.servers;
+        double fastServers = 0;
+        for (ModelTotals totals : totalsByModel.values()) {
+            if (totals.weight / totals.serverCount >= totalWeight / upServers.size()) {
+                fastServers += totals.serverCount;
             }
         }
-        fastProportion = kinds.size() < 2 ? DEFAULT_FAST_PROPORTION : fast / listed.size();
+        fastProportion = totalsByModel.size() < 2 ? DEFAULT_FAST_PROPORTION : fastServers / upServers.size();
     }
 
-    /** Sums over the servers of one kind of machine. */
-    private static final class KindTotals {
+    /** Sums over the servers of one machine model. */
+    private static final class ModelTotals {
         private double weight;
-        private double servers;
+        private double serverCount;
     }
 }
--- a/src/main/java/loadbalancer/policy/ActiveSettings.java
+++ b/src/main/java/loadbalancer/policy/ActiveSettings.java
@@ -7,12 +7,12 @@
 /** The settings in force, and what follows from them alone. The parts of the policy share one instance. */
 final class ActiveSettings {
     /** Longest time between two sweeps while any request is open, in microseconds. */
-    private static final long MAX_TICK_MICROS = 20_000;
+    private static final long MAX_SWEEP_INTERVAL_MICROS = 20_000;
 
-    private static final int TICKS_PER_OBJECTIVE = 16;
+    private static final int SWEEPS_PER_OBJECTIVE = 16;
 
     private Settings settings;
-    private long tickMicros;
+    private long sweepIntervalMicros;
     private long shortestObjectiveMicros;
     private boolean anyClassSafe;
 
@@ -20,15 +20,17 @@
         reload(settings);
     }
 
-    void reload(Settings to) {
-        settings = to;
+    void reload(Settings newSettings) {
+        settings = newSettings;
         shortestObjectiveMicros = Long.MAX_VALUE;
         anyClassSafe = false;
-        for (RequestClass requestClass : to.classes()) {
-            shortestObjectiveMicros = Math.min(shortestObjectiveMicros, requestClass.aim());
+        for (RequestClass requestClass : newSettings.classes()) {
+            shortestObjectiveMicros = Math.min(shortestObjectiveMicros, requestClass.aimMicros());
             anyClassSafe |= requestClass.effect() == Effect.SAFE;
         }
-        tickMicros = Math.max(to.tick(), Math.min(MAX_TICK_MICROS, shortestObjectiveMicros / TICKS_PER_OBJECTIVE));
+        sweepIntervalMicros = Math.max(
+                newSettings.clockTickMicros(),
+                Math.min(MAX_SWEEP_INTERVAL_MICROS, shortestObjectiveMicros / SWEEPS_PER_OBJECTIVE));
     }
 
     Settings settings() {
@@ -36,8 +38,8 @@
     }
 
     /** Time between two sweeps while any request is open. */
-    long tickMicros() {
-        return tickMicros;
+    long sweepIntervalMicros() {
+        return sweepIntervalMicros;
     }
 
     long shortestObjectiveMicros() {
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -40,20 +40,20 @@
     /** How many times as fast the level falls as it rises. */
     private static final double RECOVERY_FACTOR = 3;
     /** Proportion of the arrivals that a tier is taken for at least. */
-    private static final double MIN_TIER_PROPORTION = 0.1;
+    private static final double MIN_TIER_ARRIVAL_SHARE = 0.1;
     /** Tiers below this part of the highest priority weight start as rejected, and are admitted slowly. */
-    private static final double LOW_PRIORITY = 0.3;
+    private static final double LOW_PRIORITY_THRESHOLD = 0.3;
     /** Part of the lowest tier within quota that may be rejected while requests are still hedged. */
     private static final double HEDGING_MARGIN = 0.05;
     /** Part of the highest tier that the level by itself, without the proportional term, admits at least. */
     private static final double MIN_ADMITTED_OF_HIGHEST_TIER = 0.05;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final SplittableRandom random;
     /** The distinct priority weights, ascending. */
-    private double[] tiers = {};
+    private double[] tierWeights = {};
     /** Decaying number of requests of each tier. */
-    private double[] arrivals = {};
+    private double[] arrivalsByTier = {};
     /** From this level on, requests within their quota are rejected and none are hedged. */
     private double hedgingLevel;
     /** Integral term: tiers rejected, the last of them in part. */
@@ -62,26 +62,26 @@
     private double proportionalTerm;
     private double load;
     private int loadSamples;
-    private long loadAt;
+    private long loadUpdatedAtMicros;
 
-    AdmissionController(ActiveSettings active, SplittableRandom random) {
-        this.active = active;
+    AdmissionController(ActiveSettings activeSettings, SplittableRandom random) {
+        this.activeSettings = activeSettings;
         this.random = random;
     }
 
     /** Takes the classes of the active settings over. */
     void reload() {
-        Settings settings = active.settings();
-        double[] formerTiers = tiers;
-        tiers = settings.classes().stream()
+        Settings settings = activeSettings.settings();
+        double[] formerTierWeights = tierWeights;
+        tierWeights = settings.classes().stream()
                 .flatMapToDouble(c -> DoubleStream.of(priorityWeight(c, false), priorityWeight(c, true)))
                 .distinct()
                 .sorted()
                 .toArray();
-        hedgingLevel = Arrays.binarySearch(tiers, lowestWeightWithinQuota()) + HEDGING_MARGIN;
-        if (!Arrays.equals(tiers, formerTiers)) {
-            arrivals = new double[tiers.length];
-            level = formerTiers.length == 0 ? 0 : level * tiers.length / formerTiers.length;
+        hedgingLevel = Arrays.binarySearch(tierWeights, lowestWeightWithinQuota()) + HEDGING_MARGIN;
+        if (!Arrays.equals(tierWeights, formerTierWeights)) {
+            arrivalsByTier = new double[tierWeights.length];
+            level = formerTierWeights.length == 0 ? 0 : level * tierWeights.length / formerTierWeights.length;
             proportionalTerm = 0;
         }
     }
@@ -89,15 +89,16 @@
     /** A new balancer rejects what exceeds quotas by a wide margin until it knows the load. */
     void start() {
         double weight = lowestWeightWithinQuota();
-        while (tiers[(int) level] < Math.min(weight, LOW_PRIORITY * tiers[tiers.length - 1])) {
+        while (tierWeights[(int) level]
+                < Math.min(weight, LOW_PRIORITY_THRESHOLD * tierWeights[tierWeights.length - 1])) {
             level++;
         }
     }
 
     /** Decides whether a request that has just arrived is rejected. */
     boolean shouldReject(RequestState request) {
-        int tier = Arrays.binarySearch(tiers, priorityWeight(request.requestClass, request.lowPriority));
-        arrivals[tier]++;
+        int tier = Arrays.binarySearch(tierWeights, priorityWeight(request.requestClass, request.lowPriority));
+        arrivalsByTier[tier]++;
         return tier + random.nextDouble() < level + proportionalTerm;
     }
 
@@ -106,34 +107,34 @@
     }
 
     /** Records a response that took this multiple of the latency objective. */
-    void recordLoad(double sample, long now) {
-        double decayed = 1 - Math.exp(-(now - loadAt) / LOAD_SMOOTHING_MICROS);
-        double weight = Math.max(1.0 / ++loadSamples, Math.min(1.0 / MIN_LOAD_SAMPLES, decayed));
-        load += weight * (Math.min(MAX_LOAD_SAMPLE, sample) - load);
-        loadAt = now;
+    void recordLoad(double relativeLatency, long nowMicros) {
+        double elapsedWeight = 1 - Math.exp(-(nowMicros - loadUpdatedAtMicros) / LOAD_SMOOTHING_MICROS);
+        double weight = Math.max(1.0 / ++loadSamples, Math.min(1.0 / MIN_LOAD_SAMPLES, elapsedWeight));
+        load += weight * (Math.min(MAX_LOAD_SAMPLE, relativeLatency) - load);
+        loadUpdatedAtMicros = nowMicros;
     }
 
-    void recordTimeout(long now) {
-        recordLoad(MAX_LOAD_SAMPLE, now);
+    void recordTimeout(long nowMicros) {
+        recordLoad(MAX_LOAD_SAMPLE, nowMicros);
     }
 
-    void recordFullServer(long now) {
-        recordLoad(LOAD_OF_FULL_SERVER, now);
+    void recordFullServer(long nowMicros) {
+        recordLoad(LOAD_OF_FULL_SERVER, nowMicros);
     }
 
     /**
      * Moves the level by the time that has passed.
      *
-     * @param keep the proportion of decaying counts that is left after that time
+     * @param decayFactor the proportion of decaying counts that is left after that time
      */
-    void update(long now, long elapsedMicros, double keep) {
-        for (int i = 0; i < arrivals.length; i++) {
-            arrivals[i] *= keep;
+    void update(long nowMicros, long elapsedMicros, double decayFactor) {
+        for (int i = 0; i < arrivalsByTier.length; i++) {
+            arrivalsByTier[i] *= decayFactor;
         }
-        if (now - loadAt > LOAD_EXPIRY_MICROS) {
+        if (nowMicros - loadUpdatedAtMicros > LOAD_EXPIRY_MICROS) {
             load *= Math.exp(-elapsedMicros / LOAD_EXPIRY_MICROS);
         }
-        steer(elapsedMicros / 1e6);
+        adjustLevel(elapsedMicros / 1e6);
     }
 
     String describe() {
@@ -145,25 +146,26 @@
      * at once: by steps of the level alone 14 balancers met a loss of 30 % of the fleet 4 s too late, then rejected
      * all but the highest tier for 8 s, most of it with the servers idle.
      */
-    private void steer(double seconds) {
-        int edge = Math.min(tiers.length - 1, (int) level);
-        double weight = tiers[edge] / tiers[tiers.length - 1];
+    private void adjustLevel(double seconds) {
+        int edgeTier = Math.min(tierWeights.length - 1, (int) level);
+        double weight = tierWeights[edgeTier] / tierWeights[tierWeights.length - 1];
         double maxLoad = MAX_LOAD_LOWEST_TIER + (MAX_LOAD_HIGHEST_TIER - MAX_LOAD_LOWEST_TIER) * weight;
-        double proportion = arrivals[edge] / Math.max(1, Arrays.stream(arrivals).sum());
-        double excess = loadSamples == 0 ? 0 : (load - maxLoad) / Math.max(MIN_TIER_PROPORTION, proportion);
+        double arrivalShare = arrivalsByTier[edgeTier]
+                / Math.max(1, Arrays.stream(arrivalsByTier).sum());
+        double excess = loadSamples == 0 ? 0 : (load - maxLoad) / Math.max(MIN_TIER_ARRIVAL_SHARE, arrivalShare);
         // Within the tier on the edge: the next one has its own maximum, and low priorities are admitted slowly.
-        double maxTerm = proportion < MIN_TIER_PROPORTION
+        double maxTerm = arrivalShare < MIN_TIER_ARRIVAL_SHARE
                 ? MAX_PROPORTIONAL_TERM
-                : Math.min(MAX_PROPORTIONAL_TERM, edge + 1 - level);
-        double minTerm = weight < LOW_PRIORITY ? 0 : edge - level;
+                : Math.min(MAX_PROPORTIONAL_TERM, edgeTier + 1 - level);
+        double minTerm = weight < LOW_PRIORITY_THRESHOLD ? 0 : edgeTier - level;
         proportionalTerm = Math.max(minTerm, Math.min(maxTerm, PROPORTIONAL_GAIN * excess));
         if (loadSamples > 0) {
             double step = INTEGRAL_GAIN * seconds * excess;
             if (step <= 0) {
                 // Low priorities are admitted slowly: what they crowd out is worth more than they are.
-                step *= weight < LOW_PRIORITY ? weight : RECOVERY_FACTOR;
+                step *= weight < LOW_PRIORITY_THRESHOLD ? weight : RECOVERY_FACTOR;
             }
-            level = Math.max(0, Math.min(tiers.length - MIN_ADMITTED_OF_HIGHEST_TIER, level + step));
+            level = Math.max(0, Math.min(tierWeights.length - MIN_ADMITTED_OF_HIGHEST_TIER, level + step));
         }
     }
 
@@ -173,13 +175,13 @@
      * class starved while the fleet served a fraction of the requests it could.
      */
     private double priorityWeight(RequestClass requestClass, boolean lowPriority) {
-        Settings settings = active.settings();
+        Settings settings = activeSettings.settings();
         return (settings.worthByWork() ? requestClass.worth() : 1) * (lowPriority ? settings.overShareWorth() : 1);
     }
 
     private double lowestWeightWithinQuota() {
         double lowest = Double.POSITIVE_INFINITY;
-        for (RequestClass requestClass : active.settings().classes()) {
+        for (RequestClass requestClass : activeSettings.settings().classes()) {
             lowest = Math.min(lowest, priorityWeight(requestClass, false));
         }
         return lowest;
--- a/src/main/java/loadbalancer/policy/ArrivalRate.java
+++ b/src/main/java/loadbalancer/policy/ArrivalRate.java
@@ -6,32 +6,32 @@
     /** Shortest time that the rate is a mean of: what arrives at a start may be a burst. */
     private static final double MIN_WINDOW_MICROS = DecayScale.TIME_CONSTANT_MICROS / 3;
 
-    private double arrivals;
-    private long firstArrivalAt;
+    private double arrivalCount;
+    private long firstArrivalAtMicros;
 
-    void record(long now, boolean resubmission) {
-        firstArrivalAt = arrivals == 0 ? now : firstArrivalAt;
-        arrivals += resubmission ? 0 : 1;
+    void record(long nowMicros, boolean resubmission) {
+        firstArrivalAtMicros = arrivalCount == 0 ? nowMicros : firstArrivalAtMicros;
+        arrivalCount += resubmission ? 0 : 1;
     }
 
     /** Decaying number of arrivals. */
-    double arrivals() {
-        return arrivals;
+    double arrivalCount() {
+        return arrivalCount;
     }
 
     /**
      * Requests per second: a mean of the time since the first one, where that is short. A balancer that has just
      * started is otherwise taken for an idle one, and refuses requests at the few servers of its subset.
      */
-    double perSecond(long now) {
-        double elapsed = Math.max(MIN_WINDOW_MICROS, (double) (now - firstArrivalAt));
-        return arrivals
+    double perSecond(long nowMicros) {
+        double elapsedMicros = Math.max(MIN_WINDOW_MICROS, (double) (nowMicros - firstArrivalAtMicros));
+        return arrivalCount
                 / DecayScale.TIME_CONSTANT_MICROS
                 * MICROS_PER_SECOND
-                / -Math.expm1(-elapsed / DecayScale.TIME_CONSTANT_MICROS);
+                / -Math.expm1(-elapsedMicros / DecayScale.TIME_CONSTANT_MICROS);
     }
 
-    void decay(double keep) {
-        arrivals *= keep;
+    void decay(double decayFactor) {
+        arrivalCount *= decayFactor;
     }
 }
--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -5,63 +5,64 @@
 
 /** Sends attempts: asks who is a candidate, samples one of them, and records the attempt. */
 final class AttemptDispatcher {
-    private final ActiveSettings active;
-    private final SubsetSelector selector;
+    private final ActiveSettings activeSettings;
+    private final SubsetSelector subsetSelector;
     private final ServerSampler sampler;
-    private final QueueEstimator queues;
+    private final QueueEstimator queueEstimator;
     private final AccomplishmentRanking ranking;
 
     AttemptDispatcher(
-            ActiveSettings active,
-            SubsetSelector selector,
+            ActiveSettings activeSettings,
+            SubsetSelector subsetSelector,
             ServerSampler sampler,
-            QueueEstimator queues,
+            QueueEstimator queueEstimator,
             AccomplishmentRanking ranking) {
-        this.active = active;
-        this.selector = selector;
+        this.activeSettings = activeSettings;
+        this.subsetSelector = subsetSelector;
         this.sampler = sampler;
-        this.queues = queues;
+        this.queueEstimator = queueEstimator;
         this.ranking = ranking;
     }
 
     /** Sends an attempt if the request may run now and there is a server for it; returns whether it did. */
-    boolean dispatch(RequestState request, long now, Actions out) {
-        if (!SequencedKeys.mayRun(request, now)) {
+    boolean dispatch(RequestState request, long nowMicros, Actions actions) {
+        if (!SequencedKeys.mayRun(request, nowMicros)) {
             return false;
         }
-        List<ServerState> candidates = selector.candidates(request, now);
+        List<ServerState> candidates = subsetSelector.candidates(request, nowMicros);
         if (candidates.isEmpty()) {
             return false;
         }
-        send(request, sampler.select(candidates, now, out), now, out);
+        send(request, sampler.select(candidates, nowMicros, actions), nowMicros, actions);
         return true;
     }
 
     /** Sends another attempt to a server that has had none of the request, if there is one; paid by the budget. */
-    void hedge(RequestState request, RetryBudget budget, long now, Actions out) {
-        List<ServerState> candidates = selector.candidates(request, now);
+    void hedge(RequestState request, RetryBudget retryBudget, long nowMicros, Actions actions) {
+        List<ServerState> candidates = subsetSelector.candidates(request, nowMicros);
         candidates.removeIf(request::wasSentTo);
         if (!candidates.isEmpty()) {
-            budget.consume();
-            send(request, sampler.select(candidates, now, out), now, out);
+            retryBudget.consume();
+            send(request, sampler.select(candidates, nowMicros, actions), nowMicros, actions);
         }
     }
 
-    private void send(RequestState request, ServerState server, long now, Actions out) {
-        boolean repeats = request.isKeyed() && request.firstThatMayHaveRun() != null;
-        long sendWithin = repeats ? request.deduplicationTimeLeft(now, active.tickMicros()) : 0;
-        AttemptState attempt = new AttemptState(server, request, now);
+    private void send(RequestState request, ServerState server, long nowMicros, Actions actions) {
+        boolean isRepeat = request.isKeyed() && request.firstThatMayHaveRun() != null;
+        long sendWithinMicros =
+                isRepeat ? request.deduplicationTimeLeftMicros(nowMicros, activeSettings.sweepIntervalMicros()) : 0;
+        AttemptState attempt = new AttemptState(server, request, nowMicros);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
         server.attempts.add(attempt);
-        queues.attemptSent(server);
+        queueEstimator.attemptSent(server);
         ranking.recordDispatch(server);
         SlowStart.recordDispatch(server);
-        long timeout = TimeoutPolicy.timeoutMicros(request, now);
-        if (repeats) { // connecting may take longer than the servers drop repeats for
-            out.send(request.id, server.server.id(), timeout, sendWithin);
+        long timeoutMicros = TimeoutPolicy.timeoutMicros(request, nowMicros);
+        if (isRepeat) { // connecting may take longer than the servers drop repeats for
+            actions.send(request.id, server.endpoint.id(), timeoutMicros, sendWithinMicros);
         } else {
-            out.send(request.id, server.server.id(), timeout);
+            actions.send(request.id, server.endpoint.id(), timeoutMicros);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/AttemptState.java
+++ b/src/main/java/loadbalancer/policy/AttemptState.java
@@ -6,20 +6,20 @@
 final class AttemptState {
     final ServerState target;
     /** The server as it was listed when the attempt was sent: its zone and cell may change later. */
-    final Server serverAtSend;
+    final Server endpointAtSend;
 
     final RequestState request;
     /** Microseconds. */
-    final long sentAt;
+    final long sentAtMicros;
 
     boolean inFlight = true;
     /** True until the outcome proves otherwise. */
     boolean mayHaveRun = true;
 
-    AttemptState(ServerState target, RequestState request, long sentAt) {
+    AttemptState(ServerState target, RequestState request, long sentAtMicros) {
         this.target = target;
-        this.serverAtSend = target.server;
+        this.endpointAtSend = target.endpoint;
         this.request = request;
-        this.sentAt = sentAt;
+        this.sentAtMicros = sentAtMicros;
     }
 }
--- a/src/main/java/loadbalancer/policy/ClassLatencies.java
+++ b/src/main/java/loadbalancer/policy/ClassLatencies.java
@@ -23,8 +23,8 @@
         refreshShortest();
     }
 
-    ClassLatency of(int requestClass) {
-        return byClass[requestClass];
+    ClassLatency of(int classIndex) {
+        return byClass[classIndex];
     }
 
     /** The shortest of the classes' typical latencies in microseconds, as of the last refresh. */
--- a/src/main/java/loadbalancer/policy/ClassLatency.java
+++ b/src/main/java/loadbalancer/policy/ClassLatency.java
@@ -18,10 +18,10 @@
     /** Moving mean of the work that clients hint at; 0 before the first hint. */
     private double meanWork;
     /** Longest time left of a first submission, in microseconds. */
-    private long firstSubmissionTimeLeft;
+    private long firstSubmissionTimeLeftMicros;
 
     ClassLatency(RequestClass requestClass) {
-        typicalMicros = requestClass.aim() / 4.0;
+        typicalMicros = requestClass.aimMicros() / 4.0;
     }
 
     /** Moving mean of the latency, in microseconds. */
@@ -44,12 +44,13 @@
      * gets the same time, or what is left of the class's deadline: one with another time than first submissions
      * tells its age.
      */
-    long elapsedSinceFirstSubmission(long deadline, long timeLeft, boolean resubmission) {
+    long submissionAgeMicros(long deadlineMicros, long timeLeftMicros, boolean resubmission) {
         if (!resubmission) {
-            firstSubmissionTimeLeft = Math.max(firstSubmissionTimeLeft, timeLeft);
+            firstSubmissionTimeLeftMicros = Math.max(firstSubmissionTimeLeftMicros, timeLeftMicros);
             return 0;
         }
-        boolean showsAge = Math.abs(timeLeft - firstSubmissionTimeLeft) > deadline / TIME_LEFT_TOLERANCE_DIVISOR;
-        return showsAge ? Math.max(0, deadline - timeLeft) : 0;
+        boolean showsAge =
+                Math.abs(timeLeftMicros - firstSubmissionTimeLeftMicros) > deadlineMicros / TIME_LEFT_TOLERANCE_DIVISOR;
+        return showsAge ? Math.max(0, deadlineMicros - timeLeftMicros) : 0;
     }
 }
--- a/src/main/java/loadbalancer/policy/DecayScale.java
+++ b/src/main/java/loadbalancer/policy/DecayScale.java
@@ -12,9 +12,9 @@
 
     private double unit = 1;
 
-    /** Decays all counts to the proportion {@code keep} of what they were. */
-    void decay(double keep) {
-        unit /= Math.max(keep, 1 / MAX_UNIT);
+    /** Decays all counts to the proportion {@code decayFactor} of what they were. */
+    void decay(double decayFactor) {
+        unit /= Math.max(decayFactor, 1 / MAX_UNIT);
     }
 
     double unit() {
--- a/src/main/java/loadbalancer/policy/DiscoverySubscription.java
+++ b/src/main/java/loadbalancer/policy/DiscoverySubscription.java
@@ -17,49 +17,52 @@
     /** How much longer the wait may be behind a call that has not ended by then. */
     private static final long MAX_UNANSWERED_SPREAD_MICROS = 500_000;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final SplittableRandom random;
     private final OperatorLog log;
     /** When to subscribe the next time, in microseconds. */
-    private long subscribeAt = Long.MAX_VALUE;
+    private long subscribeAtMicros = Long.MAX_VALUE;
 
-    private int failures;
+    private int consecutiveFailures;
 
-    DiscoverySubscription(ActiveSettings active, SplittableRandom random, OperatorLog log) {
-        this.active = active;
+    DiscoverySubscription(ActiveSettings activeSettings, SplittableRandom random, OperatorLog log) {
+        this.activeSettings = activeSettings;
         this.random = random;
         this.log = log;
     }
 
-    void listReceived(long now, ListKind kind, Actions out) {
+    void listReceived(long nowMicros, ListKind kind, Actions actions) {
         if (kind != ListKind.PERSISTED) {
-            failures = 0;
-            subscribeAt = Long.MAX_VALUE;
-        } else if (active.settings().discovery() == Discovery.ASK) {
-            subscribe(now, out);
+            consecutiveFailures = 0;
+            subscribeAtMicros = Long.MAX_VALUE;
+        } else if (activeSettings.settings().discovery() == Discovery.ASK) {
+            subscribe(nowMicros, actions);
         }
     }
 
-    void listFailed(long now, Actions out) {
-        long longest = active.settings().bounds().askWithin() / 2;
-        long backoff = Math.min(longest, FIRST_BACKOFF_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, failures));
-        failures++;
-        long min = Math.min(MAX_WAIT_MICROS / 2, backoff / 2);
-        long spread = Math.min(backoff, MAX_WAIT_MICROS - min);
-        subscribeAt = Math.min(subscribeAt, now + min + random.nextLong(Math.max(1, spread)));
-        log.write(now, "event=discovery_failed attempts=" + failures, out);
+    void listFailed(long nowMicros, Actions actions) {
+        long maxBackoffMicros = activeSettings.settings().bounds().askWithinMicros() / 2;
+        long backoffMicros = Math.min(
+                maxBackoffMicros, FIRST_BACKOFF_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures));
+        consecutiveFailures++;
+        long minWaitMicros = Math.min(MAX_WAIT_MICROS / 2, backoffMicros / 2);
+        long spreadMicros = Math.min(backoffMicros, MAX_WAIT_MICROS - minWaitMicros);
+        subscribeAtMicros =
+                Math.min(subscribeAtMicros, nowMicros + minWaitMicros + random.nextLong(Math.max(1, spreadMicros)));
+        log.write(nowMicros, "event=discovery_failed attempts=" + consecutiveFailures, actions);
     }
 
-    void subscribeIfDue(long now, Actions out) {
-        if (now >= subscribeAt) {
-            subscribe(now, out);
+    void subscribeIfDue(long nowMicros, Actions actions) {
+        if (nowMicros >= subscribeAtMicros) {
+            subscribe(nowMicros, actions);
         }
     }
 
-    private void subscribe(long now, Actions out) {
-        long within = active.settings().bounds().askWithin();
-        long spread = Math.min(MAX_UNANSWERED_SPREAD_MICROS, within / 8);
-        subscribeAt = now + Math.min(MAX_WAIT_MICROS, within / 2) + random.nextLong(1 + spread);
-        out.watch(true);
+    private void subscribe(long nowMicros, Actions actions) {
+        long askWithinMicros = activeSettings.settings().bounds().askWithinMicros();
+        long spreadMicros = Math.min(MAX_UNANSWERED_SPREAD_MICROS, askWithinMicros / 8);
+        subscribeAtMicros =
+                nowMicros + Math.min(MAX_WAIT_MICROS, askWithinMicros / 2) + random.nextLong(1 + spreadMicros);
+        actions.watch(true);
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointSet.java
+++ b/src/main/java/loadbalancer/policy/EndpointSet.java
@@ -16,7 +16,7 @@
     private final HashRing ring;
     private final Map<String, ServerState> servers = new LinkedHashMap<>();
     /** Those that take requests, in the order of {@link #servers}. */
-    private List<ServerState> listed = new ArrayList<>();
+    private List<ServerState> upServers = new ArrayList<>();
 
     private double meanWeight = 1;
 
@@ -26,27 +26,27 @@
     }
 
     /** Takes a list over; {@code kind} is any but {@link ListKind#FAILED}. */
-    void update(long now, ListKind kind, List<Server> list) {
+    void update(long nowMicros, ListKind kind, List<Server> updatedEndpoints) {
         if (kind != ListKind.PARTIAL) {
-            for (ServerState state : servers.values()) {
-                state.server = state.server.withState(State.GONE);
+            for (ServerState server : servers.values()) {
+                server.endpoint = server.endpoint.withState(State.GONE);
             }
         }
-        for (Server server : list) {
-            put(server, now);
+        for (Server endpoint : updatedEndpoints) {
+            put(endpoint, nowMicros);
         }
-        listed = new ArrayList<>();
-        for (ServerState state : servers.values()) {
-            if (state.server.state() == State.UP) {
-                listed.add(state);
+        upServers = new ArrayList<>();
+        for (ServerState server : servers.values()) {
+            if (server.endpoint.state() == State.UP) {
+                upServers.add(server);
             }
         }
-        meanWeight = listed.stream()
-                .mapToDouble(state -> state.server.weight())
+        meanWeight = upServers.stream()
+                .mapToDouble(server -> server.endpoint.weight())
                 .average()
                 .orElse(1);
-        ring.arrange(servers.values(), meanWeight);
-        servers.values().removeIf(state -> state.server.state() == State.GONE && state.inFlight == 0);
+        ring.assignPoints(servers.values(), meanWeight);
+        servers.values().removeIf(server -> server.endpoint.state() == State.GONE && server.inFlight == 0);
     }
 
     Collection<ServerState> all() {
@@ -54,8 +54,8 @@
     }
 
     /** The servers that take requests. */
-    List<ServerState> listed() {
-        return listed;
+    List<ServerState> upServers() {
+        return upServers;
     }
 
     /** Mean weight of the listed servers, 1 if there are none. */
@@ -64,19 +64,21 @@
     }
 
     // A server that has been restarted is a new one: nothing learned of it holds.
-    private void put(Server server, long now) {
-        ServerState state = servers.get(server.id());
-        boolean restarted = state != null && state.server.startedAt() != server.startedAt() && server.startedAt() > 0;
+    private void put(Server endpoint, long nowMicros) {
+        ServerState server = servers.get(endpoint.id());
+        boolean restarted = server != null
+                && server.endpoint.startedAtMicros() != endpoint.startedAtMicros()
+                && endpoint.startedAtMicros() > 0;
         if (restarted) {
-            ring.remove(state);
+            ring.remove(server);
         }
-        if (state == null || restarted) {
-            state = new ServerState(server, random.nextInt());
-            state.slowStartTokens = random.nextDouble();
-            state.slowStartTokensAt = now;
-            state.lastSuccessAt = now;
-            servers.put(server.id(), state);
+        if (server == null || restarted) {
+            server = new ServerState(endpoint, random.nextInt());
+            server.slowStartTokens = random.nextDouble();
+            server.slowStartTokensUpdatedAtMicros = nowMicros;
+            server.lastSuccessAtMicros = nowMicros;
+            servers.put(endpoint.id(), server);
         }
-        state.server = server;
+        server.endpoint = endpoint;
     }
 }
--- a/src/main/java/loadbalancer/policy/HashRing.java
+++ b/src/main/java/loadbalancer/policy/HashRing.java
@@ -19,33 +19,33 @@
 
     private final TreeMap<Long, ServerState> points = new TreeMap<>();
     /** Where this balancer's walk starts. */
-    private final long home;
+    private final long homePosition;
     /** Each server once, in the order of a walk from this balancer's point. */
     private ServerState[] homeOrder = {};
     /** All points in ascending order, made when the first key asks for it, and their positions. */
     private ServerState[] keyOrder;
 
     private long[] positions;
-    private int walk;
+    private int lastWalkId;
 
     /** The balancers' homes are spread evenly: {@code rank} is this one's number among all, from 0. */
     HashRing(int rank, int balancers) {
-        home = (long) ((rank + 0.5) / balancers * 0x1p64 - 0x1p63);
+        homePosition = (long) ((rank + 0.5) / balancers * 0x1p64 - 0x1p63);
     }
 
     /** Gives each server its points, none to those that take no requests. */
-    void arrange(Collection<ServerState> servers, double meanWeight) {
+    void assignPoints(Collection<ServerState> servers, double meanWeight) {
         for (ServerState server : servers) {
-            double proportional = POINTS_PER_SERVER * server.server.weight() / meanWeight;
-            int count = (int) Math.max(1, Math.min(MAX_POINTS, Math.round(proportional)));
-            setPoints(server, server.server.state() == State.UP ? count : 0);
+            double proportionalCount = POINTS_PER_SERVER * server.endpoint.weight() / meanWeight;
+            int pointCount = (int) Math.max(1, Math.min(MAX_POINTS, Math.round(proportionalCount)));
+            setPoints(server, server.endpoint.state() == State.UP ? pointCount : 0);
         }
         keyOrder = null;
-        walk++;
-        homeOrder = Stream.of(points.tailMap(home), points.headMap(home))
+        lastWalkId++;
+        homeOrder = Stream.of(points.tailMap(homePosition), points.headMap(homePosition))
                 .flatMap(part -> part.values().stream())
-                .filter(server -> server.lastWalk != walk)
-                .peek(server -> server.lastWalk = walk)
+                .filter(server -> server.lastWalkId != lastWalkId)
+                .peek(server -> server.lastWalkId = lastWalkId)
                 .toArray(ServerState[]::new);
     }
 
@@ -73,17 +73,17 @@
         return index < 0 ? -index - 1 : index;
     }
 
-    /** A new number for a walk, other than all {@link ServerState#lastWalk}. */
+    /** A new number for a walk, other than all {@link ServerState#lastWalkId}. */
     int beginWalk() {
-        return ++walk;
+        return ++lastWalkId;
     }
 
-    private void setPoints(ServerState server, int count) {
-        while (server.ringPoints < count) {
+    private void setPoints(ServerState server, int pointCount) {
+        while (server.ringPoints < pointCount) {
             points.put(Hashing.mix(server.idHash + server.ringPoints), server);
             server.ringPoints++;
         }
-        while (server.ringPoints > count) {
+        while (server.ringPoints > pointCount) {
             server.ringPoints--;
             points.remove(Hashing.mix(server.idHash + server.ringPoints), server);
         }
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -12,16 +12,16 @@
  */
 final class HedgingPolicy {
     /** Safe requests are not hedged while servers had no capacity for more than this proportion of the arrivals. */
-    private static final double MAX_REJECTED_ATTEMPTS = 0.02;
+    private static final double MAX_REJECTED_ATTEMPT_SHARE = 0.02;
 
-    private final RetryBudget budget;
-    private final ArrivalRate arrivals;
+    private final RetryBudget retryBudget;
+    private final ArrivalRate arrivalRate;
     /** Decaying number of attempts that no server took. */
     private double rejectedAttempts;
 
-    HedgingPolicy(RetryBudget budget, ArrivalRate arrivals) {
-        this.budget = budget;
-        this.arrivals = arrivals;
+    HedgingPolicy(RetryBudget retryBudget, ArrivalRate arrivalRate) {
+        this.retryBudget = retryBudget;
+        this.arrivalRate = arrivalRate;
     }
 
     /** Records an attempt that certainly did not run. */
@@ -29,39 +29,41 @@
         rejectedAttempts++;
     }
 
-    void decay(double keep) {
-        rejectedAttempts *= keep;
+    void decay(double decayFactor) {
+        rejectedAttempts *= decayFactor;
     }
 
     /** Whether servers lack capacity: safe requests are not hedged then. */
-    boolean isCrowded() {
-        return rejectedAttempts > MAX_REJECTED_ATTEMPTS * arrivals.arrivals();
+    boolean serversLackCapacity() {
+        return rejectedAttempts > MAX_REJECTED_ATTEMPT_SHARE * arrivalRate.arrivalCount();
     }
 
     /** Whether the request should get a second attempt now, if there is a server for it. */
-    boolean isDue(RequestState request, boolean crowded, long now) {
-        return mayBeHedged(request, crowded, now) && now - lastSentAt(request) >= patienceMicros(request);
+    boolean isDue(RequestState request, boolean serversLackCapacity, long nowMicros) {
+        return mayBeHedged(request, serversLackCapacity, nowMicros)
+                && nowMicros - lastSentAtMicros(request) >= hedgingDelayMicros(request);
     }
 
-    private boolean mayBeHedged(RequestState request, boolean crowded, long now) {
+    private boolean mayBeHedged(RequestState request, boolean serversLackCapacity, long nowMicros) {
         return request.attemptsInFlight == 1
                 && !request.closed
                 && !request.streaming
                 && !request.isUnsafe()
-                && !(request.isSafe() && crowded)
-                && now < request.objectiveAt
+                && !(request.isSafe() && serversLackCapacity)
+                && nowMicros < request.objectiveAtMicros
                 && request.hasAttemptsLeft()
                 && request.limits.mayDuplicate()
-                && budget.allowsHedge();
+                && retryBudget.allowsHedge();
     }
 
-    private static long lastSentAt(RequestState request) {
-        return request.attempts.get(request.attempts.size() - 1).sentAt;
+    private static long lastSentAtMicros(RequestState request) {
+        return request.attempts.get(request.attempts.size() - 1).sentAtMicros;
     }
 
-    private static double patienceMicros(RequestState request) {
-        double expected = request.latency.typicalMicros() * request.relativeWork;
-        double spare = request.isSafe() ? request.objectiveAt - request.arrivedAt - 2 * expected : 0;
-        return Math.max(expected, spare);
+    private static double hedgingDelayMicros(RequestState request) {
+        double expectedMicros = request.classLatency.typicalMicros() * request.relativeWork;
+        double spareMicros =
+                request.isSafe() ? request.objectiveAtMicros - request.arrivedAtMicros - 2 * expectedMicros : 0;
+        return Math.max(expectedMicros, spareMicros);
     }
 }
--- a/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -26,15 +26,15 @@
  */
 public final class JsqDasPolicy implements Policy {
     /** Time between two looks at all servers, and between two wakes while no request is open. */
-    private static final long REFRESH_INTERVAL_MICROS = 100_000;
+    private static final long REFRESH_MICROS = 100_000;
 
-    private static final int NOT_LISTED_BEFORE = -1;
+    private static final int NO_FORMER_INDEX = -1;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final SplittableRandom random;
     private final OperatorLog log = new OperatorLog();
-    private final DecayScale scale = new DecayScale();
-    private final ArrivalRate arrivals = new ArrivalRate();
+    private final DecayScale decayScale = new DecayScale();
+    private final ArrivalRate arrivalRate = new ArrivalRate();
     private final ClassLatencies latencies = new ClassLatencies();
 
     private final AdmissionController admission;
@@ -43,171 +43,183 @@
     private final HashRing ring;
     private final EndpointSet endpoints;
     private final DiscoverySubscription subscription;
-    private final KeyAffinity keys = new KeyAffinity(scale, arrivals);
+    private final KeyAffinity keyAffinity = new KeyAffinity(decayScale, arrivalRate);
     private final SlowStart slowStart;
-    private final OutlierDetector outliers;
-    private final SubsetSelector selector;
+    private final OutlierDetector outlierDetector;
+    private final SubsetSelector subsetSelector;
 
-    private final AccomplishmentRanking ranking = new AccomplishmentRanking(scale);
-    private final QueueEstimator queues;
+    private final AccomplishmentRanking ranking = new AccomplishmentRanking(decayScale);
+    private final QueueEstimator queueEstimator;
     private final AttemptDispatcher dispatcher;
-    private final OutcomeRecorder outcomes;
+    private final OutcomeRecorder outcomeRecorder;
 
     private final RetryBudget retryBudget = new RetryBudget();
-    private final HedgingPolicy hedging = new HedgingPolicy(retryBudget, arrivals);
+    private final HedgingPolicy hedging = new HedgingPolicy(retryBudget, arrivalRate);
     private final SequencedKeys sequencedKeys = new SequencedKeys();
-    private final PendingQueue pending;
+    private final PendingQueue pendingQueue;
     /** Requests that await their final response or have attempts in flight, by id. */
-    private final Map<String, RequestState> open = new LinkedHashMap<>();
+    private final Map<String, RequestState> requests = new LinkedHashMap<>();
 
     /** When decaying figures were last updated. */
-    private long updatedAt;
+    private long updatedAtMicros;
 
-    private long refreshAt;
+    private long refreshAtMicros;
     /** The earliest wake that has been asked for. */
-    private long wakeAt = Long.MAX_VALUE;
+    private long wakeAtMicros = Long.MAX_VALUE;
 
     /** Same settings, seed and events give the same actions. */
     public JsqDasPolicy(Settings settings, long seed) {
-        active = new ActiveSettings(settings);
+        activeSettings = new ActiveSettings(settings);
         random = new SplittableRandom(seed);
-        admission = new AdmissionController(active, random);
-        quotas = new TenantQuotas(active, random);
+        admission = new AdmissionController(activeSettings, random);
+        quotas = new TenantQuotas(activeSettings, random);
         ring = new HashRing(settings.rank(), settings.balancers());
         endpoints = new EndpointSet(random, ring);
-        subscription = new DiscoverySubscription(active, random, log);
-        slowStart = new SlowStart(active, scale);
-        outliers = new OutlierDetector(active, endpoints, ranking, scale, random, log);
-        selector = new SubsetSelector(active, endpoints, ring, arrivals, keys, slowStart, outliers);
-        queues = new QueueEstimator(active, endpoints, latencies);
-        ServerSampler sampler = new ServerSampler(random, ranking, queues);
-        dispatcher = new AttemptDispatcher(active, selector, sampler, queues, ranking);
-        outcomes = new OutcomeRecorder(outliers, admission, scale, random);
-        pending = new PendingQueue(active);
-        List<Integer> noFormerClasses = Collections.nCopies(settings.classes().size(), NOT_LISTED_BEFORE);
-        List<Integer> noFormerTenants = Collections.nCopies(settings.tenants().size(), NOT_LISTED_BEFORE);
+        subscription = new DiscoverySubscription(activeSettings, random, log);
+        slowStart = new SlowStart(activeSettings, decayScale);
+        outlierDetector = new OutlierDetector(activeSettings, endpoints, ranking, decayScale, random, log);
+        subsetSelector = new SubsetSelector(
+                activeSettings, endpoints, ring, arrivalRate, keyAffinity, slowStart, outlierDetector);
+        queueEstimator = new QueueEstimator(activeSettings, endpoints, latencies);
+        ServerSampler sampler = new ServerSampler(random, ranking, queueEstimator);
+        dispatcher = new AttemptDispatcher(activeSettings, subsetSelector, sampler, queueEstimator, ranking);
+        outcomeRecorder = new OutcomeRecorder(outlierDetector, admission, decayScale, random);
+        pendingQueue = new PendingQueue(activeSettings);
+        List<Integer> noFormerClasses = Collections.nCopies(settings.classes().size(), NO_FORMER_INDEX);
+        List<Integer> noFormerTenants = Collections.nCopies(settings.tenants().size(), NO_FORMER_INDEX);
         apply(0, settings, noFormerClasses, noFormerTenants);
         admission.start();
     }
 
     @Override
     public void reload(
-            long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out) {
-        apply(now, settings, formerClasses, formerTenants);
-        wakeWithin(now, active.tickMicros(), out);
+            long nowMicros,
+            Settings settings,
+            List<Integer> formerClasses,
+            List<Integer> formerTenants,
+            Actions actions) {
+        apply(nowMicros, settings, formerClasses, formerTenants);
+        wakeWithin(nowMicros, activeSettings.sweepIntervalMicros(), actions);
     }
 
     // Open requests keep the class, limits and latency that they were taken under.
-    private void apply(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants) {
-        active.reload(settings);
+    private void apply(long nowMicros, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants) {
+        activeSettings.reload(settings);
         latencies.reload(settings.classes(), formerClasses);
         admission.reload();
-        quotas.reload(now, formerTenants);
+        quotas.reload(nowMicros, formerTenants);
     }
 
     @Override
-    public void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out) {
-        if (wakeAt == Long.MAX_VALUE) {
-            quotas.start(now);
-            updatedAt = now;
-            wakeWithin(now, active.tickMicros(), out);
+    public void updateEndpoints(long nowMicros, ListKind kind, List<Server> servers, Actions actions) {
+        if (wakeAtMicros == Long.MAX_VALUE) {
+            quotas.start(nowMicros);
+            updatedAtMicros = nowMicros;
+            wakeWithin(nowMicros, activeSettings.sweepIntervalMicros(), actions);
         }
         if (kind == ListKind.FAILED) {
-            subscription.listFailed(now, out);
+            subscription.listFailed(nowMicros, actions);
             return;
         }
-        subscription.listReceived(now, kind, out);
-        endpoints.update(now, kind, servers);
-        ranking.updateFastProportion(endpoints.listed());
-        pending.drain(dispatcher, now, out);
+        subscription.listReceived(nowMicros, kind, actions);
+        endpoints.update(nowMicros, kind, servers);
+        ranking.updateFastProportion(endpoints.upServers());
+        pendingQueue.drain(dispatcher, nowMicros, actions);
     }
 
     @Override
     public void request(
-            long now,
-            String id,
-            int requestClass,
-            int tenant,
+            long nowMicros,
+            String requestId,
+            int classIndex,
+            int tenantIndex,
             String key,
-            long timeLeft,
+            long timeLeftMicros,
             long work,
             boolean resubmission,
-            Actions out) {
-        Settings settings = active.settings();
+            Actions actions) {
+        Settings settings = activeSettings.settings();
         if (settings.warmKeys() && key != null && !resubmission) {
-            keys.recordRequest(key);
+            keyAffinity.recordRequest(key);
         }
-        arrivals.record(now, resubmission);
-        quotas.recordArrival(tenant, resubmission);
-        RequestClass kind = settings.classes().get(requestClass);
-        ClassLatency latency = latencies.of(requestClass);
-        long elapsed = latency.elapsedSinceFirstSubmission(kind.deadline(), timeLeft, resubmission);
-        long objective = now + objectiveMicros(kind, work) - elapsed;
+        arrivalRate.record(nowMicros, resubmission);
+        quotas.recordArrival(tenantIndex, resubmission);
+        RequestClass requestClass = settings.classes().get(classIndex);
+        ClassLatency classLatency = latencies.of(classIndex);
+        long ageMicros = classLatency.submissionAgeMicros(requestClass.deadlineMicros(), timeLeftMicros, resubmission);
+        long objectiveAtMicros = nowMicros + objectiveMicros(requestClass, work) - ageMicros;
         RequestState request = new RequestState(
-                id,
-                latency,
-                kind,
+                requestId,
+                classLatency,
+                requestClass,
                 settings.limits(),
                 key == null ? 0 : Hashing.hash(key),
-                new RequestState.Times(now, now + timeLeft, objective),
-                quotas.exceedsQuota(tenant, now));
+                new RequestState.Times(nowMicros, nowMicros + timeLeftMicros, objectiveAtMicros),
+                quotas.exceedsQuota(tenantIndex, nowMicros));
         if (work > 0) {
-            request.relativeWork = latency.recordWork(work);
+            request.relativeWork = classLatency.recordWork(work);
         }
-        open.put(id, request);
-        wakeWithin(now, active.tickMicros(), out);
+        requests.put(requestId, request);
+        wakeWithin(nowMicros, activeSettings.sweepIntervalMicros(), actions);
         retryBudget.recordRequest();
-        admit(request, key != null, now, out);
+        admit(request, key != null, nowMicros, actions);
     }
 
     private static long objectiveMicros(RequestClass requestClass, long work) {
-        return requestClass.aim() + (work > 0 ? (long) (requestClass.aimStretch() * work) : 0);
+        return requestClass.aimMicros() + (work > 0 ? (long) (requestClass.aimStretch() * work) : 0);
     }
 
-    private void admit(RequestState request, boolean hasKey, long now, Actions out) {
+    private void admit(RequestState request, boolean hasKey, long nowMicros, Actions actions) {
         if (admission.shouldReject(request)) {
-            if (log.isDue(now)) {
-                log.write(now, admission.describe(), out);
+            if (log.isDue(nowMicros)) {
+                log.write(nowMicros, admission.describe(), actions);
             }
-            finish(request, out);
+            finish(request, actions);
             return;
         }
         if (request.requestClass.inOrder() && hasKey) {
             sequencedKeys.add(request);
         }
-        dispatchOrEnqueue(request, now, out);
+        dispatchOrEnqueue(request, nowMicros, actions);
     }
 
-    private void dispatchOrEnqueue(RequestState request, long now, Actions out) {
-        if (!dispatcher.dispatch(request, now, out) && !pending.offer(request, now)) {
-            finish(request, out);
+    private void dispatchOrEnqueue(RequestState request, long nowMicros, Actions actions) {
+        if (!dispatcher.dispatch(request, nowMicros, actions) && !pendingQueue.offer(request, nowMicros)) {
+            finish(request, actions);
         }
     }
 
     @Override
     public void outcome(
-            long now, String id, int attempt, Outcome outcome, long latency, boolean closed, Load load, Actions out) {
-        RequestState request = open.get(id);
-        if (request == null || attempt >= request.attempts.size()) {
+            long nowMicros,
+            String requestId,
+            int attemptIndex,
+            Outcome outcome,
+            long latencyMicros,
+            boolean closed,
+            Load load,
+            Actions actions) {
+        RequestState request = requests.get(requestId);
+        if (request == null || attemptIndex >= request.attempts.size()) {
             return;
         }
-        AttemptState ended = request.attempts.get(attempt);
+        AttemptState ended = request.attempts.get(attemptIndex);
         if (!ended.inFlight) {
             return;
         }
-        endAttempt(ended, outcome, now);
-        QueueEstimator.recordReport(ended.target, load, now);
-        outcomes.record(ended, outcome, latency, now, out);
+        endAttempt(ended, outcome, nowMicros);
+        QueueEstimator.recordReport(ended.target, load, nowMicros);
+        outcomeRecorder.record(ended, outcome, latencyMicros, nowMicros, actions);
         if (closed) {
-            close(request, out);
+            close(request, actions);
         } else if (!request.closed && request.attemptsInFlight == 0) {
-            retryOrFinish(request, outcome, now, out);
+            retryOrFinish(request, outcome, nowMicros, actions);
         }
         removeIfDone(request);
-        pending.drain(dispatcher, now, out);
+        pendingQueue.drain(dispatcher, nowMicros, actions);
     }
 
-    private void endAttempt(AttemptState attempt, Outcome outcome, long now) {
+    private void endAttempt(AttemptState attempt, Outcome outcome, long nowMicros) {
         RequestState request = attempt.request;
         attempt.inFlight = false;
         attempt.mayHaveRun = !outcome.neverRan();
@@ -215,24 +227,24 @@
             hedging.recordRejectedAttempt();
         }
         request.attemptsInFlight--;
-        queues.attemptEnded(attempt.target);
-        long pause = active.settings().bounds().orderPause();
-        SequencedKeys.attemptEnded(request, attempt, outcome, now, pause);
+        queueEstimator.attemptEnded(attempt.target);
+        long pauseMicros = activeSettings.settings().bounds().orderPauseMicros();
+        SequencedKeys.attemptEnded(request, attempt, outcome, nowMicros, pauseMicros);
     }
 
-    private void retryOrFinish(RequestState request, Outcome outcome, long now, Actions out) {
-        if (!mayRetry(request, outcome, now)) {
-            finish(request, out);
+    private void retryOrFinish(RequestState request, Outcome outcome, long nowMicros, Actions actions) {
+        if (!mayRetry(request, outcome, nowMicros)) {
+            finish(request, actions);
             return;
         }
         if (!outcome.neverRan()) {
             retryBudget.consume();
         }
-        dispatchOrEnqueue(request, now, out);
+        dispatchOrEnqueue(request, nowMicros, actions);
     }
 
     // Whether the class, the time left and the retry budget allow another attempt after a failed one.
-    private boolean mayRetry(RequestState request, Outcome outcome, long now) {
+    private boolean mayRetry(RequestState request, Outcome outcome, long nowMicros) {
         if (outcome == Outcome.NOT_SENT || !request.hasAttemptsLeft()) {
             return false;
         }
@@ -242,145 +254,146 @@
         // Nothing can be won by waiting with what may not be repeated any more.
         if (request.isKeyed()
                 && request.firstThatMayHaveRun() != null
-                && request.deduplicationTimeLeft(now, active.tickMicros()) <= 0) {
+                && request.deduplicationTimeLeftMicros(nowMicros, activeSettings.sweepIntervalMicros()) <= 0) {
             return false;
         }
-        long end = request.isSafe() ? request.deadline : request.objectiveAt;
-        return now < end - active.tickMicros();
+        long retryUntilMicros = request.isSafe() ? request.deadlineAtMicros : request.objectiveAtMicros;
+        return nowMicros < retryUntilMicros - activeSettings.sweepIntervalMicros();
     }
 
     @Override
-    public void streamStarted(long now, String id, int attempt, Actions out) {
-        RequestState request = open.get(id);
+    public void streamStarted(long nowMicros, String requestId, int attemptIndex, Actions actions) {
+        RequestState request = requests.get(requestId);
         if (request != null) {
             request.streaming = true;
         }
     }
 
     @Override
-    public void clientDisconnected(long now, String id, Actions out) {
-        RequestState request = open.get(id);
+    public void clientDisconnected(long nowMicros, String requestId, Actions actions) {
+        RequestState request = requests.get(requestId);
         if (request != null && !request.closed) {
-            close(request, out);
-            pending.remove(request);
+            close(request, actions);
+            pendingQueue.remove(request);
             removeIfDone(request);
         }
     }
 
     @Override
-    public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out) {
+    public void probeCompleted(
+            long nowMicros, String serverId, Outcome outcome, long latencyMicros, Load load, Actions actions) {
         // No probes are sent: ejected servers are tried with requests.
     }
 
-    private void finish(RequestState request, Actions out) {
+    private void finish(RequestState request, Actions actions) {
         request.closed = true;
         if (request.isHarmlessToResubmit()) {
-            out.reject(request.id, 0);
+            actions.reject(request.id, 0);
         } else {
-            out.fail(request.id);
+            actions.fail(request.id);
         }
         removeIfDone(request);
     }
 
     // The client has its response, or has disconnected: other attempts are cancelled where that is allowed.
-    private static void close(RequestState request, Actions out) {
+    private static void close(RequestState request, Actions actions) {
         request.closed = true;
         if (!request.limits.mayCancel() || request.streaming) {
             return;
         }
         for (int i = 0; i < request.attempts.size(); i++) {
             if (request.attempts.get(i).inFlight) {
-                out.cancel(request.id, i);
+                actions.cancel(request.id, i);
             }
         }
     }
 
     private void removeIfDone(RequestState request) {
         if (request.closed && request.attemptsInFlight == 0) {
-            open.remove(request.id);
+            requests.remove(request.id);
             SequencedKeys.remove(request);
         }
     }
 
     @Override
-    public void wake(long now, Actions out) {
-        if (now < wakeAt) {
+    public void wake(long nowMicros, Actions actions) {
+        if (nowMicros < wakeAtMicros) {
             return; // asked for before an earlier one was
         }
-        wakeAt = Long.MAX_VALUE;
+        wakeAtMicros = Long.MAX_VALUE;
         try {
-            sweep(now, out);
+            sweep(nowMicros, actions);
         } finally { // a fault must not be the last wake
-            wakeWithin(now, open.isEmpty() ? REFRESH_INTERVAL_MICROS : active.tickMicros(), out);
+            wakeWithin(nowMicros, requests.isEmpty() ? REFRESH_MICROS : activeSettings.sweepIntervalMicros(), actions);
         }
     }
 
-    private void sweep(long now, Actions out) {
-        update(now);
-        pending.drain(dispatcher, now, out);
-        for (RequestState expired : pending.removeExpired(now)) {
-            finish(expired, out);
+    private void sweep(long nowMicros, Actions actions) {
+        update(nowMicros);
+        pendingQueue.drain(dispatcher, nowMicros, actions);
+        for (RequestState expired : pendingQueue.removeExpired(nowMicros)) {
+            finish(expired, actions);
         }
         if (admission.allowsHedging()) {
-            hedge(now, out);
+            hedge(nowMicros, actions);
         }
-        subscription.subscribeIfDue(now, out);
+        subscription.subscribeIfDue(nowMicros, actions);
     }
 
-    private void hedge(long now, Actions out) {
-        boolean crowded = hedging.isCrowded();
-        for (RequestState request : open.values()) {
-            if (hedging.isDue(request, crowded, now)) {
-                dispatcher.hedge(request, retryBudget, now, out);
+    private void hedge(long nowMicros, Actions actions) {
+        boolean serversLackCapacity = hedging.serversLackCapacity();
+        for (RequestState request : requests.values()) {
+            if (hedging.isDue(request, serversLackCapacity, nowMicros)) {
+                dispatcher.hedge(request, retryBudget, nowMicros, actions);
             }
         }
     }
 
-    private void wakeWithin(long now, long delayMicros, Actions out) {
-        if (now + delayMicros < wakeAt) {
-            wakeAt = now + delayMicros;
-            out.wakeAfter(delayMicros);
+    private void wakeWithin(long nowMicros, long delayMicros, Actions actions) {
+        if (nowMicros + delayMicros < wakeAtMicros) {
+            wakeAtMicros = nowMicros + delayMicros;
+            actions.wakeAfter(delayMicros);
         }
     }
 
     // Brings decaying figures to the present.
-    private void update(long now) {
-        long elapsedMicros = now - updatedAt;
-        double keep = Math.exp(-elapsedMicros / DecayScale.TIME_CONSTANT_MICROS);
-        scale.decay(keep);
-        arrivals.decay(keep);
-        hedging.decay(keep);
-        quotas.decay(keep);
-        if (now >= refreshAt) {
-            refresh(now);
+    private void update(long nowMicros) {
+        long elapsedMicros = nowMicros - updatedAtMicros;
+        double decayFactor = Math.exp(-elapsedMicros / DecayScale.TIME_CONSTANT_MICROS);
+        decayScale.decay(decayFactor);
+        arrivalRate.decay(decayFactor);
+        hedging.decay(decayFactor);
+        quotas.decay(decayFactor);
+        if (nowMicros >= refreshAtMicros) {
+            refresh(nowMicros);
         }
         latencies.refreshShortest();
-        queues.update(elapsedMicros);
-        admission.update(now, elapsedMicros, keep);
-        updatedAt = now;
+        queueEstimator.update(elapsedMicros);
+        admission.update(nowMicros, elapsedMicros, decayFactor);
+        updatedAtMicros = nowMicros;
     }
 
     // What needs a look at all servers. Guards against work for each wake that grows with the fleet: with counts that
     // were decayed at each wake a balancer of 200 servers spent more on its idle time than on requests.
-    private void refresh(long now) {
-        selector.refresh(now);
-        slowStart.refresh(ring.homeOrder(), now);
-        outliers.refresh(now);
-        sequencedKeys.removeIdle(now);
-        keys.removeRare();
-        if (scale.mustRescale()) {
+    private void refresh(long nowMicros) {
+        subsetSelector.refresh(nowMicros);
+        slowStart.refresh(ring.homeOrder(), nowMicros);
+        outlierDetector.refresh(nowMicros);
+        sequencedKeys.removeIdle(nowMicros);
+        keyAffinity.removeRare();
+        if (decayScale.mustRescale()) {
             rescale();
         }
-        refreshAt = now + REFRESH_INTERVAL_MICROS;
+        refreshAtMicros = nowMicros + REFRESH_MICROS;
     }
 
     private void rescale() {
         for (ServerState server : endpoints.all()) {
-            server.accomplishment /= scale.unit();
-            server.successes /= scale.unit();
-            server.failures /= scale.unit();
+            server.accomplishment /= decayScale.unit();
+            server.successes /= decayScale.unit();
+            server.failures /= decayScale.unit();
         }
-        keys.clear();
-        scale.reset();
+        keyAffinity.clear();
+        decayScale.reset();
     }
 }
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -8,17 +8,17 @@
     /** Keys with a smaller number are forgotten. */
     private static final double MIN_REQUESTS = 0.5;
 
-    private final DecayScale scale;
-    private final ArrivalRate arrivals;
-    private final Map<Long, Double> requests = new HashMap<>();
+    private final DecayScale decayScale;
+    private final ArrivalRate arrivalRate;
+    private final Map<Long, Double> requestsByKey = new HashMap<>();
 
-    KeyAffinity(DecayScale scale, ArrivalRate arrivals) {
-        this.scale = scale;
-        this.arrivals = arrivals;
+    KeyAffinity(DecayScale decayScale, ArrivalRate arrivalRate) {
+        this.decayScale = decayScale;
+        this.arrivalRate = arrivalRate;
     }
 
     void recordRequest(String key) {
-        requests.merge(Hashing.hash(key), scale.unit(), Double::sum);
+        requestsByKey.merge(Hashing.hash(key), decayScale.unit(), Double::sum);
     }
 
     /**
@@ -26,15 +26,16 @@
      * four servers of fifty took a seventh of all requests, and the larger the fleet the smaller a part four are.
      */
     double keyShare(long key) {
-        return Math.max(0, requests.getOrDefault(key, 0.0) / scale.unit() - 1) / Math.max(1, arrivals.arrivals());
+        return Math.max(0, requestsByKey.getOrDefault(key, 0.0) / decayScale.unit() - 1)
+                / Math.max(1, arrivalRate.arrivalCount());
     }
 
     void removeRare() {
-        double fewest = scale.unit() * MIN_REQUESTS;
-        requests.values().removeIf(count -> count < fewest);
+        double minCount = decayScale.unit() * MIN_REQUESTS;
+        requestsByKey.values().removeIf(count -> count < minCount);
     }
 
     void clear() {
-        requests.clear();
+        requestsByKey.clear();
     }
 }
--- a/src/main/java/loadbalancer/policy/OperatorLog.java
+++ b/src/main/java/loadbalancer/policy/OperatorLog.java
@@ -6,17 +6,17 @@
 final class OperatorLog {
     private static final long MIN_INTERVAL_MICROS = 1_000_000;
 
-    private long nextAt;
+    private long nextLineAtMicros;
 
     /** Whether a line would be written: callers on hot paths ask before they make up the text. */
-    boolean isDue(long now) {
-        return now >= nextAt;
+    boolean isDue(long nowMicros) {
+        return nowMicros >= nextLineAtMicros;
     }
 
-    void write(long now, String line, Actions out) {
-        if (isDue(now)) {
-            nextAt = now + MIN_INTERVAL_MICROS;
-            out.log(line);
+    void write(long nowMicros, String line, Actions actions) {
+        if (isDue(nowMicros)) {
+            nextLineAtMicros = nowMicros + MIN_INTERVAL_MICROS;
+            actions.log(line);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -25,26 +25,26 @@
     /** A server is stalled when it was silent for this multiple of the typical latency. */
     private static final double STALL_LATENCIES = 3;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final EndpointSet endpoints;
     private final AccomplishmentRanking ranking;
-    private final DecayScale scale;
+    private final DecayScale decayScale;
     private final SplittableRandom random;
     private final OperatorLog log;
     /** Most servers look like outliers. */
-    private boolean panic;
+    private boolean panicMode;
 
     OutlierDetector(
-            ActiveSettings active,
+            ActiveSettings activeSettings,
             EndpointSet endpoints,
             AccomplishmentRanking ranking,
-            DecayScale scale,
+            DecayScale decayScale,
             SplittableRandom random,
             OperatorLog log) {
-        this.active = active;
+        this.activeSettings = activeSettings;
         this.endpoints = endpoints;
         this.ranking = ranking;
-        this.scale = scale;
+        this.decayScale = decayScale;
         this.random = random;
         this.log = log;
     }
@@ -53,35 +53,35 @@
      * Whether the request may be sent to the server. One on trial gets one attempt at a time, and none that could not
      * be repeated where others can be.
      */
-    boolean allows(RequestState request, ServerState server, long now) {
-        if (panic) {
+    boolean allows(RequestState request, ServerState server, long nowMicros) {
+        if (panicMode) {
             return true;
         }
-        return !isOutlier(server, now)
+        return !isOutlier(server, nowMicros)
                 && (server.trialSuccessesLeft == 0
-                        || (server.inFlight == 0 && (request.isSafe() || !active.anyClassSafe())));
+                        || (server.inFlight == 0 && (request.isSafe() || !activeSettings.anyClassSafe())));
     }
 
     /** Decides anew whether most servers look like outliers, and all are used. */
-    void refresh(long now) {
+    void refresh(long nowMicros) {
         int outliers = 0;
-        for (ServerState server : endpoints.listed()) {
-            if (isOutlier(server, now)) {
+        for (ServerState server : endpoints.upServers()) {
+            if (isOutlier(server, nowMicros)) {
                 outliers++;
             }
         }
-        panic = 2 * outliers > endpoints.listed().size();
+        panicMode = 2 * outliers > endpoints.upServers().size();
     }
 
-    void recordSuccess(ServerState server, long now, Actions out) {
+    void recordSuccess(ServerState server, long nowMicros, Actions actions) {
         if (server.trialSuccessesLeft == 0) {
             return;
         }
         server.trialSuccessesLeft--;
         if (server.trialSuccessesLeft == 0) {
-            server.ejections = 0;
+            server.ejectionCount = 0;
             server.failures = 0;
-            log.write(now, "event=server_recovered server=" + server.server.id(), out);
+            log.write(nowMicros, "event=server_recovered server=" + server.endpoint.id(), actions);
         }
     }
 
@@ -92,39 +92,47 @@
      * @param weight how much it speaks for an ejection: 1 for a failure, 0 if not at all
      * @param penaltyMicros for how long the attempt keeps its place
      */
-    void recordFailure(ServerState server, double weight, long penaltyMicros, long now, Actions out) {
+    void recordFailure(ServerState server, double weight, long penaltyMicros, long nowMicros, Actions actions) {
         ranking.recordFailure(server);
-        QueueEstimator.keepPlace(server, now + penaltyMicros);
-        server.failures += weight * scale.unit();
-        boolean failsOften = server.failures > MIN_FAILURES * scale.unit()
+        QueueEstimator.addPenalty(server, nowMicros + penaltyMicros);
+        server.failures += weight * decayScale.unit();
+        boolean failsOften = server.failures > MIN_FAILURES * decayScale.unit()
                 && server.failures > MIN_FAILURE_PROPORTION * (server.failures + server.successes);
         if (weight > 0 && (server.trialSuccessesLeft > 0 || failsOften)) {
-            eject(server, now, out);
+            eject(server, nowMicros, actions);
         }
     }
 
-    private void eject(ServerState server, long now, Actions out) {
-        if (server.ejectedUntil > now) {
+    private void eject(ServerState server, long nowMicros, Actions actions) {
+        if (server.ejectedUntilMicros > nowMicros) {
             return;
         }
-        long length = FIRST_EJECTION_MICROS << Math.min(MAX_EJECTION_DOUBLINGS, server.ejections);
-        server.ejections++;
-        server.ejectedUntil = now + length + random.nextLong(length / EJECTION_JITTER_DIVISOR);
+        long ejectionMicros = FIRST_EJECTION_MICROS << Math.min(MAX_EJECTION_DOUBLINGS, server.ejectionCount);
+        server.ejectionCount++;
+        server.ejectedUntilMicros =
+                nowMicros + ejectionMicros + random.nextLong(ejectionMicros / EJECTION_JITTER_DIVISOR);
         server.trialSuccessesLeft = TRIAL_SUCCESSES;
-        log.write(now, "event=server_ejected server=" + server.server.id() + " duration_ms=" + length / 1000, out);
+        log.write(
+                nowMicros,
+                "event=server_ejected server=" + server.endpoint.id() + " duration_ms=" + ejectionMicros / 1000,
+                actions);
     }
 
-    private boolean isOutlier(ServerState server, long now) {
-        return server.ejectedUntil > now || server.fullUntil > now || isStalled(server, now);
+    private boolean isOutlier(ServerState server, long nowMicros) {
+        return server.ejectedUntilMicros > nowMicros
+                || server.fullUntilMicros > nowMicros
+                || isStalled(server, nowMicros);
     }
 
-    private boolean isStalled(ServerState server, long now) {
+    private boolean isStalled(ServerState server, long nowMicros) {
         AttemptState oldest = oldestInFlight(server);
         if (oldest == null) {
             return false;
         }
-        double patience = STALL_LATENCIES * oldest.request.latency.typicalMicros() + active.tickMicros();
-        return now - oldest.sentAt > patience && now - server.lastSuccessAt > patience;
+        double stallThresholdMicros =
+                STALL_LATENCIES * oldest.request.classLatency.typicalMicros() + activeSettings.sweepIntervalMicros();
+        return nowMicros - oldest.sentAtMicros > stallThresholdMicros
+                && nowMicros - server.lastSuccessAtMicros > stallThresholdMicros;
     }
 
     private static AttemptState oldestInFlight(ServerState server) {
--- a/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -10,24 +10,24 @@
  * the time of their latest start. In order of arrival, requests with a short objective ran out of time in the queue.
  */
 final class PendingQueue {
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final List<RequestState> normalPriority = new ArrayList<>();
     private final List<RequestState> lowPriority = new ArrayList<>();
 
-    PendingQueue(ActiveSettings active) {
-        this.active = active;
+    PendingQueue(ActiveSettings activeSettings) {
+        this.activeSettings = activeSettings;
     }
 
     /** Adds a request, if it is not pending already; false if its time is all but over and it must be finished. */
-    boolean offer(RequestState request, long now) {
-        if (now >= lastResponseTime(request)) {
+    boolean offer(RequestState request, long nowMicros) {
+        if (nowMicros >= latestFinishAtMicros(request)) {
             return false;
         }
         if (!request.pending) {
             request.pending = true;
             List<RequestState> queue = queueOf(request);
             int index = queue.size();
-            while (index > 0 && queue.get(index - 1).latestStart() > request.latestStart()) {
+            while (index > 0 && queue.get(index - 1).latestStartAtMicros() > request.latestStartAtMicros()) {
                 index--;
             }
             queue.add(index, request);
@@ -43,60 +43,61 @@
     }
 
     /** Sends what can be sent now, in the order of the queue. */
-    void drain(AttemptDispatcher dispatcher, long now, Actions out) {
-        if (drain(normalPriority, dispatcher, now, out)) {
-            drain(lowPriority, dispatcher, now, out);
+    void drain(AttemptDispatcher dispatcher, long nowMicros, Actions actions) {
+        if (drain(normalPriority, dispatcher, nowMicros, actions)) {
+            drain(lowPriority, dispatcher, nowMicros, actions);
         }
     }
 
     // Returns false where no server is free for any request, so that there is no need to look at the others.
-    private static boolean drain(List<RequestState> queue, AttemptDispatcher dispatcher, long now, Actions out) {
+    private static boolean drain(
+            List<RequestState> queue, AttemptDispatcher dispatcher, long nowMicros, Actions actions) {
         Iterator<RequestState> requests = queue.iterator();
         while (requests.hasNext()) {
             RequestState request = requests.next();
-            if (request.closed || dispatcher.dispatch(request, now, out)) {
+            if (request.closed || dispatcher.dispatch(request, nowMicros, actions)) {
                 request.pending = false;
                 requests.remove();
-            } else if (anyServerWouldDo(request)) {
+            } else if (isUnconstrained(request)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean anyServerWouldDo(RequestState request) {
-        return request.attempts.isEmpty() && request.sequence == null && request.isPermittedEverywhere();
+    private static boolean isUnconstrained(RequestState request) {
+        return request.attempts.isEmpty() && request.sequencedKey == null && request.isPermittedEverywhere();
     }
 
     /**
      * Rule 1: removes the requests that must be finished now, in time for the response; those without an attempt as
      * soon as they can't be finished within their objective.
      */
-    List<RequestState> removeExpired(long now) {
+    List<RequestState> removeExpired(long nowMicros) {
         List<RequestState> expired = new ArrayList<>();
-        addExpired(normalPriority, now, expired);
-        addExpired(lowPriority, now, expired);
+        addExpired(normalPriority, nowMicros, expired);
+        addExpired(lowPriority, nowMicros, expired);
         for (RequestState request : expired) {
             remove(request);
         }
         return expired;
     }
 
-    private void addExpired(List<RequestState> queue, long now, List<RequestState> expired) {
+    private void addExpired(List<RequestState> queue, long nowMicros, List<RequestState> expired) {
         for (RequestState request : queue) {
-            long expiry = lastResponseTime(request);
+            long expiresAtMicros = latestFinishAtMicros(request);
             if (request.attempts.isEmpty()) {
-                expiry = Math.min(expiry, request.latestStart());
+                expiresAtMicros = Math.min(expiresAtMicros, request.latestStartAtMicros());
             }
-            if (now >= expiry) {
+            if (nowMicros >= expiresAtMicros) {
                 expired.add(request);
             }
         }
     }
 
     // The last sweep but one before the deadline.
-    private long lastResponseTime(RequestState request) {
-        return request.deadline - 2 * active.tickMicros();
+    private long latestFinishAtMicros(RequestState request) {
+        return request.deadlineAtMicros - 2 * activeSettings.sweepIntervalMicros();
     }
 
     private List<RequestState> queueOf(RequestState request) {
--- a/src/main/java/loadbalancer/policy/Policy.java
+++ b/src/main/java/loadbalancer/policy/Policy.java
@@ -7,12 +7,12 @@
  * The interface of the decision module: the events that one balancer notifies it of (the methods below), and the
  * actions that it requests in return ({@link Actions}).
  *
- * <p>All times are microseconds in a {@code long}; {@code now} is the caller's clock and never goes back. Ids are
+ * <p>All times are microseconds in a {@code long}; {@code nowMicros} is the caller's clock and never goes back. Ids are
  * opaque. One object serves one balancer and is not thread-safe: the caller reports events one at a time, in the order
  * in which they happened, and none before the former has returned. It carries out actions in the order in which they
- * are requested, at the time {@code now}. A new or restarted balancer is a new object, and its first event is {@link
- * #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers that the module no
- * longer holds are legal and ignored.
+ * are requested, at the time {@code nowMicros}. A new or restarted balancer is a new object, and its first event is
+ * {@link #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers that the module
+ * no longer holds are legal and ignored.
  */
 public interface Policy {
     /** What a class of requests allows once an attempt may have run. */
@@ -88,42 +88,42 @@
     }
 
     /**
-     * One entry of the endpoint list. {@code startedAt} is 0 where the last start is long past; {@code weight} is
-     * relative to other servers; {@code cell}, {@code kind} (of machine) and {@code zone} are numbers, -1 if unknown.
+     * One entry of the endpoint list. {@code startedAtMicros} is 0 where the last start is long past; {@code weight} is
+     * relative to other servers; {@code cell}, {@code machineModel} and {@code zone} are numbers, -1 if unknown.
      */
-    record Server(String id, State state, long startedAt, double weight, int cell, int kind, int zone) {
+    record Server(String id, State state, long startedAtMicros, double weight, int cell, int machineModel, int zone) {
         /** The same server in another state. */
-        public Server withState(State other) {
-            return new Server(id, other, startedAt, weight, cell, kind, zone);
+        public Server withState(State newState) {
+            return new Server(id, newState, startedAtMicros, weight, cell, machineModel, zone);
         }
     }
 
     /**
-     * A class of requests. A response within {@code aim}, the latency objective, earns {@code worth}, the priority
-     * weight; one before {@code deadline} earns the proportion {@code lateShare} of it. {@code aimStretch} lengthens
-     * the objective by that multiple of the request's work. {@code keyMemory}: for how long servers drop repeats of a
-     * keyed request. {@code inOrder}: requests with one key run one at a time, in the order of arrival. Attempts go to
-     * servers of these {@code zones} and {@code machineKinds} only; empty: to all.
+     * A class of requests. A response within {@code aimMicros}, the latency objective, earns {@code worth}, the
+     * priority weight; one before {@code deadlineMicros} earns the proportion {@code lateShare} of it.
+     * {@code aimStretch} lengthens the objective by that multiple of the request's work. {@code keyTtlMicros}: for how
+     * long servers drop repeats of a keyed request. {@code inOrder}: requests with one key run one at a time, in the
+     * order of arrival. Attempts go to servers of these {@code zones} and {@code machineModels} only; empty: to all.
      */
     record RequestClass(
             Effect effect,
             Scope scope,
-            long keyMemory,
-            long aim,
-            long deadline,
+            long keyTtlMicros,
+            long aimMicros,
+            long deadlineMicros,
             double aimStretch,
             double worth,
             double lateShare,
             boolean streamed,
             boolean inOrder,
             Set<Integer> zones,
-            Set<Integer> machineKinds) {
+            Set<Integer> machineModels) {
         public RequestClass {
             zones = Set.copyOf(zones);
-            machineKinds = Set.copyOf(machineKinds);
-            require(aim > 0, "aim", aim);
-            require(deadline > 0, "deadline", deadline);
-            require(keyMemory >= 0, "keyMemory", keyMemory);
+            machineModels = Set.copyOf(machineModels);
+            require(aimMicros > 0, "aim", aimMicros);
+            require(deadlineMicros > 0, "deadline", deadlineMicros);
+            require(keyTtlMicros >= 0, "keyTtl", keyTtlMicros);
             require(aimStretch >= 0, "aimStretch", aimStretch);
         }
 
@@ -131,9 +131,9 @@
         public RequestClass(
                 Effect effect,
                 Scope scope,
-                long keyMemory,
-                long aim,
-                long deadline,
+                long keyTtlMicros,
+                long aimMicros,
+                long deadlineMicros,
                 double aimStretch,
                 double worth,
                 double lateShare,
@@ -141,9 +141,9 @@
             this(
                     effect,
                     scope,
-                    keyMemory,
-                    aim,
-                    deadline,
+                    keyTtlMicros,
+                    aimMicros,
+                    deadlineMicros,
                     aimStretch,
                     worth,
                     lateShare,
@@ -172,45 +172,47 @@
         }
     }
 
-    /** What the site allows. {@code mayDuplicate}: hedged requests; {@code retryAfterMax}: 0 for no Retry-After. */
+    /**
+     * What the site allows. {@code mayDuplicate}: hedged requests; {@code maxRetryAfterMicros}: 0 for no Retry-After.
+     */
     record Limits(
             int maxAttempts,
             boolean mayDuplicate,
             boolean mayCancel,
             boolean mayProbe,
-            long connectTimeout,
-            long retryAfterMax) {
+            long connectTimeoutMicros,
+            long maxRetryAfterMicros) {
         public Limits {
             require(maxAttempts > 0, "maxAttempts", maxAttempts);
         }
     }
 
     /**
-     * The figures of the rules. {@code coldFrom} and {@code rampTime}: a server's slow start, from that part of a warm
-     * one's work on; {@code orderPause}: for how long a key rests after an attempt that may still run.
+     * The figures of the rules. {@code coldFrom} and {@code rampTimeMicros}: a server's slow start, from that part of a
+     * warm one's work on; {@code orderPauseMicros}: for how long a key rests after an attempt that may still run.
      */
     record Bounds(
-            long answerSlack,
-            long drainGrace,
-            long askWithin,
+            long answerSlackMicros,
+            long drainGraceMicros,
+            long askWithinMicros,
             double coldFrom,
-            long rampTime,
+            long rampTimeMicros,
             double overloadFactor,
-            long fallWindow,
-            long orderPause) {
+            long fallWindowMicros,
+            long orderPauseMicros) {
         public Bounds {
-            require(orderPause >= 0, "orderPause", orderPause);
+            require(orderPauseMicros >= 0, "orderPause", orderPauseMicros);
             require(coldFrom > 0 && coldFrom <= 1, "coldFrom", coldFrom);
-            require(rampTime >= 0, "rampTime", rampTime);
+            require(rampTimeMicros >= 0, "rampTime", rampTimeMicros);
             require(overloadFactor > 0, "overloadFactor", overloadFactor);
-            require(fallWindow >= 0, "fallWindow", fallWindow);
+            require(fallWindowMicros >= 0, "fallWindow", fallWindowMicros);
         }
     }
 
     /**
      * The settings of a balancer. {@code rank} is its number among all {@code balancers}, from 0; {@code
      * overShareWorth}: the priority of requests over their tenant's quota, as a proportion; {@code warmKeys}: a server
-     * needs less work for a key that it served lately; {@code tick} is the shortest step of the clock.
+     * needs less work for a key that it served lately; {@code clockTickMicros} is the shortest step of the clock.
      */
     record Settings(
             int balancers,
@@ -227,142 +229,149 @@
             boolean warmKeys,
             Limits limits,
             Bounds bounds,
-            long tick) {
+            long clockTickMicros) {
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
             require(balancers > 0, "balancers", balancers);
             require(rank >= 0 && rank < balancers, "rank", rank);
             require(!classes.isEmpty(), "classes", "none");
-            require(tick > 0, "tick", tick);
+            require(clockTickMicros > 0, "tick", clockTickMicros);
         }
     }
 
-    /** A server's load report; a figure that it doesn't carry is NaN. {@code recentLatency} is in µs. */
+    /** A server's load report; a figure that it doesn't carry is NaN. {@code recentLatencyMicros} is in µs. */
     record Load(
             double inFlight,
             double queued,
             double utilization,
-            double recentLatency,
+            double recentLatencyMicros,
             double throughput,
             double errorsPerSecond) {}
 
-    private static void require(boolean holds, String name, Object value) {
-        if (!holds) {
+    private static void require(boolean valid, String name, Object value) {
+        if (!valid) {
             throw new IllegalArgumentException("impossible " + name + ": " + value);
         }
     }
 
     /**
-     * Other settings hold from here on; open requests keep those that they were taken under. Zones, machine kinds,
+     * Other settings hold from here on; open requests keep those that they were taken under. Zones, machine models,
      * rank, the number of balancers and the kind of discovery are the same as before.
      *
      * @param formerClasses for each class of {@code settings} the number that it had before, or -1
      * @param formerTenants the same for each tenant
      */
-    void reload(long now, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants, Actions out);
+    void reload(
+            long nowMicros,
+            Settings settings,
+            List<Integer> formerClasses,
+            List<Integer> formerTenants,
+            Actions actions);
 
     /** The endpoint list was updated; {@code servers} is empty for {@link ListKind#FAILED}. */
-    void updateEndpoints(long now, ListKind kind, List<Server> servers, Actions out);
+    void updateEndpoints(long nowMicros, ListKind kind, List<Server> servers, Actions actions);
 
     /**
-     * A request has arrived; it needs one final response before {@code timeLeft} is over.
+     * A request has arrived; it needs one final response before {@code timeLeftMicros} is over.
      *
-     * @param tenant 0 where there are none
+     * @param tenantIndex 0 where there are none
      * @param key what the request concerns, or null
      * @param work the client's estimate of the work, or -1
      * @param resubmission the client marked it as not its first submission
      */
     void request(
-            long now,
-            String request,
-            int requestClass,
-            int tenant,
+            long nowMicros,
+            String requestId,
+            int classIndex,
+            int tenantIndex,
             String key,
-            long timeLeft,
+            long timeLeftMicros,
             long work,
             boolean resubmission,
-            Actions out);
+            Actions actions);
 
     /**
      * An attempt has ended; each attempt that was sent ends once.
      *
-     * @param attempt the request's attempts are numbered 0, 1, 2 ... in the order of their sends
+     * @param attemptIndex the request's attempts are numbered 0, 1, 2 ... in the order of their sends
      * @param closed the request has had its final response (the caller forwards an OK to the client)
      * @param load null where the response carried no load report
      */
     void outcome(
-            long now,
-            String request,
-            int attempt,
+            long nowMicros,
+            String requestId,
+            int attemptIndex,
             Outcome outcome,
-            long latency,
+            long latencyMicros,
             boolean closed,
             Load load,
-            Actions out);
+            Actions actions);
 
     /** A streamed response has begun: the attempt belongs to the client, its time-outs no longer hold. */
-    void streamStarted(long now, String request, int attempt, Actions out);
+    void streamStarted(long nowMicros, String requestId, int attemptIndex, Actions actions);
 
     /** The client has disconnected: the request needs no response. */
-    void clientDisconnected(long now, String request, Actions out);
+    void clientDisconnected(long nowMicros, String requestId, Actions actions);
 
     /** A health check has ended. */
-    void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions out);
+    void probeCompleted(
+            long nowMicros, String serverId, Outcome outcome, long latencyMicros, Load load, Actions actions);
 
     /** The time requested with {@link Actions#wakeAfter} is over. */
-    void wake(long now, Actions out);
+    void wake(long nowMicros, Actions actions);
 
     /** A message from another balancer; {@link JsqDasPolicy} sends none and reads none. */
-    default void peerMessage(long now, int from, byte[] data, Actions out) {}
+    default void peerMessage(long nowMicros, int fromBalancer, byte[] data, Actions actions) {}
 
     /** The actions that the module may request: implemented by the caller. */
     interface Actions {
-        /** Send an attempt; {@code timeout} 0 means until the request's deadline. */
-        void send(String request, String server, long timeout);
+        /** Send an attempt; {@code timeoutMicros} 0 means until the request's deadline. */
+        void send(String requestId, String serverId, long timeoutMicros);
 
         /**
-         * The same, if it can be begun within that time, in µs: from then on it must not run, and ends as {@link
-         * Outcome#NOT_SENT} where its connection is established later. The same as without where sends take no time.
+         * The same, if it can be begun within {@code sendWithinMicros}: from then on it must not run, and ends as
+         * {@link Outcome#NOT_SENT} where its connection is established later. The same as without where sends take no
+         * time.
          */
-        default void send(String request, String server, long timeout, long within) {
-            send(request, server, timeout);
+        default void send(String requestId, String serverId, long timeoutMicros, long sendWithinMicros) {
+            send(requestId, serverId, timeoutMicros);
         }
 
-        /** Final response: rejected, a new submission is harmless; {@code retryAfter} 0: no Retry-After. */
-        void reject(String request, long retryAfter);
+        /** Final response: rejected, a new submission is harmless; {@code retryAfterMicros} 0: no Retry-After. */
+        void reject(String requestId, long retryAfterMicros);
 
         /** Final response: failed; the request may have run. */
-        void fail(String request);
+        void fail(String requestId);
 
         /** Stop waiting for an attempt. */
-        void cancel(String request, int attempt);
+        void cancel(String requestId, int attemptIndex);
 
         /**
          * Whether an attempt at that server would find an established connection, and so need no handshake; true
          * where that is unknown. A query: it changes nothing.
          */
-        default boolean isConnected(String server) {
+        default boolean isConnected(String serverId) {
             return true;
         }
 
         /** Send a health check to a server. */
-        void probe(String server);
+        void probe(String serverId);
 
         /** Subscribe to updates of the endpoint list, or end the subscription. */
-        void watch(boolean on);
+        void watch(boolean enabled);
 
         /** Fetch the complete endpoint list once. */
         void fetchList();
 
         /** Close the idle connections to a server. */
-        void closeIdle(String server);
+        void closeIdle(String serverId);
 
         /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
         void sendToPeer(int peer, byte[] data);
 
-        /** Call {@link Policy#wake} once after {@code delay}. */
-        void wakeAfter(long delay);
+        /** Call {@link Policy#wake} once after {@code delayMicros}. */
+        void wakeAfter(long delayMicros);
 
         /** A line for the operators. */
         void log(String line);
--- a/src/main/java/loadbalancer/policy/QueueEstimator.java
+++ b/src/main/java/loadbalancer/policy/QueueEstimator.java
@@ -13,17 +13,17 @@
     /** How many requests a queue seems longer, per unit of price, in another zone or without a connection. */
     private static final double REQUESTS_PER_PRICE = 10;
     /** Time constant of trust in a load report, in typical latencies. */
-    private static final double REPORT_TRUST_LATENCIES = 2;
+    private static final double REPORT_TIME_CONSTANT_LATENCIES = 2;
     /** Reports of more requests in flight than this are taken for errors. */
-    private static final double MAX_REPORTED = 1e6;
+    private static final double MAX_REPORTED_IN_FLIGHT = 1e6;
     /** Weight of one response in a server's slowness. */
     private static final double SLOWNESS_SMOOTHING = 0.25;
     /** One response counts as no slower than this. */
     private static final double MAX_SLOWNESS_SAMPLE = 4;
     /** Time constant of the mean of own attempts in flight. */
-    private static final double OWN_MEAN_MICROS = 2e6;
+    private static final double IN_FLIGHT_SMOOTHING_MICROS = 2e6;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final EndpointSet endpoints;
     private final ClassLatencies latencies;
     /** Own attempts in flight, at all servers. */
@@ -31,8 +31,8 @@
     /** Moving mean of them. */
     private double meanInFlight;
 
-    QueueEstimator(ActiveSettings active, EndpointSet endpoints, ClassLatencies latencies) {
-        this.active = active;
+    QueueEstimator(ActiveSettings activeSettings, EndpointSet endpoints, ClassLatencies latencies) {
+        this.activeSettings = activeSettings;
         this.endpoints = endpoints;
         this.latencies = latencies;
     }
@@ -47,14 +47,16 @@
         inFlight--;
     }
 
-    /** Lets a failed attempt keep its place in the queue until {@code until}: a server that fails fast stays long. */
-    static void keepPlace(ServerState server, long until) {
-        server.penaltyEnds.add(until);
+    /**
+     * Lets a failed attempt keep its place in the queue until {@code untilMicros}: a server that fails fast stays long.
+     */
+    static void addPenalty(ServerState server, long untilMicros) {
+        server.penaltyEndsMicros.add(untilMicros);
     }
 
     /** Updates the mean of own attempts in flight by the time that has passed. */
     void update(long elapsedMicros) {
-        meanInFlight += (1 - Math.exp(-elapsedMicros / OWN_MEAN_MICROS)) * (inFlight - meanInFlight);
+        meanInFlight += (1 - Math.exp(-elapsedMicros / IN_FLIGHT_SMOOTHING_MICROS)) * (inFlight - meanInFlight);
     }
 
     /**
@@ -62,54 +64,58 @@
      * queue counts for longer: it must be worth the price. So does one that needs a handshake: chosen by queues
      * alone, four requests in ten opened a connection.
      */
-    double queueLength(ServerState server, long now, Actions out) {
-        while (!server.penaltyEnds.isEmpty() && server.penaltyEnds.peekFirst() <= now) {
-            server.penaltyEnds.pollFirst();
+    double queueLength(ServerState server, long nowMicros, Actions actions) {
+        while (!server.penaltyEndsMicros.isEmpty() && server.penaltyEndsMicros.peekFirst() <= nowMicros) {
+            server.penaltyEndsMicros.pollFirst();
         }
-        Prices prices = active.settings().prices();
-        double surcharge =
-                server.server.zone() == active.settings().zone() ? 0 : REQUESTS_PER_PRICE * prices.crossZone();
-        if (prices.handshake() > 0 && !out.isConnected(server.server.id())) {
+        Prices prices = activeSettings.settings().prices();
+        double surcharge = server.endpoint.zone() == activeSettings.settings().zone()
+                ? 0
+                : REQUESTS_PER_PRICE * prices.crossZone();
+        if (prices.handshake() > 0 && !actions.isConnected(server.endpoint.id())) {
             surcharge += REQUESTS_PER_PRICE * prices.handshake();
         }
-        double attempts = server.inFlight + server.penaltyEnds.size() + attemptsOfOthers(server, now);
-        double queue = attempts * endpoints.meanWeight() / server.server.weight();
-        return queue + surcharge * (1 + queue);
+        double attempts =
+                server.inFlight + server.penaltyEndsMicros.size() + attemptsOfOtherBalancers(server, nowMicros);
+        double weightedAttempts = attempts * endpoints.meanWeight() / server.endpoint.weight();
+        return weightedAttempts + surcharge * (1 + weightedAttempts);
     }
 
     // As last reported, or by Little's law as many as this balancer has at a server on average, in the ratio of this
     // server's latency. An old report fades to the mean of all.
-    private double attemptsOfOthers(ServerState server, long now) {
-        double relativeWeight = server.server.weight() / endpoints.meanWeight();
-        double trust = 0;
-        if (server.reportedAt > 0) {
-            trust = Math.exp(-(now - server.reportedAt) / (REPORT_TRUST_LATENCIES * latencies.shortestMicros()));
+    private double attemptsOfOtherBalancers(ServerState server, long nowMicros) {
+        double relativeWeight = server.endpoint.weight() / endpoints.meanWeight();
+        double reportWeight = 0;
+        if (server.reportedAtMicros > 0) {
+            reportWeight = Math.exp(-(nowMicros - server.reportedAtMicros)
+                    / (REPORT_TIME_CONSTANT_LATENCIES * latencies.shortestMicros()));
         }
-        int otherBalancers = active.settings().balancers() - 1;
-        double inferred = relativeWeight
+        int otherBalancers = activeSettings.settings().balancers() - 1;
+        double inferredAttempts = relativeWeight
                 * meanInFlight
                 * otherBalancers
-                / Math.max(1, endpoints.listed().size());
-        return slowness(server, now) * (inferred + trust * (server.reportedInFlight - inferred));
+                / Math.max(1, endpoints.upServers().size());
+        return slowness(server, nowMicros)
+                * (inferredAttempts + reportWeight * (server.reportedInFlight - inferredAttempts));
     }
 
     /** Takes a load report over; one with a figure that no server can mean is ignored. */
-    static void recordReport(ServerState server, Load load, long now) {
-        if (load != null && load.inFlight() >= 0 && load.inFlight() < MAX_REPORTED) {
+    static void recordReport(ServerState server, Load load, long nowMicros) {
+        if (load != null && load.inFlight() >= 0 && load.inFlight() < MAX_REPORTED_IN_FLIGHT) {
             server.reportedInFlight = load.inFlight();
-            server.reportedAt = now;
+            server.reportedAtMicros = nowMicros;
         }
     }
 
     /** Moving mean of latency / typical latency; it fades to 1. */
-    static double slowness(ServerState server, long now) {
-        double faded = Math.exp(-(now - server.slownessAt) / DecayScale.TIME_CONSTANT_MICROS);
-        return 1 + (server.slowness - 1) * faded;
+    static double slowness(ServerState server, long nowMicros) {
+        double decay = Math.exp(-(nowMicros - server.slownessUpdatedAtMicros) / DecayScale.TIME_CONSTANT_MICROS);
+        return 1 + (server.slowness - 1) * decay;
     }
 
-    static void recordSlowness(ServerState server, double sample, long now) {
-        double former = slowness(server, now);
-        server.slowness = former + SLOWNESS_SMOOTHING * (Math.min(MAX_SLOWNESS_SAMPLE, sample) - former);
-        server.slownessAt = now;
+    static void recordSlowness(ServerState server, double relativeLatency, long nowMicros) {
+        double previous = slowness(server, nowMicros);
+        server.slowness = previous + SLOWNESS_SMOOTHING * (Math.min(MAX_SLOWNESS_SAMPLE, relativeLatency) - previous);
+        server.slownessUpdatedAtMicros = nowMicros;
     }
 }
--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -12,17 +12,17 @@
 final class RequestState {
     final String id;
     /** Of its class, as it was when the request was taken; so are the class and the limits. */
-    final ClassLatency latency;
+    final ClassLatency classLatency;
 
     final RequestClass requestClass;
     final Limits limits;
     /** Hash of what the request concerns, 0 if nothing was named. */
-    final long key;
+    final long keyHash;
 
-    final long arrivedAt;
-    final long deadline;
+    final long arrivedAtMicros;
+    final long deadlineAtMicros;
     /** End of the latency objective. */
-    final long objectiveAt;
+    final long objectiveAtMicros;
     /** Over its tenant's quota, or its objective has passed already. */
     final boolean lowPriority;
     /** Expected latency as a multiple of the class's typical one. */
@@ -36,29 +36,29 @@
 
     boolean streaming;
     /** Null where no order is asked for. */
-    SequencedKey sequence;
+    SequencedKey sequencedKey;
 
     RequestState(
             String id,
-            ClassLatency latency,
+            ClassLatency classLatency,
             RequestClass requestClass,
             Limits limits,
-            long key,
+            long keyHash,
             Times times,
             boolean overQuota) {
         this.id = id;
-        this.latency = latency;
+        this.classLatency = classLatency;
         this.requestClass = requestClass;
         this.limits = limits;
-        this.key = key;
-        this.arrivedAt = times.arrivedAt();
-        this.deadline = times.deadline();
-        this.objectiveAt = Math.min(times.objectiveAt(), times.deadline());
-        this.lowPriority = overQuota || times.objectiveAt() <= times.arrivedAt();
+        this.keyHash = keyHash;
+        this.arrivedAtMicros = times.arrivedAtMicros();
+        this.deadlineAtMicros = times.deadlineAtMicros();
+        this.objectiveAtMicros = Math.min(times.objectiveAtMicros(), times.deadlineAtMicros());
+        this.lowPriority = overQuota || times.objectiveAtMicros() <= times.arrivedAtMicros();
     }
 
     /** When a request arrived, must be finished and should be finished, in microseconds. */
-    record Times(long arrivedAt, long deadline, long objectiveAt) {}
+    record Times(long arrivedAtMicros, long deadlineAtMicros, long objectiveAtMicros) {}
 
     boolean isSafe() {
         return requestClass.effect() == Effect.SAFE;
@@ -95,31 +95,31 @@
         return null;
     }
 
-    /** Rule 6: a class may be bound to zones and kinds of machine, at every attempt. */
+    /** Rule 6: a class may be bound to zones and machine models, at every attempt. */
     boolean isPermittedOn(Server server) {
         return (requestClass.zones().isEmpty() || requestClass.zones().contains(server.zone()))
-                && (requestClass.machineKinds().isEmpty()
-                        || requestClass.machineKinds().contains(server.kind()));
+                && (requestClass.machineModels().isEmpty()
+                        || requestClass.machineModels().contains(server.machineModel()));
     }
 
-    /** Whether the class is bound neither to zones nor to kinds of machine. */
+    /** Whether the class is bound neither to zones nor to machine models. */
     boolean isPermittedEverywhere() {
-        return requestClass.zones().isEmpty() && requestClass.machineKinds().isEmpty();
+        return requestClass.zones().isEmpty() && requestClass.machineModels().isEmpty();
     }
 
     /** Rule 2: a request that may have run is sent a second time only where its class allows. */
-    boolean mayRunOn(ServerState candidate, long now, long tickMicros) {
+    boolean mayRunOn(ServerState candidate, long nowMicros, long sweepIntervalMicros) {
         AttemptState first = firstThatMayHaveRun();
         if (first == null || isSafe()) {
             return true;
         }
-        if (isUnsafe() || deduplicationTimeLeft(now, tickMicros) <= 0) {
+        if (isUnsafe() || deduplicationTimeLeftMicros(nowMicros, sweepIntervalMicros) <= 0) {
             return false;
         }
         return switch (requestClass.scope()) {
             case ALL -> true;
-            case ZONE -> candidate.server.zone() == first.serverAtSend.zone() && candidate.server.zone() >= 0;
-            case CELL -> candidate.server.cell() == first.serverAtSend.cell() && candidate.server.cell() >= 0;
+            case ZONE -> candidate.endpoint.zone() == first.endpointAtSend.zone() && candidate.endpoint.zone() >= 0;
+            case CELL -> candidate.endpoint.cell() == first.endpointAtSend.cell() && candidate.endpoint.cell() >= 0;
         };
     }
 
@@ -127,8 +127,8 @@
      * Microseconds for which the servers still drop a repeat of a keyed request. One of its attempts must be one that
      * may have run.
      */
-    long deduplicationTimeLeft(long now, long tickMicros) {
-        return firstThatMayHaveRun().sentAt + requestClass.keyMemory() - tickMicros - now;
+    long deduplicationTimeLeftMicros(long nowMicros, long sweepIntervalMicros) {
+        return firstThatMayHaveRun().sentAtMicros + requestClass.keyTtlMicros() - sweepIntervalMicros - nowMicros;
     }
 
     /** Whether a new submission by the client does no harm. */
@@ -137,10 +137,12 @@
     }
 
     /** When the request must be sent to finish within its objective; at once if that has passed. */
-    long latestStart() {
-        if (objectiveAt <= arrivedAt) {
-            return arrivedAt;
+    long latestStartAtMicros() {
+        if (objectiveAtMicros <= arrivedAtMicros) {
+            return arrivedAtMicros;
         }
-        return Math.max(arrivedAt + (objectiveAt - arrivedAt) / 4, objectiveAt - (long) (2 * latency.typicalMicros()));
+        return Math.max(
+                arrivedAtMicros + (objectiveAtMicros - arrivedAtMicros) / 4,
+                objectiveAtMicros - (long) (2 * classLatency.typicalMicros()));
     }
 }
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -10,21 +10,21 @@
     /** What hedged requests leave of the budget to retries. */
     private static final double RESERVED_FOR_RETRIES = 4;
 
-    private double retries = MAX_RETRIES;
+    private double availableRetries = MAX_RETRIES;
 
     void recordRequest() {
-        retries = Math.min(MAX_RETRIES, retries + RETRIES_PER_REQUEST);
+        availableRetries = Math.min(MAX_RETRIES, availableRetries + RETRIES_PER_REQUEST);
     }
 
     boolean allowsRetry() {
-        return retries >= 1;
+        return availableRetries >= 1;
     }
 
     boolean allowsHedge() {
-        return retries >= RESERVED_FOR_RETRIES;
+        return availableRetries >= RESERVED_FOR_RETRIES;
     }
 
     void consume() {
-        retries--;
+        availableRetries--;
     }
 }
--- a/src/main/java/loadbalancer/policy/SequencedKey.java
+++ b/src/main/java/loadbalancer/policy/SequencedKey.java
@@ -6,5 +6,5 @@
 final class SequencedKey {
     final ArrayDeque<RequestState> requests = new ArrayDeque<>();
     /** Time in microseconds until which attempts of the previous request may still run. */
-    long restUntil;
+    long blockedUntilMicros;
 }
--- a/src/main/java/loadbalancer/policy/ServerSampler.java
+++ b/src/main/java/loadbalancer/policy/ServerSampler.java
@@ -19,31 +19,32 @@
 
     private final SplittableRandom random;
     private final AccomplishmentRanking ranking;
-    private final QueueEstimator queues;
+    private final QueueEstimator queueEstimator;
 
-    ServerSampler(SplittableRandom random, AccomplishmentRanking ranking, QueueEstimator queues) {
+    ServerSampler(SplittableRandom random, AccomplishmentRanking ranking, QueueEstimator queueEstimator) {
         this.random = random;
         this.ranking = ranking;
-        this.queues = queues;
+        this.queueEstimator = queueEstimator;
     }
 
     /** Chooses one of the candidates, one at least, and leaves them sorted by rank. */
-    ServerState select(List<ServerState> candidates, long now, Actions out) {
+    ServerState select(List<ServerState> candidates, long nowMicros, Actions actions) {
         int count = candidates.size();
         if (count == 1) {
             return candidates.get(0);
         }
         ranking.rank(candidates);
-        int fast = ranking.fastCount(count);
-        int fastSamples = Math.min(fast, Math.max(FAST_SAMPLES, SAMPLES - (count - fast)));
-        int otherSamples = Math.min(count - fast, SAMPLES - fastSamples);
-        int best = sample(candidates, 0, fast, fastSamples, NONE, now, out);
-        return candidates.get(sample(candidates, fast, count, otherSamples, best, now, out));
+        int fastCount = ranking.fastCount(count);
+        int fastSamples = Math.min(fastCount, Math.max(FAST_SAMPLES, SAMPLES - (count - fastCount)));
+        int otherSamples = Math.min(count - fastCount, SAMPLES - fastSamples);
+        int best = sample(candidates, 0, fastCount, fastSamples, NONE, nowMicros, actions);
+        return candidates.get(sample(candidates, fastCount, count, otherSamples, best, nowMicros, actions));
     }
 
     // Draws from [from, to) without replacement. Returns the index of the shortest queue among those drawn and
     // `best`; ties go to the higher rank.
-    private int sample(List<ServerState> ranked, int from, int to, int samples, int best, long now, Actions out) {
+    private int sample(
+            List<ServerState> ranked, int from, int to, int samples, int best, long nowMicros, Actions actions) {
         int shortest = best;
         int[] remaining = new int[to - from];
         for (int i = 0; i < remaining.length; i++) {
@@ -55,8 +56,8 @@
             remaining[j] = remaining[i];
             double difference = shortest == NONE
                     ? -1
-                    : queues.queueLength(ranked.get(drawn), now, out)
-                            - queues.queueLength(ranked.get(shortest), now, out);
+                    : queueEstimator.queueLength(ranked.get(drawn), nowMicros, actions)
+                            - queueEstimator.queueLength(ranked.get(shortest), nowMicros, actions);
             if (difference < 0 || (difference == 0 && drawn < shortest)) {
                 shortest = drawn;
             }
--- a/src/main/java/loadbalancer/policy/ServerState.java
+++ b/src/main/java/loadbalancer/policy/ServerState.java
@@ -5,7 +5,7 @@
 
 /** A listed server as this balancer sees it: plain data, each group of fields kept by the class named beside it. */
 final class ServerState {
-    Server server;
+    Server endpoint;
     final long idHash;
 
     // AccomplishmentRanking
@@ -18,7 +18,7 @@
     // HashRing, SubsetSelector
     int ringPoints;
     /** The last walk over the ring that met this server. */
-    int lastWalk;
+    int lastWalkId;
     /** Whether it belongs to this balancer's subset, warming up or not. */
     boolean inSubset;
 
@@ -27,13 +27,13 @@
     /** Requests in flight from all balancers, by the last load report. */
     double reportedInFlight;
     /** Time of that report in microseconds, 0 if there was none. */
-    long reportedAt;
+    long reportedAtMicros;
     /** Moving mean of latency divided by the class's typical latency. */
     double slowness = 1;
 
-    long slownessAt;
+    long slownessUpdatedAtMicros;
     /** Times in microseconds until which failed attempts keep their places in the queue. */
-    final ArrayDeque<Long> penaltyEnds = new ArrayDeque<>();
+    final ArrayDeque<Long> penaltyEndsMicros = new ArrayDeque<>();
 
     // OutlierDetector
     /** Oldest first; those that have ended are removed lazily. */
@@ -43,11 +43,11 @@
     /** Decaying number, in units of {@link DecayScale}. */
     double failures;
 
-    long lastSuccessAt;
-    long ejectedUntil;
-    int ejections;
+    long lastSuccessAtMicros;
+    long ejectedUntilMicros;
+    int ejectionCount;
     /** Until when the server rests because it had no capacity for an attempt. */
-    long fullUntil;
+    long fullUntilMicros;
     /** Successes needed to end the trial that follows an ejection; 0 if it is not on trial. */
     int trialSuccessesLeft;
 
@@ -55,11 +55,11 @@
     /** Attempts that the server may be sent while it warms up. */
     double slowStartTokens;
 
-    long slowStartTokensAt;
+    long slowStartTokensUpdatedAtMicros;
 
-    ServerState(Server server, int tieBreaker) {
-        this.server = server;
-        this.idHash = Hashing.hash(server.id());
+    ServerState(Server endpoint, int tieBreaker) {
+        this.endpoint = endpoint;
+        this.idHash = Hashing.hash(endpoint.id());
         this.tieBreaker = tieBreaker;
     }
 }
--- a/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -13,115 +13,122 @@
  */
 final class SubsetSelector {
     /** Servers of a balancer: as few as sampling needs, more where its traffic keeps them in view. */
-    private static final int MIN_SUBSET = 6;
+    private static final int MIN_SUBSET_SIZE = 6;
     /** Seconds between a balancer's requests to one server. */
-    private static final double SECONDS_PER_VISIT = 1.5;
+    private static final double SECONDS_PER_REQUEST = 1.5;
     /** The same where new connections have a price. */
-    private static final double SECONDS_PER_VISIT_EXPENSIVE_HANDSHAKE = 0.5;
+    private static final double SECONDS_PER_REQUEST_EXPENSIVE_HANDSHAKE = 0.5;
     /** Servers of a key: all are sampled. */
-    private static final int MIN_KEY_SUBSET = 4;
+    private static final int MIN_KEY_SUBSET_SIZE = 4;
     /** Servers of a hot key, as a multiple of the part of the fleet that its requests need. */
     private static final double KEY_SPREAD = 2;
     /** How many times as many servers the walk meets at most where only the own zone's count. */
-    private static final int MAX_REACH = 4;
+    private static final int MAX_WALK_FACTOR = 4;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final EndpointSet endpoints;
     private final HashRing ring;
-    private final ArrivalRate arrivals;
-    private final KeyAffinity keys;
+    private final ArrivalRate arrivalRate;
+    private final KeyAffinity keyAffinity;
     private final SlowStart slowStart;
-    private final OutlierDetector outliers;
+    private final OutlierDetector outlierDetector;
 
     SubsetSelector(
-            ActiveSettings active,
+            ActiveSettings activeSettings,
             EndpointSet endpoints,
             HashRing ring,
-            ArrivalRate arrivals,
-            KeyAffinity keys,
+            ArrivalRate arrivalRate,
+            KeyAffinity keyAffinity,
             SlowStart slowStart,
-            OutlierDetector outliers) {
-        this.active = active;
+            OutlierDetector outlierDetector) {
+        this.activeSettings = activeSettings;
         this.endpoints = endpoints;
         this.ring = ring;
-        this.arrivals = arrivals;
-        this.keys = keys;
+        this.arrivalRate = arrivalRate;
+        this.keyAffinity = keyAffinity;
         this.slowStart = slowStart;
-        this.outliers = outliers;
+        this.outlierDetector = outlierDetector;
     }
 
     /** Servers that the request may be sent to now; those that it was sent to already only if there are no others. */
-    List<ServerState> candidates(RequestState request, long now) {
-        if (request.key != 0 && usesKeySubsets(now)) {
-            double proportional =
-                    KEY_SPREAD * keys.keyShare(request.key) * endpoints.listed().size();
-            int wanted = (int) Math.max(MIN_KEY_SUBSET, proportional);
+    List<ServerState> candidates(RequestState request, long nowMicros) {
+        if (request.keyHash != 0 && usesKeySubsets(nowMicros)) {
+            double proportionalSize = KEY_SPREAD
+                    * keyAffinity.keyShare(request.keyHash)
+                    * endpoints.upServers().size();
+            int targetSize = (int) Math.max(MIN_KEY_SUBSET_SIZE, proportionalSize);
             ServerState[] order = ring.keyOrder();
-            return walk(request, order, ring.indexOf(request.key), wanted, false, now);
+            return walk(request, order, ring.indexOf(request.keyHash), targetSize, false, nowMicros);
         }
-        return walk(request, ring.homeOrder(), 0, subsetSize(now), active.prefersOwnZone(), now);
+        return walk(request, ring.homeOrder(), 0, subsetSize(nowMicros), activeSettings.prefersOwnZone(), nowMicros);
     }
 
     private List<ServerState> walk(
-            RequestState request, ServerState[] order, int from, int wanted, boolean ownZoneOnly, long now) {
+            RequestState request,
+            ServerState[] order,
+            int startIndex,
+            int targetSize,
+            boolean ownZoneOnly,
+            long nowMicros) {
         List<ServerState> untried = new ArrayList<>();
         List<ServerState> tried = new ArrayList<>();
-        int walk = ring.beginWalk();
-        int ownZone = active.settings().zone();
+        int walkId = ring.beginWalk();
+        int ownZone = activeSettings.settings().zone();
         int counted = 0;
         int warm = 0;
-        for (int i = 0; i < order.length && counted < wanted && warm < MAX_REACH * wanted; i++) {
-            ServerState server = order[(from + i) % order.length];
-            if (server.lastWalk == walk) {
+        for (int i = 0; i < order.length && counted < targetSize && warm < MAX_WALK_FACTOR * targetSize; i++) {
+            ServerState server = order[(startIndex + i) % order.length];
+            if (server.lastWalkId == walkId) {
                 continue;
             }
-            server.lastWalk = walk;
-            if (!isCandidate(request, server, now)) {
+            server.lastWalkId = walkId;
+            if (!isCandidate(request, server, nowMicros)) {
                 continue;
             }
             (request.wasSentTo(server) ? tried : untried).add(server);
-            if (slowStart.isWarm(server, now)) {
+            if (slowStart.isWarm(server, nowMicros)) {
                 warm++;
-                counted += ownZoneOnly && server.server.zone() != ownZone ? 0 : 1;
+                counted += ownZoneOnly && server.endpoint.zone() != ownZone ? 0 : 1;
             }
         }
         return untried.isEmpty() ? tried : untried;
     }
 
-    private boolean isCandidate(RequestState request, ServerState server, long now) {
-        return request.isPermittedOn(server.server)
-                && request.mayRunOn(server, now, active.tickMicros())
-                && slowStart.hasBudget(server, now)
-                && outliers.allows(request, server, now);
+    private boolean isCandidate(RequestState request, ServerState server, long nowMicros) {
+        return request.isPermittedOn(server.endpoint)
+                && request.mayRunOn(server, nowMicros, activeSettings.sweepIntervalMicros())
+                && slowStart.hasBudget(server, nowMicros)
+                && outlierDetector.allows(request, server, nowMicros);
     }
 
     /** Marks the servers of this balancer's subset; none where subsets follow from keys. */
-    void refresh(long now) {
-        int subset = subsetSize(now);
-        boolean byKey = usesKeySubsets(now);
-        boolean ownZoneOnly = active.prefersOwnZone();
-        int ownZone = active.settings().zone();
+    void refresh(long nowMicros) {
+        int subsetSize = subsetSize(nowMicros);
+        boolean byKey = usesKeySubsets(nowMicros);
+        boolean ownZoneOnly = activeSettings.prefersOwnZone();
+        int ownZone = activeSettings.settings().zone();
         int counted = 0;
         int warm = 0;
         for (ServerState server : ring.homeOrder()) {
-            server.inSubset = !byKey && counted < subset && warm < MAX_REACH * subset;
-            if (slowStart.isWarm(server, now)) {
+            server.inSubset = !byKey && counted < subsetSize && warm < MAX_WALK_FACTOR * subsetSize;
+            if (slowStart.isWarm(server, nowMicros)) {
                 warm++;
-                counted += ownZoneOnly && server.server.zone() != ownZone ? 0 : 1;
+                counted += ownZoneOnly && server.endpoint.zone() != ownZone ? 0 : 1;
             }
         }
     }
 
-    private int subsetSize(long now) {
-        double secondsPerVisit =
-                active.settings().prices().handshake() > 0 ? SECONDS_PER_VISIT_EXPENSIVE_HANDSHAKE : SECONDS_PER_VISIT;
-        return (int) Math.max(MIN_SUBSET, arrivals.perSecond(now) * secondsPerVisit);
+    private int subsetSize(long nowMicros) {
+        double secondsPerRequest = activeSettings.settings().prices().handshake() > 0
+                ? SECONDS_PER_REQUEST_EXPENSIVE_HANDSHAKE
+                : SECONDS_PER_REQUEST;
+        return (int) Math.max(MIN_SUBSET_SIZE, arrivalRate.perSecond(nowMicros) * secondsPerRequest);
     }
 
     // Only where servers keep a key warm, and the balancer's traffic reaches all of them often.
-    private boolean usesKeySubsets(long now) {
-        return active.settings().warmKeys()
-                && arrivals.perSecond(now) * SECONDS_PER_VISIT
-                        >= endpoints.listed().size();
+    private boolean usesKeySubsets(long nowMicros) {
+        return activeSettings.settings().warmKeys()
+                && arrivalRate.perSecond(nowMicros) * SECONDS_PER_REQUEST
+                        >= endpoints.upServers().size();
     }
 }
--- a/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -17,17 +17,17 @@
     /** What a tenant may bring at once, as a time at its rate. */
     private static final double BURST_MICROS = 1e6;
 
-    private final ActiveSettings active;
+    private final ActiveSettings activeSettings;
     private final SplittableRandom random;
     /** Decaying number of first submissions of each tenant. */
-    private double[] arrivals = {};
+    private double[] arrivalsByTenant = {};
     /** Requests that each tenant may still bring within its quota, and when they were counted. */
-    private double[] tokens = {};
+    private double[] tokensByTenant = {};
 
-    private long[] tokensAt = {};
+    private long[] tokensUpdatedAtMicros = {};
 
-    TenantQuotas(ActiveSettings active, SplittableRandom random) {
-        this.active = active;
+    TenantQuotas(ActiveSettings activeSettings, SplittableRandom random) {
+        this.activeSettings = activeSettings;
         this.random = random;
     }
 
@@ -36,49 +36,52 @@
      *
      * @param formerTenants for each tenant the number that it had before, or -1 if it is new
      */
-    void reload(long now, List<Integer> formerTenants) {
-        double[] formerTokens = tokens;
-        double[] formerArrivals = arrivals;
-        tokens = new double[active.settings().tenants().size()];
-        tokensAt = new long[tokens.length];
-        arrivals = new double[Math.max(1, tokens.length)];
-        Arrays.fill(tokensAt, now);
-        for (int i = 0; i < tokens.length; i++) {
+    void reload(long nowMicros, List<Integer> formerTenants) {
+        double[] formerTokens = tokensByTenant;
+        double[] formerArrivals = arrivalsByTenant;
+        tokensByTenant = new double[activeSettings.settings().tenants().size()];
+        tokensUpdatedAtMicros = new long[tokensByTenant.length];
+        arrivalsByTenant = new double[Math.max(1, tokensByTenant.length)];
+        Arrays.fill(tokensUpdatedAtMicros, nowMicros);
+        for (int i = 0; i < tokensByTenant.length; i++) {
             int former = formerTenants.get(i);
             // Random, as buckets that were all full at once overran the servers at a start.
-            tokens[i] = former < 0 ? MIN_BURST_REQUESTS * random.nextDouble() : formerTokens[former];
-            arrivals[i] = former < 0 ? 0 : formerArrivals[former];
+            tokensByTenant[i] = former < 0 ? MIN_BURST_REQUESTS * random.nextDouble() : formerTokens[former];
+            arrivalsByTenant[i] = former < 0 ? 0 : formerArrivals[former];
         }
     }
 
-    /** Starts to fill the buckets at {@code now}. */
-    void start(long now) {
-        Arrays.fill(tokensAt, now);
+    /** Starts to fill the buckets at {@code nowMicros}. */
+    void start(long nowMicros) {
+        Arrays.fill(tokensUpdatedAtMicros, nowMicros);
     }
 
-    void recordArrival(int tenant, boolean resubmission) {
-        arrivals[tenant] += resubmission ? 0 : 1;
+    void recordArrival(int tenantIndex, boolean resubmission) {
+        arrivalsByTenant[tenantIndex] += resubmission ? 0 : 1;
     }
 
     /** Takes a token for a request; false if there was one. */
-    boolean exceedsQuota(int tenant, long now) {
-        if (tokens.length == 0) {
+    boolean exceedsQuota(int tenantIndex, long nowMicros) {
+        if (tokensByTenant.length == 0) {
             return false;
         }
-        double rate = active.settings().tenants().get(tenant).allowancePerSecond() * ownPart();
+        double rate = activeSettings.settings().tenants().get(tenantIndex).allowancePerSecond() * ownShare();
         double capacity = Math.max(MIN_BURST_REQUESTS, rate * BURST_MICROS / MICROS_PER_SECOND);
-        tokens[tenant] = Math.min(capacity, tokens[tenant] + rate * (now - tokensAt[tenant]) / MICROS_PER_SECOND);
-        tokensAt[tenant] = now;
-        if (tokens[tenant] < 1) {
+        tokensByTenant[tenantIndex] = Math.min(
+                capacity,
+                tokensByTenant[tenantIndex]
+                        + rate * (nowMicros - tokensUpdatedAtMicros[tenantIndex]) / MICROS_PER_SECOND);
+        tokensUpdatedAtMicros[tenantIndex] = nowMicros;
+        if (tokensByTenant[tenantIndex] < 1) {
             return true;
         }
-        tokens[tenant]--;
+        tokensByTenant[tenantIndex]--;
         return false;
     }
 
-    void decay(double keep) {
-        for (int i = 0; i < arrivals.length; i++) {
-            arrivals[i] *= keep;
+    void decay(double decayFactor) {
+        for (int i = 0; i < arrivalsByTenant.length; i++) {
+            arrivalsByTenant[i] *= decayFactor;
         }
     }
 
@@ -86,15 +89,16 @@
      * This balancer's part of the traffic: even, or more where its median tenant brings more. Traffic is not spread
      * evenly over balancers; one tenant far over its quota must not widen the quotas of all.
      */
-    private double ownPart() {
-        int balancers = active.settings().balancers();
-        double[] ratios = new double[arrivals.length];
+    private double ownShare() {
+        int balancers = activeSettings.settings().balancers();
+        double[] ratios = new double[arrivalsByTenant.length];
         for (int i = 0; i < ratios.length; i++) {
-            double even = active.settings().tenants().get(i).allowancePerSecond()
-                    / balancers
-                    * DecayScale.TIME_CONSTANT_MICROS
-                    / MICROS_PER_SECOND;
-            ratios[i] = (arrivals[i] + PRIOR_REQUESTS) / (even + PRIOR_REQUESTS);
+            double evenShareArrivals =
+                    activeSettings.settings().tenants().get(i).allowancePerSecond()
+                            / balancers
+                            * DecayScale.TIME_CONSTANT_MICROS
+                            / MICROS_PER_SECOND;
+            ratios[i] = (arrivalsByTenant[i] + PRIOR_REQUESTS) / (evenShareArrivals + PRIOR_REQUESTS);
         }
         Arrays.sort(ratios);
         double median = ratios[(ratios.length - 1) / 2];
--- a/src/main/java/loadbalancer/policy/TimeoutPolicy.java
+++ b/src/main/java/loadbalancer/policy/TimeoutPolicy.java
@@ -5,7 +5,7 @@
     /** No time-out but the request's deadline. */
     static final long NONE = 0;
     /** A class whose late responses earn less than this part of its worth is given up at its objective. */
-    private static final double MIN_LATE_WORTH = 0.5;
+    private static final double MIN_LATE_SHARE = 0.5;
     /** Typical latencies that an attempt gets at least before another one is tried in its place. */
     private static final double MIN_LATENCIES = 3;
 
@@ -20,19 +20,21 @@
      * would be resubmitted; it leaves time for another attempt where hedged requests are forbidden, and is not cut
      * otherwise.
      */
-    static long timeoutMicros(RequestState request, long now) {
+    static long timeoutMicros(RequestState request, long nowMicros) {
         if (request.requestClass.streamed()) {
             return NONE;
         }
         if (!request.isSafe()) {
-            boolean cut = request.requestClass.lateShare() < MIN_LATE_WORTH && request.objectiveAt > now;
-            return cut ? request.objectiveAt - now : NONE;
+            boolean endsAtObjective =
+                    request.requestClass.lateShare() < MIN_LATE_SHARE && request.objectiveAtMicros > nowMicros;
+            return endsAtObjective ? request.objectiveAtMicros - nowMicros : NONE;
         }
         if (request.limits.mayDuplicate() || !request.hasAttemptsLeft()) {
             return NONE;
         }
-        long timeLeft = request.deadline - now;
-        long patience = Math.max(timeLeft / 2, (long) (MIN_LATENCIES * request.latency.typicalMicros()));
-        return Math.max(1, Math.min(timeLeft, patience));
+        long timeLeftMicros = request.deadlineAtMicros - nowMicros;
+        long attemptTimeoutMicros =
+                Math.max(timeLeftMicros / 2, (long) (MIN_LATENCIES * request.classLatency.typicalMicros()));
+        return Math.max(1, Math.min(timeLeftMicros, attemptTimeoutMicros));
     }
 }
--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -87,7 +87,7 @@
 
     @Override
     public long graceHolds() {
-        return stallMonitor.graceHolds(boot.settings().bounds().drainGrace());
+        return stallMonitor.graceHolds(boot.settings().bounds().drainGraceMicros());
     }
 
     @Override
@@ -274,7 +274,7 @@
      */
     public void beginShutdown(long slack) {
         long longest = boot.settings().classes().stream()
-                .mapToLong(Policy.RequestClass::deadline)
+                .mapToLong(Policy.RequestClass::deadlineMicros)
                 .max()
                 .getAsLong();
         deadlines.limitTo(now() + longest + slack);
--- a/src/main/java/loadbalancer/proxy/RequestMetrics.java
+++ b/src/main/java/loadbalancer/proxy/RequestMetrics.java
@@ -106,7 +106,7 @@
                 byClass[request.requestClass()],
                 byTenant[request.tenant()],
                 worth(request),
-                requestClass.aim() + stretch,
+                requestClass.aimMicros() + stretch,
                 requestClass.lateShare());
         received(all, entry.worth());
         received(entry.ofClass(), entry.worth());
--- a/src/main/java/loadbalancer/server/WarmUp.java
+++ b/src/main/java/loadbalancer/server/WarmUp.java
@@ -74,7 +74,7 @@
         Policy policy = new JsqDasPolicy(boot.settings(), config.seed());
         dispatcher = new Dispatcher(new NettyScheduler(loop), Clock.system(), boot, policy, line -> {});
         ConnectionBudget budget = new ConnectionBudget(config.connections(), System.nanoTime());
-        IdleTimeout idleTimeout = IdleTimeout.trusting(boot.idleClose());
+        IdleTimeout idleTimeout = IdleTimeout.trusting(boot.idleCloseMicros());
         upstreamPool = pool(budget, ownSocket, idleTimeout);
         clientPool = pool(budget, ownSocket, idleTimeout);
         dispatcher.attach(upstreamPool, EndpointSource.NONE);
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -34,8 +34,8 @@
      * @param classes names of the request classes, by the policy's number
      * @param tenants names of the tenants, by the policy's number
      * @param zones names of the zones, by the policy's number
-     * @param kinds names of the server models, by the policy's number
-     * @param idleClose after what time, in µs, a server closes an idle connection; 0 where that is not known
+     * @param machineModels names of the machine models, by the policy's number
+     * @param idleCloseMicros after what time a server closes an idle connection; 0 where that is not known
      */
     public record Boot(
             Settings settings,
@@ -43,8 +43,8 @@
             List<String> classes,
             List<String> tenants,
             List<String> zones,
-            List<String> kinds,
-            long idleClose) {}
+            List<String> machineModels,
+            long idleCloseMicros) {}
 
     private SettingsReader(
             Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> errorFactory) {
@@ -81,26 +81,26 @@
      * of plain values by commas, lists of maps by position with a {@code .count} beside them. Nulls are left out.
      *
      * @param path path of {@code value}; empty for the root
-     * @param into receives the pairs
+     * @param flattened receives the pairs
      */
-    public static void flatten(String path, Object value, Map<String, String> into) {
+    public static void flatten(String path, Object value, Map<String, String> flattened) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((key, child) -> flatten(path.isEmpty() ? key.toString() : path + "." + key, child, into));
+            map.forEach((key, child) -> flatten(path.isEmpty() ? key.toString() : path + "." + key, child, flattened));
         } else if (value instanceof List<?> list) {
-            flattenList(path, list, into);
+            flattenList(path, list, flattened);
         } else if (value != null) {
-            into.put(path, toText(value));
+            flattened.put(path, toText(value));
         }
     }
 
-    private static void flattenList(String path, List<?> list, Map<String, String> into) {
+    private static void flattenList(String path, List<?> list, Map<String, String> flattened) {
         if (list.stream().noneMatch(Map.class::isInstance)) {
-            into.put(path, list.stream().map(SettingsReader::toText).collect(Collectors.joining(",")));
+            flattened.put(path, list.stream().map(SettingsReader::toText).collect(Collectors.joining(",")));
             return;
         }
-        into.put(path + ".count", Integer.toString(list.size()));
+        flattened.put(path + ".count", Integer.toString(list.size()));
         for (int i = 0; i < list.size(); i++) {
-            flatten(path + "." + i, list.get(i), into);
+            flatten(path + "." + i, list.get(i), flattened);
         }
     }
 
--- a/src/main/java/loadbalancer/simulator/ActionWriter.java
+++ b/src/main/java/loadbalancer/simulator/ActionWriter.java
@@ -19,13 +19,13 @@
     }
 
     /** Reports that the module failed in the current instance. */
-    void bailOut(RuntimeException failure) {
+    void writeBailOut(RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
         write("BAIL_OUT", withoutSeparators(failure + (trace.length == 0 ? "" : " at " + trace[0])));
     }
 
     /** Closes the batch and returns it as it goes out. */
-    byte[] finish() {
+    byte[] finishBatch() {
         text.append("DONE\n");
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
@@ -47,33 +47,33 @@
     }
 
     @Override
-    public void send(String request, String server, long timeout) {
-        write("DELIVER", request, server, timeout);
+    public void send(String requestId, String serverId, long timeoutMicros) {
+        write("DELIVER", requestId, serverId, timeoutMicros);
     }
 
     @Override
-    public void reject(String request, long retryAfter) {
-        write("REFUSE", request, retryAfter);
+    public void reject(String requestId, long retryAfterMicros) {
+        write("REFUSE", requestId, retryAfterMicros);
     }
 
     @Override
-    public void fail(String request) {
-        write("ERROR", request);
+    public void fail(String requestId) {
+        write("ERROR", requestId);
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        write("UNDO_SEND", request, attempt);
+    public void cancel(String requestId, int attemptIndex) {
+        write("UNDO_SEND", requestId, attemptIndex);
     }
 
     @Override
-    public void probe(String server) {
-        write("PING", server);
+    public void probe(String serverId) {
+        write("PING", serverId);
     }
 
     @Override
-    public void watch(boolean on) {
-        write("WATCH", on ? 1 : 0);
+    public void watch(boolean enabled) {
+        write("WATCH", enabled ? 1 : 0);
     }
 
     @Override
@@ -82,8 +82,8 @@
     }
 
     @Override
-    public void closeIdle(String server) {
-        write("CLOSE_IDLE", server);
+    public void closeIdle(String serverId) {
+        write("CLOSE_IDLE", serverId);
     }
 
     @Override
@@ -93,8 +93,8 @@
     }
 
     @Override
-    public void wakeAfter(long delay) {
-        write("SLEEP", SimulatorInstance.WAKE_NONCE, delay);
+    public void wakeAfter(long delayMicros) {
+        write("SLEEP", SimulatorInstance.WAKE_NONCE, delayMicros);
     }
 
     @Override
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -21,13 +21,13 @@
          * @param settings of the instance
          * @param seed of the policy's random draws
          */
-        Policy make(Policy.Settings settings, long seed);
+        Policy create(Policy.Settings settings, long seed);
     }
 
     /** Whether the simulator is served on after a batch. */
     private enum BatchResult {
         COMPLETED,
-        MODULE_FAILED
+        POLICY_FAILED
     }
 
     private final Factory factory;
@@ -52,30 +52,30 @@
     public void run() throws IOException {
         BatchResult result = BatchResult.COMPLETED;
         while (result == BatchResult.COMPLETED) {
-            SimulatorMessage first = reader.next();
-            if (first == null) {
+            SimulatorMessage tickMessage = reader.next();
+            if (tickMessage == null) {
                 return;
             }
-            result = answerBatch(first);
+            result = processBatch(tickMessage);
         }
     }
 
-    private BatchResult answerBatch(SimulatorMessage first) throws IOException {
-        if (!first.name().equals("TICK")) {
-            throw first.malformed("TICK", "a batch begins with it");
+    private BatchResult processBatch(SimulatorMessage tickMessage) throws IOException {
+        if (!tickMessage.name().equals("TICK")) {
+            throw tickMessage.malformed("TICK", "a batch begins with it");
         }
         ActionWriter actions = new ActionWriter();
         BatchResult result = BatchResult.COMPLETED;
         try {
-            long nowMicros = first.expectFields("Clock").integer(1, "Clock");
+            long nowMicros = tickMessage.expectFields("Clock").integer(1, "Clock");
             handleBatch(nowMicros, actions);
         } catch (SimulatorProtocolException e) {
             throw e;
         } catch (RuntimeException e) {
-            result = BatchResult.MODULE_FAILED;
-            actions.bailOut(e);
+            result = BatchResult.POLICY_FAILED;
+            actions.writeBailOut(e);
         }
-        output.write(actions.finish());
+        output.write(actions.finishBatch());
         output.flush();
         return result;
     }
@@ -107,7 +107,7 @@
         SettingsReader.Boot boot = SimulatorSettings.read(message, 2);
         String name = requireName(message, instanceName);
         actions.setInstance(name);
-        instances.put(name, new SimulatorInstance(name, factory.make(boot.settings(), seed), boot));
+        instances.put(name, new SimulatorInstance(name, factory.create(boot.settings(), seed), boot));
     }
 
     private void stopInstance(SimulatorMessage message, String instanceName) {
--- a/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
@@ -56,7 +56,7 @@
      */
     public Http1ConnectionPool(
             EventLoop loop, SettingsReader.Boot boot, ConnectionBudget budget, Clock clock, PendingUpdates updates) {
-        this(loop, boot, budget, clock, updates, null, new IdleTimeout(boot.idleClose()));
+        this(loop, boot, budget, clock, updates, null, new IdleTimeout(boot.idleCloseMicros()));
     }
 
     /**
@@ -105,7 +105,7 @@
     }
 
     private int connectMillis() {
-        long limitMicros = boot.settings().limits().connectTimeout();
+        long limitMicros = boot.settings().limits().connectTimeoutMicros();
         return limitMicros > 0
                 ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limitMicros / 1000))
                 : DEFAULT_CONNECT_MILLIS;
@@ -118,7 +118,7 @@
     /** Other settings hold from here on. */
     public void reload(SettingsReader.Boot settings) {
         boot = settings;
-        idleTimeout = new IdleTimeout(settings.idleClose());
+        idleTimeout = new IdleTimeout(settings.idleCloseMicros());
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis());
     }
 
@@ -148,7 +148,7 @@
     }
 
     private void drain(Http1Upstream upstream, long nowMicros) {
-        long graceMicros = boot.settings().bounds().drainGrace();
+        long graceMicros = boot.settings().bounds().drainGraceMicros();
         upstream.stopAt(DrainGrace.stopAt(upstream.stopAtMicros(), nowMicros, graceMicros));
         upstream.closeIdle();
     }
--- a/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
+++ b/src/main/java/loadbalancer/upstream/http3/Http3AttemptTransport.java
@@ -112,7 +112,7 @@
     }
 
     long connectMicros() {
-        long limit = boot.settings().limits().connectTimeout();
+        long limit = boot.settings().limits().connectTimeoutMicros();
         return limit > 0 ? limit : DEFAULT_CONNECT_MICROS;
     }
 
@@ -199,7 +199,7 @@
     }
 
     private void drain(Http3Upstream upstream, long nowMicros) {
-        long graceMicros = boot.settings().bounds().drainGrace();
+        long graceMicros = boot.settings().bounds().drainGraceMicros();
         upstream.stopAt(DrainGrace.stopAt(upstream.stopAtMicros(), nowMicros, graceMicros));
     }
 
--- a/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -117,8 +117,8 @@
         assertEquals(now.connections(), recorded.connections());
         assertEquals(now.listen(), recorded.listen());
         assertEquals(List.of("read"), recorded.boot().classes());
-        assertEquals(200_000, recorded.boot().settings().classes().get(0).aim());
-        assertEquals(1_000_000, recorded.boot().settings().classes().get(0).deadline());
+        assertEquals(200_000, recorded.boot().settings().classes().get(0).aimMicros());
+        assertEquals(1_000_000, recorded.boot().settings().classes().get(0).deadlineMicros());
         assertEquals(
                 new Policy.Limits(3, true, true, false, 500_000, 2_000_000),
                 recorded.boot().settings().limits());
@@ -201,7 +201,7 @@
         Config config = ConfigFile.read("f.toml", FULL_FILE);
         assertEquals(List.of("read", "stamp"), config.boot().classes());
         Policy.RequestClass stamp = config.boot().settings().classes().get(1);
-        assertEquals(5_000_000, stamp.keyMemory());
+        assertEquals(5_000_000, stamp.keyTtlMicros());
         assertEquals(Set.of(1), stamp.zones());
         assertEquals(1, config.boot().settings().zone());
         assertEquals(
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -31,7 +31,7 @@
     }
 
     private static RequestState overQuota(RequestClass requestClass) {
-        return PolicyFixtures.request("r", requestClass, requestClass.aim(), true);
+        return PolicyFixtures.request("r", requestClass, requestClass.aimMicros(), true);
     }
 
     /** Time passes with arrivals of both classes and responses of one latency, in parts of the objective. */
--- a/src/test/java/loadbalancer/policy/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/policy/DecisionTraceTest.java
@@ -233,7 +233,7 @@
                     : random.nextInt(settings.tenants().size());
             String key = random.nextInt(4) == 0 ? null : "k" + (int) (40 * StrictMath.pow(random.nextDouble(), 2));
             long work = random.nextInt(3) == 0 ? -1 : 5_000 + random.nextInt(40_000);
-            long left = settings.classes().get(requestClass).deadline() / (1 + random.nextInt(3));
+            long left = settings.classes().get(requestClass).deadlineMicros() / (1 + random.nextInt(3));
             boolean resubmission = random.nextInt(12) == 0;
             policy.request(now, id, requestClass, tenant, key, left, work, resubmission, this);
             later(left, () -> expire(call));
@@ -274,10 +274,10 @@
                 Server changed = new Server(
                         before.id(),
                         next,
-                        cold ? now : before.startedAt(),
+                        cold ? now : before.startedAtMicros(),
                         before.weight(),
                         before.cell(),
-                        before.kind(),
+                        before.machineModel(),
                         before.zone());
                 servers.set(index, changed);
                 policy.updateEndpoints(now, ListKind.PARTIAL, List.of(changed), this);
--- a/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
@@ -52,15 +52,15 @@
                 plain.warmKeys(),
                 plain.limits(),
                 new Policy.Bounds(
-                        bounds.answerSlack(),
-                        bounds.drainGrace(),
+                        bounds.answerSlackMicros(),
+                        bounds.drainGraceMicros(),
                         askWithin,
                         bounds.coldFrom(),
-                        bounds.rampTime(),
+                        bounds.rampTimeMicros(),
                         bounds.overloadFactor(),
-                        bounds.fallWindow(),
-                        bounds.orderPause()),
-                plain.tick());
+                        bounds.fallWindowMicros(),
+                        bounds.orderPauseMicros()),
+                plain.clockTickMicros());
         return new DiscoverySubscription(new ActiveSettings(settings), new SplittableRandom(seed), new OperatorLog());
     }
 
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -165,7 +165,7 @@
             assertTrue(sent == null || sent.ended);
         }
         harness.list(ListKind.COMPLETE, List.of(new Server("c", State.UP, 0, 1, 0, 0, 0)));
-        assertEquals(0, size(harness.policy, "open"));
+        assertEquals(0, size(harness.policy, "requests"));
         assertTrue(size(field(harness.policy, "endpoints"), "servers") <= 1);
     }
 
--- a/src/test/java/loadbalancer/policy/EndpointSetTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSetTest.java
@@ -22,7 +22,7 @@
     }
 
     private List<String> listed() {
-        return endpoints.listed().stream().map(state -> state.server.id()).toList();
+        return endpoints.upServers().stream().map(state -> state.endpoint.id()).toList();
     }
 
     @Test
@@ -38,7 +38,7 @@
     @Test
     void aServerThatLeftIsKeptWhileAttemptsAreInFlight() {
         endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(1));
-        ServerState state = endpoints.listed().get(0);
+        ServerState state = endpoints.upServers().get(0);
         state.inFlight = 1;
         endpoints.update(NOW, ListKind.COMPLETE, List.of());
         assertEquals(List.of(), listed());
@@ -58,12 +58,12 @@
     @Test
     void whatWasLearnedOfAServerHoldsUntilItRestarts() {
         endpoints.update(NOW, ListKind.COMPLETE, List.of(server("a", State.UP, 5, 1)));
-        ServerState learned = endpoints.listed().get(0);
+        ServerState learned = endpoints.upServers().get(0);
         endpoints.update(NOW, ListKind.PARTIAL, List.of(server("a", State.UP, 5, 3)));
-        assertSame(learned, endpoints.listed().get(0));
-        assertEquals(3, learned.server.weight());
+        assertSame(learned, endpoints.upServers().get(0));
+        assertEquals(3, learned.endpoint.weight());
         endpoints.update(NOW, ListKind.PARTIAL, List.of(server("a", State.UP, 6, 3)));
-        assertNotSame(learned, endpoints.listed().get(0));
+        assertNotSame(learned, endpoints.upServers().get(0));
         assertEquals(0, learned.ringPoints);
     }
 
--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -117,7 +117,7 @@
                             s.warmKeys(),
                             s.limits(),
                             s.bounds(),
-                            s.tick()),
+                            s.clockTickMicros()),
                     random.nextLong());
             harness.links = new Connections(harness);
             balancers.add(harness.list(ListKind.PERSISTED, servers));
@@ -168,7 +168,7 @@
                     id,
                     t.requestClass,
                     0,
-                    settings.classes().get(t.requestClass).deadline());
+                    settings.classes().get(t.requestClass).deadlineMicros());
         }
         modelServers.values().forEach(this::serve);
         for (int i = 0; i < balancers.size(); i++) {
@@ -199,7 +199,7 @@
                 if (t != null) {
                     long took = now - t.at;
                     inTime[t.requestClass] +=
-                            took <= settings.classes().get(t.requestClass).aim() ? 1 : 0;
+                            took <= settings.classes().get(t.requestClass).aimMicros() ? 1 : 0;
                 }
             }
         }
@@ -209,11 +209,11 @@
     private void count(ModelServer modelServer, long at) {
         if (warmth(modelServer) < 1) {
             modelServer.sends.add(at);
-            while (modelServer.sends.peekFirst() <= at - settings.bounds().fallWindow()) {
+            while (modelServer.sends.peekFirst() <= at - settings.bounds().fallWindowMicros()) {
                 modelServer.sends.pollFirst();
             }
             double allowed = settings.bounds().overloadFactor()
-                    * settings.bounds().fallWindow()
+                    * settings.bounds().fallWindowMicros()
                     / work
                     * modelServer.speed
                     * modelServer.server.weight()
@@ -236,8 +236,8 @@
     }
 
     private double warmth(ModelServer modelServer) {
-        long start = modelServer.server.startedAt();
-        double age = start == 0 ? 1 : (double) (now - start) / settings.bounds().rampTime();
+        long start = modelServer.server.startedAtMicros();
+        double age = start == 0 ? 1 : (double) (now - start) / settings.bounds().rampTimeMicros();
         return Math.min(1, settings.bounds().coldFrom() + (1 - settings.bounds().coldFrom()) * age);
     }
 
@@ -274,7 +274,7 @@
                 refused[t.requestClass]++;
                 long elapsed = now - t.at;
                 if (t.number < MAX_SUBMISSIONS
-                        && elapsed < settings.classes().get(t.requestClass).deadline()) {
+                        && elapsed < settings.classes().get(t.requestClass).deadlineMicros()) {
                     submissions.add(new Submission(now + RESUBMIT_AFTER, t.requestClass, t.number + 1, t.work));
                 }
             }
--- a/src/test/java/loadbalancer/policy/FleetTest.java
+++ b/src/test/java/loadbalancer/policy/FleetTest.java
@@ -180,7 +180,7 @@
                 .map(x -> new Server(
                         x.id(),
                         x.state(),
-                        x.startedAt(),
+                        x.startedAtMicros(),
                         x.id().hashCode() % 2 == 0 ? 4 : 1,
                         x.cell(),
                         x.id().hashCode() & 1,
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -327,7 +327,8 @@
             if (open || !outcome.neverRan()) {
                 assertTrue(kind.effect() != Effect.UNSAFE, "an unsafe request went out twice");
                 assertTrue(
-                        kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyMemory(), "sent after its window");
+                        kind.effect() != Effect.KEYED || s.at - earlier.at < kind.keyTtlMicros(),
+                        "sent after its window");
             }
             assertTrue(outcome != Outcome.OK, "sent after it was served");
         }
--- a/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -23,7 +23,7 @@
 
     private static HashRing ring(int rank, List<ServerState> servers) {
         HashRing ring = new HashRing(rank, 4);
-        ring.arrange(servers, 1);
+        ring.assignPoints(servers, 1);
         return ring;
     }
 
@@ -35,7 +35,7 @@
         assertEquals(new HashSet<>(servers), new HashSet<>(Arrays.asList(first)));
         List<ServerState> others = servers(30);
         assertNotEquals(
-                first[0].server.id(), ring(2, others).homeOrder()[0].server.id());
+                first[0].endpoint.id(), ring(2, others).homeOrder()[0].endpoint.id());
     }
 
     @Test
@@ -54,8 +54,8 @@
         HashRing ring = ring(1, servers);
         List<ServerState> before = new ArrayList<>(Arrays.asList(ring.homeOrder()));
         ServerState leaving = before.get(3);
-        leaving.server = leaving.server.withState(State.DRAINING);
-        ring.arrange(servers, 1);
+        leaving.endpoint = leaving.endpoint.withState(State.DRAINING);
+        ring.assignPoints(servers, 1);
         before.remove(leaving);
         assertEquals(before, Arrays.asList(ring.homeOrder()));
         assertFalse(Arrays.asList(ring.keyOrder()).contains(leaving));
@@ -70,7 +70,7 @@
         for (int key = 1; key <= 1_000; key++) {
             int index = ring.indexOf(Hashing.hash("key" + key));
             assertEquals(index, ring.indexOf(Hashing.hash("key" + key)));
-            starts.add(order[index % order.length].server.id());
+            starts.add(order[index % order.length].endpoint.id());
         }
         assertEquals(20, starts.size());
     }
--- a/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -84,9 +84,9 @@
         }
         hedging.recordRejectedAttempt();
         hedging.recordRejectedAttempt();
-        assertFalse(hedging.isCrowded());
+        assertFalse(hedging.serversLackCapacity());
         hedging.recordRejectedAttempt();
-        assertTrue(hedging.isCrowded());
+        assertTrue(hedging.serversLackCapacity());
         assertFalse(hedging.isDue(sent(PolicyFixtures.SAFE), true, NOW + SAFE_PATIENCE));
         assertTrue(hedging.isDue(sent(PolicyFixtures.keyed(Scope.ALL)), true, NOW + SAFE_PATIENCE));
     }
--- a/src/test/java/loadbalancer/policy/LearnedFiguresTest.java
+++ b/src/test/java/loadbalancer/policy/LearnedFiguresTest.java
@@ -34,10 +34,10 @@
 
     @Test
     void aResubmissionTellsItsAgeByTheTimeLeft() {
-        assertEquals(0, latency.elapsedSinceFirstSubmission(3_000_000, 3_000_000, false));
-        assertEquals(1_000_000, latency.elapsedSinceFirstSubmission(3_000_000, 2_000_000, true));
-        assertEquals(0, latency.elapsedSinceFirstSubmission(3_000_000, 2_950_000, true), "within the tolerance");
-        assertEquals(0, latency.elapsedSinceFirstSubmission(3_000_000, 1_000_000, false), "not marked");
+        assertEquals(0, latency.submissionAgeMicros(3_000_000, 3_000_000, false));
+        assertEquals(1_000_000, latency.submissionAgeMicros(3_000_000, 2_000_000, true));
+        assertEquals(0, latency.submissionAgeMicros(3_000_000, 2_950_000, true), "within the tolerance");
+        assertEquals(0, latency.submissionAgeMicros(3_000_000, 1_000_000, false), "not marked");
     }
 
     @Test
@@ -59,7 +59,7 @@
             arrivals.record(NOW, false);
             arrivals.record(NOW, true);
         }
-        assertEquals(10, arrivals.arrivals(), "resubmissions don't count");
+        assertEquals(10, arrivals.arrivalCount(), "resubmissions don't count");
         assertTrue(arrivals.perSecond(NOW) < 10 / 2.8, "per second: " + arrivals.perSecond(NOW));
     }
 
--- a/src/test/java/loadbalancer/policy/LearningTest.java
+++ b/src/test/java/loadbalancer/policy/LearningTest.java
@@ -485,7 +485,7 @@
                                 false,
                                 s.limits(),
                                 s.bounds(),
-                                s.tick()),
+                                s.clockTickMicros()),
                         3)
                 .list(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         for (int i = 0; i < 40; i++) {
@@ -517,7 +517,7 @@
                                 true,
                                 s.limits(),
                                 s.bounds(),
-                                s.tick()),
+                                s.clockTickMicros()),
                         3)
                 .list(ListKind.PERSISTED, PolicyTestHarness.fleet(20));
         for (int i = 0; i < 600; i++) {
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -37,10 +37,10 @@
     void aSuccessCountsForTheServerAndTheClass() {
         AttemptState attempt = record(Outcome.OK, 300_000);
         assertEquals(1, server.successes);
-        assertEquals(NOW, server.lastSuccessAt);
+        assertEquals(NOW, server.lastSuccessAtMicros);
         assertEquals(1, server.accomplishment);
         assertEquals(1.25, server.slowness);
-        assertEquals(154_500, attempt.request.latency.typicalMicros(), 1e-6);
+        assertEquals(154_500, attempt.request.classLatency.typicalMicros(), 1e-6);
     }
 
     @Test
@@ -48,7 +48,7 @@
         record(Outcome.ERROR, 1_000);
         assertEquals(1, server.failures);
         assertEquals(0, server.accomplishment);
-        assertEquals(NOW + 300_000, server.penaltyEnds.peekFirst());
+        assertEquals(NOW + 300_000, server.penaltyEndsMicros.peekFirst());
     }
 
     @Test
@@ -60,16 +60,16 @@
 
     @Test
     void aServerWithoutCapacityRestsForAboutATypicalLatency() {
-        server.lastSuccessAt = NOW;
+        server.lastSuccessAtMicros = NOW;
         record(Outcome.FULL, 500);
         assertEquals(0, server.failures);
-        long rest = server.fullUntil - NOW;
+        long rest = server.fullUntilMicros - NOW;
         assertTrue(rest >= 75_000 && rest <= 225_000, "rests for " + rest);
     }
 
     @Test
     void aServerWithoutCapacityAndWithoutSuccessesMayHang() {
-        server.lastSuccessAt = NOW - 2_000_001;
+        server.lastSuccessAtMicros = NOW - 2_000_001;
         record(Outcome.FULL, 500);
         assertEquals(0.5, server.failures);
     }
@@ -78,10 +78,10 @@
     void aCancelledAttemptCountsOnlyIfItTookLong() {
         record(Outcome.CANCELLED, 300_000);
         assertEquals(1, server.slowness);
-        assertEquals(0, server.penaltyEnds.size());
+        assertEquals(0, server.penaltyEndsMicros.size());
         record(Outcome.CANCELLED, 450_000);
         assertEquals(1.5, server.slowness);
-        assertEquals(1, server.penaltyEnds.size());
+        assertEquals(1, server.penaltyEndsMicros.size());
         assertEquals(0, server.failures);
     }
 
@@ -90,6 +90,6 @@
         record(Outcome.NOT_SENT, 0);
         assertEquals(1, server.accomplishment);
         assertEquals(0, server.failures);
-        assertEquals(0, server.penaltyEnds.size());
+        assertEquals(0, server.penaltyEndsMicros.size());
     }
 }
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -34,7 +34,7 @@
     private final RequestState unsafe = PolicyFixtures.request(PolicyFixtures.UNSAFE);
 
     private ServerState listed(int index) {
-        return endpoints.listed().get(index);
+        return endpoints.upServers().get(index);
     }
 
     private void list(int count) {
@@ -94,10 +94,10 @@
         long now = NOW;
         for (int factor : new int[] {1, 2, 4, 8, 16, 16}) {
             fail(server, now);
-            long length = server.ejectedUntil - now;
+            long length = server.ejectedUntilMicros - now;
             long shortest = factor * 1_000_000L;
             assertTrue(length >= shortest && length < shortest * 5 / 4, "ejected for " + length);
-            now = server.ejectedUntil;
+            now = server.ejectedUntilMicros;
         }
     }
 
@@ -105,7 +105,7 @@
     void aServerThatIsSilentForLongIsStalled() {
         list(3);
         ServerState server = listed(0);
-        server.lastSuccessAt = NOW;
+        server.lastSuccessAtMicros = NOW;
         AttemptState attempt = PolicyFixtures.send(safe, server, NOW);
         long patience = 3 * 150_000 + 20_000; // three typical latencies and a tick
         assertTrue(outliers.allows(unsafe, server, NOW + patience));
@@ -118,7 +118,7 @@
     void aServerWithoutCapacityRests() {
         list(3);
         ServerState server = listed(0);
-        server.fullUntil = NOW + 10;
+        server.fullUntilMicros = NOW + 10;
         assertFalse(outliers.allows(safe, server, NOW));
         assertTrue(outliers.allows(safe, server, NOW + 10));
     }
@@ -126,10 +126,10 @@
     @Test
     void whenMostServersLookBadAllAreUsed() {
         list(3);
-        listed(0).ejectedUntil = NOW + 1_000_000;
+        listed(0).ejectedUntilMicros = NOW + 1_000_000;
         outliers.refresh(NOW);
         assertFalse(outliers.allows(safe, listed(0), NOW));
-        listed(1).ejectedUntil = NOW + 1_000_000;
+        listed(1).ejectedUntilMicros = NOW + 1_000_000;
         outliers.refresh(NOW);
         assertTrue(outliers.allows(safe, listed(0), NOW));
     }
--- a/src/test/java/loadbalancer/policy/PendingQueueTest.java
+++ b/src/test/java/loadbalancer/policy/PendingQueueTest.java
@@ -44,7 +44,7 @@
         RequestState request = request("r", 600_000, false);
         PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW);
         queue.offer(request, NOW);
-        long end = request.deadline - 2 * TICK;
+        long end = request.deadlineAtMicros - 2 * TICK;
         assertEquals(List.of(), queue.removeExpired(end - 1));
         assertEquals(List.of("r"), ids(queue.removeExpired(end)));
     }
@@ -52,9 +52,9 @@
     @Test
     void aRequestWhoseTimeIsAllButOverIsNotTaken() {
         RequestState request = request("r", 600_000, false);
-        assertFalse(queue.offer(request, request.deadline - 2 * TICK));
+        assertFalse(queue.offer(request, request.deadlineAtMicros - 2 * TICK));
         assertFalse(request.pending);
-        assertTrue(queue.offer(request, request.deadline - 2 * TICK - 1));
+        assertTrue(queue.offer(request, request.deadlineAtMicros - 2 * TICK - 1));
         assertTrue(request.pending);
     }
 
@@ -65,6 +65,6 @@
         queue.offer(request, NOW);
         queue.remove(request);
         assertFalse(request.pending);
-        assertEquals(List.of(), queue.removeExpired(request.deadline));
+        assertEquals(List.of(), queue.removeExpired(request.deadlineAtMicros));
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyFixtures.java
+++ b/src/test/java/loadbalancer/policy/PolicyFixtures.java
@@ -41,7 +41,7 @@
     }
 
     static RequestState request(RequestClass requestClass) {
-        return request("r", requestClass, requestClass.aim(), false);
+        return request("r", requestClass, requestClass.aimMicros(), false);
     }
 
     static RequestState request(String id, RequestClass requestClass, long objectiveMicros, boolean overQuota) {
@@ -51,7 +51,8 @@
 
     static RequestState request(
             String id, RequestClass requestClass, Policy.Limits limits, long objectiveMicros, boolean overQuota) {
-        RequestState.Times times = new RequestState.Times(NOW, NOW + requestClass.deadline(), NOW + objectiveMicros);
+        RequestState.Times times =
+                new RequestState.Times(NOW, NOW + requestClass.deadlineMicros(), NOW + objectiveMicros);
         return new RequestState(id, new ClassLatency(requestClass), requestClass, limits, 0, times, overQuota);
     }
 
--- a/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
+++ b/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
@@ -48,7 +48,7 @@
     @Test
     void aFailedAttemptKeepsItsPlaceForAWhile() {
         QueueEstimator queues = estimator(new Prices(0, 0), 1);
-        QueueEstimator.keepPlace(server, NOW + 10);
+        QueueEstimator.addPenalty(server, NOW + 10);
         assertEquals(1, queues.queueLength(server, NOW + 9, PolicyFixtures.NO_ACTIONS));
         assertEquals(0, queues.queueLength(server, NOW + 10, PolicyFixtures.NO_ACTIONS));
     }
@@ -87,7 +87,7 @@
         for (double absurd : new double[] {Double.NaN, -1, 1e6, Double.POSITIVE_INFINITY}) {
             QueueEstimator.recordReport(server, report(absurd), NOW);
         }
-        assertEquals(0, server.reportedAt);
+        assertEquals(0, server.reportedAtMicros);
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -64,7 +64,7 @@
                         || k.kind.scope() == Scope.ZONE && k.servers.get(i).zone() != to.zone();
                 if (mayHaveRun
                         && k.kind.effect() == Effect.KEYED
-                        && (outside || now - k.at.get(i) >= k.kind.keyMemory())) {
+                        && (outside || now - k.at.get(i) >= k.kind.keyTtlMicros())) {
                     return "a keyed request left its group or window";
                 }
             }
@@ -100,11 +100,11 @@
     static String cold(List<Long> sends, long started, double warmPerSecond, Policy.Bounds b) {
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
-            double part = b.coldFrom() + (1 - b.coldFrom()) * (from - started) / b.rampTime();
-            long until = from + b.fallWindow();
+            double part = b.coldFrom() + (1 - b.coldFrom()) * (from - started) / b.rampTimeMicros();
+            long until = from + b.fallWindowMicros();
             long count = sends.stream().filter(t -> t >= from && t < until).count();
-            double limit = b.overloadFactor() * part * warmPerSecond * b.fallWindow() / 1e6 + 2;
-            if (count > limit && from - started < b.rampTime()) {
+            double limit = b.overloadFactor() * part * warmPerSecond * b.fallWindowMicros() / 1e6 + 2;
+            if (count > limit && from - started < b.rampTimeMicros()) {
                 return count + " sends in a window that bears " + limit;
             }
         }
--- a/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -62,7 +62,7 @@
         static String placed(RequestClass kind, Server server) {
             boolean zone = kind.zones().isEmpty() || kind.zones().contains(server.zone());
             boolean machine =
-                    kind.machineKinds().isEmpty() || kind.machineKinds().contains(server.kind());
+                    kind.machineModels().isEmpty() || kind.machineModels().contains(server.machineModel());
             return zone && machine ? null : "sent to " + server.id() + ", which is not open to the class";
         }
     }
--- a/src/test/java/loadbalancer/policy/RequestStateTest.java
+++ b/src/test/java/loadbalancer/policy/RequestStateTest.java
@@ -57,7 +57,7 @@
     void aServerThatMovesDoesNotChangeWhereTheFirstAttemptRan() {
         ServerState first = server("a", 1, 1);
         RequestState request = sent(PolicyFixtures.keyed(Scope.CELL), first);
-        first.server = new Server("a", State.UP, 0, 1, 2, 0, 2);
+        first.endpoint = new Server("a", State.UP, 0, 1, 2, 0, 2);
         assertTrue(mayRunOn(request, server("b", 1, 1)));
         assertFalse(mayRunOn(request, first));
     }
@@ -66,7 +66,7 @@
     void repeatsEndATickBeforeTheServersForgetTheKey() {
         ServerState server = server("a", 1, 1);
         RequestState request = sent(PolicyFixtures.keyed(Scope.ALL), server);
-        long memory = request.requestClass.keyMemory();
+        long memory = request.requestClass.keyTtlMicros();
         assertTrue(request.mayRunOn(server, NOW + memory - TICK - 1, TICK));
         assertFalse(request.mayRunOn(server, NOW + memory - TICK, TICK));
     }
@@ -85,13 +85,13 @@
     void aRequestWhoseObjectiveHasPassedHasLowPriority() {
         RequestState late = PolicyFixtures.request("r", PolicyFixtures.SAFE, 0, false);
         assertTrue(late.lowPriority);
-        assertEquals(NOW, late.latestStart());
+        assertEquals(NOW, late.latestStartAtMicros());
         assertFalse(PolicyFixtures.request(PolicyFixtures.SAFE).lowPriority);
     }
 
     @Test
     void theObjectiveEndsAtTheDeadlineAtTheLatest() {
         RequestState request = PolicyFixtures.request("r", PolicyFixtures.SAFE, 90_000_000, false);
-        assertEquals(request.deadline, request.objectiveAt);
+        assertEquals(request.deadlineAtMicros, request.objectiveAtMicros);
     }
 }
--- a/src/test/java/loadbalancer/policy/SequencedKeysTest.java
+++ b/src/test/java/loadbalancer/policy/SequencedKeysTest.java
@@ -50,7 +50,7 @@
         for (Outcome outcome : Outcome.values()) {
             RequestState first = add("first");
             RequestState second = add("second");
-            first.sequence.restUntil = 0;
+            first.sequencedKey.blockedUntilMicros = 0;
             end(first, outcome);
             if (!SequencedKeys.mayRun(second, NOW + PAUSE - 1)) {
                 rests.add(outcome);
@@ -64,13 +64,13 @@
     @Test
     void idleKeysAreForgottenWhenTheirRestIsOver() {
         RequestState first = add("first");
-        SequencedKey sequence = first.sequence;
+        SequencedKey sequence = first.sequencedKey;
         end(first, Outcome.RESET);
         keys.removeIdle(NOW + PAUSE - 1);
-        assertEquals(sequence, add("second").sequence);
+        assertEquals(sequence, add("second").sequencedKey);
         SequencedKeys.remove(add("third"));
         sequence.requests.clear();
         keys.removeIdle(NOW + PAUSE);
-        assertNotSame(sequence, add("fourth").sequence);
+        assertNotSame(sequence, add("fourth").sequencedKey);
     }
 }
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -16,7 +16,7 @@
 
     private static ServerState startedAt(long time) {
         ServerState server = new ServerState(new Server("new", State.UP, time, 1, 0, 0, 0), 0);
-        server.slowStartTokensAt = NOW;
+        server.slowStartTokensUpdatedAtMicros = NOW;
         return server;
     }
 
--- a/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
@@ -86,7 +86,7 @@
         list(50, 0, 1);
         SubsetSelector selector = selector();
         List<ServerState> before = selector.candidates(request, NOW);
-        before.get(2).ejectedUntil = NOW + 1_000_000;
+        before.get(2).ejectedUntilMicros = NOW + 1_000_000;
         List<ServerState> after = selector.candidates(request, NOW);
         assertEquals(6, after.size());
         assertFalse(after.contains(before.get(2)));
@@ -95,7 +95,7 @@
     @Test
     void serversWarmingUpAreCandidatesBesideSixWarmOnes() {
         list(10, NOW - 10_000_000, 1);
-        endpoints.listed().forEach(server -> server.slowStartTokens = 2);
+        endpoints.upServers().forEach(server -> server.slowStartTokens = 2);
         assertEquals(10, selector().candidates(request, NOW).size(), "none of them is warm");
     }
 
@@ -103,17 +103,17 @@
     void aServerThatWasTriedIsUsedOnlyWhereThereIsNoOther() {
         list(2, 0, 1);
         SubsetSelector selector = selector();
-        PolicyFixtures.send(request, endpoints.listed().get(0), NOW);
-        assertEquals(List.of(endpoints.listed().get(1)), selector.candidates(request, NOW));
-        PolicyFixtures.send(request, endpoints.listed().get(1), NOW);
-        assertEquals(new HashSet<>(endpoints.listed()), new HashSet<>(selector.candidates(request, NOW)));
+        PolicyFixtures.send(request, endpoints.upServers().get(0), NOW);
+        assertEquals(List.of(endpoints.upServers().get(1)), selector.candidates(request, NOW));
+        PolicyFixtures.send(request, endpoints.upServers().get(1), NOW);
+        assertEquals(new HashSet<>(endpoints.upServers()), new HashSet<>(selector.candidates(request, NOW)));
     }
 
     @Test
     void whereCrossingZonesHasAPriceTheOwnZonesServersCount() {
         list(60, 0, 2);
         List<ServerState> candidates = selector(new Prices(0.1, 0)).candidates(request, NOW);
-        assertEquals(6, candidates.stream().filter(s -> s.server.zone() == 0).count());
+        assertEquals(6, candidates.stream().filter(s -> s.endpoint.zone() == 0).count());
         assertTrue(candidates.size() <= 4 * 6);
     }
 
@@ -125,8 +125,8 @@
                 base.effect(),
                 base.scope(),
                 0,
-                base.aim(),
-                base.deadline(),
+                base.aimMicros(),
+                base.deadlineMicros(),
                 0,
                 1,
                 0,
@@ -136,7 +136,7 @@
                 Set.of());
         List<ServerState> candidates = selector().candidates(PolicyFixtures.request(bound), NOW);
         assertEquals(6, candidates.size());
-        assertTrue(candidates.stream().allMatch(s -> s.server.zone() == 1));
+        assertTrue(candidates.stream().allMatch(s -> s.endpoint.zone() == 1));
     }
 
     @Test
@@ -145,7 +145,7 @@
         SubsetSelector selector = selector();
         selector.refresh(NOW);
         List<ServerState> marked =
-                endpoints.listed().stream().filter(server -> server.inSubset).toList();
+                endpoints.upServers().stream().filter(server -> server.inSubset).toList();
         assertEquals(new HashSet<>(selector.candidates(request, NOW)), new HashSet<>(marked));
     }
 }
--- a/src/test/java/loadbalancer/policy/TimeoutPolicyTest.java
+++ b/src/test/java/loadbalancer/policy/TimeoutPolicyTest.java
@@ -60,8 +60,8 @@
     @Test
     void anAttemptGetsThreeTypicalLatenciesButNeverMoreThanTheTimeLeft() {
         RequestState request = safe(NO_HEDGING);
-        assertEquals(450_000, TimeoutPolicy.timeoutMicros(request, request.deadline - 600_000));
-        assertEquals(400_000, TimeoutPolicy.timeoutMicros(request, request.deadline - 400_000));
-        assertEquals(1, TimeoutPolicy.timeoutMicros(request, request.deadline));
+        assertEquals(450_000, TimeoutPolicy.timeoutMicros(request, request.deadlineAtMicros - 600_000));
+        assertEquals(400_000, TimeoutPolicy.timeoutMicros(request, request.deadlineAtMicros - 400_000));
+        assertEquals(1, TimeoutPolicy.timeoutMicros(request, request.deadlineAtMicros));
     }
 }
