--- a/src/main/java/loadbalancer/proxy/Dispatcher.java
+++ b/src/main/java/loadbalancer/proxy/Dispatcher.java
@@ -87,7 +87,7 @@
 
     @Override
     public long unreadDrainDeadlineMicros() {
-        return stallMonitor.unreadDrainDeadlineMicros(boot.settings().bounds().drainGrace());
+        return stallMonitor.unreadDrainDeadlineMicros(boot.settings().bounds().drainGraceMicros());
     }
 
     @Override
@@ -275,7 +275,7 @@
      */
     public void beginShutdown(long slackMicros) {
         long longestDeadlineMicros = boot.settings().classes().stream()
-                .mapToLong(Policy.RequestClass::deadline)
+                .mapToLong(Policy.RequestClass::deadlineMicros)
                 .max()
                 .getAsLong();
         deadlines.limitDeadlines(now() + longestDeadlineMicros + slackMicros);
--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -119,7 +119,7 @@
                             shared.warmKeys(),
                             shared.limits(),
                             shared.bounds(),
-                            shared.tick()),
+                            shared.clockTickMicros()),
                     random.nextLong());
             harness.connections = new PooledConnections(harness);
             balancers.add(harness.updateEndpoints(ListKind.PERSISTED, servers));
@@ -173,7 +173,7 @@
                     id,
                     submission.requestClass,
                     0,
-                    settings.classes().get(submission.requestClass).deadline());
+                    settings.classes().get(submission.requestClass).deadlineMicros());
         }
         modelServers.values().forEach(this::serve);
         for (int i = 0; i < balancers.size(); i++) {
@@ -204,7 +204,7 @@
                 if (submission != null) {
                     long latencyMicros = now - submission.submittedAt;
                     withinObjective[submission.requestClass] +=
-                            latencyMicros <= settings.classes().get(submission.requestClass).aim() ? 1 : 0;
+                            latencyMicros <= settings.classes().get(submission.requestClass).aimMicros() ? 1 : 0;
                 }
             }
         }
@@ -214,11 +214,11 @@
     private void recordSend(ModelServer modelServer, long sentAt) {
         if (warmth(modelServer) < 1) {
             modelServer.recentSendTimes.add(sentAt);
-            while (modelServer.recentSendTimes.peekFirst() <= sentAt - settings.bounds().fallWindow()) {
+            while (modelServer.recentSendTimes.peekFirst() <= sentAt - settings.bounds().fallWindowMicros()) {
                 modelServer.recentSendTimes.pollFirst();
             }
             double allowedSends = settings.bounds().overloadFactor()
-                    * settings.bounds().fallWindow()
+                    * settings.bounds().fallWindowMicros()
                     / meanWorkMicros
                     * modelServer.speedFactor
                     * modelServer.server.weight()
@@ -241,8 +241,8 @@
     }
 
     private double warmth(ModelServer modelServer) {
-        long startedAt = modelServer.server.startedAt();
-        double rampProgress = startedAt == 0 ? 1 : (double) (now - startedAt) / settings.bounds().rampTime();
+        long startedAt = modelServer.server.startedAtMicros();
+        double rampProgress = startedAt == 0 ? 1 : (double) (now - startedAt) / settings.bounds().rampTimeMicros();
         return Math.min(1, settings.bounds().coldFrom() + (1 - settings.bounds().coldFrom()) * rampProgress);
     }
 
@@ -279,7 +279,7 @@
                 rejections[submission.requestClass]++;
                 long elapsedMicros = now - submission.submittedAt;
                 if (submission.number < MAX_SUBMISSIONS
-                        && elapsedMicros < settings.classes().get(submission.requestClass).deadline()) {
+                        && elapsedMicros < settings.classes().get(submission.requestClass).deadlineMicros()) {
                     submissions.add(new Submission(now + RESUBMIT_DELAY_MICROS, submission.requestClass, submission.number + 1, submission.workMicros));
                 }
             }
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -352,7 +352,7 @@
                 assertTrue(requestClass.effect() != Effect.UNSAFE, "an unsafe request went out twice");
                 assertTrue(
                         requestClass.effect() != Effect.KEYED
-                                || attempt.sentAt - earlier.sentAt < requestClass.keyMemory(),
+                                || attempt.sentAt - earlier.sentAt < requestClass.keyTtlMicros(),
                         "sent after its window");
             }
             assertTrue(outcome != Outcome.OK, "sent after it was served");
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -39,10 +39,10 @@
     void aSuccessCountsForTheServerAndTheClass() {
         AttemptState attempt = recordOutcome(Outcome.OK, 300_000);
         assertEquals(1, server.successes);
-        assertEquals(NOW, server.lastSuccessAt);
+        assertEquals(NOW, server.lastSuccessAtMicros);
         assertEquals(1, server.accomplishment);
         assertEquals(1.25, server.slowness);
-        assertEquals(154_500, attempt.request.latency.typicalMicros(), 1e-6);
+        assertEquals(154_500, attempt.request.classLatency.typicalMicros(), 1e-6);
     }
 
     @Test
@@ -50,7 +50,7 @@
         recordOutcome(Outcome.ERROR, 1_000);
         assertEquals(1, server.failures);
         assertEquals(0, server.accomplishment);
-        assertEquals(NOW + 300_000, server.penaltyEnds.peekFirst());
+        assertEquals(NOW + 300_000, server.penaltyEndsMicros.peekFirst());
     }
 
     @Test
@@ -62,16 +62,16 @@
 
     @Test
     void aServerWithoutCapacityIsSkippedForAboutATypicalLatency() {
-        server.lastSuccessAt = NOW;
+        server.lastSuccessAtMicros = NOW;
         recordOutcome(Outcome.FULL, 500);
         assertEquals(0, server.failures);
-        long restMicros = server.fullUntil - NOW;
+        long restMicros = server.fullUntilMicros - NOW;
         assertTrue(restMicros >= 75_000 && restMicros <= 225_000, "rests for " + restMicros);
     }
 
     @Test
     void aServerWithoutCapacityThatHadNoRecentSuccessCountsAsHalfAFailure() {
-        server.lastSuccessAt = NOW - 2_000_001;
+        server.lastSuccessAtMicros = NOW - 2_000_001;
         recordOutcome(Outcome.FULL, 500);
         assertEquals(0.5, server.failures);
     }
@@ -80,10 +80,10 @@
     void aCancelledAttemptCountsOnlyIfItTookLong() {
         recordOutcome(Outcome.CANCELLED, 300_000);
         assertEquals(1, server.slowness);
-        assertEquals(0, server.penaltyEnds.size());
+        assertEquals(0, server.penaltyEndsMicros.size());
         recordOutcome(Outcome.CANCELLED, 450_000);
         assertEquals(1.5, server.slowness);
-        assertEquals(1, server.penaltyEnds.size());
+        assertEquals(1, server.penaltyEndsMicros.size());
         assertEquals(0, server.failures);
     }
 
@@ -92,6 +92,6 @@
         recordOutcome(Outcome.NOT_SENT, 0);
         assertEquals(1, server.accomplishment);
         assertEquals(0, server.failures);
-        assertEquals(0, server.penaltyEnds.size());
+        assertEquals(0, server.penaltyEndsMicros.size());
     }
 }
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -34,7 +34,7 @@
     private final RequestState unsafe = PolicyFixtures.request(PolicyFixtures.UNSAFE);
 
     private ServerState listed(int index) {
-        return endpoints.listed().get(index);
+        return endpoints.upServers().get(index);
     }
 
     private void updateEndpoints(int count) {
@@ -94,12 +94,12 @@
         long now = NOW;
         for (int factor : new int[] {1, 2, 4, 8, 16, 16}) {
             recordFailure(server, now);
-            long ejectionMicros = server.ejectedUntil - now;
+            long ejectionMicros = server.ejectedUntilMicros - now;
             long minEjectionMicros = factor * 1_000_000L;
             assertTrue(
                     ejectionMicros >= minEjectionMicros && ejectionMicros < minEjectionMicros * 5 / 4,
                     "ejected for " + ejectionMicros);
-            now = server.ejectedUntil;
+            now = server.ejectedUntilMicros;
         }
     }
 
@@ -107,7 +107,7 @@
     void aServerWithoutResponsesIsTakenForStalled() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        server.lastSuccessAt = NOW;
+        server.lastSuccessAtMicros = NOW;
         AttemptState attempt = PolicyFixtures.send(safe, server, NOW);
         long stallMicros = 3 * 150_000 + 20_000; // three typical latencies and a tick
         assertTrue(outliers.allows(unsafe, server, NOW + stallMicros));
@@ -120,7 +120,7 @@
     void aServerWithoutCapacityIsNotUsedUntilItsRestEnds() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        server.fullUntil = NOW + 10;
+        server.fullUntilMicros = NOW + 10;
         assertFalse(outliers.allows(safe, server, NOW));
         assertTrue(outliers.allows(safe, server, NOW + 10));
     }
@@ -128,10 +128,10 @@
     @Test
     void whenMostServersAreOutliersAllAreUsed() {
         updateEndpoints(3);
-        listed(0).ejectedUntil = NOW + 1_000_000;
+        listed(0).ejectedUntilMicros = NOW + 1_000_000;
         outliers.refresh(NOW);
         assertFalse(outliers.allows(safe, listed(0), NOW));
-        listed(1).ejectedUntil = NOW + 1_000_000;
+        listed(1).ejectedUntilMicros = NOW + 1_000_000;
         outliers.refresh(NOW);
         assertTrue(outliers.allows(safe, listed(0), NOW));
     }
--- a/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
@@ -532,7 +532,7 @@
                                 false,
                                 baseSettings.limits(),
                                 baseSettings.bounds(),
-                                baseSettings.tick()),
+                                baseSettings.clockTickMicros()),
                         3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         for (int i = 0; i < 40; i++) {
@@ -566,7 +566,7 @@
                                 true,
                                 baseSettings.limits(),
                                 baseSettings.bounds(),
-                                baseSettings.tick()),
+                                baseSettings.clockTickMicros()),
                         3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(20));
         for (int i = 0; i < 600; i++) {
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -66,7 +66,7 @@
                                 && request.servers.get(i).zone() != target.zone();
                 if (mayHaveRun
                         && request.requestClass.effect() == Effect.KEYED
-                        && (outsideScope || now - request.sentAt.get(i) >= request.requestClass.keyMemory())) {
+                        && (outsideScope || now - request.sentAt.get(i) >= request.requestClass.keyTtlMicros())) {
                     return "a keyed request left its group or window";
                 }
             }
@@ -107,13 +107,13 @@
             List<Long> sends, long startedAt, double warmSendsPerSecond, Policy.Bounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long windowStart = sends.get(i);
-            double warmth = bounds.coldFrom() + (1 - bounds.coldFrom()) * (windowStart - startedAt) / bounds.rampTime();
-            long windowEnd = windowStart + bounds.fallWindow();
+            double warmth = bounds.coldFrom() + (1 - bounds.coldFrom()) * (windowStart - startedAt) / bounds.rampTimeMicros();
+            long windowEnd = windowStart + bounds.fallWindowMicros();
             long count = sends.stream()
                     .filter(t -> t >= windowStart && t < windowEnd)
                     .count();
-            double limit = bounds.overloadFactor() * warmth * warmSendsPerSecond * bounds.fallWindow() / 1e6 + 2;
-            if (count > limit && windowStart - startedAt < bounds.rampTime()) {
+            double limit = bounds.overloadFactor() * warmth * warmSendsPerSecond * bounds.fallWindowMicros() / 1e6 + 2;
+            if (count > limit && windowStart - startedAt < bounds.rampTimeMicros()) {
                 return count + " sends in a window that bears " + limit;
             }
         }
--- a/src/test/java/loadbalancer/policy/RequestStateTest.java
+++ b/src/test/java/loadbalancer/policy/RequestStateTest.java
@@ -58,7 +58,7 @@
     void aServerThatChangesItsCellDoesNotChangeTheFirstAttemptsCell() {
         ServerState first = server("a", 1, 1);
         RequestState request = requestSentTo(PolicyFixtures.keyed(Scope.CELL), first);
-        first.server = new Server("a", State.UP, 0, 1, 2, 0, 2);
+        first.endpoint = new Server("a", State.UP, 0, 1, 2, 0, 2);
         assertTrue(mayRunOn(request, server("b", 1, 1)));
         assertFalse(mayRunOn(request, first));
     }
@@ -67,7 +67,7 @@
     void repeatsEndOneTickBeforeTheServersForgetTheKey() {
         ServerState server = server("a", 1, 1);
         RequestState request = requestSentTo(PolicyFixtures.keyed(Scope.ALL), server);
-        long keyMemoryMicros = request.requestClass.keyMemory();
+        long keyMemoryMicros = request.requestClass.keyTtlMicros();
         assertTrue(request.mayRunOn(server, NOW + keyMemoryMicros - TICK_MICROS - 1, TICK_MICROS));
         assertFalse(request.mayRunOn(server, NOW + keyMemoryMicros - TICK_MICROS, TICK_MICROS));
     }
@@ -86,13 +86,13 @@
     void aRequestWhoseObjectiveHasPassedHasLowPriority() {
         RequestState late = PolicyFixtures.request("r", PolicyFixtures.SAFE, 0, false);
         assertTrue(late.lowPriority);
-        assertEquals(NOW, late.latestStart());
+        assertEquals(NOW, late.latestStartAtMicros());
         assertFalse(PolicyFixtures.request(PolicyFixtures.SAFE).lowPriority);
     }
 
     @Test
     void theObjectiveEndsAtTheDeadlineAtTheLatest() {
         RequestState request = PolicyFixtures.request("r", PolicyFixtures.SAFE, 90_000_000, false);
-        assertEquals(request.deadline, request.objectiveAt);
+        assertEquals(request.deadlineAtMicros, request.objectiveAtMicros);
     }
 }
