--- a/src/main/java/loadbalancer/policy/AccomplishmentRanking.java
+++ b/src/main/java/loadbalancer/policy/AccomplishmentRanking.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * The ranking of JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"): servers by
- * accomplishment, the number of requests that were dispatched to them. A fast server finishes sooner, its queue is
- * the shortest more often, and so its accomplishment tells its speed, with no measurement.
+ * The ranking of JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"): orders servers by
+ * accomplishment, the number of requests dispatched to them. A fast server finishes sooner and so has the shortest
+ * queue more often; its accomplishment therefore reflects its speed without any measurement.
  *
- * <p>Here the numbers decay, and failed dispatches don't count.
+ * <p>Unlike in the paper, the numbers decay and failed dispatches don't count.
  */
 final class AccomplishmentRanking {
     private static final Comparator<ServerState> BY_ACCOMPLISHMENT = Comparator.<ServerState>comparingDouble(
                     server -> -server.accomplishment)
             .thenComparingInt(server -> server.tieBreaker);
-    /** Used where all servers are of one machine model. */
+    /** Used where all servers have the same machine model. */
     private static final double DEFAULT_FAST_PROPORTION = 0.5;
 
     private final DecayScale decayScale;
@@ -31,7 +31,7 @@
         server.accomplishment += decayScale.unit();
     }
 
-    /** A failure does not earn rank: takes a dispatch back. */
+    /** Takes a dispatch back: a failed attempt does not raise the server's rank. */
     void recordFailure(ServerState server) {
         server.accomplishment = Math.max(0, server.accomplishment - decayScale.unit());
     }
@@ -41,12 +41,15 @@
         servers.sort(BY_ACCOMPLISHMENT);
     }
 
-    /** How many of {@code count} ranked servers, two at least, are taken for the fast ones: the paper's p·k. */
+    /** How many of {@code count} ranked servers, at least two, count as fast: the paper's p·k. */
     int fastCount(int count) {
         return Math.max(1, Math.min(count - 1, (int) Math.round(fastProportion * count)));
     }
 
-    /** Sets p to the proportion of servers of the machine models whose mean weight is at least the mean of all. */
+    /**
+     * Sets p to the proportion of servers whose machine model has a mean weight of at least the mean weight of all
+     * servers.
+     */
     void updateFastProportion(List<ServerState> upServers) {
         Map<Integer, ModelTotals> totalsByModel = new LinkedHashMap<>();
         double totalWeight = 0;
--- a/src/main/java/loadbalancer/policy/ActiveSettings.java
+++ b/src/main/java/loadbalancer/policy/ActiveSettings.java
@@ -4,9 +4,9 @@
 import loadbalancer.policy.Policy.RequestClass;
 import loadbalancer.policy.Policy.Settings;
 
-/** The settings in force, and what follows from them alone. The parts of the policy share one instance. */
+/** The settings in force and the values derived from them alone. All parts of the policy share one instance. */
 final class ActiveSettings {
-    /** Longest time between two sweeps while any request is open, in microseconds. */
+    /** Upper limit of the interval between two sweeps while any request is open. */
     private static final long MAX_SWEEP_INTERVAL_MICROS = 20_000;
 
     private static final int SWEEPS_PER_OBJECTIVE = 16;
@@ -37,7 +37,7 @@
         return settings;
     }
 
-    /** Time between two sweeps while any request is open. */
+    /** Interval between two sweeps while any request is open. */
     long sweepIntervalMicros() {
         return sweepIntervalMicros;
     }
@@ -46,12 +46,12 @@
         return shortestObjectiveMicros;
     }
 
-    /** Whether requests of any class may simply be repeated. */
+    /** Whether any class allows its requests to be repeated at any server. */
     boolean anyClassSafe() {
         return anyClassSafe;
     }
 
-    /** Whether servers are sampled within the own zone where possible: crossing costs more than connecting. */
+    /** Whether servers of the balancer's own zone are preferred: crossing zones costs more than a new connection. */
     boolean prefersOwnZone() {
         return settings.prices().crossZone() > settings.prices().handshake();
     }
--- a/src/main/java/loadbalancer/policy/AdmissionController.java
+++ b/src/main/java/loadbalancer/policy/AdmissionController.java
@@ -8,44 +8,45 @@
 import loadbalancer.policy.Policy.Settings;
 
 /**
- * Load shedding by priority weight. The moving mean of latency / objective, the load, steers which proportion of the
- * arrivals is rejected, those of the lowest priority weight first: a proportional and integral controller, whose
- * output is a level among the tiers (the distinct priority weights). Tiers below the level are rejected, and a part
- * of the tier that it has reached.
+ * Load shedding by priority weight. The load is the moving mean of latency divided by the latency objective. The load
+ * determines which proportion of the arrivals is rejected, starting with the requests of the lowest priority weight. A
+ * proportional-integral controller outputs a level on the scale of the tiers (the distinct priority weights): tiers
+ * below the level are rejected, and so is a part of the tier that the level has reached.
  *
- * <p>Guards against queues in which all requests wait and all are late. Each balancer rejects a proportion of what it
- * sees: a limit of attempts in flight, which for most balancers is about one, rejected most of a calm day.
+ * <p>Guards against queues in which all requests wait and all are late. Each balancer rejects a proportion of the
+ * requests that it receives. A limit on attempts in flight was no alternative: for most balancers that limit is about
+ * one, and it rejected most requests of a day without overload.
  */
 final class AdmissionController {
     /** Load above which the requests of the lowest priority are rejected. */
     private static final double MAX_LOAD_LOWEST_TIER = 0.40;
-    /** Load above which those of the highest priority are rejected too. */
+    /** Load above which the requests of the highest priority are rejected too. */
     private static final double MAX_LOAD_HIGHEST_TIER = 0.60;
-    /** One response counts as no more load than this; a time-out counts as this. */
+    /** Upper limit of the load that one response counts as; a timeout counts as this load. */
     private static final double MAX_LOAD_SAMPLE = 1.2;
-    /** Load of an attempt for which the server had no capacity, before that limit. */
+    /** Load of an attempt for which the server had no capacity, before {@link #MAX_LOAD_SAMPLE} is applied. */
     private static final double LOAD_OF_FULL_SERVER = 1.5;
-    /** Time constant of the load. */
+    /** Time constant of the moving mean of the load. */
     private static final double LOAD_SMOOTHING_MICROS = 0.7e6;
-    /** Responses that the load is a mean of at least. */
+    /** The load is a mean of at least this many responses. */
     private static final int MIN_LOAD_SAMPLES = 8;
-    /** Time without responses after which the load is forgotten, and the time constant of that. */
+    /** After this time without responses the load decays, with this same time constant. */
     private static final double LOAD_EXPIRY_MICROS = 2e6;
-    /** Proportion of the arrivals per second and unit of excess load. */
+    /** Integral gain: proportion of the arrivals per second and unit of excess load. */
     private static final double INTEGRAL_GAIN = 0.3;
-    /** Proportion of the arrivals per unit of excess load, for as long as that lasts. */
+    /** Proportional gain: proportion of the arrivals per unit of excess load, applied while the excess lasts. */
     private static final double PROPORTIONAL_GAIN = 2;
-    /** Tiers that the proportional term adds at most. */
+    /** Upper limit of the proportional term, in tiers. */
     private static final double MAX_PROPORTIONAL_TERM = 0.85;
     /** How many times as fast the level falls as it rises. */
     private static final double RECOVERY_FACTOR = 3;
-    /** Proportion of the arrivals that a tier is taken for at least. */
+    /** Lower limit of the share of the arrivals that the controller assumes for a tier. */
     private static final double MIN_TIER_ARRIVAL_SHARE = 0.1;
-    /** Tiers below this part of the highest priority weight start as rejected, and are admitted slowly. */
+    /** Tiers below this proportion of the highest priority weight start as rejected and are admitted slowly. */
     private static final double LOW_PRIORITY_THRESHOLD = 0.3;
-    /** Part of the lowest tier within quota that may be rejected while requests are still hedged. */
+    /** Proportion of the lowest tier within quota that may be rejected while requests are still hedged. */
     private static final double HEDGING_MARGIN = 0.05;
-    /** Part of the highest tier that the level by itself, without the proportional term, admits at least. */
+    /** Proportion of the highest tier that the level alone, without the proportional term, always admits. */
     private static final double MIN_ADMITTED_OF_HIGHEST_TIER = 0.05;
 
     private final ActiveSettings activeSettings;
@@ -56,7 +57,7 @@
     private double[] arrivalsByTier = {};
     /** From this level on, requests within their quota are rejected and none are hedged. */
     private double hedgingLevel;
-    /** Integral term: tiers rejected, the last of them in part. */
+    /** Integral term: number of tiers that are rejected, the last of them in part. */
     private double level;
 
     private double proportionalTerm;
@@ -69,7 +70,7 @@
         this.random = random;
     }
 
-    /** Takes the classes of the active settings over. */
+    /** Applies the classes of the active settings. */
     void reload() {
         Settings settings = activeSettings.settings();
         double[] formerTierWeights = tierWeights;
@@ -86,7 +87,10 @@
         }
     }
 
-    /** A new balancer rejects what exceeds quotas by a wide margin until it knows the load. */
+    /**
+     * Sets the initial level. Until a new balancer knows the load, it rejects requests over their quota whose weight is
+     * below that of all classes within quota and below {@link #LOW_PRIORITY_THRESHOLD} of the highest weight.
+     */
     void start() {
         double weight = lowestWeightWithinQuota();
         while (tierWeights[(int) level]
@@ -106,7 +110,7 @@
         return level + proportionalTerm < hedgingLevel;
     }
 
-    /** Records a response that took this multiple of the latency objective. */
+    /** Records a response whose latency was this multiple of the latency objective. */
     void recordLoad(double relativeLatency, long nowMicros) {
         double elapsedWeight = 1 - Math.exp(-(nowMicros - loadUpdatedAtMicros) / LOAD_SMOOTHING_MICROS);
         double weight = Math.max(1.0 / ++loadSamples, Math.min(1.0 / MIN_LOAD_SAMPLES, elapsedWeight));
@@ -123,9 +127,9 @@
     }
 
     /**
-     * Moves the level by the time that has passed.
+     * Adjusts the level for the time that has passed.
      *
-     * @param decayFactor the proportion of decaying counts that is left after that time
+     * @param decayFactor the factor by which decaying counts shrink in that time
      */
     void update(long nowMicros, long elapsedMicros, double decayFactor) {
         for (int i = 0; i < arrivalsByTier.length; i++) {
@@ -142,9 +146,10 @@
     }
 
     /**
-     * Moves the level by how far the load is from what the tier on the edge may cause. The proportional term answers
-     * at once: by steps of the level alone 14 balancers met a loss of 30 % of the fleet 4 s too late, then rejected
-     * all but the highest tier for 8 s, most of it with the servers idle.
+     * Adjusts the level in proportion to the difference between the load and the maximum load of the edge tier. The
+     * proportional term takes effect immediately. With the integral term alone, 14 balancers reacted 4 s too late to
+     * the loss of 30 % of the fleet, and then rejected all but the highest tier for 8 s, with the servers idle for most
+     * of that time.
      */
     private void adjustLevel(double seconds) {
         int edgeTier = Math.min(tierWeights.length - 1, (int) level);
@@ -153,7 +158,8 @@
         double arrivalShare = arrivalsByTier[edgeTier]
                 / Math.max(1, Arrays.stream(arrivalsByTier).sum());
         double excess = loadSamples == 0 ? 0 : (load - maxLoad) / Math.max(MIN_TIER_ARRIVAL_SHARE, arrivalShare);
-        // Within the tier on the edge: the next one has its own maximum, and low priorities are admitted slowly.
+        // The term stays within the edge tier: the next tier has its own maximum load, and low priorities are admitted
+        // slowly.
         double maxTerm = arrivalShare < MIN_TIER_ARRIVAL_SHARE
                 ? MAX_PROPORTIONAL_TERM
                 : Math.min(MAX_PROPORTIONAL_TERM, edgeTier + 1 - level);
@@ -162,7 +168,7 @@
         if (loadSamples > 0) {
             double step = INTEGRAL_GAIN * seconds * excess;
             if (step <= 0) {
-                // Low priorities are admitted slowly: what they crowd out is worth more than they are.
+                // Low priorities are admitted slowly: the requests that they displace are worth more.
                 step *= weight < LOW_PRIORITY_THRESHOLD ? weight : RECOVERY_FACTOR;
             }
             level = Math.max(0, Math.min(tierWeights.length - MIN_ADMITTED_OF_HIGHEST_TIER, level + step));
@@ -170,9 +176,10 @@
     }
 
     /**
-     * What a unit of work is worth, which is what an overloaded fleet runs short of. Where worth goes by request, the
-     * valuable ones are as a rule the expensive ones, and classes are rejected alike: rejected by worth, the light
-     * class starved while the fleet served a fraction of the requests it could.
+     * The worth of a unit of work, since work capacity is what an overloaded fleet lacks. Where worth is counted per
+     * request, valuable requests are usually the expensive ones, and all classes have the same weight: with rejection
+     * by worth, the class of light requests starved while the fleet served only a fraction of the requests that it
+     * could have served.
      */
     private double priorityWeight(RequestClass requestClass, boolean lowPriority) {
         Settings settings = activeSettings.settings();
--- a/src/main/java/loadbalancer/policy/ArrivalRate.java
+++ b/src/main/java/loadbalancer/policy/ArrivalRate.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy;
 
-/** The rate at which clients bring requests to this balancer. Resubmissions don't count. */
+/** The rate at which clients send new requests to this balancer. Resubmissions don't count. */
 final class ArrivalRate {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Shortest time that the rate is a mean of: what arrives at a start may be a burst. */
+    /** Shortest time over which the rate is averaged: the arrivals at a start may be a burst. */
     private static final double MIN_WINDOW_MICROS = DecayScale.TIME_CONSTANT_MICROS / 3;
 
     private double arrivalCount;
@@ -20,8 +20,9 @@
     }
 
     /**
-     * Requests per second: a mean of the time since the first one, where that is short. A balancer that has just
-     * started is otherwise taken for an idle one, and refuses requests at the few servers of its subset.
+     * Requests per second, averaged over the time since the first arrival where that time is short. Otherwise a
+     * balancer that has just started would be taken for an idle one, and would reject requests at the few servers of
+     * its subset.
      */
     double perSecond(long nowMicros) {
         double elapsedMicros = Math.max(MIN_WINDOW_MICROS, (double) (nowMicros - firstArrivalAtMicros));
--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import loadbalancer.policy.Policy.Actions;
 
-/** Sends attempts: asks who is a candidate, samples one of them, and records the attempt. */
+/** Sends attempts: determines the candidates, samples one of them and records the attempt. */
 final class AttemptDispatcher {
     private final ActiveSettings activeSettings;
     private final SubsetSelector subsetSelector;
@@ -24,7 +24,7 @@
         this.ranking = ranking;
     }
 
-    /** Sends an attempt if the request may run now and there is a server for it; returns whether it did. */
+    /** Sends an attempt if the request may run now and a server is available; returns whether an attempt was sent. */
     boolean dispatch(RequestState request, long nowMicros, Actions actions) {
         if (!SequencedKeys.mayRun(request, nowMicros)) {
             return false;
@@ -37,7 +37,10 @@
         return true;
     }
 
-    /** Sends another attempt to a server that has had none of the request, if there is one; paid by the budget. */
+    /**
+     * Sends an additional attempt to a server that has had none of the request's attempts, if there is such a server,
+     * and charges the retry budget for the attempt.
+     */
     void hedge(RequestState request, RetryBudget retryBudget, long nowMicros, Actions actions) {
         List<ServerState> candidates = subsetSelector.candidates(request, nowMicros);
         candidates.removeIf(request::wasSentTo);
@@ -59,7 +62,7 @@
         ranking.recordDispatch(server);
         SlowStart.recordDispatch(server);
         long timeoutMicros = TimeoutPolicy.timeoutMicros(request, nowMicros);
-        if (isRepeat) { // connecting may take longer than the servers drop repeats for
+        if (isRepeat) { // connecting may take longer than the time for which servers drop repeats
             actions.send(request.id, server.endpoint.id(), timeoutMicros, sendWithinMicros);
         } else {
             actions.send(request.id, server.endpoint.id(), timeoutMicros);
--- a/src/main/java/loadbalancer/policy/AttemptState.java
+++ b/src/main/java/loadbalancer/policy/AttemptState.java
@@ -5,15 +5,14 @@
 /** One attempt of a request at a server. */
 final class AttemptState {
     final ServerState target;
-    /** The server as it was listed when the attempt was sent: its zone and cell may change later. */
+    /** The endpoint list's entry of the server when the attempt was sent: the zone and cell may change later. */
     final Server endpointAtSend;
 
     final RequestState request;
-    /** Microseconds. */
     final long sentAtMicros;
 
     boolean inFlight = true;
-    /** True until the outcome proves otherwise. */
+    /** True until the outcome proves that the attempt did not run. */
     boolean mayHaveRun = true;
 
     AttemptState(ServerState target, RequestState request, long sentAtMicros) {
--- a/src/main/java/loadbalancer/policy/ClassLatencies.java
+++ b/src/main/java/loadbalancer/policy/ClassLatencies.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import loadbalancer.policy.Policy.RequestClass;
 
-/** The {@link ClassLatency} of each class, by the class's number in the settings. */
+/** The {@link ClassLatency} of each class, by the index of the class in the settings. */
 final class ClassLatencies {
     private ClassLatency[] byClass = {};
     private double shortestMicros;
 
     /**
-     * Takes other classes over.
+     * Applies new classes.
      *
-     * @param formerClasses for each class the number that it had before, or -1 if it is new
+     * @param formerClasses for each class its index in the former settings, or -1 if the class is new
      */
     void reload(List<RequestClass> classes, List<Integer> formerClasses) {
         ClassLatency[] former = byClass;
--- a/src/main/java/loadbalancer/policy/ClassLatency.java
+++ b/src/main/java/loadbalancer/policy/ClassLatency.java
@@ -3,21 +3,21 @@
 import loadbalancer.policy.Policy.RequestClass;
 
 /**
- * What has been learned of a class of requests. It outlives a reload of the settings, and requests keep the one of
- * the class that they were taken under.
+ * Statistics learned for a class of requests. They survive a reload of the settings, and a request keeps the statistics
+ * of the class under which it was accepted.
  */
 final class ClassLatency {
     /** Weight of one response in the typical latency, and of one hint in the mean work. */
     private static final double SMOOTHING = 0.03;
-    /** Part of the latency that is proportional to the hinted work. */
+    /** Proportion of the latency that is proportional to the hinted work. */
     private static final double WORK_PROPORTION = 0.7;
-    /** A resubmission tells its age by a time left that differs by more than the deadline divided by this. */
+    /** A resubmission reveals its age where its time left differs by more than the deadline divided by this number. */
     private static final long TIME_LEFT_TOLERANCE_DIVISOR = 32;
 
     private double typicalMicros;
     /** Moving mean of the work that clients hint at; 0 before the first hint. */
     private double meanWork;
-    /** Longest time left of a first submission, in microseconds. */
+    /** Longest time left of a first submission. */
     private long firstSubmissionTimeLeftMicros;
 
     ClassLatency(RequestClass requestClass) {
@@ -33,16 +33,16 @@
         typicalMicros += SMOOTHING * (micros - typicalMicros);
     }
 
-    /** Records a positive work hint and returns the latency it promises, as a multiple of the typical one. */
+    /** Records a positive work hint and returns the expected latency as a multiple of the typical one. */
     double recordWork(long work) {
         meanWork += (meanWork > 0 ? SMOOTHING : 1) * (work - meanWork);
         return 1 + WORK_PROPORTION * (work / meanWork - 1);
     }
 
     /**
-     * Microseconds since the client's first submission, where a marked resubmission shows it, else 0. Each submission
-     * gets the same time, or what is left of the class's deadline: one with another time than first submissions
-     * tells its age.
+     * Microseconds since the client's first submission where a marked resubmission reveals this time, otherwise 0.
+     * Clients give each submission either the same time or the time that is left of the class's deadline; a
+     * resubmission whose time left differs from that of first submissions therefore reveals its age.
      */
     long submissionAgeMicros(long deadlineMicros, long timeLeftMicros, boolean resubmission) {
         if (!resubmission) {
--- a/src/main/java/loadbalancer/policy/DecayScale.java
+++ b/src/main/java/loadbalancer/policy/DecayScale.java
@@ -1,18 +1,20 @@
 package loadbalancer.policy;
 
 /**
- * The common unit of the decaying counts of servers and keys. A count is increased by {@link #unit()}, which grows
- * with time, in place of all counts shrinking: the work at each wake does not grow with the number of servers.
+ * The common unit of the decaying counts of servers and keys. A count is increased by {@link #unit()}, which grows with
+ * time, instead of all counts shrinking: the work at each wake does not grow with the number of servers.
  */
 final class DecayScale {
-    /** Time constant of all decaying counts, so that a slowed server loses its rank in seconds. */
+    /**
+     * Time constant of all decaying counts, short enough for a server that slows down to lose its rank within seconds.
+     */
     static final double TIME_CONSTANT_MICROS = 10e6;
-    /** The owners of counts bring them back to unit 1 beyond this. */
+    /** Beyond this unit, the owners of the counts rescale them to unit 1. */
     private static final double MAX_UNIT = 1e60;
 
     private double unit = 1;
 
-    /** Decays all counts to the proportion {@code decayFactor} of what they were. */
+    /** Decays all counts by the factor {@code decayFactor}. */
     void decay(double decayFactor) {
         unit /= Math.max(decayFactor, 1 / MAX_UNIT);
     }
--- a/src/main/java/loadbalancer/policy/DiscoverySubscription.java
+++ b/src/main/java/loadbalancer/policy/DiscoverySubscription.java
@@ -5,22 +5,22 @@
 import loadbalancer.policy.Policy.Discovery;
 import loadbalancer.policy.Policy.ListKind;
 
-/** Subscribes to the endpoint list, and does so anew, with backoff, where discovery fails or no list arrives. */
+/** Subscribes to the endpoint list, and subscribes again, with backoff, where discovery fails or no list arrives. */
 final class DiscoverySubscription {
     private static final long FIRST_BACKOFF_MICROS = 500_000;
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
     /**
-     * Longest time from a call that failed to the next one, in microseconds. A change counts as notified 6 s after
-     * discovery had it and could be reached; the rest of that time is for the call itself.
+     * Longest time from a failed call to the next one. A balancer counts as notified of a change 6 s after discovery
+     * had the change and was reachable; the rest of that time is for the call itself.
      */
     private static final long MAX_WAIT_MICROS = 5_000_000;
-    /** How much longer the wait may be behind a call that has not ended by then. */
+    /** Upper limit of the random time added to the wait for a call that has not ended. */
     private static final long MAX_UNANSWERED_SPREAD_MICROS = 500_000;
 
     private final ActiveSettings activeSettings;
     private final SplittableRandom random;
     private final OperatorLog log;
-    /** When to subscribe the next time, in microseconds. */
+    /** Time of the next subscription. */
     private long subscribeAtMicros = Long.MAX_VALUE;
 
     private int consecutiveFailures;
--- a/src/main/java/loadbalancer/policy/EndpointSet.java
+++ b/src/main/java/loadbalancer/policy/EndpointSet.java
@@ -15,7 +15,7 @@
     private final SplittableRandom random;
     private final HashRing ring;
     private final Map<String, ServerState> servers = new LinkedHashMap<>();
-    /** Those that take requests, in the order of {@link #servers}. */
+    /** The servers that accept requests, in the order of {@link #servers}. */
     private List<ServerState> upServers = new ArrayList<>();
 
     private double meanWeight = 1;
@@ -25,7 +25,7 @@
         this.ring = ring;
     }
 
-    /** Takes a list over; {@code kind} is any but {@link ListKind#FAILED}. */
+    /** Applies a list; {@code kind} is any but {@link ListKind#FAILED}. */
     void update(long nowMicros, ListKind kind, List<Server> updatedEndpoints) {
         if (kind != ListKind.PARTIAL) {
             for (ServerState server : servers.values()) {
@@ -53,17 +53,17 @@
         return servers.values();
     }
 
-    /** The servers that take requests. */
+    /** The servers that accept requests. */
     List<ServerState> upServers() {
         return upServers;
     }
 
-    /** Mean weight of the listed servers, 1 if there are none. */
+    /** Mean weight of the servers that accept requests, 1 if there are none. */
     double meanWeight() {
         return meanWeight;
     }
 
-    // A server that has been restarted is a new one: nothing learned of it holds.
+    // A restarted server counts as a new one: what was learned about it no longer holds.
     private void put(Server endpoint, long nowMicros) {
         ServerState server = servers.get(endpoint.id());
         boolean restarted = server != null
--- a/src/main/java/loadbalancer/policy/HashRing.java
+++ b/src/main/java/loadbalancer/policy/HashRing.java
@@ -7,9 +7,9 @@
 import loadbalancer.policy.Policy.State;
 
 /**
- * Consistent hashing: the listed servers at points that follow from their ids, more points for more weight. A change
- * of the list moves few servers, and touches only their points: made anew at each step of a deploy, the ring cost
- * more than all requests.
+ * Consistent hashing: each server that accepts requests has points on the ring that are derived from its id, more
+ * points for more weight. A change of the endpoint list remaps few servers and updates only their points: rebuilding
+ * the whole ring at each step of a deployment cost more than all request processing.
  */
 final class HashRing {
     /** Points of a server of mean weight. */
@@ -18,22 +18,25 @@
     private static final int MAX_POINTS = 8 * POINTS_PER_SERVER;
 
     private final TreeMap<Long, ServerState> points = new TreeMap<>();
-    /** Where this balancer's walk starts. */
+    /** Position on the ring where this balancer's walk starts. */
     private final long homePosition;
-    /** Each server once, in the order of a walk from this balancer's point. */
+    /** Each server once, in the order of a walk from this balancer's position. */
     private ServerState[] homeOrder = {};
-    /** All points in ascending order, made when the first key asks for it, and their positions. */
+    /**
+     * The servers of all points in ascending order, built at the first lookup of a key, and the positions of the
+     * points.
+     */
     private ServerState[] keyOrder;
 
     private long[] positions;
     private int lastWalkId;
 
-    /** The balancers' homes are spread evenly: {@code rank} is this one's number among all, from 0. */
+    /** Spreads the balancers' home positions evenly: {@code rank} is this balancer's number among all, from 0. */
     HashRing(int rank, int balancers) {
         homePosition = (long) ((rank + 0.5) / balancers * 0x1p64 - 0x1p63);
     }
 
-    /** Gives each server its points, none to those that take no requests. */
+    /** Assigns each server its points, and none to servers that don't accept requests. */
     void assignPoints(Collection<ServerState> servers, double meanWeight) {
         for (ServerState server : servers) {
             double proportionalCount = POINTS_PER_SERVER * server.endpoint.weight() / meanWeight;
@@ -53,12 +56,12 @@
         setPoints(server, 0);
     }
 
-    /** Each server once, from this balancer's point on. */
+    /** Each server once, starting at this balancer's position. */
     ServerState[] homeOrder() {
         return homeOrder;
     }
 
-    /** Servers from the lowest point on, once for each of their points. */
+    /** Servers in the order of their points from the lowest one on, once for each point. */
     ServerState[] keyOrder() {
         if (keyOrder == null) {
             keyOrder = points.values().toArray(new ServerState[0]);
@@ -67,13 +70,13 @@
         return keyOrder;
     }
 
-    /** Where a key's walk through {@link #keyOrder()} starts; that must have been asked for before. */
+    /** Index in {@link #keyOrder()} where a key's walk starts; {@code keyOrder()} must have been called before. */
     int indexOf(long key) {
         int index = Arrays.binarySearch(positions, Hashing.mix(key));
         return index < 0 ? -index - 1 : index;
     }
 
-    /** A new number for a walk, other than all {@link ServerState#lastWalkId}. */
+    /** Returns a new walk id that differs from every {@link ServerState#lastWalkId}. */
     int beginWalk() {
         return ++lastWalkId;
     }
--- a/src/main/java/loadbalancer/policy/Hashing.java
+++ b/src/main/java/loadbalancer/policy/Hashing.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy;
 
-/** Hash functions that give the same values on every machine and in every run. */
+/** Hash functions with the same values on every machine and in every run. */
 final class Hashing {
     private Hashing() {}
 
-    /** FNV-1a, then mixed. */
+    /** FNV-1a, followed by {@link #mix}. */
     static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -13,7 +13,7 @@
         return mix(hash);
     }
 
-    /** Spreads near numbers over all 64 bits (the finaliser of SplitMix64). */
+    /** Spreads adjacent numbers over all 64 bits (the finalizer of SplitMix64). */
     static long mix(long value) {
         value = (value + 0x9e3779b97f4a7c15L ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
         value = (value ^ value >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/loadbalancer/policy/HedgingPolicy.java
+++ b/src/main/java/loadbalancer/policy/HedgingPolicy.java
@@ -1,22 +1,23 @@
 package loadbalancer.policy;
 
 /**
- * Which requests are hedged: a request that may be repeated, and has waited longer than nearly all do for such work,
- * gets a second attempt elsewhere. Guards against silence of any cause: lost responses, stalls, connections dropped
- * unseen.
+ * Decides which requests are hedged: a request that may be repeated and has waited longer than nearly all requests of
+ * this amount of work gets a second attempt at another server. Guards against missing responses of any cause: lost
+ * responses, stalls, connections dropped without notice.
  *
- * <p>Hedged requests draw on the budget of the retries and rest while requests are rejected, so that they can't feed
- * an overload; where all servers slow down at once they might hurt, by the budget's proportion at most. A keyed
- * request goes to the servers that drop repeats, and early: it is given up at its objective, and its client may not
- * resubmit it. A fleet of 60 lost a fifth of its most expensive class to queues that one balancer can't see.
+ * <p>Hedged requests draw on the retry budget and are suspended while requests are rejected, so that they can't amplify
+ * an overload. Where all servers slow down at once they can add load, limited to the budget's proportion of the
+ * requests. A keyed request is hedged at the servers that drop repeats, and early: it is given up at its objective, and
+ * its client may not resubmit it. A fleet of 60 lost a fifth of its most expensive class to queues that a single
+ * balancer can't see.
  */
 final class HedgingPolicy {
-    /** Safe requests are not hedged while servers had no capacity for more than this proportion of the arrivals. */
+    /** Safe requests are not hedged while servers lacked capacity for more than this proportion of the arrivals. */
     private static final double MAX_REJECTED_ATTEMPT_SHARE = 0.02;
 
     private final RetryBudget retryBudget;
     private final ArrivalRate arrivalRate;
-    /** Decaying number of attempts that no server took. */
+    /** Decaying number of attempts that no server accepted. */
     private double rejectedAttempts;
 
     HedgingPolicy(RetryBudget retryBudget, ArrivalRate arrivalRate) {
@@ -33,12 +34,12 @@
         rejectedAttempts *= decayFactor;
     }
 
-    /** Whether servers lack capacity: safe requests are not hedged then. */
+    /** Whether servers lack capacity; safe requests are not hedged in that case. */
     boolean serversLackCapacity() {
         return rejectedAttempts > MAX_REJECTED_ATTEMPT_SHARE * arrivalRate.arrivalCount();
     }
 
-    /** Whether the request should get a second attempt now, if there is a server for it. */
+    /** Whether the request should get a second attempt now, provided that there is a server for it. */
     boolean isDue(RequestState request, boolean serversLackCapacity, long nowMicros) {
         return mayBeHedged(request, serversLackCapacity, nowMicros)
                 && nowMicros - lastSentAtMicros(request) >= hedgingDelayMicros(request);
--- a/src/main/java/loadbalancer/policy/JsqDasPolicy.java
+++ b/src/main/java/loadbalancer/policy/JsqDasPolicy.java
@@ -7,25 +7,25 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one balancer: JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"), with
- * admission control, retries, hedging, outlier detection and slow start around it. This class handles the events and
- * composes the parts; each of these decides one thing and says why:
+ * The policy of one balancer: JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems") with
+ * admission control, retries, hedging, outlier detection and slow start. This class handles the events and composes the
+ * parts; each part makes one decision and documents its reasons:
  *
  * <ul>
- *   <li>is a request admitted: {@link AdmissionController}, {@link TenantQuotas};
+ *   <li>whether a request is admitted: {@link AdmissionController}, {@link TenantQuotas};
  *   <li>which servers are candidates: {@link EndpointSet}, {@link SubsetSelector} with {@link HashRing} and
  *       {@link KeyAffinity}, {@link SlowStart}, {@link OutlierDetector};
- *   <li>which of them is chosen, the paper's mechanism: {@link AccomplishmentRanking}, {@link ServerSampler},
+ *   <li>which candidate is chosen, the paper's mechanism: {@link AccomplishmentRanking}, {@link ServerSampler},
  *       {@link QueueEstimator};
  *   <li>when an attempt is sent, repeated or given up: {@link PendingQueue}, {@link SequencedKeys},
  *       {@link AttemptDispatcher}, {@link RetryBudget}, {@link HedgingPolicy}, {@link TimeoutPolicy};
- *   <li>what is learned from it: {@link OutcomeRecorder}.
+ *   <li>what is learned from the outcomes: {@link OutcomeRecorder}.
  * </ul>
  *
- * <p>Same settings, seed and events give the same actions. docs/design.md has a paragraph on each rule.
+ * <p>The same settings, seed and events give the same actions. docs/design.md has a paragraph on each rule.
  */
 public final class JsqDasPolicy implements Policy {
-    /** Time between two looks at all servers, and between two wakes while no request is open. */
+    /** Interval between two refreshes over all servers, and between two wakes while no request is open. */
     private static final long REFRESH_MICROS = 100_000;
 
     private static final int NO_FORMER_INDEX = -1;
@@ -60,14 +60,14 @@
     /** Requests that await their final response or have attempts in flight, by id. */
     private final Map<String, RequestState> requests = new LinkedHashMap<>();
 
-    /** When decaying figures were last updated. */
+    /** Time of the last update of decaying statistics. */
     private long updatedAtMicros;
 
     private long refreshAtMicros;
-    /** The earliest wake that has been asked for. */
+    /** The earliest wake that has been requested. */
     private long wakeAtMicros = Long.MAX_VALUE;
 
-    /** Same settings, seed and events give the same actions. */
+    /** Creates a policy; the same settings, seed and events give the same actions. */
     public JsqDasPolicy(Settings settings, long seed) {
         activeSettings = new ActiveSettings(settings);
         random = new SplittableRandom(seed);
@@ -102,7 +102,7 @@
         wakeWithin(nowMicros, activeSettings.sweepIntervalMicros(), actions);
     }
 
-    // Open requests keep the class, limits and latency that they were taken under.
+    // Open requests keep the class, limits and latency statistics under which they were accepted.
     private void apply(long nowMicros, Settings settings, List<Integer> formerClasses, List<Integer> formerTenants) {
         activeSettings.reload(settings);
         latencies.reload(settings.classes(), formerClasses);
@@ -251,7 +251,7 @@
         if (!outcome.neverRan() && (request.isUnsafe() || !retryBudget.allowsRetry())) {
             return false;
         }
-        // Nothing can be won by waiting with what may not be repeated any more.
+        // Waiting gains nothing where the request may no longer be repeated.
         if (request.isKeyed()
                 && request.firstThatMayHaveRun() != null
                 && request.deduplicationTimeLeftMicros(nowMicros, activeSettings.sweepIntervalMicros()) <= 0) {
@@ -295,7 +295,7 @@
         removeIfDone(request);
     }
 
-    // The client has its response, or has disconnected: other attempts are cancelled where that is allowed.
+    // The client has its response or has disconnected: other attempts are cancelled where the settings allow it.
     private static void close(RequestState request, Actions actions) {
         request.closed = true;
         if (!request.limits.mayCancel() || request.streaming) {
@@ -318,12 +318,12 @@
     @Override
     public void wake(long nowMicros, Actions actions) {
         if (nowMicros < wakeAtMicros) {
-            return; // asked for before an earlier one was
+            return; // superseded by an earlier wake that was requested later
         }
         wakeAtMicros = Long.MAX_VALUE;
         try {
             sweep(nowMicros, actions);
-        } finally { // a fault must not be the last wake
+        } finally { // the next wake is requested even after an exception
             wakeWithin(nowMicros, requests.isEmpty() ? REFRESH_MICROS : activeSettings.sweepIntervalMicros(), actions);
         }
     }
@@ -356,7 +356,7 @@
         }
     }
 
-    // Brings decaying figures to the present.
+    // Brings decaying statistics up to date.
     private void update(long nowMicros) {
         long elapsedMicros = nowMicros - updatedAtMicros;
         double decayFactor = Math.exp(-elapsedMicros / DecayScale.TIME_CONSTANT_MICROS);
@@ -373,8 +373,8 @@
         updatedAtMicros = nowMicros;
     }
 
-    // What needs a look at all servers. Guards against work for each wake that grows with the fleet: with counts that
-    // were decayed at each wake a balancer of 200 servers spent more on its idle time than on requests.
+    // Work that visits all servers, at an interval of its own so that the work of each wake does not grow with the
+    // fleet: with counts decayed at each wake, a balancer of 200 servers did more work while idle than for requests.
     private void refresh(long nowMicros) {
         subsetSelector.refresh(nowMicros);
         slowStart.refresh(ring.homeOrder(), nowMicros);
--- a/src/main/java/loadbalancer/policy/KeyAffinity.java
+++ b/src/main/java/loadbalancer/policy/KeyAffinity.java
@@ -3,9 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much of this balancer's traffic concerns each key: decaying numbers of requests. */
+/** The share of each key in this balancer's traffic, as decaying numbers of requests. */
 final class KeyAffinity {
-    /** Keys with a smaller number are forgotten. */
+    /** Keys with fewer requests are removed. */
     private static final double MIN_REQUESTS = 0.5;
 
     private final DecayScale decayScale;
@@ -22,8 +22,9 @@
     }
 
     /**
-     * The proportion of this balancer's requests that concern the key, 0 for the first one. Guards against a hot key:
-     * four servers of fifty took a seventh of all requests, and the larger the fleet the smaller a part four are.
+     * The proportion of this balancer's requests that concern the key, 0 for the first one. Guards against hot keys by
+     * widening their subsets: with four servers for each key, four of fifty servers took a seventh of all requests, and
+     * in a larger fleet four servers are an even smaller part.
      */
     double keyShare(long key) {
         return Math.max(0, requestsByKey.getOrDefault(key, 0.0) / decayScale.unit() - 1)
--- a/src/main/java/loadbalancer/policy/OperatorLog.java
+++ b/src/main/java/loadbalancer/policy/OperatorLog.java
@@ -2,13 +2,13 @@
 
 import loadbalancer.policy.Policy.Actions;
 
-/** Lines for the operators, one a second at most; others are dropped. */
+/** Log lines for the operators, at most one per second; further lines are dropped. */
 final class OperatorLog {
     private static final long MIN_INTERVAL_MICROS = 1_000_000;
 
     private long nextLineAtMicros;
 
-    /** Whether a line would be written: callers on hot paths ask before they make up the text. */
+    /** Whether a line would be written: callers on hot paths check this before they build the text. */
     boolean isDue(long nowMicros) {
         return nowMicros >= nextLineAtMicros;
     }
--- a/src/main/java/loadbalancer/policy/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/policy/OutcomeRecorder.java
@@ -4,18 +4,18 @@
 import loadbalancer.policy.Policy.Actions;
 import loadbalancer.policy.Policy.Outcome;
 
-/** Hands what an attempt's outcome tells to the parts that learn from it. */
+/** Passes the outcome of an attempt on to the parts that learn from it. */
 final class OutcomeRecorder {
-    /** Time without a success after which a server without capacity is taken for one that hangs. */
+    /** Time without a success after which a server without capacity is assumed to hang. */
     private static final long HANG_MICROS = 2_000_000;
-    /** Weight, as a failure, of a time-out and of a server that hangs: the load may be at fault. */
+    /** Failure weight of a timeout and of a server that hangs: overload may be the cause. */
     private static final double AMBIGUOUS_FAILURE_WEIGHT = 0.5;
 
     private static final double FAILURE_WEIGHT = 1;
     private static final double NO_FAILURE_WEIGHT = 0;
-    /** Typical latencies for which a failed attempt keeps its place in the queue. */
+    /** Multiple of the typical latency for which a failed attempt still counts in the queue length. */
     private static final double PENALTY_LATENCIES = 2;
-    /** A cancelled attempt that took more of its expected latency than this says that its server is slow. */
+    /** A cancelled attempt that took more than this multiple of its expected latency marks its server as slow. */
     private static final double SLOW_CANCELLED_LATENCIES = 2;
 
     private final OutlierDetector outlierDetector;
@@ -34,7 +34,7 @@
         this.random = random;
     }
 
-    /** Records how an attempt ended that took {@code latencyMicros}. */
+    /** Records the outcome of an attempt that took {@code latencyMicros}. */
     void record(AttemptState attempt, Outcome outcome, long latencyMicros, long nowMicros, Actions actions) {
         ServerState server = attempt.target;
         ClassLatency classLatency = attempt.request.classLatency;
@@ -66,7 +66,7 @@
         admission.recordLoad(latencyMicros / (double) attempt.request.requestClass.aimMicros(), nowMicros);
     }
 
-    // Another attempt came first, or the client left. The server may well be at it still.
+    // Another attempt succeeded first, or the client disconnected. The server may still be processing the attempt.
     private void recordCancelled(
             ServerState server,
             long latencyMicros,
@@ -81,8 +81,9 @@
         }
     }
 
-    // A server that hangs fills up and then has no capacity for anything: without successes that is no mere overload.
-    // It answers in no time, so it would win time after time while its queue is the longest of all: it rests.
+    // A server that hangs fills up and then has no capacity for anything: without successes this is more than an
+    // overload. Such a server rejects attempts at once, so it would be chosen again and again while its queue is the
+    // longest of all; it is therefore excluded for a while.
     private void recordFull(ServerState server, ClassLatency classLatency, long nowMicros, Actions actions) {
         double weight =
                 nowMicros - server.lastSuccessAtMicros > HANG_MICROS ? AMBIGUOUS_FAILURE_WEIGHT : NO_FAILURE_WEIGHT;
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -4,25 +4,28 @@
 import loadbalancer.policy.Policy.Actions;
 
 /**
- * Ejects servers that fail, rests those that have stalled or have no capacity, and tries ejected ones anew. Guards
- * against a server that fails fast or has fallen silent: it would win every comparison of queues. When most servers
- * look like outliers the fault is likely elsewhere, and all are used.
+ * Ejects servers that fail, excludes those that have stalled or have no capacity, and puts ejected ones on trial later.
+ * Guards against a server that fails fast or no longer responds: it would win every comparison of queue lengths. When
+ * most servers look like outliers, the fault is likely elsewhere, and all servers are used.
  *
- * <p>Two failures within some ten recent attempts are far beyond any sane base rate.
+ * <p>Two failures within about ten recent attempts are far above any plausible base rate.
  */
 final class OutlierDetector {
-    /** Decaying number of failures, by weight, above which a server can be ejected. */
+    /** Decaying sum of failure weights above which a server can be ejected. */
     private static final double MIN_FAILURES = 1.6;
-    /** Proportion of its recent attempts that they must exceed. */
+    /** Proportion of the recent attempts that the failures must exceed. */
     private static final double MIN_FAILURE_PROPORTION = 0.15;
-    /** The first ejection; each one that follows is twice as long, up to 16 s, and a quarter of it is random. */
+    /**
+     * Duration of the first ejection; each further one takes twice as long, up to 16 s, and up to a quarter is added at
+     * random.
+     */
     private static final long FIRST_EJECTION_MICROS = 1_000_000;
 
     private static final int MAX_EJECTION_DOUBLINGS = 4;
     private static final int EJECTION_JITTER_DIVISOR = 4;
     /** Successes, one at a time, that end a trial. */
     private static final int TRIAL_SUCCESSES = 3;
-    /** A server is stalled when it was silent for this multiple of the typical latency. */
+    /** A server is stalled when it has not responded for this multiple of the typical latency. */
     private static final double STALL_LATENCIES = 3;
 
     private final ActiveSettings activeSettings;
@@ -31,7 +34,7 @@
     private final DecayScale decayScale;
     private final SplittableRandom random;
     private final OperatorLog log;
-    /** Most servers look like outliers. */
+    /** Whether most servers look like outliers, so that all are used. */
     private boolean panicMode;
 
     OutlierDetector(
@@ -50,8 +53,8 @@
     }
 
     /**
-     * Whether the request may be sent to the server. One on trial gets one attempt at a time, and none that could not
-     * be repeated where others can be.
+     * Whether the request may be sent to the server. A server on trial gets one attempt at a time, and only of safe
+     * requests where any class is safe.
      */
     boolean allows(RequestState request, ServerState server, long nowMicros) {
         if (panicMode) {
@@ -62,7 +65,7 @@
                         || (server.inFlight == 0 && (request.isSafe() || !activeSettings.anyClassSafe())));
     }
 
-    /** Decides anew whether most servers look like outliers, and all are used. */
+    /** Determines again whether most servers look like outliers, so that all are used. */
     void refresh(long nowMicros) {
         int outliers = 0;
         for (ServerState server : endpoints.upServers()) {
@@ -86,11 +89,11 @@
     }
 
     /**
-     * Records a failed attempt: it neither earns rank nor frees its place in the queue at once, and enough of them
-     * eject the server.
+     * Records a failed attempt: it does not raise the server's rank, still counts in the queue length for a while, and
+     * enough failures eject the server.
      *
-     * @param weight how much it speaks for an ejection: 1 for a failure, 0 if not at all
-     * @param penaltyMicros for how long the attempt keeps its place
+     * @param weight how strongly the failure counts towards an ejection: 1 for a failure, 0 if not at all
+     * @param penaltyMicros for how long the attempt still counts in the queue length
      */
     void recordFailure(ServerState server, double weight, long penaltyMicros, long nowMicros, Actions actions) {
         ranking.recordFailure(server);
--- a/src/main/java/loadbalancer/policy/PendingQueue.java
+++ b/src/main/java/loadbalancer/policy/PendingQueue.java
@@ -6,8 +6,8 @@
 import loadbalancer.policy.Policy.Actions;
 
 /**
- * Requests for which no server may be used now: those of normal priority first, then those of low priority, each by
- * the time of their latest start. In order of arrival, requests with a short objective ran out of time in the queue.
+ * Requests for which no server may be used now: those of normal priority first, then those of low priority, each
+ * ordered by latest start time. When ordered by arrival, requests with a short objective ran out of time in the queue.
  */
 final class PendingQueue {
     private final ActiveSettings activeSettings;
@@ -18,7 +18,9 @@
         this.activeSettings = activeSettings;
     }
 
-    /** Adds a request, if it is not pending already; false if its time is all but over and it must be finished. */
+    /**
+     * Adds a request if it is not pending already; returns false if its time is almost over and it must be finished.
+     */
     boolean offer(RequestState request, long nowMicros) {
         if (nowMicros >= latestFinishAtMicros(request)) {
             return false;
@@ -42,14 +44,14 @@
         }
     }
 
-    /** Sends what can be sent now, in the order of the queue. */
+    /** Sends all requests that can be sent now, in the order of the queue. */
     void drain(AttemptDispatcher dispatcher, long nowMicros, Actions actions) {
         if (drain(normalPriority, dispatcher, nowMicros, actions)) {
             drain(lowPriority, dispatcher, nowMicros, actions);
         }
     }
 
-    // Returns false where no server is free for any request, so that there is no need to look at the others.
+    // Returns false where no server is available for any request, so that the remaining requests need no check.
     private static boolean drain(
             List<RequestState> queue, AttemptDispatcher dispatcher, long nowMicros, Actions actions) {
         Iterator<RequestState> requests = queue.iterator();
@@ -70,8 +72,8 @@
     }
 
     /**
-     * Rule 1: removes the requests that must be finished now, in time for the response; those without an attempt as
-     * soon as they can't be finished within their objective.
+     * Rule 1: removes the requests that must be finished now for their response to be in time; those without an attempt
+     * as soon as they can no longer be finished within their objective.
      */
     List<RequestState> removeExpired(long nowMicros) {
         List<RequestState> expired = new ArrayList<>();
@@ -95,7 +97,7 @@
         }
     }
 
-    // The last sweep but one before the deadline.
+    // Two sweeps before the deadline.
     private long latestFinishAtMicros(RequestState request) {
         return request.deadlineAtMicros - 2 * activeSettings.sweepIntervalMicros();
     }
--- a/src/main/java/loadbalancer/policy/Policy.java
+++ b/src/main/java/loadbalancer/policy/Policy.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * The interface of the decision module: the events that one balancer notifies it of (the methods below), and the
+ * The interface of the load-balancing policy: the events that one balancer reports to it (the methods below), and the
  * actions that it requests in return ({@link Actions}).
  *
  * <p>All times are microseconds in a {@code long}; {@code nowMicros} is the caller's clock and never goes back. Ids are
  * opaque. One object serves one balancer and is not thread-safe: the caller reports events one at a time, in the order
- * in which they happened, and none before the former has returned. It carries out actions in the order in which they
- * are requested, at the time {@code nowMicros}. A new or restarted balancer is a new object, and its first event is
- * {@link #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers that the module
- * no longer holds are legal and ignored.
+ * in which they happened, and none before the previous call has returned. The caller performs actions in the order in
+ * which they are requested, at the time {@code nowMicros}. A new or restarted balancer is a new object, and its first
+ * event is {@link #updateEndpoints} with {@link ListKind#PERSISTED}. Events about requests, attempts or servers that
+ * the policy no longer holds are legal and ignored.
  */
 public interface Policy {
-    /** What a class of requests allows once an attempt may have run. */
+    /** Whether requests of a class may be repeated once an attempt may have run. */
     enum Effect {
         /** Idempotent: may be repeated at any server. */
         SAFE,
@@ -25,7 +25,7 @@
         UNSAFE
     }
 
-    /** The servers that drop a repeat of a keyed request: all, or those of the first attempt's zone or cell. */
+    /** The servers that drop a repeat of a keyed request: all, or those in the zone or cell of the first attempt. */
     enum Scope {
         ALL,
         ZONE,
@@ -45,7 +45,9 @@
         NONE
     }
 
-    /** What a list holds: that of the former run, all servers, changes only or, where discovery failed, nothing. */
+    /**
+     * The contents of a list: that of the previous run, all servers, only changes, or nothing because discovery failed.
+     */
     enum ListKind {
         PERSISTED,
         COMPLETE,
@@ -53,14 +55,14 @@
         FAILED
     }
 
-    /** A listed server runs, is in graceful shutdown and takes no requests, or has left. */
+    /** A listed server runs, is in graceful shutdown and accepts no requests, or has left. */
     enum State {
         UP,
         DRAINING,
         GONE
     }
 
-    /** How an attempt ended. */
+    /** The outcome of an attempt. */
     enum Outcome {
         OK(false),
         /** The server responded with an error. */
@@ -72,7 +74,7 @@
         /** The connection was lost after the attempt had been sent. */
         RESET(false),
         CANCELLED(false),
-        /** The balancer did not send it: see {@link Actions#send(String, String, long, long)}. */
+        /** The balancer did not send the attempt: see {@link Actions#send(String, String, long, long)}. */
         NOT_SENT(true);
 
         private final boolean neverRan;
@@ -88,11 +90,11 @@
     }
 
     /**
-     * One entry of the endpoint list. {@code startedAtMicros} is 0 where the last start is long past; {@code weight} is
+     * One entry of the endpoint list. {@code startedAtMicros} is 0 where the last start was long ago; {@code weight} is
      * relative to other servers; {@code cell}, {@code machineModel} and {@code zone} are numbers, -1 if unknown.
      */
     record Server(String id, State state, long startedAtMicros, double weight, int cell, int machineModel, int zone) {
-        /** The same server in another state. */
+        /** Returns the same server in another state. */
         public Server withState(State newState) {
             return new Server(id, newState, startedAtMicros, weight, cell, machineModel, zone);
         }
@@ -100,10 +102,11 @@
 
     /**
      * A class of requests. A response within {@code aimMicros}, the latency objective, earns {@code worth}, the
-     * priority weight; one before {@code deadlineMicros} earns the proportion {@code lateShare} of it.
-     * {@code aimStretch} lengthens the objective by that multiple of the request's work. {@code keyTtlMicros}: for how
-     * long servers drop repeats of a keyed request. {@code inOrder}: requests with one key run one at a time, in the
-     * order of arrival. Attempts go to servers of these {@code zones} and {@code machineModels} only; empty: to all.
+     * priority weight; a later one before {@code deadlineMicros} earns the proportion {@code lateShare} of the worth.
+     * {@code aimStretch} extends the objective by that multiple of the request's work. {@code keyTtlMicros} is the time
+     * for which servers drop repeats of a keyed request. {@code inOrder}: requests with the same key run one at a time,
+     * in the order of arrival. Attempts go only to servers of these {@code zones} and {@code machineModels}; an empty
+     * set allows all.
      */
     record RequestClass(
             Effect effect,
@@ -127,7 +130,7 @@
             require(aimStretch >= 0, "aimStretch", aimStretch);
         }
 
-        /** A class without order or placement. */
+        /** A class without ordering or placement constraints. */
         public RequestClass(
                 Effect effect,
                 Scope scope,
@@ -164,7 +167,7 @@
     /** Weights of the operators' goal: of all requests, and of the worst window, class and tenant. */
     record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
-    /** Points of the goal for each crossing of zones and for each new connection, per first try; 0: free. */
+    /** Prices, in points of the goal, of each crossing of zones and each new connection, per first attempt; 0: free. */
     record Prices(double crossZone, double handshake) {
         public Prices {
             require(crossZone >= 0, "crossZone", crossZone);
@@ -188,8 +191,9 @@
     }
 
     /**
-     * The figures of the rules. {@code coldFrom} and {@code rampTimeMicros}: a server's slow start, from that part of a
-     * warm one's work on; {@code orderPauseMicros}: for how long a key rests after an attempt that may still run.
+     * The parameters of the rules. {@code coldFrom} and {@code rampTimeMicros} define a server's slow start, which
+     * begins with that proportion of a warm server's work. {@code orderPauseMicros} is the time for which a key is
+     * blocked after an attempt that may still run.
      */
     record Bounds(
             long answerSlackMicros,
@@ -210,9 +214,10 @@
     }
 
     /**
-     * The settings of a balancer. {@code rank} is its number among all {@code balancers}, from 0; {@code
-     * overShareWorth}: the priority of requests over their tenant's quota, as a proportion; {@code warmKeys}: a server
-     * needs less work for a key that it served lately; {@code clockTickMicros} is the shortest step of the clock.
+     * The settings of a balancer. {@code rank} is its number among all {@code balancers}, from 0;
+     * {@code overShareWorth} is the factor on the priority of requests over their tenant's quota; {@code warmKeys}: a
+     * server needs less work for a key that it served recently; {@code clockTickMicros} is the shortest step of the
+     * clock.
      */
     record Settings(
             int balancers,
@@ -240,7 +245,7 @@
         }
     }
 
-    /** A server's load report; a figure that it doesn't carry is NaN. {@code recentLatencyMicros} is in µs. */
+    /** A server's load report; a value that the report doesn't carry is NaN. */
     record Load(
             double inFlight,
             double queued,
@@ -256,10 +261,10 @@
     }
 
     /**
-     * Other settings hold from here on; open requests keep those that they were taken under. Zones, machine models,
-     * rank, the number of balancers and the kind of discovery are the same as before.
+     * Applies new settings; open requests keep the settings under which they were accepted. Zones, machine models,
+     * rank, the number of balancers and the kind of discovery must be the same as before.
      *
-     * @param formerClasses for each class of {@code settings} the number that it had before, or -1
+     * @param formerClasses for each class of {@code settings} its former index, or -1 if the class is new
      * @param formerTenants the same for each tenant
      */
     void reload(
@@ -273,12 +278,12 @@
     void updateEndpoints(long nowMicros, ListKind kind, List<Server> servers, Actions actions);
 
     /**
-     * A request has arrived; it needs one final response before {@code timeLeftMicros} is over.
+     * A request has arrived; it needs one final response within {@code timeLeftMicros}.
      *
-     * @param tenantIndex 0 where there are none
+     * @param tenantIndex 0 where there are no tenants
      * @param key what the request concerns, or null
      * @param work the client's estimate of the work, or -1
-     * @param resubmission the client marked it as not its first submission
+     * @param resubmission whether the client marked the request as not its first submission
      */
     void request(
             long nowMicros,
@@ -294,8 +299,8 @@
     /**
      * An attempt has ended; each attempt that was sent ends once.
      *
-     * @param attemptIndex the request's attempts are numbered 0, 1, 2 ... in the order of their sends
-     * @param closed the request has had its final response (the caller forwards an OK to the client)
+     * @param attemptIndex the request's attempts are numbered 0, 1, 2 ... in the order in which they were sent
+     * @param closed whether the request has had its final response (the caller forwards an OK to the client)
      * @param load null where the response carried no load report
      */
     void outcome(
@@ -308,7 +313,9 @@
             Load load,
             Actions actions);
 
-    /** A streamed response has begun: the attempt belongs to the client, its time-outs no longer hold. */
+    /**
+     * A streamed response has begun: it is being forwarded to the client, and the attempt's timeouts no longer apply.
+     */
     void streamStarted(long nowMicros, String requestId, int attemptIndex, Actions actions);
 
     /** The client has disconnected: the request needs no response. */
@@ -318,62 +325,64 @@
     void probeCompleted(
             long nowMicros, String serverId, Outcome outcome, long latencyMicros, Load load, Actions actions);
 
-    /** The time requested with {@link Actions#wakeAfter} is over. */
+    /** The time requested with {@link Actions#wakeAfter} has passed. */
     void wake(long nowMicros, Actions actions);
 
-    /** A message from another balancer; {@link JsqDasPolicy} sends none and reads none. */
+    /** A message from another balancer has arrived; {@link JsqDasPolicy} neither sends nor reads such messages. */
     default void peerMessage(long nowMicros, int fromBalancer, byte[] data, Actions actions) {}
 
-    /** The actions that the module may request: implemented by the caller. */
+    /** The actions that the policy may request; implemented by the caller. */
     interface Actions {
-        /** Send an attempt; {@code timeoutMicros} 0 means until the request's deadline. */
+        /** Sends an attempt; a {@code timeoutMicros} of 0 means until the request's deadline. */
         void send(String requestId, String serverId, long timeoutMicros);
 
         /**
-         * The same, if it can be begun within {@code sendWithinMicros}: from then on it must not run, and ends as
-         * {@link Outcome#NOT_SENT} where its connection is established later. The same as without where sends take no
-         * time.
+         * Sends an attempt that must begin within {@code sendWithinMicros}. After that time the attempt must not run,
+         * and ends as {@link Outcome#NOT_SENT} if its connection is established later. Where sending takes no time,
+         * this is the same as {@link #send(String, String, long)}.
          */
         default void send(String requestId, String serverId, long timeoutMicros, long sendWithinMicros) {
             send(requestId, serverId, timeoutMicros);
         }
 
-        /** Final response: rejected, a new submission is harmless; {@code retryAfterMicros} 0: no Retry-After. */
+        /**
+         * Final response: rejected, a resubmission is harmless; a {@code retryAfterMicros} of 0 means no Retry-After.
+         */
         void reject(String requestId, long retryAfterMicros);
 
         /** Final response: failed; the request may have run. */
         void fail(String requestId);
 
-        /** Stop waiting for an attempt. */
+        /** Stops waiting for an attempt. */
         void cancel(String requestId, int attemptIndex);
 
         /**
-         * Whether an attempt at that server would find an established connection, and so need no handshake; true
-         * where that is unknown. A query: it changes nothing.
+         * Whether an attempt at that server would find an established connection and so need no handshake; true where
+         * that is unknown. A query without side effects.
          */
         default boolean isConnected(String serverId) {
             return true;
         }
 
-        /** Send a health check to a server. */
+        /** Sends a health check to a server. */
         void probe(String serverId);
 
-        /** Subscribe to updates of the endpoint list, or end the subscription. */
+        /** Subscribes to updates of the endpoint list, or ends the subscription. */
         void watch(boolean enabled);
 
-        /** Fetch the complete endpoint list once. */
+        /** Fetches the complete endpoint list once. */
         void fetchList();
 
-        /** Close the idle connections to a server. */
+        /** Closes the idle connections to a server. */
         void closeIdle(String serverId);
 
-        /** Send at most 256 bytes to the balancer of that number, or to all where {@code peer} is -1. */
+        /** Sends at most 256 bytes to the balancer with that number, or to all where {@code peer} is -1. */
         void sendToPeer(int peer, byte[] data);
 
-        /** Call {@link Policy#wake} once after {@code delayMicros}. */
+        /** Calls {@link Policy#wake} once after {@code delayMicros}. */
         void wakeAfter(long delayMicros);
 
-        /** A line for the operators. */
+        /** Writes a log line for the operators. */
         void log(String line);
     }
 }
--- a/src/main/java/loadbalancer/policy/QueueEstimator.java
+++ b/src/main/java/loadbalancer/policy/QueueEstimator.java
@@ -5,22 +5,22 @@
 import loadbalancer.policy.Policy.Prices;
 
 /**
- * Estimates how long each server's queue is: own attempts in flight, the places that quick failures still keep, and
- * the attempts of the other balancers. A balancer that sees a small part of the traffic finds its own queues empty
- * nearly always, and ties alone would then send all of it to one set of servers.
+ * Estimates the length of each server's queue: own attempts in flight, penalties for recent failures, and the attempts
+ * of the other balancers. A balancer with a small share of the traffic nearly always finds its own queues empty;
+ * tie-breaking alone would then send all its requests to the same set of servers.
  */
 final class QueueEstimator {
-    /** How many requests a queue seems longer, per unit of price, in another zone or without a connection. */
+    /** How much longer, in requests, a queue counts per unit of price in another zone or without a connection. */
     private static final double REQUESTS_PER_PRICE = 10;
-    /** Time constant of trust in a load report, in typical latencies. */
+    /** Time constant of the weight of a load report, as a multiple of the typical latency. */
     private static final double REPORT_TIME_CONSTANT_LATENCIES = 2;
-    /** Reports of more requests in flight than this are taken for errors. */
+    /** Reports of more requests in flight than this are assumed to be errors. */
     private static final double MAX_REPORTED_IN_FLIGHT = 1e6;
     /** Weight of one response in a server's slowness. */
     private static final double SLOWNESS_SMOOTHING = 0.25;
-    /** One response counts as no slower than this. */
+    /** Upper limit of the slowness that one response counts as. */
     private static final double MAX_SLOWNESS_SAMPLE = 4;
-    /** Time constant of the mean of own attempts in flight. */
+    /** Time constant of the moving mean of own attempts in flight. */
     private static final double IN_FLIGHT_SMOOTHING_MICROS = 2e6;
 
     private final ActiveSettings activeSettings;
@@ -28,7 +28,7 @@
     private final ClassLatencies latencies;
     /** Own attempts in flight, at all servers. */
     private int inFlight;
-    /** Moving mean of them. */
+    /** Moving mean of {@link #inFlight}. */
     private double meanInFlight;
 
     QueueEstimator(ActiveSettings activeSettings, EndpointSet endpoints, ClassLatencies latencies) {
@@ -48,21 +48,22 @@
     }
 
     /**
-     * Lets a failed attempt keep its place in the queue until {@code untilMicros}: a server that fails fast stays long.
+     * Lets a failed attempt count in the queue length until {@code untilMicros}, so that a server that fails fast does
+     * not look idle.
      */
     static void addPenalty(ServerState server, long untilMicros) {
         server.penaltyEndsMicros.add(untilMicros);
     }
 
-    /** Updates the mean of own attempts in flight by the time that has passed. */
+    /** Updates the mean of own attempts in flight for the time that has passed. */
     void update(long elapsedMicros) {
         meanInFlight += (1 - Math.exp(-elapsedMicros / IN_FLIGHT_SMOOTHING_MICROS)) * (inFlight - meanInFlight);
     }
 
     /**
-     * The queue's length in requests, for a server of mean weight. In another zone, where crossing has a price, a
-     * queue counts for longer: it must be worth the price. So does one that needs a handshake: chosen by queues
-     * alone, four requests in ten opened a connection.
+     * The queue's length in requests, normalized to a server of mean weight. In another zone, where crossing zones has
+     * a price, a queue counts as longer, so that a crossing is worth its price. So does the queue of a server that
+     * needs a handshake: with selection by queues alone, four requests in ten opened a connection.
      */
     double queueLength(ServerState server, long nowMicros, Actions actions) {
         while (!server.penaltyEndsMicros.isEmpty() && server.penaltyEndsMicros.peekFirst() <= nowMicros) {
@@ -81,8 +82,8 @@
         return weightedAttempts + surcharge * (1 + weightedAttempts);
     }
 
-    // As last reported, or by Little's law as many as this balancer has at a server on average, in the ratio of this
-    // server's latency. An old report fades to the mean of all.
+    // As last reported, or inferred by Little's law: as many attempts as this balancer has at a server on average,
+    // scaled by this server's latency. The weight of a report decays with its age towards the inferred mean.
     private double attemptsOfOtherBalancers(ServerState server, long nowMicros) {
         double relativeWeight = server.endpoint.weight() / endpoints.meanWeight();
         double reportWeight = 0;
@@ -99,7 +100,7 @@
                 * (inferredAttempts + reportWeight * (server.reportedInFlight - inferredAttempts));
     }
 
-    /** Takes a load report over; one with a figure that no server can mean is ignored. */
+    /** Applies a load report; a report with an implausible number of requests in flight is ignored. */
     static void recordReport(ServerState server, Load load, long nowMicros) {
         if (load != null && load.inFlight() >= 0 && load.inFlight() < MAX_REPORTED_IN_FLIGHT) {
             server.reportedInFlight = load.inFlight();
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Moving mean of latency / typical latency; it fades to 1. */
+    /** Moving mean of latency divided by typical latency; decays towards 1. */
     static double slowness(ServerState server, long nowMicros) {
         double decay = Math.exp(-(nowMicros - server.slownessUpdatedAtMicros) / DecayScale.TIME_CONSTANT_MICROS);
         return 1 + (server.slowness - 1) * decay;
--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -11,19 +11,22 @@
 /** A request that awaits its final response or has attempts in flight. Times are microseconds. */
 final class RequestState {
     final String id;
-    /** Of its class, as it was when the request was taken; so are the class and the limits. */
+    /**
+     * Latency statistics of the request's class. Statistics, class and limits are those in force when the request was
+     * accepted.
+     */
     final ClassLatency classLatency;
 
     final RequestClass requestClass;
     final Limits limits;
-    /** Hash of what the request concerns, 0 if nothing was named. */
+    /** Hash of the request's key, 0 if the request has none. */
     final long keyHash;
 
     final long arrivedAtMicros;
     final long deadlineAtMicros;
     /** End of the latency objective. */
     final long objectiveAtMicros;
-    /** Over its tenant's quota, or its objective has passed already. */
+    /** Whether the request is over its tenant's quota, or its objective has passed already. */
     final boolean lowPriority;
     /** Expected latency as a multiple of the class's typical one. */
     double relativeWork = 1;
@@ -31,11 +34,11 @@
     final List<AttemptState> attempts = new ArrayList<>(2);
     int attemptsInFlight;
     boolean closed;
-    /** In the {@link PendingQueue}. */
+    /** Whether the request is in the {@link PendingQueue}. */
     boolean pending;
 
     boolean streaming;
-    /** Null where no order is asked for. */
+    /** Null where the request needs no ordering. */
     SequencedKey sequencedKey;
 
     RequestState(
@@ -57,7 +60,7 @@
         this.lowPriority = overQuota || times.objectiveAtMicros() <= times.arrivedAtMicros();
     }
 
-    /** When a request arrived, must be finished and should be finished, in microseconds. */
+    /** Times in microseconds: arrival, deadline and end of the latency objective. */
     record Times(long arrivedAtMicros, long deadlineAtMicros, long objectiveAtMicros) {}
 
     boolean isSafe() {
@@ -95,19 +98,19 @@
         return null;
     }
 
-    /** Rule 6: a class may be bound to zones and machine models, at every attempt. */
+    /** Rule 6: a class may be restricted to zones and machine models; this holds for every attempt. */
     boolean isPermittedOn(Server server) {
         return (requestClass.zones().isEmpty() || requestClass.zones().contains(server.zone()))
                 && (requestClass.machineModels().isEmpty()
                         || requestClass.machineModels().contains(server.machineModel()));
     }
 
-    /** Whether the class is bound neither to zones nor to machine models. */
+    /** Whether the class is restricted neither to zones nor to machine models. */
     boolean isPermittedEverywhere() {
         return requestClass.zones().isEmpty() && requestClass.machineModels().isEmpty();
     }
 
-    /** Rule 2: a request that may have run is sent a second time only where its class allows. */
+    /** Rule 2: a request that may have run is sent a second time only where its class allows it. */
     boolean mayRunOn(ServerState candidate, long nowMicros, long sweepIntervalMicros) {
         AttemptState first = firstThatMayHaveRun();
         if (first == null || isSafe()) {
@@ -124,19 +127,22 @@
     }
 
     /**
-     * Microseconds for which the servers still drop a repeat of a keyed request. One of its attempts must be one that
-     * may have run.
+     * Microseconds for which the servers still drop a repeat of a keyed request. At least one attempt of the request
+     * must be one that may have run.
      */
     long deduplicationTimeLeftMicros(long nowMicros, long sweepIntervalMicros) {
         return firstThatMayHaveRun().sentAtMicros + requestClass.keyTtlMicros() - sweepIntervalMicros - nowMicros;
     }
 
-    /** Whether a new submission by the client does no harm. */
+    /** Whether a resubmission by the client is harmless. */
     boolean isHarmlessToResubmit() {
         return firstThatMayHaveRun() == null || isSafe() || (isKeyed() && requestClass.scope() == Scope.ALL);
     }
 
-    /** When the request must be sent to finish within its objective; at once if that has passed. */
+    /**
+     * Latest time at which the request must be sent to finish within its objective; the arrival time if the objective
+     * had already passed on arrival.
+     */
     long latestStartAtMicros() {
         if (objectiveAtMicros <= arrivedAtMicros) {
             return arrivedAtMicros;
--- a/src/main/java/loadbalancer/policy/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/RetryBudget.java
@@ -1,13 +1,13 @@
 package loadbalancer.policy;
 
 /**
- * Bounds retries after failures that may have run, and hedged requests, to a proportion of the requests. Guards
- * against retries that multiply an overload.
+ * Limits retries after failures that may have run, and hedged requests, to a proportion of the requests. Guards against
+ * retries that amplify an overload.
  */
 final class RetryBudget {
     private static final double RETRIES_PER_REQUEST = 0.2;
     private static final double MAX_RETRIES = 10;
-    /** What hedged requests leave of the budget to retries. */
+    /** Part of the budget that hedged requests leave to retries. */
     private static final double RESERVED_FOR_RETRIES = 4;
 
     private double availableRetries = MAX_RETRIES;
--- a/src/main/java/loadbalancer/policy/SequencedKey.java
+++ b/src/main/java/loadbalancer/policy/SequencedKey.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayDeque;
 
-/** The requests with one key of classes that are served in order: only the first of them is sent. */
+/** The open requests with one key, of classes that require ordering: only the first one may be sent. */
 final class SequencedKey {
     final ArrayDeque<RequestState> requests = new ArrayDeque<>();
-    /** Time in microseconds until which attempts of the previous request may still run. */
+    /** Time until which attempts of the previous request may still run. */
     long blockedUntilMicros;
 }
--- a/src/main/java/loadbalancer/policy/SequencedKeys.java
+++ b/src/main/java/loadbalancer/policy/SequencedKeys.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import loadbalancer.policy.Policy.Outcome;
 
-/** Rule 5: requests with one key, of classes that ask for order, run one at a time in the order of arrival. */
+/** Rule 5: requests with the same key, of classes that require ordering, run one at a time in the order of arrival. */
 final class SequencedKeys {
     private final Map<Long, SequencedKey> sequencedKeys = new LinkedHashMap<>();
 
@@ -13,7 +13,7 @@
         request.sequencedKey.requests.add(request);
     }
 
-    /** Whether all earlier requests of the key are over, and attempts they left behind may no longer run. */
+    /** Whether all earlier requests of the key have finished and none of their attempts may still run. */
     static boolean mayRun(RequestState request, long nowMicros) {
         SequencedKey sequencedKey = request.sequencedKey;
         if (sequencedKey == null) {
@@ -23,7 +23,7 @@
         return isFirst && (nowMicros >= sequencedKey.blockedUntilMicros || !request.attempts.isEmpty());
     }
 
-    /** Lets the key rest after an attempt of which nobody knows whether it still runs. */
+    /** Blocks the key for a while after an attempt that may still be running. */
     static void attemptEnded(
             RequestState request, AttemptState attempt, Outcome outcome, long nowMicros, long pauseMicros) {
         SequencedKey sequencedKey = request.sequencedKey;
--- a/src/main/java/loadbalancer/policy/ServerSampler.java
+++ b/src/main/java/loadbalancer/policy/ServerSampler.java
@@ -7,7 +7,7 @@
 /**
  * The dispatch of JSQ-DAS (Gardner and Stephens, "Smart Dispatching in Heterogeneous Systems"): samples
  * {@value #FAST_SAMPLES} of the servers that rank as fast and the rest of {@value #SAMPLES} among the others, and
- * takes the one with the shortest queue. The numbers are the paper's defaults.
+ * selects the one with the shortest queue. The numbers are the paper's defaults.
  */
 final class ServerSampler {
     /** The paper's d. */
@@ -27,7 +27,7 @@
         this.queueEstimator = queueEstimator;
     }
 
-    /** Chooses one of the candidates, one at least, and leaves them sorted by rank. */
+    /** Selects one of the candidates, of which there is at least one, and leaves them sorted by rank. */
     ServerState select(List<ServerState> candidates, long nowMicros, Actions actions) {
         int count = candidates.size();
         if (count == 1) {
@@ -41,8 +41,8 @@
         return candidates.get(sample(candidates, fastCount, count, otherSamples, best, nowMicros, actions));
     }
 
-    // Draws from [from, to) without replacement. Returns the index of the shortest queue among those drawn and
-    // `best`; ties go to the higher rank.
+    // Draws from [from, to) without replacement. Returns the index of the shortest queue among those drawn and `best`;
+    // ties go to the higher rank.
     private int sample(
             List<ServerState> ranked, int from, int to, int samples, int best, long nowMicros, Actions actions) {
         int shortest = best;
--- a/src/main/java/loadbalancer/policy/ServerState.java
+++ b/src/main/java/loadbalancer/policy/ServerState.java
@@ -3,7 +3,9 @@
 import java.util.ArrayDeque;
 import loadbalancer.policy.Policy.Server;
 
-/** A listed server as this balancer sees it: plain data, each group of fields kept by the class named beside it. */
+/**
+ * A listed server as this balancer sees it: plain data, each group of fields maintained by the class named above it.
+ */
 final class ServerState {
     Server endpoint;
     final long idHash;
@@ -17,42 +19,42 @@
 
     // HashRing, SubsetSelector
     int ringPoints;
-    /** The last walk over the ring that met this server. */
+    /** Id of the last walk along the ring that visited this server. */
     int lastWalkId;
-    /** Whether it belongs to this balancer's subset, warming up or not. */
+    /** Whether the server belongs to this balancer's subset, warming up or not. */
     boolean inSubset;
 
     // QueueEstimator
     int inFlight;
     /** Requests in flight from all balancers, by the last load report. */
     double reportedInFlight;
-    /** Time of that report in microseconds, 0 if there was none. */
+    /** Time of the last load report, 0 if there was none. */
     long reportedAtMicros;
     /** Moving mean of latency divided by the class's typical latency. */
     double slowness = 1;
 
     long slownessUpdatedAtMicros;
-    /** Times in microseconds until which failed attempts keep their places in the queue. */
+    /** Times until which failed attempts count in the queue length. */
     final ArrayDeque<Long> penaltyEndsMicros = new ArrayDeque<>();
 
     // OutlierDetector
-    /** Oldest first; those that have ended are removed lazily. */
+    /** Oldest first; attempts that have ended are removed lazily. */
     final ArrayDeque<AttemptState> attempts = new ArrayDeque<>();
     /** Decaying number, in units of {@link DecayScale}. */
     double successes;
-    /** Decaying number, in units of {@link DecayScale}. */
+    /** Decaying sum of failure weights, in units of {@link DecayScale}. */
     double failures;
 
     long lastSuccessAtMicros;
     long ejectedUntilMicros;
     int ejectionCount;
-    /** Until when the server rests because it had no capacity for an attempt. */
+    /** Time until which the server is excluded because it had no capacity for an attempt. */
     long fullUntilMicros;
-    /** Successes needed to end the trial that follows an ejection; 0 if it is not on trial. */
+    /** Successes needed to end the trial that follows an ejection; 0 if the server is not on trial. */
     int trialSuccessesLeft;
 
     // SlowStart
-    /** Attempts that the server may be sent while it warms up. */
+    /** Attempts that the server may still be sent while it warms up. */
     double slowStartTokens;
 
     long slowStartTokensUpdatedAtMicros;
--- a/src/main/java/loadbalancer/policy/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/SlowStart.java
@@ -3,28 +3,31 @@
 import loadbalancer.policy.Policy.Bounds;
 
 /**
- * Rule 4: a server that is warming up gets its part of what warm ones of like weight take, and the part grows from
- * {@link Bounds#coldFrom()} to 1 over {@link Bounds#rampTimeMicros()}. A token bucket for each such server.
+ * Rule 4: a server that is warming up gets a proportion of the attempts that warm servers of the same weight get. The
+ * proportion grows from {@link Bounds#coldFrom()} to 1 over {@link Bounds#rampTimeMicros()}. Each such server has a
+ * token bucket.
  */
 final class SlowStart {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Attempts sent to a server warming up, as a multiple of its part of what a warm one takes. */
+    /** Attempts sent to a server that is warming up, as a multiple of its proportion of a warm server's attempts. */
     private static final double RATE_MARGIN = 2.4;
     /**
-     * The same for those in this balancer's subset, as a multiple of what a warm one there takes. How many balancers
-     * have a server in a subset of six varies by 0.4 of their mean: twice as many may share it.
+     * The same for servers in this balancer's subset, as a multiple of the attempts of a warm server there. The number
+     * of balancers that share a server in subsets of six varies by 0.4 of its mean: twice as many may share the server.
      */
     private static final double SUBSET_RATE_MARGIN = 1.2;
-    /** Capacity of the bucket: this part of the window that rule 4 is measured over. */
+    /** The bucket's capacity covers the window over which rule 4 is measured, divided by this number. */
     private static final double BURSTS_PER_WINDOW = 3;
-    /** Until any is known: a warm server gives two responses in the shortest objective, to all balancers. */
+    /**
+     * Assumed until a rate is known: a warm server gives two responses within the shortest objective, to all balancers.
+     */
     private static final double DEFAULT_RESPONSES_PER_OBJECTIVE = 2;
 
     private final ActiveSettings activeSettings;
     private final DecayScale decayScale;
-    /** Responses per second and unit of weight, of warm servers. */
+    /** Responses of warm servers, per second and unit of weight. */
     private double warmRatePerWeight;
-    /** The same responses per unit of weight of the subset's servers. */
+    /** The same responses, per second and unit of weight of the subset's servers. */
     private double subsetRatePerWeight;
 
     SlowStart(ActiveSettings activeSettings, DecayScale decayScale) {
@@ -38,8 +41,9 @@
         if (warmUpProportion >= 1) {
             return true;
         }
-        // The fleet's mean would do if all balancers used the server; those do that have it in their subset. By the
-        // mean alone the new ones among 200 servers took a seventh of that, and the rest was overloaded.
+        // The fleet's mean would suffice if all balancers used the server, but only those use it that have it in their
+        // subset. By the mean alone, the new ones among 200 servers got a seventh of that rate, and the rest of the
+        // fleet was overloaded.
         double subsetRate = server.inSubset ? SUBSET_RATE_MARGIN * subsetRatePerWeight * server.endpoint.weight() : 0;
         double rate = warmUpProportion * Math.max(RATE_MARGIN * warmRate(server), subsetRate);
         double capacity = Math.max(
@@ -60,7 +64,7 @@
         return warmUpProportion(server, nowMicros) >= 1;
     }
 
-    /** Measures the rates anew over all servers. */
+    /** Recomputes the rates over all servers. */
     void refresh(ServerState[] servers, long nowMicros) {
         double responses = 0;
         double weight = 0;
@@ -80,7 +84,7 @@
         return weight <= 0 ? 0 : responses / DecayScale.TIME_CONSTANT_MICROS * MICROS_PER_SECOND / weight;
     }
 
-    // The part of a warm server's work that the server may get, at most 1.
+    // The proportion of a warm server's work that the server may get, at most 1.
     private double warmUpProportion(ServerState server, long nowMicros) {
         Bounds bounds = activeSettings.settings().bounds();
         long startedAtMicros = server.endpoint.startedAtMicros();
@@ -91,7 +95,7 @@
         return bounds.coldFrom() + (1 - bounds.coldFrom()) * Math.max(0, ageMicros) / bounds.rampTimeMicros();
     }
 
-    // Responses per second that a warm server of this one's weight gives this balancer.
+    // Responses per second that a warm server of this server's weight gives to this balancer.
     private double warmRate(ServerState server) {
         double minRate = DEFAULT_RESPONSES_PER_OBJECTIVE
                 * MICROS_PER_SECOND
--- a/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -4,25 +4,32 @@
 import java.util.List;
 
 /**
- * Which servers are candidates for a request: a subset of the list, found by a walk over the ring from the
- * balancer's point, or the key's, until enough warm servers are found that may take the request. Where the subset
- * holds none, as when its servers have failed or are warming up, the walk goes on, over the complete list if need be.
+ * Determines the candidate servers of a request: a subset of the endpoint list, found by a walk along the hash ring
+ * from the position of the balancer, or of the key, until enough warm servers that may be used for the request are
+ * found. Where the subset has none, because its servers have failed or are warming up, the walk continues, over the
+ * complete list if necessary.
  *
- * <p>Guards against connections that grow with the fleet, and against counts and queues that say nothing because each
- * server hears from this balancer only once in a while.
+ * <p>Guards against a number of connections that grows with the fleet, and against counts and queue lengths that carry
+ * no information because each server gets a request from this balancer only rarely.
  */
 final class SubsetSelector {
-    /** Servers of a balancer: as few as sampling needs, more where its traffic keeps them in view. */
+    /**
+     * Servers in a balancer's subset: as few as sampling needs, more where the balancer's traffic keeps their state
+     * current.
+     */
     private static final int MIN_SUBSET_SIZE = 6;
     /** Seconds between a balancer's requests to one server. */
     private static final double SECONDS_PER_REQUEST = 1.5;
     /** The same where new connections have a price. */
     private static final double SECONDS_PER_REQUEST_EXPENSIVE_HANDSHAKE = 0.5;
-    /** Servers of a key: all are sampled. */
+    /** Servers in a key's subset, all of which are sampled. */
     private static final int MIN_KEY_SUBSET_SIZE = 4;
-    /** Servers of a hot key, as a multiple of the part of the fleet that its requests need. */
+    /** Servers in the subset of a hot key, as a multiple of the part of the fleet that its requests need. */
     private static final double KEY_SPREAD = 2;
-    /** How many times as many servers the walk meets at most where only the own zone's count. */
+    /**
+     * Upper limit of the servers that a walk visits, as a multiple of the target size, where only those of the own zone
+     * count.
+     */
     private static final int MAX_WALK_FACTOR = 4;
 
     private final ActiveSettings activeSettings;
@@ -50,7 +57,10 @@
         this.outlierDetector = outlierDetector;
     }
 
-    /** Servers that the request may be sent to now; those that it was sent to already only if there are no others. */
+    /**
+     * Servers to which the request may be sent now; those with an earlier attempt of the request only if there are no
+     * others.
+     */
     List<ServerState> candidates(RequestState request, long nowMicros) {
         if (request.keyHash != 0 && usesKeySubsets(nowMicros)) {
             double proportionalSize = KEY_SPREAD
@@ -101,7 +111,7 @@
                 && outlierDetector.allows(request, server, nowMicros);
     }
 
-    /** Marks the servers of this balancer's subset; none where subsets follow from keys. */
+    /** Marks the servers of this balancer's subset; none where subsets are chosen by key. */
     void refresh(long nowMicros) {
         int subsetSize = subsetSize(nowMicros);
         boolean byKey = usesKeySubsets(nowMicros);
@@ -125,7 +135,7 @@
         return (int) Math.max(MIN_SUBSET_SIZE, arrivalRate.perSecond(nowMicros) * secondsPerRequest);
     }
 
-    // Only where servers keep a key warm, and the balancer's traffic reaches all of them often.
+    // Only where servers are faster for recent keys, and the balancer's traffic reaches all servers often.
     private boolean usesKeySubsets(long nowMicros) {
         return activeSettings.settings().warmKeys()
                 && arrivalRate.perSecond(nowMicros) * SECONDS_PER_REQUEST
--- a/src/main/java/loadbalancer/policy/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/TenantQuotas.java
@@ -5,23 +5,25 @@
 import java.util.SplittableRandom;
 
 /**
- * Tells which requests exceed their tenant's quota: one token bucket for each tenant, filled at this balancer's part
- * of the tenant's rate.
+ * Determines which requests exceed their tenant's quota, with a token bucket per tenant that is refilled at this
+ * balancer's share of the tenant's rate.
  */
 final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Requests added to what a tenant brought and should bring: fewer say little of its rate. */
+    /**
+     * Requests added to both the actual and the expected arrivals of a tenant: few arrivals say little about its rate.
+     */
     private static final double PRIOR_REQUESTS = 5;
-    /** Requests that even a small tenant may bring at once, by chance. */
+    /** Requests that even a small tenant may send at once, since arrivals are random. */
     private static final double MIN_BURST_REQUESTS = 4;
-    /** What a tenant may bring at once, as a time at its rate. */
+    /** Burst size that a tenant may send at once, as a time at its rate. */
     private static final double BURST_MICROS = 1e6;
 
     private final ActiveSettings activeSettings;
     private final SplittableRandom random;
     /** Decaying number of first submissions of each tenant. */
     private double[] arrivalsByTenant = {};
-    /** Requests that each tenant may still bring within its quota, and when they were counted. */
+    /** Requests that each tenant may still send within its quota, and when the numbers were last updated. */
     private double[] tokensByTenant = {};
 
     private long[] tokensUpdatedAtMicros = {};
@@ -32,9 +34,9 @@
     }
 
     /**
-     * Takes the tenants of the active settings over.
+     * Applies the tenants of the active settings.
      *
-     * @param formerTenants for each tenant the number that it had before, or -1 if it is new
+     * @param formerTenants for each tenant its index in the former settings, or -1 if the tenant is new
      */
     void reload(long nowMicros, List<Integer> formerTenants) {
         double[] formerTokens = tokensByTenant;
@@ -45,13 +47,13 @@
         Arrays.fill(tokensUpdatedAtMicros, nowMicros);
         for (int i = 0; i < tokensByTenant.length; i++) {
             int former = formerTenants.get(i);
-            // Random, as buckets that were all full at once overran the servers at a start.
+            // Random initial levels: buckets that were all full at once overran the servers at a start.
             tokensByTenant[i] = former < 0 ? MIN_BURST_REQUESTS * random.nextDouble() : formerTokens[former];
             arrivalsByTenant[i] = former < 0 ? 0 : formerArrivals[former];
         }
     }
 
-    /** Starts to fill the buckets at {@code nowMicros}. */
+    /** Starts to refill the buckets at {@code nowMicros}. */
     void start(long nowMicros) {
         Arrays.fill(tokensUpdatedAtMicros, nowMicros);
     }
@@ -60,7 +62,7 @@
         arrivalsByTenant[tenantIndex] += resubmission ? 0 : 1;
     }
 
-    /** Takes a token for a request; false if there was one. */
+    /** Takes a token for a request; returns false if there was one. */
     boolean exceedsQuota(int tenantIndex, long nowMicros) {
         if (tokensByTenant.length == 0) {
             return false;
@@ -86,8 +88,8 @@
     }
 
     /**
-     * This balancer's part of the traffic: even, or more where its median tenant brings more. Traffic is not spread
-     * evenly over balancers; one tenant far over its quota must not widen the quotas of all.
+     * This balancer's share of the traffic: an even share, or more where its median tenant sends more. Traffic is not
+     * spread evenly over balancers; the median keeps one tenant far over its quota from widening the quotas of all.
      */
     private double ownShare() {
         int balancers = activeSettings.settings().balancers();
--- a/src/main/java/loadbalancer/policy/TimeoutPolicy.java
+++ b/src/main/java/loadbalancer/policy/TimeoutPolicy.java
@@ -1,24 +1,28 @@
 package loadbalancer.policy;
 
-/** How long an attempt may take. */
+/** Determines how long an attempt may take. */
 final class TimeoutPolicy {
-    /** No time-out but the request's deadline. */
+    /** No timeout except the request's deadline. */
     static final long NONE = 0;
-    /** A class whose late responses earn less than this part of its worth is given up at its objective. */
+    /**
+     * A request is given up at its objective if its class's late responses earn less than this proportion of its worth.
+     */
     private static final double MIN_LATE_SHARE = 0.5;
-    /** Typical latencies that an attempt gets at least before another one is tried in its place. */
+    /**
+     * Minimum time, as a multiple of the typical latency, that an attempt gets before another one is sent in its place.
+     */
     private static final double MIN_LATENCIES = 3;
 
     private TimeoutPolicy() {}
 
     /**
-     * The time-out of an attempt that is sent now, in microseconds, or {@link #NONE}. The attempt is among those of the
-     * request already.
+     * The timeout of an attempt that is sent now, in microseconds, or {@link #NONE}. The request's list of attempts
+     * includes the attempt already.
      *
      * <p>A request that is not safe to repeat is given up at its objective where a late response earns little: its
-     * client won't resubmit it, and waiting work dropped then frees capacity for work that can be in time. A safe one
-     * would be resubmitted; it leaves time for another attempt where hedged requests are forbidden, and is not cut
-     * otherwise.
+     * client won't resubmit it, and dropping its queued work frees capacity for work that can be in time. A safe
+     * request would be resubmitted; its attempt ends early enough for another one where hedged requests are forbidden,
+     * and has no timeout otherwise.
      */
     static long timeoutMicros(RequestState request, long nowMicros) {
         if (request.requestClass.streamed()) {
