--- a/src/main/java/loadbalancer/settings/LoadReport.java
+++ b/src/main/java/loadbalancer/settings/LoadReport.java
@@ -6,11 +6,11 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Reads a server's load report, under the value names of the simulator's wire or of the {@code Srv-Load} header.
- * Stateless; any thread may use it.
+ * Reads a server's load report, with the value names of the simulator's wire protocol or of the {@code Srv-Load}
+ * header. Stateless and thread-safe.
  */
 public final class LoadReport {
-    /** Value names on the simulator's wire; the position of a name is the index of its value. */
+    /** Value names in the simulator's wire protocol; the position of a name is the index of its value. */
     private static final List<String> SIMULATOR_NAMES =
             List.of("outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s");
 
@@ -29,7 +29,7 @@
         return values;
     }
 
-    /** Returns whether a value of that name, in either form, is one that the policy uses. */
+    /** Returns whether a value of that name, in either form, is used by the policy. */
     public static boolean knows(String name) {
         return indexOf(name) >= 0;
     }
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Returns a report of these values; those not named are unknown (NaN).
+     * Returns a report of these values; values that are not named are unknown (NaN).
      *
      * @param valuesByName values by name, as reported; every name must be {@link #knows known}
      */
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Reads a report like {@code TEXT inflight=7, queue=2}. Malformed pairs, unknown names and values outside the
-     * range 0 to 10^9 are ignored.
+     * Reads a report like {@code TEXT inflight=7, queue=2}. Malformed pairs, unknown names and values outside the range
+     * 0 to 10^9 are ignored.
      *
      * @param text the header's value; null where the response has no such header
      * @return null where there is no report, or no usable value in it
@@ -76,7 +76,7 @@
                     separator < 0 ? -1 : indexOf(pair.substring(0, separator).strip());
             if (index >= 0) {
                 double value = parseValue(pair.substring(separator + 1).strip());
-                // NaN and infinity parse as numbers too; no server can mean them.
+                // NaN and infinity are parsed as numbers too, but are not valid values.
                 if (value >= 0 && value <= MAX_VALUE) {
                     values[index] = value;
                     anyKnown = true;
@@ -86,7 +86,7 @@
         return anyKnown ? of(values) : null;
     }
 
-    /** NaN for a malformed value, so that it does not invalidate the others. */
+    /** Returns NaN for a malformed value, so that it does not invalidate the other values. */
     private static double parseValue(String text) {
         try {
             return Double.parseDouble(text);
--- a/src/main/java/loadbalancer/settings/SettingsReader.java
+++ b/src/main/java/loadbalancer/settings/SettingsReader.java
@@ -12,9 +12,9 @@
 import loadbalancer.policy.Policy.Settings;
 
 /**
- * Reads the settings of a balancer from {@code path=value} pairs, whether they come from the simulator's wire or from
- * the configuration of a balancer on sockets. Unknown paths are ignored; a value {@code -} counts as absent. Times are
- * in µs. A reader is used by one thread and for one reading.
+ * Reads the settings of a balancer from {@code path=value} pairs, both those of the simulator's wire protocol and those
+ * of the configuration of a balancer on sockets. Unknown paths are ignored; a value {@code -} counts as absent. Times
+ * are in µs. A reader is used by one thread and for one reading.
  */
 public final class SettingsReader {
     private static final String ROOT = "BootInfo";
@@ -23,19 +23,21 @@
     private final Map<String, String> values;
     private final BiFunction<String, String, ? extends RuntimeException> errorFactory;
 
-    /** What is being read: where the classes of the policy reject a value, the error is reported there. */
+    /**
+     * Path of the setting that is being read: where a class of the policy rejects a value, the error names this path.
+     */
     private String currentPath = ROOT;
 
     /**
-     * What a balancer is started with.
+     * The settings that a balancer is started with.
      *
      * @param settings the policy's settings
-     * @param loadFields names of the values of a load report, in their order on the simulator's wire
-     * @param classes names of the request classes, by the policy's number
-     * @param tenants names of the tenants, by the policy's number
-     * @param zones names of the zones, by the policy's number
-     * @param machineModels names of the machine models, by the policy's number
-     * @param idleCloseMicros after what time a server closes an idle connection; 0 where that is not known
+     * @param loadFields names of the values of a load report, in their order in the simulator's wire protocol
+     * @param classes names of the request classes, by the policy's index
+     * @param tenants names of the tenants, by the policy's index
+     * @param zones names of the zones, by the policy's index
+     * @param machineModels names of the machine models, by the policy's index
+     * @param idleCloseMicros time after which a server closes an idle connection; 0 where that is not known
      */
     public record Boot(
             Settings settings,
@@ -56,8 +58,8 @@
      * Reads {@code values}.
      *
      * @param values settings by path
-     * @param errorFactory makes the exception for a path and what is wrong there; thrown for the first missing,
-     *     malformed or impossible setting
+     * @param errorFactory creates the exception from a path and a description of the error; thrown for the first
+     *     missing, malformed or impossible setting
      */
     public static Boot read(
             Map<String, String> values, BiFunction<String, String, ? extends RuntimeException> errorFactory) {
@@ -77,8 +79,9 @@
     }
 
     /**
-     * Adds the pairs of a tree of maps and lists under the names of the simulator's wire: paths joined by dots, lists
-     * of plain values by commas, lists of maps by position with a {@code .count} beside them. Nulls are left out.
+     * Adds the pairs of a tree of maps and lists under the names of the simulator's wire protocol: keys are joined by
+     * dots, lists of plain values by commas; lists of maps are numbered, with their size under {@code .count}. Nulls
+     * are omitted.
      *
      * @param path path of {@code value}; empty for the root
      * @param flattened receives the pairs
@@ -104,12 +107,12 @@
         }
     }
 
-    /** Returns a value as it stands on the wire, where spaces and commas within values are replaced. */
+    /** Returns the wire form of a value, in which spaces and commas within the value are replaced. */
     public static String toText(Object value) {
         return String.valueOf(value).replace(' ', '_').replace(',', '_');
     }
 
-    // The order of reading decides which of several errors is reported.
+    // The order of reading determines which of several errors is reported.
     private Settings settings() {
         int zoneCount = text("Areas", "").split(",").length;
         int modelCount = text("Kinds", "").split(",").length;
@@ -252,7 +255,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw errorFactory.apply(path, "not a whole number: '" + value + "'");
+            throw errorFactory.apply(path, "not an integer: '" + value + "'");
         }
     }
 
@@ -294,15 +297,15 @@
         };
     }
 
-    /** Checks the number of entries under {@code path}: there can't be more of them than there are values. */
+    /** Checks the number of entries under {@code path}: there can't be more entries than values. */
     private int count(String path, long count) {
         if (count < 0 || count > values.size()) {
-            throw errorFactory.apply(path + ".count", "not a count of what follows: " + count);
+            throw errorFactory.apply(path + ".count", "not a valid number of entries: " + count);
         }
         return (int) count;
     }
 
-    /** The zone of this instance; it must be one of the named ones, where zones are named. */
+    /** The zone of this instance; must be one of the named zones, where zones are named. */
     private int zone(int zoneCount) {
         long zone = integer("Locality", 0);
         if (zone < 0 || (zone >= zoneCount && values.containsKey("Areas"))) {
@@ -311,7 +314,7 @@
         return (int) zone;
     }
 
-    /** Positions in a list of {@code size} names; empty where the setting is absent. */
+    /** Indexes into a list of {@code size} names; empty where the setting is absent. */
     private Set<Integer> indexes(String path, int size) {
         Set<Integer> indexes = new TreeSet<>();
         String value = text(path, "");
@@ -328,7 +331,7 @@
         try {
             return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw errorFactory.apply(path, "unknown word: '" + value + "'");
+            throw errorFactory.apply(path, "unknown value: '" + value + "'");
         }
     }
 }
--- a/src/main/java/loadbalancer/settings/package-info.java
+++ b/src/main/java/loadbalancer/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Settings of the load-balancing policy: their reader from {@code path=value} pairs, which the simulator's wire and
- * the configuration file of a balancer share, and the reader of the servers' load reports.
+ * Settings of the load-balancing policy: the reader of settings from {@code path=value} pairs, which is shared by the
+ * simulator's wire protocol and the configuration file of a balancer, and the reader of the servers' load reports.
  *
- * <p>Uses {@link loadbalancer.policy} alone. Does no I/O.
+ * <p>Depends only on {@link loadbalancer.policy}. Does no I/O.
  */
 package loadbalancer.settings;
--- a/src/main/java/loadbalancer/simulator/ActionWriter.java
+++ b/src/main/java/loadbalancer/simulator/ActionWriter.java
@@ -5,26 +5,26 @@
 import loadbalancer.policy.Policy;
 
 /**
- * Writes the actions of one batch, a line each; an ON_BEHALF line names the instance where it differs from that of the
- * line before.
+ * Writes the actions of one batch, one per line; an ON_BEHALF line names the instance where it differs from that of the
+ * previous line.
  */
 final class ActionWriter implements Policy.Actions {
     private final StringBuilder text = new StringBuilder();
     private String currentInstance;
     private String writtenInstance;
 
-    /** Actions from here on are those of the instance of that name. */
+    /** Sets the instance that requests the following actions. */
     void setInstance(String name) {
         currentInstance = name;
     }
 
-    /** Reports that the module failed in the current instance. */
+    /** Reports that the policy of the current instance failed. */
     void writeBailOut(RuntimeException failure) {
         StackTraceElement[] trace = failure.getStackTrace();
         write("BAIL_OUT", withoutSeparators(failure + (trace.length == 0 ? "" : " at " + trace[0])));
     }
 
-    /** Closes the batch and returns it as it goes out. */
+    /** Closes the batch and returns its bytes for the wire. */
     byte[] finishBatch() {
         text.append("DONE\n");
         return text.toString().getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
+++ b/src/main/java/loadbalancer/simulator/EndpointListBuffers.java
@@ -7,17 +7,17 @@
 import loadbalancer.policy.Policy;
 
 /**
- * The numbered endpoint lists of the wire. A LIST message with its ITEM lines fills a buffer; SYNC events name the
- * buffer they mean, as it is filled at that moment.
+ * The numbered endpoint lists of the wire protocol. A LIST message with its ITEM lines fills a buffer; a SYNC event
+ * names a buffer and uses the buffer's contents at that moment.
  */
 final class EndpointListBuffers {
     private static final int BUFFER_COUNT = 16;
     private static final double DEFAULT_WEIGHT = 1;
 
-    /** Null where nothing has been read into that buffer. */
+    /** Null for a buffer that has not been filled yet. */
     private final List<List<Policy.Server>> buffers = new ArrayList<>(Collections.nCopies(BUFFER_COUNT, null));
 
-    /** Reads a list: {@code header} is its LIST message, {@code reader} stands before its first ITEM. */
+    /** Reads a list: {@code header} is its LIST message, and {@code reader} is positioned before the first ITEM. */
     void read(SimulatorMessage header, SimulatorMessageReader reader) throws IOException {
         int buffer = header.expectFields("Buffer", "Entries").index(1, "Buffer", BUFFER_COUNT);
         int size = header.index(2, "Entries", Integer.MAX_VALUE);
@@ -37,7 +37,7 @@
     List<Policy.Server> get(SimulatorMessage message, int index) {
         List<Policy.Server> servers = buffers.get(message.index(index, "Buffer", BUFFER_COUNT));
         if (servers == null) {
-            throw message.malformed("Buffer", "no LIST has that number: " + message.raw(index, "Buffer"));
+            throw message.malformed("Buffer", "no LIST has filled this buffer: " + message.raw(index, "Buffer"));
         }
         return servers;
     }
@@ -60,7 +60,7 @@
             case "U" -> Policy.State.UP;
             case "L" -> Policy.State.DRAINING;
             case "D" -> Policy.State.GONE;
-            default -> throw item.malformed("StageState", "unknown word: '" + item.raw(3, "StageState") + "'");
+            default -> throw item.malformed("StageState", "unknown value: '" + item.raw(3, "StageState") + "'");
         };
     }
 }
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -9,22 +9,22 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Hosts many instances of the policy in one process and translates between them and the simulator's wire. It decides
- * nothing. For one thread.
+ * Hosts several instances of the policy in one process and translates between them and the simulator's wire protocol.
+ * Makes no decisions. Not thread-safe.
  */
 public final class SimulatorAdapter {
-    /** Makes the policy of a new instance. */
+    /** Creates the policy of a new instance. */
     public interface Factory {
         /**
-         * Makes a policy.
+         * Creates a policy.
          *
-         * @param settings of the instance
-         * @param seed of the policy's random draws
+         * @param settings settings of the instance
+         * @param seed seed of the policy's random numbers
          */
         Policy create(Policy.Settings settings, long seed);
     }
 
-    /** Whether the simulator is served on after a batch. */
+    /** Whether the adapter continues after a batch. */
     private enum BatchResult {
         COMPLETED,
         POLICY_FAILED
@@ -36,7 +36,10 @@
     private final Map<String, SimulatorInstance> instances = new HashMap<>();
     private final EndpointListBuffers lists = new EndpointListBuffers();
 
-    /** An adapter that makes its instances by {@code factory}, reads messages from {@code input} and answers there. */
+    /**
+     * Creates an adapter that creates policies with {@code factory}, reads messages from {@code input} and writes
+     * actions to {@code output}.
+     */
     public SimulatorAdapter(Factory factory, BufferedReader input, OutputStream output) {
         this.factory = factory;
         this.reader = new SimulatorMessageReader(input);
@@ -44,10 +47,10 @@
     }
 
     /**
-     * Answers batch after batch until the input ends or the policy fails; a failure is reported to the simulator.
+     * Processes batches until the input ends or the policy fails; a failure is reported to the simulator.
      *
      * @throws IOException where reading or writing fails
-     * @throws SimulatorProtocolException for malformed input; its batch is not answered
+     * @throws SimulatorProtocolException for malformed input; its batch gets no response
      */
     public void run() throws IOException {
         BatchResult result = BatchResult.COMPLETED;
@@ -62,7 +65,7 @@
 
     private BatchResult processBatch(SimulatorMessage tickMessage) throws IOException {
         if (!tickMessage.name().equals("TICK")) {
-            throw tickMessage.malformed("TICK", "a batch begins with it");
+            throw tickMessage.malformed("TICK", "a batch must begin with TICK");
         }
         ActionWriter actions = new ActionWriter();
         BatchResult result = BatchResult.COMPLETED;
@@ -81,7 +84,7 @@
     }
 
     private void handleBatch(long nowMicros, ActionWriter actions) throws IOException {
-        String instanceName = null; // as the last AT of this batch names it
+        String instanceName = null; // named by the last AT message of this batch
         while (true) {
             SimulatorMessage message = reader.next();
             if (message == null) {
--- a/src/main/java/loadbalancer/simulator/SimulatorInstance.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorInstance.java
@@ -8,15 +8,15 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * One balancer of the simulation: translates its events into calls of its policy, a method for each message. The
+ * One balancer of the simulation: translates its events into calls of its policy, with one method per message. The
  * fields of a message are read from left to right as far as they are used, and the first malformed one is reported.
  *
- * @param name the instance's name on the wire
- * @param policy its decision module
- * @param boot what it was started with
+ * @param name the instance's name in the wire protocol
+ * @param policy the instance's policy
+ * @param boot the settings that the instance was started with
  */
 record SimulatorInstance(String name, Policy policy, SettingsReader.Boot boot) {
-    /** The nonce of the one timer that a policy has. */
+    /** The nonce of a policy's only timer. */
     static final String WAKE_NONCE = "wake";
 
     private static final int OPTION_HAS_WORK_HINT = 1;
@@ -25,11 +25,11 @@
     private static final int MAX_INDEX = Integer.MAX_VALUE;
 
     /**
-     * Hands an event to the policy.
+     * Passes an event to the policy.
      *
      * @param nowMicros the batch's time
-     * @param lists the endpoint lists that a SYNC may name
-     * @param actions receives what the policy decides
+     * @param lists the endpoint lists that a SYNC message may name
+     * @param actions receives the actions of the policy
      */
     void handle(SimulatorMessage message, long nowMicros, EndpointListBuffers lists, Policy.Actions actions) {
         switch (message.name()) {
@@ -60,7 +60,7 @@
             case "Complete" -> Policy.ListKind.COMPLETE;
             case "Partial" -> Policy.ListKind.PARTIAL;
             case "Error" -> Policy.ListKind.FAILED;
-            default -> throw message.malformed("How", "unknown word: '" + message.raw(1, "How") + "'");
+            default -> throw message.malformed("How", "unknown value: '" + message.raw(1, "How") + "'");
         };
     }
 
@@ -146,7 +146,7 @@
         };
     }
 
-    /** The load report in a field: values in the order that the settings name; null where there is none. */
+    /** The load report in a field: values in the order given by the settings; null where there is no report. */
     private Policy.Load load(SimulatorMessage message, int index) {
         if (message.isAbsent(index, "Usage")) {
             return null;
--- a/src/main/java/loadbalancer/simulator/SimulatorMessage.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorMessage.java
@@ -3,9 +3,10 @@
 import java.util.Base64;
 
 /**
- * One message of the wire: a line of tab-separated values, the name first. Fields are read by their index, from 1 on;
- * the field's name is given for the error message. Every reading method throws {@link SimulatorProtocolException}
- * where the field is missing or malformed; a field that is empty or {@code -} is absent.
+ * One message of the wire protocol: a line of tab-separated values, the name first. Fields are read by index, starting
+ * at 1; the field's name is passed for the error message. Every reading method throws
+ * {@link SimulatorProtocolException} where the field is missing or malformed. Required fields that are empty or
+ * {@code -} count as absent.
  */
 final class SimulatorMessage {
     private static final String ABSENT = "-";
@@ -22,18 +23,18 @@
         return values[0];
     }
 
-    /** The number of fields behind the name. */
+    /** The number of fields after the name. */
     int fieldCount() {
         return values.length - 1;
     }
 
-    /** Makes the exception that names this line and the field; the caller throws it. */
+    /** Creates the exception that names this line and the field; the caller throws it. */
     SimulatorProtocolException malformed(String field, String problem) {
         return new SimulatorProtocolException(
                 "line " + lineNumber + ": " + values[0] + ": field " + field + ": " + problem);
     }
 
-    /** Checks that the message has exactly these fields, so that a cut or joined line is noticed. */
+    /** Checks that the message has exactly these fields, so that a truncated or joined line is noticed. */
     SimulatorMessage expectFields(String... fields) {
         if (fieldCount() < fields.length) {
             throw malformed(fields[fieldCount()], "is missing");
@@ -41,12 +42,12 @@
         if (fieldCount() > fields.length) {
             throw malformed(
                     fields.length == 0 ? "1" : fields[fields.length - 1],
-                    "is followed by " + (fieldCount() - fields.length) + " more value(s) than the message has");
+                    "is followed by " + (fieldCount() - fields.length) + " unexpected value(s)");
         }
         return this;
     }
 
-    /** The field as it stands there, absent or not. */
+    /** The unparsed field, absent or not. */
     String raw(int index, String field) {
         if (index > fieldCount()) {
             throw malformed(field, "is missing");
@@ -71,7 +72,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed(field, "not a whole number: '" + value + "'");
+            throw malformed(field, "not an integer: '" + value + "'");
         }
     }
 
@@ -88,7 +89,7 @@
         return (int) value;
     }
 
-    /** A non-negative number, or -1 where it is absent. */
+    /** A non-negative number, or -1 where the field is absent. */
     int indexOrMinusOne(int index, String field) {
         return isAbsent(index, field) ? -1 : index(index, field, Integer.MAX_VALUE);
     }
@@ -97,7 +98,7 @@
         return parseDecimal(text(index, field), field);
     }
 
-    /** Reads a part of a field as a finite number. */
+    /** Parses a part of a field as a finite number. */
     double parseDecimal(String value, String field) {
         try {
             double number = Double.parseDouble(value);
@@ -126,7 +127,7 @@
         try {
             return Base64.getDecoder().decode(raw(index, field));
         } catch (IllegalArgumentException e) {
-            throw malformed(field, "not base64: '" + raw(index, field) + "'");
+            throw malformed(field, "not Base64: '" + raw(index, field) + "'");
         }
     }
 }
--- a/src/main/java/loadbalancer/simulator/SimulatorMessageReader.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorMessageReader.java
@@ -3,7 +3,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 
-/** Reads messages line by line and counts the lines, from 1 on. */
+/** Reads messages line by line and counts the lines, starting at 1. */
 final class SimulatorMessageReader {
     private final BufferedReader input;
     private long lineNumber;
@@ -19,7 +19,9 @@
         return line == null ? null : new SimulatorMessage(lineNumber, line);
     }
 
-    /** The number of the line that was read last; at the end of the input, of the line that would have followed. */
+    /**
+     * The number of the line that was read last; at the end of the input, that of the line that would have followed.
+     */
     long lineNumber() {
         return lineNumber;
     }
--- a/src/main/java/loadbalancer/simulator/SimulatorSettings.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSettings.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import loadbalancer.settings.SettingsReader;
 
-/** Turns the {@code path=value} fields of an ENLIST message into what an instance is started with. */
+/** Converts the {@code path=value} fields of an ENLIST message into the settings that an instance is started with. */
 final class SimulatorSettings {
     private static final String FIELD = "BootInfo";
 
@@ -13,7 +13,7 @@
     /**
      * Reads all fields from {@code firstIndex} on.
      *
-     * @throws SimulatorProtocolException for a field that is no pair, and for a missing or malformed setting
+     * @throws SimulatorProtocolException for a field that is not a pair, and for a missing or malformed setting
      */
     static SettingsReader.Boot read(SimulatorMessage message, int firstIndex) {
         Map<String, String> values = new HashMap<>();
--- a/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: messages in, actions out, and errors that name the malformed field. */
+/** Tests of the wire protocol: messages in, actions out, and errors that name the malformed field. */
 class SimulatorAdapterTest {
     private static final String SETTINGS = String.join(
             "\t",
@@ -115,14 +115,14 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "TICK~x~GO | line 1: TICK: field Clock: not a whole number: 'x'",
-                "HELLO | line 1: HELLO: field TICK: a batch begins with it",
+                "TICK~x~GO | line 1: TICK: field Clock: not an integer: 'x'",
+                "HELLO | line 1: HELLO: field TICK: a batch must begin with TICK",
                 "TICK~1 | line 2: GO: field GO: the input ends within a batch",
                 "TICK~1~DUE~sweep | line 2: DUE: field Balancer: no AT line names the instance",
                 "TICK~1~AT~b/3~DUE~wake | line 3: DUE: field Balancer: no such instance is running: 'b/3'",
                 "TICK~1~LIST~16~0 | line 2: LIST: field Buffer: not between 0 and 15: 16",
                 "TICK~1~LIST~0~1~GO | line 3: LIST: field Entries: 1 ITEM lines announced, 0 found",
-                "TICK~1~LIST~0~1~ITEM~-~a:1~Q~1~0~0~0 | line 3: ITEM: field StageState: unknown word: 'Q'",
+                "TICK~1~LIST~0~1~ITEM~-~a:1~Q~1~0~0~0 | line 3: ITEM: field StageState: unknown value: 'Q'",
                 "TICK~1~LIST~0~1~ITEM~-~a:1~U~x~0~0~0 | line 3: ITEM: field Heft: not a number: 'x'",
             })
     void malformedMessageIsRejectedWithItsLineAndField(String input, String expectedError) {
@@ -146,10 +146,10 @@
                 "RESPONSE~a~0~10.0.0.1:80~200~1~1~5 | Usage: 2 values expected, 1 found",
                 "RESPONSE~a~0~10.0.0.1:80~200~1 | Closed: is missing",
                 "INBOUND~a~5~-~-~1~-~0 | Priority: not between 0 and 0: 5",
-                "INBOUND~a~0~-~-~soon~-~0 | Ttl: not a whole number: 'soon'",
-                "SYNC~Some~1~0 | How: unknown word: 'Some'",
-                "SYNC~Partial~1~3 | Buffer: no LIST has that number: 3",
-                "MAIL~0~%%% | Data: not base64: '%%%'",
+                "INBOUND~a~0~-~-~soon~-~0 | Ttl: not an integer: 'soon'",
+                "SYNC~Some~1~0 | How: unknown value: 'Some'",
+                "SYNC~Partial~1~3 | Buffer: no LIST has filled this buffer: 3",
+                "MAIL~0~%%% | Data: not Base64: '%%%'",
                 "NONSENSE~1 | NONSENSE: unknown message",
             })
     void malformedEventIsRejectedWithItsLineAndField(String event, String expectedError) {
