--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -14,8 +14,9 @@
 import loadbalancer.policy.Policy.State;
 
 /**
- * Many instances of the module in virtual time, before servers that serve one request at a time, in order,
- * and reject what finds their queue full; clients resubmit what was rejected. All counts are over all instances.
+ * Simulates many balancers in virtual time, each with its own instance of the policy. A server processes one request
+ * at a time, in order of arrival, and rejects requests while its queue is full; clients resubmit rejected requests.
+ * All counts are sums over all balancers.
  */
 final class FleetModel {
     private static final long STEP_MICROS = 5_000;
@@ -27,12 +28,12 @@
     private static final class ModelServer {
         final ArrayDeque<Job> queue = new ArrayDeque<>();
         Server server;
-        final ArrayDeque<Long> recentSendTimes = new ArrayDeque<>(); // of the last fall window, while it is cold
+        final ArrayDeque<Long> recentSendTimes = new ArrayDeque<>(); // within the last fall window, during slow start
         double speedFactor = 1;
         long busyUntil;
     }
 
-    /** One balancer's connections, each carrying one request at a time, kept as the real one keeps them. */
+    /** One balancer's connections, each with one request at a time, closed by the real balancer's idle timeout. */
     private final class PooledConnections implements PolicyTestHarness.ConnectionModel {
         private final PolicyTestHarness balancer;
         private final Map<String, ArrayDeque<Long>> idleSinceByServer = new HashMap<>();
@@ -41,7 +42,8 @@
             this.balancer = balancer;
         }
 
-        // Spare ones go first: of those behind it the last was used latest.
+        // Closes the connections whose idle timeout is over. The queue is ordered by last use, so the first one is
+        // spare as long as others follow.
         private ArrayDeque<Long> idleConnections(String server) {
             ArrayDeque<Long> idleSince = idleSinceByServer.computeIfAbsent(server, id -> new ArrayDeque<>());
             while (!idleSince.isEmpty()
@@ -72,12 +74,12 @@
     final int[] arrivals;
     final int[] withinObjective;
     final int[] rejections;
-    // Highest number sent to a cold server in a fall window, in parts of what rule 4 allows.
+    // Most attempts sent to one cold server within a fall window, relative to the number that rule 4 allows.
     double maxSendsToAllowedRatio;
-    // The same, in parts of what fells it: n + 3 * root of n + 3 of n allowed.
+    // The same relative to the number that overloads the server: n + 3 * sqrt(n) + 3, where n are allowed.
     double maxSendsToFailureRatio;
     int coldSends;
-    int connectionsOpened; // connections to servers, of all balancers
+    int connectionsOpened; // connections to servers
     long now = PolicyTestHarness.START_MICROS;
     private final Policy.Settings settings;
     private final SplittableRandom random;
@@ -95,7 +97,7 @@
         this(settings, settings.balancers(), servers, seed);
     }
 
-    /** With another number of balancers than the settings tell. */
+    /** Simulates another number of balancers than the settings state. */
     FleetModel(Policy.Settings settings, int balancerCount, List<Server> servers, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
@@ -130,17 +132,14 @@
         }
     }
 
-    /** A change that all balancers hear of at once. */
+    /** Changes servers and notifies all balancers at once. */
     void updateEndpoints(List<Server> servers) {
         servers.forEach(s -> modelServers.computeIfAbsent(s.id(), id -> new ModelServer()).server = s);
         modelServers.values().forEach(this::applySlowdowns);
         balancers.forEach(b -> b.updateEndpoints(ListKind.PARTIAL, servers));
     }
 
-    /**
-     * Lets time pass, with {@code requestsPerSecond} new requests a second of {@code meanWorkMicros} µs each on
-     * average.
-     */
+    /** Advances the time with new requests; their intervals and their work are exponentially distributed. */
     void run(long durationMicros, double requestsPerSecond, double[] classShares, long meanWorkMicros) {
         this.meanWorkMicros = meanWorkMicros;
         long end = now + durationMicros;
@@ -183,7 +182,7 @@
         }
     }
 
-    // Giving up an attempt closes its connection.
+    // Only OK and FULL leave the connection idle; an attempt that was given up closes its connection.
     private void endAttempt(PolicyTestHarness balancer, PolicyTestHarness.SentAttempt attempt, Outcome outcome) {
         if (outcome == Outcome.OK || outcome == Outcome.FULL) {
             ((PooledConnections) balancer.connections)
@@ -219,7 +218,7 @@
         }
     }
 
-    // Rule 4, as a budget over any window: all that reaches the server counts, also what it rejects.
+    // Rule 4 limits the sends within any window. All attempts that reach the server count, rejected ones too.
     private void recordSend(ModelServer modelServer, long sentAt) {
         if (warmth(modelServer) < 1) {
             modelServer.recentSendTimes.add(sentAt);
@@ -242,7 +241,7 @@
         }
     }
 
-    /** Servers so named need so many times as long for everything, from here on. */
+    /** From now on, servers with this prefix of their id need {@code factor} times as long for each request. */
     void slowDown(String idPrefix, double factor) {
         slowdownByIdPrefix.put(idPrefix, factor);
         modelServers.values().forEach(this::applySlowdowns);
@@ -261,7 +260,7 @@
         return Math.min(1, settings.bounds().coldFrom() + (1 - settings.bounds().coldFrom()) * rampProgress);
     }
 
-    // What a balancer has sent, given up or answered since the last step.
+    // Carries out what a balancer has sent, given up or answered since the last step.
     private void processActions(int balancerIndex) {
         PolicyTestHarness balancer = balancers.get(balancerIndex);
         List<Job> jobs = outstandingJobs.get(balancerIndex);
@@ -292,7 +291,7 @@
         balancer.cancelledAttempts.clear();
         balancer.finalResponses.forEach((id, response) -> {
             Submission submission = openSubmissions.remove(id);
-            if (submission != null && response.equals("refused")) {
+            if (submission != null && response.equals("rejected")) {
                 rejections[submission.requestClass]++;
                 long elapsedMicros = now - submission.submittedAt;
                 if (submission.number < MAX_SUBMISSIONS
--- a/src/test/java/loadbalancer/policy/FleetTest.java
+++ b/src/test/java/loadbalancer/policy/FleetTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fourteen balancers before sixty servers, counted over all of them. */
+/** Fleets of balancers and servers, measured over all balancers: most with 14 balancers and 60 servers. */
 class FleetTest {
     private static final double[] CLASS_SHARES = {0.75, 0.25};
     private static final int BALANCERS = 14;
@@ -29,7 +29,7 @@
     private static final int LARGE_FLEET_BALANCERS = 100;
     private static final int LARGE_FLEET_SERVERS = 200;
     private static final long LARGE_FLEET_WORK_MICROS = 300_000;
-    // All that they can do.
+    // Requests per second that all servers can process; their mean weight is 2.5.
     private static final double LARGE_FLEET_CAPACITY_PER_SECOND =
             2.5 * LARGE_FLEET_SERVERS * 1e6 / LARGE_FLEET_WORK_MICROS;
 
@@ -64,8 +64,9 @@
     }
 
     /**
-     * By steps alone the level rose seconds too late, and stayed for as long once more: 0.87 to 0.89 in a draw.
-     * Single draws now lie between 0.88 and 0.92, so the mean of many is what tells the two apart.
+     * Guards against admission control that moves its level in steps only: the level rose seconds too late and stayed
+     * high for as long again, and the proportion of worth earned in time was 0.87 to 0.89 for a seed. Single seeds now
+     * lie between 0.88 and 0.92, so only the mean over many seeds tells the two apart.
      */
     @Test
     void whileServersAreReplacedTheFleetIsNeitherOverloadedNorIdle() {
@@ -85,8 +86,9 @@
             double worthSince =
                     (fleet.withinObjective[0] - beforeDrain[0] + 3.0 * (fleet.withinObjective[1] - beforeDrain[1]))
                             / (fleet.arrivals[0] - beforeDrain[2] + 3.0 * (fleet.arrivals[1] - beforeDrain[3]));
-            figures.add("seed " + seed + ": worth in time before " + worthBefore + ", since " + worthSince
-                    + ", refused " + fleet.rejections[0] + " and " + fleet.rejections[1] + " of " + fleet.arrivals[0]
+            figures.add("seed " + seed + ": proportion of worth earned in time before the change " + worthBefore
+                    + ", after it " + worthSince
+                    + ", rejected " + fleet.rejections[0] + " and " + fleet.rejections[1] + " of " + fleet.arrivals[0]
                     + " and " + fleet.arrivals[1]);
             assertTrue(worthBefore > 0.9 && worthSince > 0.87, figures.get(seed - 1));
             sum += worthSince;
@@ -94,7 +96,10 @@
         assertTrue(sum / SEEDS > 0.9, sum / SEEDS + " of " + figures);
     }
 
-    /** Rule 4 over all balancers, whose configured number is right or wrong by a third; a margin for varying work. */
+    /**
+     * Rule 4 over all balancers, whose configured number is right or wrong by a third. The bound of 0.8 leaves a margin
+     * for varying work.
+     */
     @ParameterizedTest
     @CsvSource({"14, 0.4", "14, 0.7", "14, 0.95", "19, 0.7", "10, 0.7", "19, 0.95"})
     void allBalancersTogetherDoNotOverloadAColdServer(int balancers, double load) {
@@ -110,13 +115,14 @@
             assertTrue(
                     fleet.maxSendsToAllowedRatio <= 0.8,
                     balancers + " at " + load + ": " + fleet.maxSendsToAllowedRatio);
-            assertTrue(fleet.coldSends > 100, "they are used: " + fleet.coldSends);
+            assertTrue(fleet.coldSends > 100, "the cold servers are hardly used: " + fleet.coldSends);
         }
     }
 
     /**
-     * Four busy balancers that have just started, before a hundred idle servers: by counts that began at
-     * nothing each used six servers at first, and 151 to 202 of some 1,180 requests were refused.
+     * Guards against subsets that are too small after a start. Four busy balancers start with a hundred idle servers:
+     * when they sized their subsets by arrival counts that began at zero, each used six servers at first, and 151 to
+     * 202 of some 1,180 requests were rejected.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -146,10 +152,10 @@
         fleet.run(10_000_000, 0.6 * 100 * 1e6 / 500_000, CLASS_SHARES, 500_000);
         int arrivals = fleet.arrivals[0] + fleet.arrivals[1];
         int rejections = fleet.rejections[0] + fleet.rejections[1];
-        assertTrue(rejections < 0.02 * arrivals, rejections + " refused of " + arrivals);
+        assertTrue(rejections < 0.02 * arrivals, rejections + " rejected of " + arrivals);
     }
 
-    /** A hundred balancers, each with some ten requests a second, where a handshake has a price. */
+    /** A hundred balancers with some ten requests per second each; a handshake has a price. */
     private static FleetModel largeFleet(long seed) {
         return largeFleet(LARGE_FLEET_BALANCERS, seed);
     }
@@ -182,7 +188,7 @@
                 seed);
     }
 
-    // Every other one is four times as fast, and listed so.
+    // Every other server is four times as fast and has four times the weight.
     private static List<Server> twoMachineKinds(String idPrefix, long startedAt, int from, int to) {
         return servers(idPrefix, State.UP, startedAt, from, to).stream()
                 .map(x -> new Server(
@@ -196,7 +202,7 @@
                 .toList();
     }
 
-    /** Chosen by queues alone: 0.28 to 0.31 connections for each request. */
+    /** Guards against a choice by queue length alone, which opened 0.28 to 0.31 connections per request. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aHundredBalancersReuseTheirConnections(long seed) {
@@ -207,16 +213,17 @@
         fleet.run(6_000_000, 0.9 * LARGE_FLEET_CAPACITY_PER_SECOND, CLASS_SHARES, LARGE_FLEET_WORK_MICROS);
         double connectionsPerRequest = (fleet.connectionsOpened - openedBefore)
                 / (double) (fleet.arrivals[0] + fleet.arrivals[1] - arrivalsBefore);
-        assertTrue(connectionsPerRequest < 0.25, "connections for each request: " + connectionsPerRequest);
+        assertTrue(connectionsPerRequest < 0.25, "connections opened per request: " + connectionsPerRequest);
         double lateProportion = 1 - fleet.withinObjective[1] / (double) fleet.arrivals[1];
-        assertTrue(lateProportion < 0.04, "the dearest class, late: " + lateProportion);
+        assertTrue(lateProportion < 0.04, "late proportion of the class of the highest worth: " + lateProportion);
     }
 
     /**
-     * Rule 4 where each balancer sends a cold server one request in a while, configured with their number or too few,
-     * just started or for long at work. By the fleet's mean alone, of which only the few balancers with the
-     * server in their subset made use, 56 requests reached sixty newcomers in 6 s at the lower load, and 387
-     * since. What the fullest of sixty got differs by a tenth from draw to draw, so several are drawn.
+     * Rule 4 where each balancer sends requests to a cold server only now and then. The configured number of balancers
+     * is right or too low, and the balancers have just started or have run for long. Guards also against cold servers
+     * that get too little: with budgets by the fleet's mean rate alone, of which only the few balancers with the server
+     * in their subset made use, 56 requests reached sixty new servers in 6 s at the lower load; now it is 387. The
+     * number that the busiest of sixty servers gets varies by a tenth between seeds, so each case averages several.
      */
     @ParameterizedTest
     @CsvSource({"100, 0.6, 3, 8", "100, 0.9, 3, 8", "133, 0.9, 3, 8", "100, 0.9, 25, 2", "133, 0.9, 25, 2"})
@@ -235,16 +242,16 @@
             fleet.updateEndpoints(twoMachineKinds("new", fleet.now, 0, 60));
             fleet.run(6_000_000, load * LARGE_FLEET_CAPACITY_PER_SECOND, CLASS_SHARES, LARGE_FLEET_WORK_MICROS);
             String figures = balancers + " at " + load + ", seed " + seed + ": " + fleet.maxSendsToFailureRatio
-                    + " of a fall, " + fleet.maxSendsToAllowedRatio + " of what is allowed";
+                    + " of the overload limit, " + fleet.maxSendsToAllowedRatio + " of the allowed number";
             assertTrue(fleet.maxSendsToFailureRatio <= 0.65, figures);
-            assertTrue(fleet.coldSends > 200, "they are used: " + fleet.coldSends);
+            assertTrue(fleet.coldSends > 200, "the cold servers are hardly used: " + fleet.coldSends);
             sum += fleet.maxSendsToAllowedRatio;
         }
-        // By those that have long been at work more is sent: up to 1.21 in sixteen draws, 1.03 in the mean.
+        // Balancers that have run for long send more: up to 1.21 with sixteen seeds, 1.03 on average.
         assertTrue(sum / seeds <= (runSeconds > 3 ? 1.15 : 0.8), balancers + " at " + load + ": " + sum / seeds);
     }
 
-    /** A discovery that fails for all at once gets their next calls spread over half a second. */
+    /** When discovery fails for all balancers at once, their next calls are spread over half a second. */
     @Test
     void aHundredBalancersSpreadTheirDiscoveryCalls() {
         FleetModel fleet = largeFleet(1);
@@ -259,8 +266,8 @@
             maxCalls = Math.max(maxCalls, watchCalls(fleet) - callsSoFar);
             callsSoFar = watchCalls(fleet);
         }
-        assertEquals(LARGE_FLEET_BALANCERS, callsSoFar - callsBefore, "each asks once within a second");
-        assertTrue(maxCalls <= 25, "calls within 50 ms: " + maxCalls);
+        assertEquals(LARGE_FLEET_BALANCERS, callsSoFar - callsBefore, "each balancer calls once within a second");
+        assertTrue(maxCalls <= 25, "most calls within 50 ms: " + maxCalls);
     }
 
     private static int watchCalls(FleetModel fleet) {
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The four rules, class kind by class kind, and over random but legal sequences of events. */
+/** The four rules for each kind of request class, and over random but legal sequences of events. */
 class FourRulesTest {
     private static final RequestClass UNSAFE = PolicyTestHarness.requestClass(Effect.UNSAFE, Scope.ALL);
     private static final RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
@@ -65,7 +65,7 @@
         assertFalse(harness.attemptsOf("r").get(1).server.equals(first.server));
     }
 
-    /** Repeats are dropped for 2 s from the first send: a connection may be established later than that. */
+    /** Servers drop repeats for 2 s from the first send, and a connection may be established later than that. */
     @Test
     void aRepeatOfAKeyedRequestCarriesAStartLimit() {
         PolicyTestHarness harness = warmHarnessWithoutHedging(PolicyTestHarness.requestClass(Effect.KEYED, Scope.CELL));
@@ -76,10 +76,10 @@
         long sendWithinMicros = harness.lastSendWithinMicros.get("r");
         assertTrue(
                 sendWithinMicros > 1_500_000 && sendWithinMicros <= first.sentAt + 2_000_000 - harness.now,
-                "left: " + sendWithinMicros);
+                "start limit in µs: " + sendWithinMicros);
         assertFalse(
                 harness.lastSendWithinMicros.containsKey("warm-" + PolicyTestHarness.START_MICROS + "-0"),
-                "a first send may be late");
+                "a first send has no start limit");
     }
 
     @Test
@@ -98,7 +98,7 @@
         PolicyTestHarness.SentAttempt first = harness.request("r", 0);
         harness.advanceTime(310_000);
         harness.endAttempt(first, Outcome.RESET);
-        assertEquals("failed", harness.finalResponses.get("r"), "not held until its deadline nears");
+        assertEquals("failed", harness.finalResponses.get("r"), "the request must fail before its deadline is near");
         assertEquals(1, harness.attemptsOf("r").size());
     }
 
@@ -119,7 +119,7 @@
         PolicyTestHarness.SentAttempt first = harness.request("r", 0);
         assertTrue(
                 first.timeoutMicros > 0 && first.timeoutMicros < PolicyTestHarness.DEADLINE_MICROS,
-                "time is left for another attempt");
+                "the timeout must leave time for another attempt");
         harness.advanceTime(PolicyTestHarness.OBJECTIVE_MICROS);
         assertEquals(1, harness.attemptsOf("r").size());
     }
@@ -135,7 +135,7 @@
             PolicyTestHarness.SentAttempt first = harness.request("r", 0);
             harness.endAttempt(first, Outcome.ERROR);
             PolicyTestHarness.SentAttempt second = harness.attemptsOf("r").get(1);
-            if (scope != Scope.ALL) { // cell and zone alternate over the fleet
+            if (scope != Scope.ALL) { // cells and zones alternate over the fleet
                 assertEquals(first.server.charAt(1) % 2, second.server.charAt(1) % 2);
             }
         }
@@ -146,7 +146,7 @@
     void aKeyedRequestIsNotSentAgainAfterItsDeduplicationWindow(Scope scope) {
         PolicyTestHarness harness = warmHarness(PolicyTestHarness.requestClass(Effect.KEYED, scope));
         PolicyTestHarness.SentAttempt first = harness.request("r", 0);
-        harness.advanceTime(2_500_000); // the window is 2 s from the first send
+        harness.advanceTime(2_500_000); // the deduplication window is 2 s from the first send
         for (PolicyTestHarness.SentAttempt attempt : harness.attemptsOf("r")) {
             assertTrue(attempt.sentAt - first.sentAt < 2_000_000);
         }
@@ -154,7 +154,7 @@
         harness.attemptsOf("r").forEach(s -> harness.endAttempt(s, Outcome.ERROR));
         harness.advanceTime(1_000_000);
         assertEquals(attemptsBefore, harness.attemptsOf("r").size());
-        assertEquals(scope == Scope.ALL ? "refused" : "failed", harness.finalResponses.get("r"));
+        assertEquals(scope == Scope.ALL ? "rejected" : "failed", harness.finalResponses.get("r"));
     }
 
     @Test
@@ -170,7 +170,7 @@
             harness.endAttempt(sent, Outcome.OK);
         }
         harness.updateEndpoints(ListKind.COMPLETE, List.of(PolicyTestHarness.runningServer("s1")));
-        assertEquals("s1", harness.request("x", 0).server, "missing in a complete list is removed");
+        assertEquals("s1", harness.request("x", 0).server, "a server that a complete list lacks must be removed");
     }
 
     @Test
@@ -180,15 +180,15 @@
         assertNull(harness.request("a", 0));
         assertNull(harness.request("b", 1, 0, 6_000));
         harness.advanceTime(30_000);
-        assertTrue(harness.finalResponses.containsKey("b"), "a nearly spent request is answered at once");
+        assertTrue(harness.finalResponses.containsKey("b"), "a request with hardly any time left is answered at once");
         harness.advanceTime(PolicyTestHarness.DEADLINE_MICROS);
-        assertEquals("refused", harness.finalResponses.get("a"));
+        assertEquals("rejected", harness.finalResponses.get("a"));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 8})
     void aColdServerGetsNoMoreThanItsProportion(int balancers) {
-        // One warm server gives 50 answers a second to this balancer; the cold one may take its part of that.
+        // Four warm servers give this balancer 50 responses per second; the cold one may take its part of a quarter.
         Policy.Settings settings = PolicyTestHarness.settings(balancers, true, Policy.Discovery.PUSH, List.of(), SAFE);
         PolicyTestHarness harness =
                 new PolicyTestHarness(settings, 1).updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(4));
@@ -198,8 +198,8 @@
         harness.warmUp(150, 0, 20_000);
         long sent = harness.countAttemptsTo("cold", addedAt);
         double seconds = (harness.now - addedAt) / 1e6;
-        double maxProportion = 0.2 + 0.8 * seconds / 20; // at the end; less before
-        assertTrue(sent <= 50.0 / 4 * maxProportion * 2.5 * seconds, sent + " in " + seconds + " s");
+        double maxProportion = 0.2 + 0.8 * seconds / 20; // at the end; lower before
+        assertTrue(sent <= 50.0 / 4 * maxProportion * 2.5 * seconds, sent + " sends in " + seconds + " s");
     }
 
     @Test
@@ -214,7 +214,7 @@
         assertTrue(sentWhileCold < 15, "a cold server took " + sentWhileCold + " of 50");
     }
 
-    /** Odd but legal: late outcomes, lists that are stale, empty or partial, restarts, clients that leave. */
+    /** Unusual but legal events: late outcomes, stale, empty or partial lists, restarts, clients that disconnect. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomEventsKeepTheRules(long seed) {
@@ -299,7 +299,7 @@
             } else {
                 harness.advanceTime(random.nextLong(60_000));
             }
-            // Attempts whose own time-out or request's deadline is over end then, as on the wire.
+            // An attempt ends at its own timeout or at its request's deadline, as it does in the real balancer.
             for (PolicyTestHarness.SentAttempt attempt : new ArrayList<>(harness.sentAttempts)) {
                 long endsAt = attempt.timeoutMicros > 0
                         ? Math.min(attempt.sentAt + attempt.timeoutMicros, deadlines.get(attempt.request))
@@ -330,7 +330,7 @@
         harness.advanceTime(PolicyTestHarness.DEADLINE_MICROS + 100_000);
         assertEquals(0, harness.duplicateFinalResponses);
         for (String id : deadlines.keySet()) {
-            assertTrue(harness.finalResponses.containsKey(id), "no answer for " + id);
+            assertTrue(harness.finalResponses.containsKey(id), "no final response for " + id);
         }
     }
 
@@ -347,15 +347,16 @@
             Outcome outcome =
                     outcomesById.getOrDefault(attempt.request, Map.of()).get(earlier.number);
             boolean stillInFlight = outcome == null;
-            assertTrue(allowHedging || !stillInFlight, "two attempts at once");
+            assertTrue(allowHedging || !stillInFlight, "two attempts in flight though hedging is not allowed");
             if (stillInFlight || !outcome.neverRan()) {
-                assertTrue(requestClass.effect() != Effect.UNSAFE, "an unsafe request went out twice");
+                assertTrue(
+                        requestClass.effect() != Effect.UNSAFE, "an unsafe request that may have run was sent again");
                 assertTrue(
                         requestClass.effect() != Effect.KEYED
                                 || attempt.sentAt - earlier.sentAt < requestClass.keyMemory(),
-                        "sent after its window");
+                        "a keyed request was sent after its deduplication window");
             }
-            assertTrue(outcome != Outcome.OK, "sent after it was served");
+            assertTrue(outcome != Outcome.OK, "sent again after it had been served");
         }
     }
 }
--- a/src/test/java/loadbalancer/policy/NoOpActions.java
+++ b/src/test/java/loadbalancer/policy/NoOpActions.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Does nothing of what the module asks for; a test overrides what it looks at. */
+/** Actions that do nothing; a test overrides those that it checks. */
 interface NoOpActions extends Policy.Actions {
     @Override
     default void send(String request, String server, long timeoutMicros) {}
--- a/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Order by key and placement. */
+/** Order by key, and placement: classes that may use only some zones or machine kinds. */
 class OrderAndPlacementTest {
     private static final RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
 
@@ -66,8 +66,8 @@
         PolicyTestHarness.SentAttempt first = harness.requestWithKey("a", 0, "k");
         assertNull(harness.requestWithKey("b", 1, "k"), "all ordered classes share their keys");
         assertNull(harness.requestWithKey("c", 0, "k"));
-        assertTrue(harness.requestWithKey("other", 0, "l") != null, "another key is not held up");
-        assertTrue(harness.request("none", 0) != null, "nor is a request without a key");
+        assertTrue(harness.requestWithKey("other", 0, "l") != null, "a request with another key is not delayed");
+        assertTrue(harness.request("none", 0) != null, "a request without a key is not delayed");
         harness.advanceTime(30_000);
         harness.endAttempt(first, Outcome.OK);
         assertEquals(1, harness.attemptsOf("b").size());
@@ -88,9 +88,9 @@
         harness.endAttempt(first, outcome);
         assertEquals("failed", harness.finalResponses.get("a"));
         harness.advanceTime(PolicyTestHarness.ORDER_PAUSE_MICROS - 10_000);
-        assertEquals(0, harness.attemptsOf("b").size(), "the key rests");
+        assertEquals(0, harness.attemptsOf("b").size(), "the pause of the key is not over");
         harness.advanceTime(50_000);
-        assertEquals(1, harness.attemptsOf("b").size(), "then the next one goes");
+        assertEquals(1, harness.attemptsOf("b").size(), "the next request is sent after the pause");
     }
 
     @Test
@@ -101,7 +101,7 @@
         harness.finalResponses.put("a", "disconnected");
         harness.policy.clientDisconnected(harness.now, "a", harness);
         harness.advanceTime(50_000);
-        assertEquals(0, harness.attemptsOf("b").size(), "its attempt has no outcome yet");
+        assertEquals(0, harness.attemptsOf("b").size(), "the attempt of the first request has no outcome yet");
         harness.endAttempt(first, Outcome.CANCELLED);
         harness.advanceTime(PolicyTestHarness.ORDER_PAUSE_MICROS - 10_000);
         assertEquals(0, harness.attemptsOf("b").size());
@@ -123,7 +123,7 @@
         long submittedAt = harness.now;
         harness.requestWithKey("b", 0, "k");
         harness.advanceTime(PolicyTestHarness.DEADLINE_MICROS);
-        assertEquals("refused", harness.finalResponses.get("b"));
+        assertEquals("rejected", harness.finalResponses.get("b"));
         assertTrue(harness.now - submittedAt <= PolicyTestHarness.DEADLINE_MICROS);
     }
 
@@ -131,7 +131,7 @@
     void aRestrictedClassIsSentOnlyToItsServers() {
         PolicyTestHarness harness =
                 warmHarness(SAFE, restrictedTo(Set.of(1), Set.of()), restrictedTo(Set.of(), Set.of(0)));
-        for (int i = 0; i < 40; i++) { // zones and kinds alternate over the fleet
+        for (int i = 0; i < 40; i++) { // zones and machine kinds alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.advanceTime(10_000);
@@ -140,10 +140,10 @@
         harness.advanceTime(PolicyTestHarness.DEADLINE_MICROS);
         harness.sentAttempts.stream()
                 .filter(s -> s.request.startsWith("z"))
-                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(1, s.server.charAt(1) % 2, "retries and hedged attempts too"));
         harness.sentAttempts.stream()
                 .filter(s -> s.request.startsWith("k"))
-                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and copies too"));
+                .forEach(s -> assertEquals(0, s.server.charAt(1) % 2, "retries and hedged attempts too"));
     }
 
     @Test
@@ -162,6 +162,6 @@
         harness.updateEndpoints(ListKind.PARTIAL, List.of(new Server("own", State.GONE, 0, 1, 0, 0, 7)));
         harness.request("bound3", 1);
         harness.advanceTime(PolicyTestHarness.DEADLINE_MICROS);
-        assertEquals("refused", harness.finalResponses.get("bound3"), "held, then answered in time");
+        assertEquals("rejected", harness.finalResponses.get("bound3"), "held, then rejected in time");
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyFixtures.java
+++ b/src/test/java/loadbalancer/policy/PolicyFixtures.java
@@ -8,7 +8,7 @@
 import loadbalancer.policy.Policy.Server;
 import loadbalancer.policy.Policy.State;
 
-/** States for the tests of the policy's parts. */
+/** Settings, servers and requests for the tests of the policy's parts. */
 final class PolicyFixtures {
     static final long NOW = 1_000_000_000L;
     static final RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
@@ -65,7 +65,7 @@
         return attempt;
     }
 
-    /** Up, numbered from s0. */
+    /** Running servers with the ids s0, s1 and so on. */
     static List<Server> servers(int count) {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.policy.Policy.Scope;
 import org.junit.jupiter.api.Test;
 
-/** One test for each failure found: it fails without the answer to it in Rules. */
+/** Regression tests, one for each failure found: a test fails without the policy's rule against that failure. */
 class PolicyRegressionTest {
     private static final Policy.RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
     private static final Policy.RequestClass UNSAFE = PolicyTestHarness.requestClass(Effect.UNSAFE, Scope.ALL);
@@ -25,7 +25,7 @@
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(servers));
     }
 
-    /** Serves four requests at a time for a while; attempts on the bad servers end as given. */
+    /** Serves batches of four requests; attempts end with the outcome given for their server, others with OK. */
     private static void serveBatches(
             PolicyTestHarness harness, int requests, long latencyMicros, Map<String, Outcome> outcomeByServer) {
         for (int i = 0; i < requests; i++) {
@@ -48,7 +48,7 @@
         serveBatches(harness, 200, 20_000, Map.of("s1", Outcome.ERROR));
         assertTrue(
                 harness.countAttemptsTo("s1", from) < 20,
-                "4 s of failures took " + harness.countAttemptsTo("s1", from));
+                "attempts that failed in 4 s: " + harness.countAttemptsTo("s1", from));
         assertTrue(harness.actionLog.stream().anyMatch(l -> l.contains("event=server_ejected server=s1")));
         serveBatches(harness, 1200, 20_000, Map.of());
         assertTrue(harness.actionLog.stream().anyMatch(l -> l.contains("event=server_recovered server=s1")));
@@ -56,7 +56,8 @@
 
     @Test
     void aServerThatRejectsAllAttemptsIsEjected() {
-        // A hung server fills up, then turns attempts away: 8% of attempts were lost on such ones.
+        // Guards against a hung server whose queue fills and which then rejects attempts: 8 % of the attempts were lost
+        // on such servers.
         PolicyTestHarness harness = harness(6, UNSAFE);
         serveBatches(harness, 100, 20_000, Map.of());
         long from = harness.now;
@@ -64,7 +65,7 @@
         assertTrue(harness.actionLog.stream().anyMatch(l -> l.contains("event=server_ejected server=s1")));
         assertTrue(
                 harness.countAttemptsTo("s1", from) < 40,
-                "6 s of refusals took " + harness.countAttemptsTo("s1", from));
+                "attempts that were rejected in 6 s: " + harness.countAttemptsTo("s1", from));
     }
 
     @Test
@@ -74,7 +75,7 @@
         PolicyTestHarness.SentAttempt stalled = harness.request("stuck", 0);
         harness.advanceTime(200_000);
         long from = harness.now;
-        for (int i = 0; i < 40; i++) { // three at a time: the third finds all queues alike
+        for (int i = 0; i < 40; i++) { // three at a time: for the third one all queues are equal
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
             }
@@ -102,10 +103,11 @@
 
     @Test
     void admissionRecoversAfterOverload() {
-        // Idle servers kept their old load, which held the limit down for 20 s after the overload had ended.
+        // Guards against servers that keep their load while idle, which held the admission limit down for 20 s after
+        // the end of the overload.
         PolicyTestHarness harness = harness(6, SAFE);
         serveBatches(harness, 200, 30_000, Map.of());
-        for (int i = 0; i < 60; i++) { // everything takes ten times as long
+        for (int i = 0; i < 60; i++) { // every request takes ten times as long
             harness.request("slow" + i, 0);
             harness.advanceTime(50_000);
             harness.sentAttempts.stream()
@@ -116,7 +118,7 @@
         harness.sentAttempts.stream().filter(s -> !s.ended).toList().forEach(s -> harness.endAttempt(s, Outcome.OK));
         harness.advanceTime(4_000_000);
         int sent = 0;
-        for (int i = 0; i < 10 * 12; i++) { // twelve at a time
+        for (int i = 0; i < 10 * 12; i++) { // batches of twelve
             sent += harness.request("after" + i, 0) != null ? 1 : 0;
             while (i % 12 == 11 && i < 9 * 12 && harness.sentAttempts.stream().anyMatch(s -> !s.ended)) {
                 harness.advanceTime(30_000);
@@ -132,14 +134,14 @@
 
     @Test
     void aTenantOverItsQuotaLosesOnlyItsExcess() {
-        // All requests of a tenant over its share were marked, so its share starved too.
+        // Guards against marking all requests of a tenant over its quota, by which those within the quota starved too.
         PolicyTestHarness harness = new PolicyTestHarness(
                         PolicyTestHarness.settings(
                                 1, true, Discovery.PUSH, List.of(new Policy.Tenant(20), new Policy.Tenant(20)), UNSAFE),
                         3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(2));
         Map<Integer, int[]> countsByTenant = Map.of(0, new int[2], 1, new int[2]);
-        for (int i = 0; i < 1200; i++) { // tenant 0 brings 80 a second, tenant 1 20
+        for (int i = 0; i < 1200; i++) { // tenant 0 sends 80 requests per second, tenant 1 sends 20
             int tenant = i % 5 == 4 ? 1 : 0;
             countsByTenant.get(tenant)[0]++;
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
@@ -157,13 +159,14 @@
         double servedPerSecond0 = countsByTenant.get(0)[1] / 12.0;
         double servedProportion1 =
                 countsByTenant.get(1)[1] / (double) countsByTenant.get(1)[0];
-        assertTrue(servedProportion1 > 0.1, "the tenant within its share comes first: " + servedProportion1);
-        assertTrue(servedPerSecond0 >= 12, "the other keeps most of its share of 20 a second: " + servedPerSecond0);
+        assertTrue(servedProportion1 > 0.1, "served proportion of the tenant within its quota: " + servedProportion1);
+        assertTrue(servedPerSecond0 >= 12, "served per second of the other tenant's quota of 20: " + servedPerSecond0);
     }
 
     @Test
     void aLongPauseOfTheCallerDoesNotStopDispatching() {
-        // With every server idle for 13 minutes all weights of the middle tier are 0.
+        // Guards against weights that vanish: with every server idle for 13 minutes, all weights of the middle tier
+        // are 0.
         PolicyTestHarness harness = harness(1, SAFE);
         for (int i = 0; i < 10; i++) {
             harness.endAttempt(harness.request("r" + i, 0), Outcome.OK);
@@ -173,7 +176,7 @@
         assertTrue(harness.request("after", 0) != null);
     }
 
-    /** A harness without a usable server: what comes in is held. */
+    /** A harness without a usable server: requests are held. */
     private static PolicyTestHarness harnessWithoutServers(Policy.RequestClass... classes) {
         return new PolicyTestHarness(PolicyTestHarness.settings(classes), 11)
                 .updateEndpoints(ListKind.PERSISTED, List.of());
@@ -181,26 +184,28 @@
 
     @Test
     void aResubmissionPastItsObjectiveHasLowPriority() {
-        // A third of all answers came after the first try's aim: worthless work that crowded out the rest.
+        // Guards against serving resubmissions that are late already: a third of all responses came after the objective
+        // of the first submission, worthless work that displaced other requests.
         PolicyTestHarness harness = harness(6, SAFE);
         serveBatches(harness, 20, 20_000, Map.of());
         harness.resubmit("late", 0, PolicyTestHarness.DEADLINE_MICROS - PolicyTestHarness.OBJECTIVE_MICROS - 200_000);
         harness.resubmit("quick", 0, PolicyTestHarness.DEADLINE_MICROS - 150_000); // this one can still be in time
         assertEquals(1, harness.attemptsOf("quick").size());
-        assertEquals("refused", harness.finalResponses.get("late"));
+        assertEquals("rejected", harness.finalResponses.get("late"));
     }
 
     @Test
     void aResubmissionWithinItsObjectiveIsServedNormally() {
         PolicyTestHarness harness = harness(6, SAFE);
         serveBatches(harness, 20, 20_000, Map.of());
-        harness.resubmit("again", 0, PolicyTestHarness.DEADLINE_MICROS); // as much time as a first try: age unknown
+        harness.resubmit("again", 0, PolicyTestHarness.DEADLINE_MICROS); // as for a first submission: age unknown
         assertEquals(1, harness.attemptsOf("again").size());
     }
 
     @Test
     void theMostUrgentPendingRequestIsSentFirst() {
-        // In order of arrival requests with a short aim ran out behind those with a long one.
+        // Guards against a queue in order of arrival, in which requests with a short objective ran out of time behind
+        // those with a long one.
         Policy.RequestClass longObjective = new Policy.RequestClass(
                 Effect.SAFE,
                 Scope.ALL,
@@ -226,23 +231,24 @@
                         PolicyTestHarness.settings(2, true, Discovery.ASK, List.of(), SAFE), 3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(2));
         assertEquals(1, harness.watchCalls);
-        harness.advanceTime(7_000_000); // silence: asked again within AskWithin
+        harness.advanceTime(7_000_000); // no answer: the call is repeated within AskWithin
         assertEquals(2, harness.watchCalls);
-        for (int i = 0; i < 20; i++) { // 20 s of errors
+        for (int i = 0; i < 20; i++) { // 20 s of failed calls
             harness.updateEndpoints(ListKind.FAILED, List.of());
             harness.advanceTime(1_000_000);
         }
         assertTrue(
-                harness.watchCalls >= 5 && harness.watchCalls <= 16, "asked " + harness.watchCalls + " times in 27 s");
+                harness.watchCalls >= 5 && harness.watchCalls <= 16,
+                "calls to discovery: " + harness.watchCalls + " in 27 s");
         int before = harness.watchCalls;
         harness.updateEndpoints(ListKind.PARTIAL, List.of());
         harness.advanceTime(60_000_000);
-        assertEquals(before, harness.watchCalls, "subscribed: nothing more to ask");
+        assertEquals(before, harness.watchCalls, "a list was received: no more calls are needed");
         PolicyTestHarness empty = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), 3);
         assertNull(empty.updateEndpoints(ListKind.PERSISTED, List.of()).request("r", 0));
     }
 
-    /** Serves requests one by one, each answered after its latency; returns how many of them were sent. */
+    /** Serves requests one at a time, each with the given latency; returns how many of them were sent. */
     private static int countSent(
             PolicyTestHarness harness, int requests, int requestClass, int tenant, long latencyMicros) {
         int sent = 0;
@@ -263,19 +269,23 @@
 
     @Test
     void overloadRejectsAProportionWhichIsAdmittedAgainAfterwards() {
-        // A limit on attempts in flight, about one for most balancers, rejected most of a calm day.
+        // Guards against a limit on attempts in flight: about one for most balancers, it rejected most of the requests
+        // of a day without overload.
         PolicyTestHarness harness = harness(6, SAFE);
-        assertEquals(40, countSent(harness, 40, 0, 0, 50_000), "a calm day is served completely");
+        assertEquals(40, countSent(harness, 40, 0, 0, 50_000), "without overload every request is sent");
         countSent(harness, 30, 0, 0, 900_000);
         int sentUnderLoad = countSent(harness, 20, 0, 0, 900_000);
-        assertTrue(sentUnderLoad < 14, "with all late a part is turned away at once: sent " + sentUnderLoad + " of 20");
+        assertTrue(
+                sentUnderLoad < 14,
+                "while all responses are late a part is rejected at once: sent " + sentUnderLoad + " of 20");
         countSent(harness, 200, 0, 0, 50_000);
-        assertTrue(countSent(harness, 40, 0, 0, 50_000) >= 39, "and admitted after it");
+        assertTrue(countSent(harness, 40, 0, 0, 50_000) >= 39, "requests are admitted after the overload");
     }
 
     @Test
     void theLoadDecaysWithoutResponses() {
-        // Refusing nearly all left no answers to learn from: the balancer never came back.
+        // Guards against a load that is never measured again: with nearly all requests rejected there were no responses
+        // to learn from, and the balancer never recovered.
         PolicyTestHarness harness = harness(6, SAFE);
         countSent(harness, 60, 0, 0, 1_800_000);
         harness.advanceTime(20_000_000);
@@ -303,33 +313,35 @@
         int sentHighPriority = countSent(harness, 10, 1, 0, 1_000);
         assertTrue(
                 sentHighPriority >= 8 && sentLowPriority <= 2,
-                "sent: " + sentHighPriority + " valuable, " + sentLowPriority + " cheap");
+                "sent: " + sentHighPriority + " of high priority, " + sentLowPriority + " of low priority");
     }
 
     @Test
     void oneTenantsExcessDoesNotRaiseTheQuotasOfOthers() {
-        // A tenant at three times its share made all shares 1.75 times as wide: servers were overdriven.
+        // Guards against quotas that one tenant widens: a tenant at three times its quota made all quotas 1.75 times as
+        // large, and servers were overloaded.
         List<Policy.Tenant> tenants = List.of(new Policy.Tenant(8.4), new Policy.Tenant(8.4), new Policy.Tenant(8.4));
         PolicyTestHarness harness = new PolicyTestHarness(
                         PolicyTestHarness.settings(10, true, Discovery.PUSH, tenants, UNSAFE), 3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         int sent = 0;
-        for (int i = 0; i < 60; i++) { // 71 s of 270 ms each: this balancer's part of a share is 60
+        for (int i = 0; i < 60; i++) { // 71 s of requests of 270 ms: this balancer's part of a quota is 60
             sent += countSent(harness, 3, 0, 0, 270_000);
             countSent(harness, i % 10 < 7 ? 1 : 0, 0, 1, 270_000);
             countSent(harness, i % 10 < 7 ? 1 : 0, 0, 2, 270_000);
         }
-        assertTrue(sent >= 55 && sent <= 80, "its share of 60 is served, not its excess: " + sent);
+        assertTrue(sent >= 55 && sent <= 80, "sent of the tenant's quota of 60, without its excess: " + sent);
     }
 
     @Test
     void theSubsetGrowsWhenItsServersFail() {
-        // Every balancer opened a connection to every server: handshakes overran servers at a start.
+        // Guards against connections from every balancer to every server, whose handshakes overloaded servers at a
+        // start.
         PolicyTestHarness harness = harness(40, SAFE);
         serveBatches(harness, 4, 20_000, Map.of());
         List<String> subset =
                 harness.sentAttempts.stream().map(s -> s.server).distinct().toList();
-        assertTrue(subset.size() <= 7, "a subset of six: " + subset);
+        assertTrue(subset.size() <= 7, "servers used, with a subset of six: " + subset);
         Map<String, Outcome> outcomeByServer = new HashMap<>();
         subset.forEach(s -> outcomeByServer.put(s, Outcome.ERROR));
         serveBatches(harness, 100, 20_000, outcomeByServer);
@@ -338,15 +350,18 @@
         long sentToOthers = harness.sentAttempts.stream()
                 .filter(s -> s.sentAt >= from && !subset.contains(s.server))
                 .count();
-        assertTrue(sentToOthers >= 70, "others have taken over: " + sentToOthers + " of 80");
+        assertTrue(sentToOthers >= 70, "sent to servers that do not fail: " + sentToOthers + " of 80");
     }
 
     @Test
     void theSubsetSurvivesARestartAndChangesLittleWithTheList() {
         List<String> before = subsetServers(40, 11);
-        assertEquals(before, subsetServers(40, 12), "another seed is another life of the same balancer");
+        assertEquals(
+                before,
+                subsetServers(40, 12),
+                "a restart of the same balancer, which has another seed, must keep the subset");
         long kept = subsetServers(39, 12).stream().filter(before::contains).count();
-        assertTrue(kept >= before.size() - 1, kept + " of " + before.size() + " kept");
+        assertTrue(kept >= before.size() - 1, kept + " of " + before.size() + " servers kept");
     }
 
     private static List<String> subsetServers(int servers, long seed) {
@@ -364,7 +379,8 @@
 
     @Test
     void loadReportsAreUsedAndInvalidOnesIgnored() {
-        // Own queues are empty nearly always: ties sent 94% of all to half of the servers.
+        // Guards against ties: a balancer's own queues are nearly always empty, and ties sent 94 % of all requests to
+        // half of the servers.
         for (double reportedInFlight : new double[] {50, Double.NaN, -3, 1e18}) {
             PolicyTestHarness harness = harness(4, SAFE);
             for (int i = 0; i < 200; i++) {
@@ -379,16 +395,20 @@
                     .count();
             assertTrue(
                     reportedInFlight != 50 || sentToReported <= 15,
-                    "a long reported queue is avoided: " + sentToReported);
+                    "attempts sent to a server that reports a long queue: " + sentToReported);
         }
     }
 
     @Test
     void anUnsafeRequestTimesOutAtItsObjective() {
-        // After a burst work whose aim had passed filled the queues before work that could be in time.
+        // Guards against late requests: after a burst, requests whose objective had passed filled the queues ahead of
+        // requests that could still meet theirs.
         PolicyTestHarness harness = harness(6, SAFE, UNSAFE);
         assertEquals(PolicyTestHarness.OBJECTIVE_MICROS, harness.request("once", 1).timeoutMicros);
-        assertEquals(0, harness.request("safe", 0).timeoutMicros, "its client would only resubmit it");
+        assertEquals(
+                0,
+                harness.request("safe", 0).timeoutMicros,
+                "a safe request has no timeout, as its client would only resubmit it");
         PolicyTestHarness.SentAttempt late = harness.attemptsOf("once").get(0);
         harness.advanceTime(PolicyTestHarness.OBJECTIVE_MICROS);
         harness.endAttempt(late, Outcome.TIMEOUT);
@@ -397,7 +417,8 @@
 
     @Test
     void aServerWithoutCapacityIsSkippedForAShortTime() {
-        // It answers in no time, so it won time after time: two of five attempts were rejected.
+        // Guards against a full server that rejects attempts at once: its queue stayed short, so it was chosen again
+        // and again, and two of five attempts were rejected.
         PolicyTestHarness harness = harness(6, UNSAFE);
         serveBatches(harness, 50, 50_000, Map.of());
         PolicyTestHarness.SentAttempt full = harness.request("full", 0);
@@ -413,22 +434,24 @@
 
     @Test
     void aRequestWithNoTimeLeftIsRejectedAtOnce() {
-        // Held until the next sweep it got its answer after its deadline: rule 1 was broken.
+        // Guards against holding the request until the next sweep: its response came after its deadline, which broke
+        // rule 1.
         PolicyTestHarness harness = harnessWithoutServers(SAFE);
         harness.request("spent", 0, 0, 2_000);
-        assertEquals("refused", harness.finalResponses.get("spent"));
+        assertEquals("rejected", harness.finalResponses.get("spent"));
     }
 
     @Test
     void anUnansweredSafeRequestIsHedgedOnce() {
-        // Answers that never came were waited out to the deadline: a third of the worth of some days.
+        // Guards against waiting until the deadline for responses that never come, which cost a third of the worth of
+        // some days.
         for (Policy.RequestClass requestClass : List.of(SAFE, UNSAFE)) {
             PolicyTestHarness harness = harness(6, requestClass);
             serveBatches(harness, 60, 20_000, Map.of());
             PolicyTestHarness.SentAttempt unanswered = harness.request("silent", 0);
             harness.advanceTime(PolicyTestHarness.OBJECTIVE_MICROS - 5_000);
             int hedges = harness.attemptsOf("silent").size() - 1;
-            assertEquals(requestClass == SAFE ? 1 : 0, hedges, "copies of " + requestClass.effect());
+            assertEquals(requestClass == SAFE ? 1 : 0, hedges, "hedged attempts of effect " + requestClass.effect());
             assertTrue(
                     harness.attemptsOf("silent").stream().skip(1).noneMatch(s -> s.server.equals(unanswered.server)));
         }
@@ -436,7 +459,8 @@
 
     @Test
     void aKeyedRequestIsHedgedWithinItsCellBeforeItsObjective() {
-        // One of 14 balancers sees a small part of what stands in a queue: 0.79 of the class was served.
+        // Guards against queues that one balancer can't see: one of 14 balancers knows a small part of each queue, and
+        // 0.79 of the class was served.
         PolicyTestHarness harness = harness(6, PolicyTestHarness.requestClass(Effect.KEYED, Scope.CELL));
         serveBatches(harness, 60, 20_000, Map.of());
         PolicyTestHarness.SentAttempt first = harness.request("late", 0);
@@ -451,7 +475,8 @@
 
     @Test
     void noRequestIsHedgedWhileTheCurrentLoadRejectsRequests() {
-        // The level alone was asked, which rises later: copies went on while requests were refused.
+        // Guards against suspending hedging by the level alone, which rises later than the load: requests were still
+        // hedged while others were rejected.
         PolicyTestHarness harness = harness(6, PolicyTestHarness.requestClass(Effect.KEYED, Scope.CELL));
         serveBatches(harness, 60, 20_000, Map.of());
         for (int i = 0; i < 100 && countRejectedUnsent(harness) < 5; i++) {
@@ -461,12 +486,12 @@
                 harness.endAttempt(harness.attemptsOf("full" + i).get(j), Outcome.FULL);
             }
         }
-        assertEquals(5, countRejectedUnsent(harness), "the load is high enough");
-        harness.advanceTime(60_000); // the servers that were full have rested
+        assertEquals(5, countRejectedUnsent(harness), "requests rejected without an attempt");
+        harness.advanceTime(60_000); // servers that had no capacity may be used again
         PolicyTestHarness.SentAttempt sent = null;
         for (int i = 0; sent == null; i++) {
             sent = harness.request("late" + i, 0);
-            assertTrue(i < 200, "some are taken");
+            assertTrue(i < 200, "no request was admitted");
         }
         harness.advanceTime(60_000);
         assertEquals(1, harness.attemptsOf(sent.request).size());
@@ -474,14 +499,15 @@
 
     private static long countRejectedUnsent(PolicyTestHarness harness) {
         return harness.finalResponses.entrySet().stream()
-                .filter(e -> e.getValue().equals("refused")
+                .filter(e -> e.getValue().equals("rejected")
                         && harness.attemptsOf(e.getKey()).isEmpty())
                 .count();
     }
 
     @Test
     void hedgingIsBoundedAndSuspendedWhileAttemptsAreRejected() {
-        // Copies at a full fleet fed the overload: Kano lost 0.18 of its figure to them.
+        // Guards against hedging while the fleet is full, which feeds the overload: the site Kano lost 0.18 of its
+        // score to hedged attempts.
         PolicyTestHarness harness = harness(6, SAFE);
         serveBatches(harness, 60, 20_000, Map.of());
         for (int i = 0; i < 60; i++) {
@@ -491,7 +517,7 @@
         long hedges = harness.sentAttempts.stream()
                 .filter(s -> s.request.startsWith("burst") && s.number > 0)
                 .count();
-        assertTrue(hedges > 0 && hedges <= 10, "a budget of ten at most, not one for each of 60: " + hedges);
+        assertTrue(hedges > 0 && hedges <= 10, "hedged attempts of 60 requests, with a budget of ten: " + hedges);
         PolicyTestHarness full = harness(6, SAFE);
         serveBatches(full, 60, 20_000, Map.of());
         List<PolicyTestHarness.SentAttempt> rejectedAttempts =
@@ -504,7 +530,8 @@
 
     @Test
     void whereWorthIsPerRequestAllClassesAreRejectedAlike() {
-        // The light class starved for the heavy one: 10% of its worth was served by a half idle fleet.
+        // Guards against rejecting the light class for the heavy one: 10 % of its worth was served by a fleet that was
+        // half idle.
         Policy.RequestClass highPriority = new Policy.RequestClass(
                 Effect.UNSAFE,
                 Scope.ALL,
@@ -543,12 +570,13 @@
         int sentHighPriority = countSent(harness, 60, 1, 0, 1_000);
         assertTrue(
                 sentLowPriority >= sentHighPriority / 2,
-                "sent: " + sentHighPriority + " valuable, " + sentLowPriority + " cheap");
+                "sent: " + sentHighPriority + " of high priority, " + sentLowPriority + " of low priority");
     }
 
     @Test
     void aHotKeyIsSpreadOverMoreServersThanAColdOne() {
-        // Four of fifty servers took a seventh of all requests: as many as the hottest key brought.
+        // Guards against too few servers for a hot key: four of fifty servers took a seventh of all requests, as many
+        // as the hottest key had.
         Policy.Settings baseSettings = PolicyTestHarness.settings(SAFE);
         PolicyTestHarness harness = new PolicyTestHarness(
                         new Policy.Settings(
@@ -580,7 +608,7 @@
         }
         long hot = countServers(harness, 0, 2);
         long cold = countServers(harness, 3, 75);
-        assertTrue(hot >= 8 && cold <= 5, "hot on " + hot + ", cold on " + cold);
+        assertTrue(hot >= 8 && cold <= 5, "servers of the hot key: " + hot + ", of the cold key: " + cold);
     }
 
     private static long countServers(PolicyTestHarness harness, int remainder, int divisor) {
@@ -593,10 +621,11 @@
 
     @Test
     void aBurstOfLateResponsesDoesNotRejectEverything() {
-        // Late answers counted twice their aim: refusal rose to 86% in seconds, fell and rose a second time.
+        // Guards against late responses that count too much: each counted as twice its objective, and the rejected
+        // proportion rose to 86 % in seconds, fell, and rose a second time.
         PolicyTestHarness harness = harness(6, SAFE);
         countSent(harness, 40, 0, 0, 50_000);
-        for (int i = 0; i < 20; i++) { // two seconds of late answers, ten a second
+        for (int i = 0; i < 20; i++) { // two seconds of late responses, ten per second
             PolicyTestHarness.SentAttempt sent = harness.request("late" + i, 0);
             harness.advanceTime(100_000);
             if (sent != null) {
@@ -614,9 +643,9 @@
             }
         }
         int sent = countSent(harness, 40, 0, 0, 1_000);
-        assertTrue(sent >= 4 && sent <= 36, "a part is turned away at once, never all: sent " + sent);
+        assertTrue(sent >= 4 && sent <= 36, "a part is rejected at once, never all: sent " + sent);
         countSent(harness, 20, 0, 0, 50_000);
         sent = countSent(harness, 40, 0, 0, 20_000);
-        assertTrue(sent >= 36, "and admitted after it: " + sent);
+        assertTrue(sent >= 36, "sent after the burst: " + sent);
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyTestHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestHarness.java
@@ -11,16 +11,16 @@
 import loadbalancer.policy.Policy.Server;
 import loadbalancer.policy.Policy.State;
 
-/** Drives one module by hand and writes down what it asks for. */
+/** Drives one policy in virtual time and records the actions that it requests. */
 final class PolicyTestHarness implements Policy.Actions {
     static final long START_MICROS = 1_000_000_000L;
     static final long OBJECTIVE_MICROS = 600_000;
     static final long DEADLINE_MICROS = 3_000_000;
     static final long ORDER_PAUSE_MICROS = 100_000;
 
-    /** The connections that the module's attempts go on. */
+    /** The connections that attempts are sent on. */
     interface ConnectionModel {
-        /** Every attempt finds one. */
+        /** Every attempt finds an established connection. */
         ConnectionModel ALWAYS_CONNECTED = server -> true;
 
         boolean isConnected(String server);
@@ -28,7 +28,7 @@
         default void attemptSent(String server) {}
     }
 
-    /** An attempt that was sent; {@code ended} once the module was notified of its outcome. */
+    /** An attempt that was sent; {@code ended} once the policy was notified of its outcome. */
     static final class SentAttempt {
         final String request;
         final int number;
@@ -50,7 +50,7 @@
     final List<SentAttempt> sentAttempts = new ArrayList<>();
     final Map<String, Integer> attemptCounts = new LinkedHashMap<>();
     final Map<String, String> finalResponses = new LinkedHashMap<>();
-    final Map<String, Long> lastSendWithinMicros = new LinkedHashMap<>(); // of each request's last send that had one
+    final Map<String, Long> lastSendWithinMicros = new LinkedHashMap<>(); // of a request's last send with a limit
     final List<String> cancelledAttempts = new ArrayList<>();
     final List<String> actionLog = new ArrayList<>();
     long now = START_MICROS;
@@ -58,7 +58,7 @@
     int watchCalls;
     int duplicateFinalResponses;
     ConnectionModel connections = ConnectionModel.ALWAYS_CONNECTED;
-    double reportedInFlight = Double.NaN; // in-flight figure that outcomes carry, if any
+    double reportedInFlight = Double.NaN; // carried by outcomes; NaN: no report
 
     PolicyTestHarness(Policy.Settings settings, long seed) {
         policy = new JsqDasPolicy(settings, seed);
@@ -123,7 +123,7 @@
         return this;
     }
 
-    /** Sends a request in and returns the attempt made at once, or null. */
+    /** Submits a request; returns the attempt that was sent at once, or null. */
     SentAttempt request(String id, int requestClass) {
         return request(id, requestClass, 0, DEADLINE_MICROS);
     }
@@ -132,12 +132,12 @@
         return request(id, requestClass, tenant, timeLeftMicros, false);
     }
 
-    /** A marked resubmission. */
+    /** Submits a request that is marked as a resubmission. */
     SentAttempt resubmit(String id, int requestClass, long timeLeftMicros) {
         return request(id, requestClass, 0, timeLeftMicros, true);
     }
 
-    /** A request that concerns a key. */
+    /** Submits a request with a key. */
     SentAttempt requestWithKey(String id, int requestClass, String key) {
         return request(id, requestClass, 0, key, DEADLINE_MICROS, false);
     }
@@ -170,7 +170,7 @@
                 this);
     }
 
-    /** Lets time pass, waking the module when it asked for it. */
+    /** Advances the time and wakes the policy at each time that it asked for. */
     void advanceTime(long durationMicros) {
         long endMicros = now + durationMicros;
         while (wakeAt <= endMicros) {
@@ -181,7 +181,7 @@
         now = endMicros;
     }
 
-    /** Serves requests one after another so that the module learns what is usual. */
+    /** Serves requests one at a time, so that the policy learns the typical latency. */
     void warmUp(int requests, int requestClass, long latencyMicros) {
         for (int i = 0; i < requests; i++) {
             SentAttempt sent = request("warm-" + now + "-" + i, requestClass);
@@ -228,8 +228,8 @@
 
     @Override
     public void reject(String request, long retryAfterMicros) {
-        actionLog.add(now + " refuse " + request + " " + retryAfterMicros);
-        recordFinalResponse(request, "refused");
+        actionLog.add(now + " reject " + request + " " + retryAfterMicros);
+        recordFinalResponse(request, "rejected");
     }
 
     @Override
@@ -265,7 +265,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        actionLog.add(now + " tell " + peer);
+        actionLog.add(now + " sendToPeer " + peer);
     }
 
     @Override
@@ -275,6 +275,6 @@
 
     @Override
     public void log(String line) {
-        actionLog.add(now + " remark " + line);
+        actionLog.add(now + " log " + line);
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -21,21 +21,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The four rules over random legal events, judged by a checker that is itself shown to catch violations. */
+/** The four rules over random legal events, verified by a checker that has a test of its own. */
 class RandomFourRulesTest {
     private static final long ANSWER_SLACK_MICROS = 20_000;
 
-    /** What is known of one request. */
+    /** What the checker knows about one request. */
     private static final class RequestRecord {
         RequestClass requestClass;
         long deadline;
         String response;
         final List<Server> servers = new ArrayList<>();
         final List<Long> sentAt = new ArrayList<>();
-        final List<Outcome> outcomes = new ArrayList<>(); // null while out
+        final List<Outcome> outcomes = new ArrayList<>(); // null while in flight
     }
 
-    /** Takes what happens in its order; each call says what rule is broken, or null. */
+    /** Receives the events in order; each call returns the violation of a rule that it finds, or null. */
     private static final class Checker {
         private final Map<String, RequestRecord> requests = new HashMap<>();
 
@@ -49,7 +49,7 @@
         String recordSend(String id, Server target, boolean usable, long now) {
             RequestRecord request = requests.get(id);
             if (request.response != null) {
-                return "sent after its answer";
+                return "sent after its final response";
             }
             if (!usable) {
                 return "sent to a draining or removed server";
@@ -58,7 +58,7 @@
                 boolean mayHaveRun = request.outcomes.get(i) == null
                         || !request.outcomes.get(i).neverRan();
                 if (mayHaveRun && request.requestClass.effect() == Effect.UNSAFE) {
-                    return "an unsafe effect may happen twice";
+                    return "an unsafe request may run twice";
                 }
                 boolean outsideScope = request.requestClass.scope() == Scope.CELL
                                 && request.servers.get(i).cell() != target.cell()
@@ -67,7 +67,7 @@
                 if (mayHaveRun
                         && request.requestClass.effect() == Effect.KEYED
                         && (outsideScope || now - request.sentAt.get(i) >= request.requestClass.keyMemory())) {
-                    return "a keyed request left its group or window";
+                    return "a keyed request left its deduplication scope or window";
                 }
             }
             request.servers.add(target);
@@ -88,8 +88,8 @@
             boolean mayHaveRun = request.outcomes.stream().anyMatch(o -> o == null || !o.neverRan());
             boolean safeToResubmit = request.requestClass.effect() == Effect.SAFE
                     || request.requestClass.effect() == Effect.KEYED && request.requestClass.scope() == Scope.ALL;
-            return response.equals("refused") && mayHaveRun && !safeToResubmit
-                    ? "refused though it may have run"
+            return response.equals("rejected") && mayHaveRun && !safeToResubmit
+                    ? "rejected though it may have run"
                     : null;
         }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Most sends to a cold server within any window, against its budget of all balancers. */
+    /** Returns the first window in which a cold server gets more than its budget of all balancers, or null. */
     static String coldBudgetViolation(
             List<Long> sends, long startedAt, double warmSendsPerSecond, Policy.Bounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
@@ -114,7 +114,7 @@
                     .count();
             double limit = bounds.overloadFactor() * warmth * warmSendsPerSecond * bounds.fallWindow() / 1e6 + 2;
             if (count > limit && windowStart - startedAt < bounds.rampTime()) {
-                return count + " sends in a window that bears " + limit;
+                return count + " sends in a window that allows " + limit;
             }
         }
         return null;
@@ -128,13 +128,13 @@
         checker.recordArrival("u", PolicyTestHarness.requestClass(Effect.UNSAFE, Scope.ALL), 100);
         assertNull(checker.recordSend("u", first, true, 0));
         assertTrue(checker.recordSend("u", second, true, 1).contains("twice"));
-        assertTrue(checker.recordResponse("u", "refused", 1).contains("may have run"));
+        assertTrue(checker.recordResponse("u", "rejected", 1).contains("may have run"));
         assertTrue(checker.recordResponse("u", "failed", 1).contains("answered twice"));
-        assertTrue(checker.recordSend("u", first, true, 2).contains("after its answer"));
+        assertTrue(checker.recordSend("u", first, true, 2).contains("after its final response"));
         checker.recordArrival("k", PolicyTestHarness.requestClass(Effect.KEYED, Scope.CELL), 100);
         assertTrue(checker.recordSend("k", first, false, 0).contains("draining"));
         assertNull(checker.recordSend("k", first, true, 0));
-        assertTrue(checker.recordSend("k", second, true, 0).contains("group"));
+        assertTrue(checker.recordSend("k", second, true, 0).contains("scope"));
         assertTrue(checker.recordSend("k", first, true, 2_000_000).contains("window"));
         assertTrue(checker.unansweredViolation(100 + ANSWER_SLACK_MICROS + 1).contains("lost"));
         assertTrue(checker.recordResponse("k", "failed", 100 + ANSWER_SLACK_MICROS + 1)
@@ -202,7 +202,7 @@
             assertNull(checker.unansweredViolation(harness.now));
         }
         assertEquals(0, harness.duplicateFinalResponses);
-        assertTrue(checkedSends > 800, "enough was sent: " + checkedSends);
+        assertTrue(checkedSends > 800, "too few sends: " + checkedSends);
     }
 
     private static void endAttempt(
@@ -231,7 +231,7 @@
         PolicyTestHarness harness =
                 new PolicyTestHarness(settings, seed).updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(5));
         long startedAt = 0;
-        for (int i = 0; i < 1500; i++) { // 40 answers a second from each of 5
+        for (int i = 0; i < 1500; i++) { // 40 responses per second from each of 5 servers
             if (i == 500) {
                 harness.updateEndpoints(
                         ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
@@ -250,7 +250,7 @@
                 .filter(s -> s.server.equals("cold"))
                 .map(s -> s.sentAt)
                 .toList();
-        assertTrue(sends.size() > 20, "it is used: " + sends.size());
+        assertTrue(sends.size() > 20, "the cold server was hardly used: " + sends.size());
         assertNull(coldBudgetViolation(sends, startedAt, 40, settings.bounds()));
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Order and placement over random legal sequences of events, against a checker of its own. */
+/** Order by key and placement over random legal events, verified by a checker that has a test of its own. */
 class RandomOrderAndPlacementTest {
-    /** Knows the requests of a key in the order taken and what was sent; says what is wrong with a send. */
+    /** Knows the requests of each key in order of arrival and their attempts; tells which rule a send violates. */
     private static final class Checker {
         private final Map<String, List<String>> requestsByKey = new LinkedHashMap<>();
         private final Map<String, String> keyById = new LinkedHashMap<>();
@@ -49,10 +49,10 @@
                     break;
                 }
                 if (!finished.getOrDefault(earlier, false) || inFlightById.getOrDefault(earlier, 0) > 0) {
-                    return id + " was sent before " + earlier + " was over";
+                    return id + " was sent before " + earlier + " was finished";
                 }
                 if (keyRestsUntil.getOrDefault(earlier, 0L) > now) {
-                    return id + " was sent while the key rests after " + earlier;
+                    return id + " was sent during the pause of the key after " + earlier;
                 }
             }
             inFlightById.merge(id, 1, Integer::sum);
@@ -66,7 +66,7 @@
                     || requestClass.machineKinds().contains(server.kind());
             return zoneAllowed && machineKindAllowed
                     ? null
-                    : "sent to " + server.id() + ", which is not open to the class";
+                    : "sent to " + server.id() + ", which the class may not use";
         }
     }
 
@@ -76,11 +76,11 @@
         checker.recordArrival("a", "k");
         checker.recordArrival("b", "k");
         assertEquals(null, checker.recordSend("a", 0));
-        assertTrue(checker.recordSend("b", 1).contains("before a was over"));
+        assertTrue(checker.recordSend("b", 1).contains("before a was finished"));
         checker.finished.put("a", true);
-        assertTrue(checker.recordSend("b", 1).contains("before a was over"), "an attempt is still out");
+        assertTrue(checker.recordSend("b", 1).contains("before a was finished"), "an attempt is still in flight");
         checker.recordOutcome("a", Outcome.TIMEOUT, 2);
-        assertTrue(checker.recordSend("b", 3).contains("rests"));
+        assertTrue(checker.recordSend("b", 3).contains("pause"));
         assertEquals(null, checker.recordSend("b", 2 + PolicyTestHarness.ORDER_PAUSE_MICROS));
         RequestClass restrictedClass = requestClass(Effect.SAFE, false, Set.of(1), Set.of(0));
         assertTrue(Checker.placementViolation(restrictedClass, new Server("s", State.UP, 0, 1, 0, 0, 0)) != null);
@@ -159,7 +159,7 @@
             }
             checked = checkNewSends(harness, checker, checked, classes, classById, servers);
         }
-        assertTrue(checked > 500, "enough was sent: " + checked);
+        assertTrue(checked > 500, "too few sends: " + checked);
     }
 
     private static int endAttempt(
