--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -34,7 +34,7 @@
         return PolicyFixtures.request("r", requestClass, requestClass.aim(), true);
     }
 
-    /** Time passes with arrivals of both classes and responses of one latency, in parts of the objective. */
+    /** Advances the time with arrivals of both classes and responses that take {@code load} times the objective. */
     private void runLoad(double seconds, double load) {
         long end = now + (long) (seconds * 1e6);
         while (now < end) {
@@ -84,7 +84,7 @@
         assertTrue(rejectedProportion(request(HIGH_PRIORITY)) > 0.99);
         runLoad(2, 0.1);
         assertEquals(0, rejectedProportion(request(HIGH_PRIORITY)));
-        assertTrue(rejectedProportion(request(LOW_PRIORITY)) > 0.9, "the lowest priority follows later");
+        assertTrue(rejectedProportion(request(LOW_PRIORITY)) > 0.9, "the lowest priority is admitted later");
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/policy/DecisionTraceTest.java
@@ -29,17 +29,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Records every action of the decision module over seeded histories, as a hash. A change that is meant to
- * leave decisions alone leaves the hashes alone: order of iteration, of random draws and of floating-point
- * operations included. A change of decisions records them anew and says so. The text of log lines is not
- * part of it.
+ * Compares a hash of all actions of the decision module, over seeded sequences of events, with the recorded one.
+ * Guards against decisions that change without intent, be it by another order of iteration, of random draws or of
+ * floating-point operations. A commit that changes decisions on purpose records new hashes and says so. The text of
+ * log lines is not part of the hash.
  */
 class DecisionTraceTest {
     private static final int EVENTS = 30_000;
     private static final int SERVERS = 24;
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** The kinds of site. */
+    /** The configurations that the events are played with. */
     enum Site {
         PLAIN,
         KEYED_FLEET,
@@ -61,8 +61,8 @@
     void sameSeedGivesTheSameActions(Site site, long seed, String expected) {
         EventHistory trace = new EventHistory(site, seed);
         trace.run();
-        assertTrue(trace.sendCount > EVENTS / 20, () -> "few sends: " + trace);
-        assertTrue(trace.finalResponseCount > 0, () -> "nothing was shed: " + trace);
+        assertTrue(trace.sendCount > EVENTS / 20, () -> "too few sends: " + trace);
+        assertTrue(trace.finalResponseCount > 0, () -> "no request was rejected or failed: " + trace);
         assertEquals(settings(site).limits().mayCancel(), trace.cancelCount > 0, trace::toString);
         assertEquals(expected, trace.hash(), trace::toString);
     }
@@ -157,7 +157,7 @@
         };
     }
 
-    /** One thing that happens at a time; {@code order}: events of one time keep their order. */
+    /** An event and its time; simultaneous events run by ascending {@code order}. */
     private record Event(long at, int order, Runnable action) {}
 
     /** A request as the caller sees it. */
@@ -172,7 +172,7 @@
         }
     }
 
-    /** Random traffic, servers, lists and reloads around one module, and the hash of what it asks for. */
+    /** Random requests, server changes, endpoint lists and reloads for one policy, and the hash of its actions. */
     private static final class EventHistory implements Policy.Actions {
         private final SplittableRandom random;
         private final PriorityQueue<Event> events =
@@ -223,15 +223,15 @@
 
         @Override
         public String toString() {
-            return sendCount + " sends, " + finalResponseCount + " finals, " + cancelCount + " cancels, " + requestCount
-                    + " requests";
+            return sendCount + " sends, " + finalResponseCount + " final responses, " + cancelCount + " cancels, "
+                    + requestCount + " requests";
         }
 
         private void schedule(long delayMicros, Runnable action) {
             events.add(new Event(now + Math.max(0, delayMicros), scheduledCount++, action));
         }
 
-        // Traffic in waves, so that queues fill, work is shed, and all recovers.
+        // Normal and peak rates alternate, so that queues fill, requests are rejected, and the load recovers.
         private void submitRequest() {
             String id = "r" + requestCount++;
             CallerRequest callerRequest = new CallerRequest(id);
@@ -264,7 +264,7 @@
             }
         }
 
-        // Servers begin, drain, leave and return cold; discovery fails now and then.
+        // Servers start, drain, leave and return cold; one event in ten reports that discovery failed.
         private void updateServers() {
             int eventDraw = random.nextInt(10);
             int index = random.nextInt(SERVERS);
@@ -307,7 +307,7 @@
             schedule(3 * MICROS_PER_SECOND, this::reloadSettings);
         }
 
-        // A server takes its time, more where much is in flight; every eighth fails often.
+        // A server's latency grows with its attempts in flight; every eighth server fails often.
         private void startAttempt(CallerRequest callerRequest, int attempt, String server, long timeoutMicros) {
             int index = Integer.parseInt(server.substring("10.0.0.".length(), server.indexOf(':')));
             int queue = inFlight.merge(server, 1, Integer::sum);
--- a/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
@@ -64,7 +64,7 @@
         return new DiscoverySubscription(new ActiveSettings(settings), new SplittableRandom(seed), new OperatorLog());
     }
 
-    /** How long after {@code from} the subscription is due, by steps of 10 ms, or -1 if it isn't within a minute. */
+    /** Time from {@code from} until the subscription is due, in steps of 10 ms, or -1 if that is over a minute. */
     private long microsUntilDue(DiscoverySubscription subscription, long from) {
         int subscriptionsBefore = subscriptions;
         for (long waitMicros = 0; waitMicros <= 60_000_000; waitMicros += 10_000) {
@@ -82,7 +82,9 @@
         subscription.listReceived(NOW, ListKind.PERSISTED, out);
         assertEquals(1, subscriptions);
         long waitMicros = microsUntilDue(subscription, NOW);
-        assertTrue(waitMicros >= ASK_WITHIN_MICROS / 2 && waitMicros <= ASK_WITHIN_MICROS, "after " + waitMicros);
+        assertTrue(
+                waitMicros >= ASK_WITHIN_MICROS / 2 && waitMicros <= ASK_WITHIN_MICROS,
+                "µs until the subscription is due: " + waitMicros);
         subscription.listReceived(NOW, ListKind.COMPLETE, out);
         assertEquals(-1, microsUntilDue(subscription, NOW));
     }
@@ -102,20 +104,21 @@
         for (long backoffMicros : new long[] {500_000, 1_000_000, 2_000_000, 4_000_000, 5_000_000, 5_000_000}) {
             subscription.listFailed(now, out);
             long waitMicros = microsUntilDue(subscription, now);
-            // Half of it is random, and the time is found in steps of 10 ms.
+            // The wait is half of the backoff plus a random part of it, found in steps of 10 ms.
             assertTrue(
                     waitMicros >= backoffMicros / 2 && waitMicros <= backoffMicros * 3 / 2 + 10_000,
-                    backoffMicros + ": after " + waitMicros);
-            now += 4_000_000; // the subscription that was made is repeated after five seconds
+                    backoffMicros + ": µs until the subscription is due: " + waitMicros);
+            now += 4_000_000; // before the subscription just made is repeated, which is after five seconds
         }
     }
 
     /**
-     * The trace of a soak (seed 570002) showed a process that called discovery 3.8 s after its return, behind four
-     * failed calls: {@code event=discovery_failed attempts=3}, then calls 2.0 and 4.7 s later. Behind more failures the
-     * wait grew to 6.25 s with an {@code askWithin} of 10 s, and to 12 s with one of 60 s; a call without an answer was
-     * repeated after 6.25 and up to 37 s. A drain that is announced right at discovery's return counts as notified 6 s
-     * later, whether or not the process has called, and its grace is over after one more second.
+     * Guards against waits that outlast the notification of a change. A drain that is announced when discovery comes
+     * back counts as notified 6 s later, whether or not the balancer has called, and its grace ends one second after
+     * that. In a soak (seed 570002) a process did not call until 3.8 s after discovery had come back: it had failed
+     * four times, and {@code event=discovery_failed attempts=3} was followed by calls 2.0 and 4.7 s later. After more
+     * failures the wait grew to 6.25 s with an {@code askWithin} of 10 s, and to 12 s with 60 s; an unanswered call was
+     * repeated after 6.25 s up to 37 s.
      */
     @ParameterizedTest
     @ValueSource(longs = {3_000_000, 10_000_000, 60_000_000})
@@ -128,13 +131,14 @@
                 subscription.listFailed(calledAt, out);
                 long waitAfterFailureMicros = microsUntilDue(subscription, calledAt);
                 assertTrue(
-                        waitAfterFailureMicros < notifiedAfterMicros, "after a failed call: " + waitAfterFailureMicros);
+                        waitAfterFailureMicros < notifiedAfterMicros,
+                        "wait in µs after a failed call: " + waitAfterFailureMicros);
                 calledAt += waitAfterFailureMicros;
             }
             long waitAfterCallMicros = microsUntilDue(subscription, calledAt);
             assertTrue(
                     waitAfterCallMicros < notifiedAfterMicros,
-                    "after a call that is not answered: " + waitAfterCallMicros);
+                    "wait in µs after an unanswered call: " + waitAfterCallMicros);
         }
     }
 
@@ -147,7 +151,7 @@
         subscription.listReceived(NOW, ListKind.COMPLETE, out);
         subscription.listFailed(NOW, out);
         long waitMicros = microsUntilDue(subscription, NOW);
-        assertTrue(waitMicros >= 250_000 && waitMicros <= 760_000, "after " + waitMicros);
+        assertTrue(waitMicros >= 250_000 && waitMicros <= 760_000, "µs until the subscription is due: " + waitMicros);
         assertEquals(List.of("event=discovery_failed attempts=1"), lines);
     }
 
@@ -158,6 +162,7 @@
             subscription.listFailed(NOW, out);
         }
         long waitMicros = microsUntilDue(subscription, NOW);
-        assertTrue(waitMicros >= 0 && waitMicros <= ASK_WITHIN_MICROS, "after " + waitMicros);
+        assertTrue(
+                waitMicros >= 0 && waitMicros <= ASK_WITHIN_MICROS, "µs until the subscription is due: " + waitMicros);
     }
 }
--- a/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -18,12 +18,12 @@
 import loadbalancer.policy.Policy.State;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path is JSQ-DAS. */
+/** The choice of a server by JSQ-DAS. */
 class DispatchTest {
     private static final Policy.Settings SETTINGS =
             PolicyTestHarness.settings(PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL));
 
-    /** Six servers, as many as a subset holds, three of them of a heavier kind, so that p is one half. */
+    /** Six servers, the size of a subset, three of them of a machine kind with a higher weight, so that p is 0.5. */
     private static PolicyTestHarness twoMachineKinds(long seed) {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
@@ -34,25 +34,28 @@
 
     @Test
     void withoutDispatchCountsEachBalancerHasItsOwnRanking() {
-        // Ranked by listed weight, all balancers sent their first requests to the same half of the servers.
+        // Guards against ranking by listed weight at a start: all balancers then sent their first requests to the
+        // same half of the servers.
         Map<String, Integer> firstServerCounts = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
             firstServerCounts.merge(twoMachineKinds(seed).request("r", 0).server, 1, Integer::sum);
         }
         assertEquals(Set.of("s0", "s1", "s2", "s3", "s4", "s5"), firstServerCounts.keySet());
         for (int count : firstServerCounts.values()) {
-            assertTrue(count > 250 && count < 420, "even over balancers: " + firstServerCounts);
+            assertTrue(
+                    count > 250 && count < 420,
+                    "first requests are not spread evenly over the servers: " + firstServerCounts);
         }
     }
 
     @Test
     void tiesAreWonInTheProportionsOfSamplingTwoWithoutReplacement() {
-        // With ranks fixed by different counts, rank i of three wins with probability 2, 1, 0 of 3.
+        // Where dispatch counts differ and fix the ranks, ranks 0, 1 and 2 win with probability 2/3, 1/3 and 0.
         Map<Integer, Integer> wins = new HashMap<>();
         for (int seed = 0; seed < 3000; seed++) {
             PolicyTestHarness harness = twoMachineKinds(seed);
             List<String> servers = new ArrayList<>();
-            for (int i = 0; i < 60; i++) { // until counts differ
+            for (int i = 0; i < 60; i++) { // so that the dispatch counts differ
                 PolicyTestHarness.SentAttempt sent = harness.request("w" + i, 0);
                 harness.now += 1000;
                 harness.endAttempt(sent, Outcome.OK);
@@ -69,7 +72,7 @@
             }
         }
         double total = wins.values().stream().mapToInt(Integer::intValue).sum();
-        assertTrue(total > 300, "enough samples with distinct counts: " + total);
+        assertTrue(total > 300, "too few samples with distinct counts: " + total);
         assertEquals(0.67, wins.getOrDefault(0, 0) / total, 0.08);
         assertEquals(0.33, wins.getOrDefault(1, 0) / total, 0.08);
         assertEquals(0.0, wins.getOrDefault(2, 0) / total, 0.001, "the last of the top set never wins a tie");
@@ -77,7 +80,7 @@
 
     @Test
     void theShortestSampledQueueWins() {
-        // Every server of the top set is given work; then the empty ones of the rest must win.
+        // Once each server of the top set has an attempt in flight, one of the other, idle servers must win.
         for (int seed = 0; seed < 50; seed++) {
             PolicyTestHarness harness = twoMachineKinds(seed);
             Set<String> busy = new HashSet<>();
@@ -103,7 +106,7 @@
     void sameEventsGiveSameActions() {
         List<String> actions = actionsOfScript(42);
         assertEquals(actions, actionsOfScript(42));
-        assertTrue(!actions.equals(actionsOfScript(43)), "the seed matters");
+        assertTrue(!actions.equals(actionsOfScript(43)), "another seed gave the same actions");
     }
 
     private static List<String> actionsOfScript(long seed) {
@@ -128,12 +131,12 @@
         harness.endAttempt(failed, Outcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.attemptsOf("bad").size());
         assertTrue(!harness.attemptsOf("bad").get(1).server.equals(failed.server));
-        for (int i = 0; i < 2; i++) { // two other servers are empty: the failed one's slot still counts
+        for (int i = 0; i < 2; i++) { // two other servers are idle: the failed attempt still counts in a queue
             assertTrue(!harness.request("n" + i, 0).server.equals(failed.server));
         }
     }
 
-    /** The part of 1,000 requests, one at a time, that goes to servers with a connection: one of each set. */
+    /** Proportion of 1,000 balancers whose first request goes to a connected server; three of six are connected. */
     private static double connectedProportion(double handshakePrice) {
         Policy.Settings settings = PolicyTestHarness.settings(
                 new Policy.Prices(0, handshakePrice),
@@ -155,7 +158,7 @@
     @Test
     void equalQueuesGoToAConnectedServerWhereHandshakesHaveAPrice() {
         assertEquals(0.5, connectedProportion(0), 0.08);
-        assertEquals(1, connectedProportion(0.08), 0.001); // four of six are sampled: one is always among them
+        assertEquals(1, connectedProportion(0.08), 0.001); // of four sampled servers at least one is connected
     }
 
     @Test
@@ -177,7 +180,7 @@
                 if (sent.server.equals("s0") && queued < 3) {
                     queued++;
                 } else {
-                    assertTrue(!sent.server.equals("s0"), "three wait there already");
+                    assertTrue(!sent.server.equals("s0"), "s0 was chosen though three requests wait there");
                     harness.endAttempt(sent, Outcome.OK);
                 }
             }
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What users of the library rely on. */
+/** The behaviour that programs that embed the library rely on. */
 class EmbeddingTest {
     private static final RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
 
@@ -33,7 +33,8 @@
         String example = Files.readString(Path.of("src/test/java/loadbalancer/policy/EmbeddingExample.java"));
         int from = readme.indexOf("```java\n") + 8;
         String readmeExample = readme.substring(from, readme.indexOf("```\n", from));
-        assertTrue(example.contains(readmeExample.strip()), "the README shows the code of Example.java");
+        assertTrue(
+                example.contains(readmeExample.strip()), "the README's example is not part of EmbeddingExample.java");
         assertEquals(List.of("send r1 to a:80"), EmbeddingExample.run());
     }
 
@@ -86,10 +87,10 @@
                         .getMessage());
     }
 
-    /** Settings unlike any deployment: sensible behaviour, every request answered. */
+    /** Unusual settings: every request gets one final response, and at least 360 of 400 requests are served. */
     @ParameterizedTest
     @CsvSource({
-        // servers, balancers, objective, deadline, attempts, hedging, requests per second, latency
+        // servers, balancers, objective, deadline, attempts, hedging, requests per second, latency; times in µs
         "1, 1, 600000, 1200000, 3, true, 20, 20000",
         "60, 12, 600000, 1200000, 3, true, 200, 40000",
         "5, 2, 4000, 10000, 3, true, 500, 1000",
@@ -163,7 +164,7 @@
                     .filter(s -> !s.ended)
                     .toList()
                     .forEach(s -> harness.endAttempt(s, s.number % 7 == 6 ? Outcome.ERROR : Outcome.OK));
-            if (i % 50 == 0) { // machines are replaced under new names
+            if (i % 50 == 0) { // servers are replaced by others with new ids
                 harness.updateEndpoints(
                         ListKind.COMPLETE,
                         List.of(
@@ -192,8 +193,8 @@
                 " duration_ms=",
                 "server_recovered server=",
                 "discovery_failed attempts=")) {
-            assertTrue(sources.contains(line), "the module writes: " + line);
-            assertTrue(page.contains(line.strip()), "the on-call page names: " + line);
+            assertTrue(sources.contains(line), "no source file of the module writes: " + line);
+            assertTrue(page.contains(line.strip()), "the on-call page does not quote: " + line);
         }
     }
 
--- a/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The small figures that the parts share: latencies of classes, rates, decaying counts, budgets, the log. */
+/** The small classes that the policy's parts share: latencies, rates, decaying counts, the retry budget, the log. */
 class LearnedStatisticsTest {
     private static final long NOW = PolicyFixtures.NOW;
 
@@ -27,9 +27,11 @@
 
     @Test
     void aLargerWorkEstimateRaisesTheExpectedLatency() {
-        assertEquals(1, latency.recordWork(100), "the first hint is the mean");
+        assertEquals(1, latency.recordWork(100), "the first estimate is the mean");
         double relativeWork = latency.recordWork(200);
-        assertTrue(relativeWork > 1.6 && relativeWork < 1.7, "0.7 of the latency is proportional: " + relativeWork);
+        assertTrue(
+                relativeWork > 1.6 && relativeWork < 1.7,
+                "0.7 of the latency is proportional to the work: " + relativeWork);
     }
 
     @Test
@@ -37,7 +39,8 @@
         assertEquals(0, latency.elapsedSinceFirstSubmission(3_000_000, 3_000_000, false));
         assertEquals(1_000_000, latency.elapsedSinceFirstSubmission(3_000_000, 2_000_000, true));
         assertEquals(0, latency.elapsedSinceFirstSubmission(3_000_000, 2_950_000, true), "within the tolerance");
-        assertEquals(0, latency.elapsedSinceFirstSubmission(3_000_000, 1_000_000, false), "not marked");
+        assertEquals(
+                0, latency.elapsedSinceFirstSubmission(3_000_000, 1_000_000, false), "not marked as a resubmission");
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -66,7 +66,8 @@
         recordOutcome(Outcome.FULL, 500);
         assertEquals(0, server.failures);
         long restMicros = server.fullUntil - NOW;
-        assertTrue(restMicros >= 75_000 && restMicros <= 225_000, "rests for " + restMicros);
+        assertTrue(
+                restMicros >= 75_000 && restMicros <= 225_000, "µs until the server may be used again: " + restMicros);
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -98,7 +98,7 @@
             long minEjectionMicros = factor * 1_000_000L;
             assertTrue(
                     ejectionMicros >= minEjectionMicros && ejectionMicros < minEjectionMicros * 5 / 4,
-                    "ejected for " + ejectionMicros);
+                    "ejection in µs: " + ejectionMicros);
             now = server.ejectedUntil;
         }
     }
--- a/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
+++ b/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
@@ -78,7 +78,7 @@
         QueueEstimator.recordReport(server, report(8), NOW);
         assertEquals(8, queueLength(queues, server));
         double later = queues.queueLength(server, NOW + 300_000, PolicyFixtures.NO_ACTIONS);
-        assertEquals(8 * Math.exp(-1), later, 1e-9, "two typical latencies of 150 ms on");
+        assertEquals(8 * Math.exp(-1), later, 1e-9, "two typical latencies of 150 ms later");
     }
 
     @Test
@@ -97,7 +97,11 @@
             queues.attemptSent(PolicyFixtures.server("other"));
         }
         queues.update(Long.MAX_VALUE / 2);
-        assertEquals(2, queueLength(queues, server), 1e-9, "four attempts over four servers, of two others");
+        assertEquals(
+                2,
+                queueLength(queues, server),
+                1e-9,
+                "four attempts over four servers for each of two other balancers");
     }
 
     @Test
@@ -105,7 +109,7 @@
         QueueEstimator.recordSlowness(server, 3, NOW);
         assertEquals(1.5, QueueEstimator.slowness(server, NOW));
         QueueEstimator.recordSlowness(server, 1_000, NOW);
-        assertTrue(QueueEstimator.slowness(server, NOW) <= 4, "one response counts for four at most");
+        assertTrue(QueueEstimator.slowness(server, NOW) <= 4, "one response counts as a slowness of four at most");
         assertEquals(1, QueueEstimator.slowness(server, NOW + 1_000_000_000), 1e-9);
     }
 }
--- a/src/test/java/loadbalancer/policy/ServerSamplerTest.java
+++ b/src/test/java/loadbalancer/policy/ServerSamplerTest.java
@@ -22,7 +22,7 @@
         return new ServerSampler(random, ranking, new QueueEstimator(activeSettings, endpoints, latencies));
     }
 
-    /** Servers whose rank is their number. */
+    /** Servers whose number is their rank. */
     private List<ServerState> ranked(int count) {
         List<ServerState> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/src/test/java/loadbalancer/policy/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/policy/SettingsReloadTest.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.Policy.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change while requests are open: each request keeps the record that it was taken under. */
+/** Settings that are reloaded while requests are open: each request keeps the settings of its arrival. */
 class SettingsReloadTest {
     private record OutstandingAttempt(String request, int number) {}
 
@@ -31,10 +31,12 @@
         @Override
         public void send(String request, String server, long timeoutMicros) {
             int number = attemptCounts.merge(request, 1, Integer::sum) - 1;
-            assertTrue(number < maxAttemptsById.get(request), request + ": more attempts than when it was taken");
+            assertTrue(
+                    number < maxAttemptsById.get(request),
+                    request + ": more attempts than the settings of its arrival allow");
             assertTrue(
                     !mayHaveRun.contains(request) || classById.get(request).effect() != Effect.UNSAFE,
-                    request + ": unsafe, and may have run");
+                    request + ": sent again though it is unsafe and may have run");
             outstanding.add(new OutstandingAttempt(request, number));
         }
 
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -27,7 +27,7 @@
         return new ServerState[] {warm};
     }
 
-    /** Attempts that a server may be sent in ten seconds, asked for each millisecond. */
+    /** Attempts that a server may be sent within ten seconds, checked every millisecond. */
     private int attemptsInTenSeconds(ServerState server) {
         int sent = 0;
         for (long now = NOW; now < NOW + 10_000_000; now += 1_000) {
@@ -55,9 +55,9 @@
 
     @Test
     void aNewServerGetsAGrowingProportionOfAWarmServersRate() {
-        slowStart.refresh(warmServer(1_000), NOW); // 100 responses a second
+        slowStart.refresh(warmServer(1_000), NOW); // 100 responses per second
         int sentFromStart = attemptsInTenSeconds(serverStartedAt(NOW));
-        // 2.4 times 100 a second, for ten seconds of warmth from 0.2 to 0.6.
+        // 2.4 times 100 per second, for ten seconds in which the warmth rises from 0.2 to 0.6.
         assertEquals(2.4 * 100 * 10 * 0.4, sentFromStart, 50);
         int sentFromHalfRamp = attemptsInTenSeconds(serverStartedAt(NOW - RAMP_MICROS / 2));
         assertEquals(2.4 * 100 * 10 * 0.8, sentFromHalfRamp, 50);
--- a/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
@@ -61,7 +61,7 @@
         assertEquals(candidates, selector.candidates(request, NOW + 1_000_000));
     }
 
-    /** 100 requests at once are taken for a rate of 35 per second. */
+    /** 100 requests at once count as a rate of 35 per second. */
     private void recordBusyTraffic() {
         updateEndpoints(80, 0, 1);
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/loadbalancer/policy/TenantQuotasTest.java
+++ b/src/test/java/loadbalancer/policy/TenantQuotasTest.java
@@ -25,7 +25,7 @@
         return quotas;
     }
 
-    /** The number over quota of {@code count} requests of a tenant within ten seconds. */
+    /** How many of {@code count} requests of a tenant within ten seconds are over its quota. */
     private static int countOverQuota(TenantQuotas quotas, int tenant, int count) {
         int overQuota = 0;
         for (int i = 1; i <= count; i++) {
@@ -49,7 +49,7 @@
 
     @Test
     void theExcessOfATenantIsOverQuota() {
-        assertEquals(2_000, countOverQuota(quotas(1, 100), 0, 3_000), 110, "a second's burst aside");
+        assertEquals(2_000, countOverQuota(quotas(1, 100), 0, 3_000), 110, "apart from the burst of one second");
     }
 
     @Test
