--- a/src/main/java/loadbalancer/admin/AdminRoutes.java
+++ b/src/main/java/loadbalancer/admin/AdminRoutes.java
@@ -2,16 +2,16 @@
 
 import java.util.Map;
 import java.util.function.Function;
-import loadbalancer.lifecycle.LifeCycle.Verdict;
+import loadbalancer.lifecycle.LifeCycle.CommandResult;
 
-/** The operators' requests: what each asks for, and the response. Decides without I/O. */
+/** Routes the requests of operators to {@link AdminOperations} and builds the responses. Does no I/O. */
 final class AdminRoutes {
     /**
-     * A response.
+     * A response without its common headers.
      *
      * @param status the status code (RFC 9110, section 15)
-     * @param text one line
-     * @param allow the value of Allow (RFC 9110, section 10.2.1), or null for none
+     * @param text the body, one line
+     * @param allow the value of the Allow header (RFC 9110, section 10.2.1), or null for none
      */
     record Response(int status, String text, String allow) {
         static Response of(int status, String text) {
@@ -22,28 +22,32 @@
     private record Route(String method, Function<AdminOperations, Response> handler) {}
 
     private static final Map<String, Route> ROUTES = Map.of(
-            "/api/ready", new Route("GET", AdminRoutes::readiness),
-            "/api/evacuate", new Route("POST", o -> outcome(o.evacuate(), o, "evacuating", "sent away already")),
-            "/api/rejoin", new Route("POST", o -> outcome(o.rejoin(), o, "taking clients", "not sent away")));
+            "/api/ready", new Route("GET", AdminRoutes::readinessResponse),
+            "/api/evacuate",
+                    new Route("POST", o -> commandResponse(o.evacuate(), o, "evacuating", "sent away already")),
+            "/api/rejoin", new Route("POST", o -> commandResponse(o.rejoin(), o, "taking clients", "not sent away")));
 
     private AdminRoutes() {}
 
-    private static Response readiness(AdminOperations operations) {
-        return operations.ready() ? Response.of(200, "ready") : Response.of(503, "not ready: " + operations.state());
+    private static Response readinessResponse(AdminOperations operations) {
+        return operations.isReady()
+                ? Response.of(200, "ready")
+                : Response.of(503, "not ready: " + operations.stateText());
     }
 
-    private static Response outcome(Verdict verdict, AdminOperations operations, String done, String already) {
-        return switch (verdict) {
-            case DONE -> Response.of(200, done);
-            case ALREADY -> Response.of(200, already);
-            case NOT_POSSIBLE -> Response.of(409, "not possible while it is " + operations.state());
+    private static Response commandResponse(
+            CommandResult result, AdminOperations operations, String doneText, String noChangeText) {
+        return switch (result) {
+            case DONE -> Response.of(200, doneText);
+            case NO_CHANGE -> Response.of(200, noChangeText);
+            case NOT_POSSIBLE -> Response.of(409, "not possible while it is " + operations.stateText());
         };
     }
 
     /**
-     * Carries a request out.
+     * Carries out a request and returns the response.
      *
-     * @param uri the path, and perhaps a query, which is ignored
+     * @param uri the path with an optional query, which is ignored
      */
     static Response respond(String method, String uri, AdminOperations operations) {
         Route route = ROUTES.get(uri.split("\\?", 2)[0]);
--- a/src/main/java/loadbalancer/connections/ConnectionMetrics.java
+++ b/src/main/java/loadbalancer/connections/ConnectionMetrics.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The budget's counts, the level of pressure, and the log line for a change of it. For one thread; times in ns of
- * the budget's clock.
+ * The counters of the budget, the pressure level, and the log line for a change of the level. Not thread-safe; times
+ * are in ns of the budget's clock.
  */
 final class ConnectionMetrics {
-    private static final double TIGHT_FROM = 0.5; // of the clients' capacity
-    private static final double SHORT_FROM = 0.95;
-    private static final double HYSTERESIS = 0.1; // a level is left this far below where it begins
+    private static final double MIN_TIGHT_UTILIZATION = 0.5; // share of the clients' capacity
+    private static final double MIN_SHORT_UTILIZATION = 0.95;
+    private static final double HYSTERESIS = 0.1; // a level ends this far below the utilization at which it begins
     private static final long MIN_LOG_INTERVAL_NANOS = 5_000_000_000L;
 
     private static final class CloseCount {
@@ -22,14 +22,14 @@
     private final Map<CloseReason, CloseCount> closeCounts = new EnumMap<>(CloseReason.class);
     private Pressure pressure = Pressure.AMPLE;
     private Pressure loggedPressure = Pressure.AMPLE;
-    private long loggedAt;
+    private long loggedAtNanos;
     private boolean clientsWaiting;
     private long opened;
     private long responses;
     private long reused;
 
-    ConnectionMetrics(long now) {
-        loggedAt = now - MIN_LOG_INTERVAL_NANOS;
+    ConnectionMetrics(long nowNanos) {
+        loggedAtNanos = nowNanos - MIN_LOG_INTERVAL_NANOS;
         for (CloseReason reason : CloseReason.values()) {
             closeCounts.put(reason, new CloseCount());
         }
@@ -55,25 +55,27 @@
         return closeCounts.get(reason).total;
     }
 
-    /** Whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
+    /** Sets whether new clients wait to be accepted, which by itself means {@link Pressure#SHORT}. */
     void setClientsWaiting(boolean waiting) {
         clientsWaiting = waiting;
     }
 
-    /** Forgets what {@link #summary} says of requests; the counts of closed connections stay. */
+    /** Resets the request and connection counters of {@link #summary}; the counts of closed connections stay. */
     void reset() {
         opened = 0;
         responses = 0;
         reused = 0;
     }
 
-    /** The level for that share of the clients' capacity in use. */
+    /** Updates and returns the pressure level for a utilization of the clients' capacity. */
     Pressure pressure(double utilization) {
-        double shortFrom = pressure == Pressure.SHORT ? SHORT_FROM - HYSTERESIS : SHORT_FROM;
-        double tightFrom = pressure == Pressure.AMPLE ? TIGHT_FROM : TIGHT_FROM - HYSTERESIS;
-        if (clientsWaiting || utilization >= shortFrom) {
+        double minShortUtilization =
+                pressure == Pressure.SHORT ? MIN_SHORT_UTILIZATION - HYSTERESIS : MIN_SHORT_UTILIZATION;
+        double minTightUtilization =
+                pressure == Pressure.AMPLE ? MIN_TIGHT_UTILIZATION : MIN_TIGHT_UTILIZATION - HYSTERESIS;
+        if (clientsWaiting || utilization >= minShortUtilization) {
             pressure = Pressure.SHORT;
-        } else if (utilization >= tightFrom) {
+        } else if (utilization >= minTightUtilization) {
             pressure = Pressure.TIGHT;
         } else {
             pressure = Pressure.AMPLE;
@@ -81,16 +83,16 @@
         return pressure;
     }
 
-    /** A log line where the pressure has changed and the last such line is at least 5 s old; null otherwise. */
-    String pressureChange(double utilization, int maxClients, ConnectionTable table, long now) {
-        Pressure present = pressure(utilization);
-        if (present == loggedPressure || now - loggedAt < MIN_LOG_INTERVAL_NANOS) {
+    /** Returns a log line if the pressure has changed and the last such line is at least 5 s old; otherwise null. */
+    String pressureChangeLogLine(double utilization, int maxClients, ConnectionTable table, long nowNanos) {
+        Pressure currentPressure = pressure(utilization);
+        if (currentPressure == loggedPressure || nowNanos - loggedAtNanos < MIN_LOG_INTERVAL_NANOS) {
             return null;
         }
-        loggedPressure = present;
-        loggedAt = now;
+        loggedPressure = currentPressure;
+        loggedAtNanos = nowNanos;
         StringBuilder line = new StringBuilder("event=connection_pressure level=")
-                .append(present.name().toLowerCase(Locale.ROOT))
+                .append(currentPressure.name().toLowerCase(Locale.ROOT))
                 .append(" clients ")
                 .append(table.open(Direction.CLIENT))
                 .append(" of ")
@@ -120,7 +122,7 @@
                 line.append(separator)
                         .append(unlogged)
                         .append(' ')
-                        .append(entry.getKey().words());
+                        .append(entry.getKey().logText());
                 separator = ", ";
             }
         }
--- a/src/main/java/loadbalancer/connections/EvictionPolicy.java
+++ b/src/main/java/loadbalancer/connections/EvictionPolicy.java
@@ -1,12 +1,12 @@
 package loadbalancer.connections;
 
 /**
- * Which connection is closed when another one is to be opened and capacity is missing. In this order: one that
- * lingers, one that is silent, one that is idle, one whose request arrives slowly, and for an upstream's sake one that
- * is new. A busy connection is never closed. For one thread; times in ns of the budget's clock.
+ * Selects the connection to close when another one is to be opened and no capacity is left. The order is: a lingering
+ * connection, a silent one, an idle one, one whose request arrives slowly and, only for a connection to an upstream, a
+ * new one. Busy connections are never closed. Not thread-safe; times are in ns of the budget's clock.
  */
 final class EvictionPolicy {
-    private static final long MIN_LINGER_NANOS = 500_000_000; // for the last response to be read
+    private static final long MIN_LINGER_NANOS = 500_000_000; // time for the client to read the last response
 
     private final ConnectionTable table;
     private final CapacityShares shares;
@@ -19,70 +19,78 @@
     }
 
     /**
-     * Removes a connection for the sake of another one of side {@code direction}, which is not admitted.
+     * Removes a connection to make capacity for one of side {@code direction}.
      *
-     * @return the connection, for its holder to close; null where none may be closed: a client then waits to be
-     *     accepted, and a request is not sent to its upstream
+     * @return the removed connection, which its holder has to close; null if none may be closed: then a client waits to
+     *     be accepted, and a request is not sent to its upstream
      */
-    ConnectionPermit evictFor(Direction direction, long now) {
-        transitions.advance(now);
-        boolean atMax = shares.isAtMax(direction, now);
+    ConnectionPermit evictFor(Direction direction, long nowNanos) {
+        transitions.advance(nowNanos);
+        boolean atMax = shares.isAtMax(direction, nowNanos);
         ConnectionPermit idleUpstream = table.idleUpstreams.first();
         if (direction == Direction.UPSTREAM && atMax) {
-            return idleUpstream == null ? null : transitions.close(idleUpstream, CloseReason.IDLE_FOR_ROOM, now);
+            return idleUpstream == null
+                    ? null
+                    : transitions.close(idleUpstream, CloseReason.IDLE_UPSTREAM_EVICTED, nowNanos);
         }
-        ConnectionPermit lingering = table.lingering.first();
-        if (lingering != null && lingering.since(now) >= MIN_LINGER_NANOS) {
-            return transitions.close(lingering, CloseReason.LINGERING, now);
+        ConnectionPermit oldestLingering = table.lingering.first();
+        if (oldestLingering != null && oldestLingering.timeInStateNanos(nowNanos) >= MIN_LINGER_NANOS) {
+            return transitions.close(oldestLingering, CloseReason.LINGERING_EVICTED, nowNanos);
         }
         if (!table.silent.isEmpty()) {
             Peer mostSilent = table.silentByPeer.itemWithMaxCount();
-            return transitions.close(mostSilent.silentConnections.last(), CloseReason.SILENT_FOR_ROOM, now);
+            return transitions.close(mostSilent.silentConnections.last(), CloseReason.SILENT_EVICTED, nowNanos);
         }
-        ConnectionPermit idle = idleClient(now);
-        boolean justServed = idle == null || idle.since(now) < shares.limits().restLeast();
-        if (justServed && idleUpstream != null && mayCloseIdleUpstream(direction, atMax, now)) {
-            return transitions.close(idleUpstream, CloseReason.IDLE_FOR_ROOM, now);
+        ConnectionPermit idleClient = idleClientToEvict(nowNanos);
+        boolean servedRecently = idleClient == null
+                || idleClient.timeInStateNanos(nowNanos) < shares.limits().restLeast();
+        if (servedRecently && idleUpstream != null && mayCloseIdleUpstream(direction, atMax, nowNanos)) {
+            return transitions.close(idleUpstream, CloseReason.IDLE_UPSTREAM_EVICTED, nowNanos);
         }
-        if (idle != null && !(justServed && newConnectionsSuffice(direction, now))) {
-            return transitions.close(idle, CloseReason.RESTING_FOR_ROOM, now);
+        if (idleClient != null && !(servedRecently && sparesServedClients(direction, nowNanos))) {
+            return transitions.close(idleClient, CloseReason.IDLE_CLIENT_EVICTED, nowNanos);
         }
-        return evictUnfinished(direction, now);
+        return evictSlowOrNew(direction, nowNanos);
     }
 
-    private boolean mayCloseIdleUpstream(Direction direction, boolean atMax, long now) {
+    private boolean mayCloseIdleUpstream(Direction direction, boolean atMax, long nowNanos) {
         return !atMax
                 && (direction == Direction.UPSTREAM
-                        || table.open(Direction.UPSTREAM) > shares.reserved(Direction.UPSTREAM, now));
+                        || table.open(Direction.UPSTREAM) > shares.reserved(Direction.UPSTREAM, nowNanos));
     }
 
-    // One new client is as good as another: those that are there soon send a request, or their grace period ends.
-    // Clients that have just been served are not closed for a new one, unless they take most of the capacity.
-    private boolean newConnectionsSuffice(Direction direction, long now) {
+    // Recently served clients are not closed for another client while new connections exist, unless idle clients hold
+    // more than half of the clients' capacity: a further client has no advantage over the new connections, which send a
+    // request soon or can be closed after their grace period.
+    private boolean sparesServedClients(Direction direction, long nowNanos) {
         return direction == Direction.CLIENT
                 && !table.newConnections.isEmpty()
-                && table.idleClients.size() <= shares.max(Direction.CLIENT, now) / 2;
+                && table.idleClients.size() <= shares.max(Direction.CLIENT, nowNanos) / 2;
     }
 
-    // Of the address with the highest number of idle connections the one idle for longest, if that is long; otherwise
-    // the one idle for longest of all. Proven ones come last.
-    private ConnectionPermit idleClient(long now) {
+    // Selects the longest idle connection of the address with the most idle connections, if it has been idle for
+    // restLeast or longer, and otherwise the longest idle connection of all. Connections that are reused regularly are
+    // selected last.
+    private ConnectionPermit idleClientToEvict(long nowNanos) {
         if (table.idleClients.isEmpty()) {
-            return table.provenIdleClients.first();
+            return table.regularIdleClients.first();
         }
-        ConnectionPermit longestOfPeer =
+        ConnectionPermit longestIdleOfPeer =
                 table.idleByPeer.itemWithMaxCount().idleConnections.first();
-        return longestOfPeer.since(now) >= shares.limits().restLeast() ? longestOfPeer : table.idleClients.first();
+        return longestIdleOfPeer.timeInStateNanos(nowNanos) >= shares.limits().restLeast()
+                ? longestIdleOfPeer
+                : table.idleClients.first();
     }
 
-    private ConnectionPermit evictUnfinished(Direction direction, long now) {
-        ConnectionPermit slow = table.receiving.first();
-        if (slow != null && slow.since(now) >= shares.limits().askMost()) {
-            return transitions.close(slow, CloseReason.SLOW_FOR_ROOM, now);
+    private ConnectionPermit evictSlowOrNew(Direction direction, long nowNanos) {
+        ConnectionPermit oldestReceiving = table.receiving.first();
+        if (oldestReceiving != null
+                && oldestReceiving.timeInStateNanos(nowNanos) >= shares.limits().askMost()) {
+            return transitions.close(oldestReceiving, CloseReason.SLOW_REQUEST_EVICTED, nowNanos);
         }
-        ConnectionPermit newest = table.newConnections.last();
-        return direction == Direction.UPSTREAM && newest != null
-                ? transitions.close(newest, CloseReason.NEW_FOR_ROOM, now)
+        ConnectionPermit newestClient = table.newConnections.last();
+        return direction == Direction.UPSTREAM && newestClient != null
+                ? transitions.close(newestClient, CloseReason.NEW_CLIENT_EVICTED, nowNanos)
                 : null;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -12,23 +12,23 @@
 import loadbalancer.proxy.RequestLog.Event;
 
 /**
- * Decides whether new connections are accepted: it makes capacity by closing idle ones before an accept can fail,
- * and leaves new ones in the kernel's backlog where there is none. On the event loop.
+ * Decides whether new connections are accepted. Closes idle connections to free capacity before an accept can fail, and
+ * leaves new connections in the kernel's backlog while there is no capacity. Must be used on the event loop.
  */
-final class ConnectionAdmission implements AcceptingChannel.Gatekeeper {
-    /** What {@link #update} is about. */
+final class ConnectionAdmission implements AcceptingChannel.AcceptController {
+    /** The progress of {@link #update}. */
     private enum State {
         READY,
-        /** Connections are being closed; each of them reports its end here. */
+        /** Connections are being closed; each close calls {@link #update}, which does nothing in this state. */
         EVICTING,
-        /** Capacity is made once all sockets have been read. */
+        /** Connections are closed only after all sockets have been read. */
         AWAITING_READS
     }
 
-    private static final int MAX_ACCEPTS_PER_PASS = 16; // as Netty does
-    private static final long ACCEPT_RETRY_MILLIS = 5; // behind an accept that has failed
-    private static final long RECHECK_MILLIS = 20; // while new connections wait to be accepted
-    private static final int MAX_NEW_DURING_WARM_UP = 8; // between two checks
+    private static final int MAX_ACCEPTS_PER_PASS = 16; // the default of Netty
+    private static final long ACCEPT_RETRY_MILLIS = 5; // after a failed accept
+    private static final long RECHECK_MILLIS = 20; // while accepting is paused
+    private static final int MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP = 8; // between two rechecks
 
     private final EventLoop loop;
     private final Dispatcher dispatcher;
@@ -36,13 +36,13 @@
     private final LifeCycle lifeCycle;
     private final Consumer<String> log;
     private Channel listener;
-    private boolean sharedListener; // other processes accept from it as well
+    private boolean sharedListener; // other processes accept from this socket, too
     private boolean warmingUp;
     private State state = State.READY;
     private boolean recheckScheduled;
-    private boolean acceptFailing; // it is retried soon
+    private boolean acceptRetryPending; // an accept has failed and is about to be retried
     private long failedAccepts;
-    private int newConnections; // since the last recheck
+    private int acceptedSinceRecheck; // connections accepted since the last recheck
 
     ConnectionAdmission(
             EventLoop loop, Dispatcher dispatcher, ConnectionBudget budget, LifeCycle lifeCycle, Consumer<String> log) {
@@ -53,16 +53,16 @@
         this.log = log;
     }
 
-    /** The listener exists, and has not accepted anything yet. */
+    /** Called when the listening channel has been created, before it accepts connections. */
     void listenerRegistered(Channel channel, boolean shared) {
         listener = channel;
         sharedListener = shared;
-        // Before this process is ready whichever process was there before it accepts.
+        // Until this process is ready, the process that already uses the shared socket accepts.
         channel.config().setAutoRead(!shared);
     }
 
-    /** Accepts no more. A listener that other processes accept from as well stays open, unread. */
-    void close() {
+    /** Stops accepting for good. A listener that is shared with other processes is not closed, only no longer read. */
+    void stopAccepting() {
         if (sharedListener) {
             listener.config().setAutoRead(false);
         } else {
@@ -70,26 +70,26 @@
         }
     }
 
-    /** While this process warms up only few connections are accepted at once. */
-    void setWarmingUp(boolean on) {
-        warmingUp = on;
+    /** Sets whether this process warms up; few connections are accepted at a time during the warm-up. */
+    void setWarmingUp(boolean enabled) {
+        warmingUp = enabled;
     }
 
-    /** A connection has been accepted. */
+    /** Called after a connection has been accepted. */
     void connectionAccepted() {
-        newConnections++;
+        acceptedSinceRecheck++;
     }
 
-    /** Makes capacity where it is needed, and accepts or not from here on. */
+    /** Frees capacity if necessary, then pauses or resumes accepting. */
     void update() {
         if (state != State.READY) {
             return;
         }
-        if (dispatcher.mayHaveUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
-            // Of those that seem idle some hold a request that has not been read.
+        if (dispatcher.mayHaveUnreadUpdates() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
+            // Some connections that seem idle may have a request that has not been read yet.
             state = State.AWAITING_READS;
-            setAccepting(false, "unread news");
-            dispatcher.afterUpdates(() -> {
+            setAccepting(false, "unread sockets");
+            dispatcher.runAfterUpdates(() -> {
                 state = State.READY;
                 update();
             });
@@ -100,19 +100,20 @@
         state = State.READY;
         budget.setClientsWaiting(!hasCapacity);
         if (listener.isOpen()) {
-            boolean accepting = hasCapacity && !acceptFailing && warmUpAdmits(0) && lifeCycle.accepts(sharedListener);
-            setAccepting(accepting, !hasCapacity ? "no room" : warmingUp ? "warm-up" : "life cycle");
+            boolean accepting =
+                    hasCapacity && !acceptRetryPending && warmUpAdmits(0) && lifeCycle.acceptsConnections(sharedListener);
+            setAccepting(accepting, !hasCapacity ? "no capacity" : warmingUp ? "warm-up" : "life cycle");
             if (!accepting) {
                 scheduleRecheck();
             }
         }
     }
 
-    private boolean warmUpAdmits(int accepted) {
-        return !warmingUp || newConnections + accepted < MAX_NEW_DURING_WARM_UP;
+    private boolean warmUpAdmits(int acceptedInPass) {
+        return !warmingUp || acceptedSinceRecheck + acceptedInPass < MAX_ACCEPTS_PER_CHECK_DURING_WARM_UP;
     }
 
-    // The fair time of a connection may be over before anything ends.
+    // A connection may become evictable after some time, without an event that triggers an update.
     private void scheduleRecheck() {
         if (recheckScheduled) {
             return;
@@ -121,27 +122,27 @@
         loop.schedule(
                 () -> {
                     recheckScheduled = false;
-                    newConnections = 0;
+                    acceptedSinceRecheck = 0;
                     update();
                 },
                 RECHECK_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void setAccepting(boolean on, String reason) {
-        if (on != listener.config().isAutoRead()) {
-            dispatcher.requestLog().process(on ? Event.ACCEPT_RESUMED : Event.ACCEPT_PAUSED, reason);
-            listener.config().setAutoRead(on);
+    private void setAccepting(boolean enabled, String reason) {
+        if (enabled != listener.config().isAutoRead()) {
+            dispatcher.requestLog().process(enabled ? Event.ACCEPT_RESUMED : Event.ACCEPT_PAUSED, reason);
+            listener.config().setAutoRead(enabled);
         }
     }
 
-    // One is always accepted: capacity for it was made before the listener was read.
+    // The first connection of a pass is always accepted: capacity for it was freed before the listener was read.
     @Override
-    public boolean mayAccept(int accepted) {
-        return accepted == 0
-                || (accepted < MAX_ACCEPTS_PER_PASS
-                        && accepted < budget.available(Direction.CLIENT, System.nanoTime())
-                        && warmUpAdmits(accepted));
+    public boolean mayAccept(int acceptedInPass) {
+        return acceptedInPass == 0
+                || (acceptedInPass < MAX_ACCEPTS_PER_PASS
+                        && acceptedInPass < budget.available(Direction.CLIENT, System.nanoTime())
+                        && warmUpAdmits(acceptedInPass));
     }
 
     @Override
@@ -150,11 +151,11 @@
         if (Long.bitCount(failedAccepts) == 1) { // the 1st, 2nd, 4th, 8th, ...
             log.accept("event=accept_failed cause=" + cause.getMessage() + " count=" + failedAccepts);
         }
-        acceptFailing = true;
+        acceptRetryPending = true;
         setAccepting(false, "accept failed");
         loop.schedule(
                 () -> {
-                    acceptFailing = false;
+                    acceptRetryPending = false;
                     update();
                 },
                 ACCEPT_RETRY_MILLIS,
--- a/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
+++ b/src/main/java/loadbalancer/downstream/http1/PipeliningLimiter.java
@@ -7,21 +7,21 @@
 import java.util.ArrayDeque;
 
 /**
- * Buffers what a client sends while it has pipelined as many requests as are taken. The connection is still read:
- * with reading off its end would not be seen either, and requests whose client had left would be forwarded. On
- * the event loop.
+ * Buffers the input of a client that has reached the limit of pipelined requests. The connection is still read: with
+ * reading off, the close of the connection would not be noticed either, and requests of a client that has disconnected
+ * would be forwarded. Must be used on the event loop.
  */
 final class PipeliningLimiter extends ChannelInboundHandlerAdapter {
-    private final int maxBytes;
+    private final int maxBufferedBytes;
     private final Runnable onOverflow;
     private final ArrayDeque<Object> buffered = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private int bufferedBytes;
     private boolean paused;
 
-    /** {@code onOverflow} runs where more than {@code maxBytes} would have to be buffered. */
-    PipeliningLimiter(int maxBytes, Runnable onOverflow) {
-        this.maxBytes = maxBytes;
+    /** {@code onOverflow} runs if more than {@code maxBufferedBytes} would have to be buffered. */
+    PipeliningLimiter(int maxBufferedBytes, Runnable onOverflow) {
+        this.maxBufferedBytes = maxBufferedBytes;
         this.onOverflow = onOverflow;
     }
 
@@ -29,27 +29,27 @@
         return paused;
     }
 
-    /** Buffers what arrives from here on. */
+    /** Buffers all input from now on. */
     void pause() {
         paused = true;
     }
 
-    /** Hands on what was buffered, as far as it is not paused once more meanwhile. */
+    /** Passes the buffered input on, until the handler is paused again. */
     void resume() {
         paused = false;
-        boolean any = !buffered.isEmpty();
+        boolean hadBuffered = !buffered.isEmpty();
         while (!paused && !buffered.isEmpty()) {
             Object next = buffered.poll();
-            bufferedBytes -= size(next);
+            bufferedBytes -= byteCount(next);
             context.fireChannelRead(next);
         }
-        if (any) {
+        if (hadBuffered) {
             context.fireChannelReadComplete();
         }
     }
 
-    /** Discards the buffer, and hands on at once what arrives from here on. */
-    void drop() {
+    /** Discards the buffered input, and passes further input on without buffering. */
+    void discardBuffered() {
         paused = false;
         buffered.forEach(ReferenceCountUtil::release);
         buffered.clear();
@@ -62,21 +62,21 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext current, Object part) {
+    public void channelRead(ChannelHandlerContext current, Object message) {
         if (!paused) {
-            current.fireChannelRead(part);
+            current.fireChannelRead(message);
             return;
         }
-        if (bufferedBytes + size(part) > maxBytes) {
-            ReferenceCountUtil.release(part);
+        if (bufferedBytes + byteCount(message) > maxBufferedBytes) {
+            ReferenceCountUtil.release(message);
             onOverflow.run();
             return;
         }
-        bufferedBytes += size(part);
-        buffered.add(part);
+        bufferedBytes += byteCount(message);
+        buffered.add(message);
     }
 
-    private static int size(Object part) {
-        return part instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+    private static int byteCount(Object message) {
+        return message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/ReadTracker.java
+++ b/src/main/java/loadbalancer/downstream/http1/ReadTracker.java
@@ -4,35 +4,35 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * The first handler of a connection: counts the reads, knows whether one is being handled, and reports that bytes
- * have arrived before any other handler sees them. On the event loop.
+ * The first handler of a connection: counts the reads, tracks whether a read is being handled, and notifies the
+ * connection of each read before any other handler processes it. Must be used on the event loop.
  */
 final class ReadTracker extends ChannelInboundHandlerAdapter {
     private final Http1ClientConnection connection;
-    private long reads;
+    private long readCount;
     private boolean reading;
 
     ReadTracker(Http1ClientConnection connection) {
         this.connection = connection;
     }
 
-    /** Reads so far. */
-    long reads() {
-        return reads;
+    /** The number of reads so far. */
+    long readCount() {
+        return readCount;
     }
 
-    /** Whether it is called from within a read. */
+    /** Whether the caller runs within the handling of a read. */
     boolean isReading() {
         return reading;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object part) {
-        reads++;
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        readCount++;
         reading = true;
         connection.bytesArrived();
         try {
-            context.fireChannelRead(part);
+            context.fireChannelRead(message);
         } finally {
             reading = false;
         }
--- a/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3ClientConnection.java
@@ -20,34 +20,36 @@
 import loadbalancer.http3.codec.CodecErrors;
 import loadbalancer.http3.codec.UnhandledExceptionHandler;
 
-/** One connection of a client and its request streams (RFC 9114, section 6.1). On the event loop. */
+/**
+ * One QUIC connection of a client and its request streams (RFC 9114, section 6.1). Must be used on the event loop.
+ */
 final class Http3ClientConnection extends ChannelInboundHandlerAdapter {
-    // The greatest id of a stream that a client opens (RFC 9000, section 2.1), for a GOAWAY that rejects nothing.
+    // The highest possible id of a client-initiated stream (RFC 9000, section 2.1): a GOAWAY with it rejects nothing.
     private static final long MAX_CLIENT_STREAM_ID = (1L << 62) - 4;
-    private static final int STREAM_ID_STEP = 4; // between two bidirectional streams of a client
-    private static final double MAX_RESET_BURST = 100; // streams that the client ends before their responses
+    private static final int STREAM_ID_STEP = 4; // between the ids of two bidirectional streams of a client
+    private static final double MAX_RESET_BURST = 100; // streams that the client resets before their responses
     private static final double MAX_RESETS_PER_SECOND = 20;
 
     private final Http3Listener listener;
     private final QuicChannel channel;
-    private final Http3ConnectionLimiter.TrackedConnection tracked;
+    private final Http3ConnectionLimiter.TrackedConnection trackedConnection;
     private final RapidResetGuard resetGuard;
     private final Set<Http3RequestStream> streams = new LinkedHashSet<>();
-    private long nextStreamId; // the lowest id that has not been seen
-    private long firstRejectedStreamId = Long.MAX_VALUE; // streams from here on are rejected
+    private long nextStreamId; // the lowest id of a stream that has not been opened yet
+    private long firstRejectedStreamId = Long.MAX_VALUE; // streams with this id or a higher one are rejected
     private boolean goAwayAfterHandshake;
     private boolean clientClosed;
 
     Http3ClientConnection(Http3Listener listener, QuicChannel channel) {
         this.listener = listener;
         this.channel = channel;
-        long now = System.nanoTime();
-        resetGuard = new RapidResetGuard(MAX_RESET_BURST, MAX_RESETS_PER_SECOND, now);
-        tracked = listener.connectionLimiter()
+        long nowNanos = System.nanoTime();
+        resetGuard = new RapidResetGuard(MAX_RESET_BURST, MAX_RESETS_PER_SECOND, nowNanos);
+        trackedConnection = listener.connectionLimiter()
                 .open(
                         ClientAddress.key(channel.remoteSocketAddress()),
                         () -> close(Http3ErrorCodes.EXCESSIVE_LOAD),
-                        now);
+                        nowNanos);
         if (isAdmitted()) {
             channel.pipeline().addLast(this, connectionHandler(), new UnhandledExceptionHandler());
         }
@@ -63,43 +65,43 @@
         return new Http3ServerConnectionHandler(requestStreams, null, null, CodecErrors.settings(), true);
     }
 
-    /** Whether the limits admit it; otherwise it has no handlers and is to be closed. */
+    /** Whether the limits admit the connection; otherwise it has no handlers and the caller must close it. */
     boolean isAdmitted() {
-        return tracked != null;
+        return trackedConnection != null;
     }
 
     QuicChannel channel() {
         return channel;
     }
 
-    /** Its place in the limits; null where it is not admitted. */
-    Http3ConnectionLimiter.TrackedConnection tracked() {
-        return tracked;
+    /** The entry of this connection in the connection limiter; null if the connection is not admitted. */
+    Http3ConnectionLimiter.TrackedConnection trackedConnection() {
+        return trackedConnection;
     }
 
     Http3Listener listener() {
         return listener;
     }
 
-    /** It was opened while the listener is draining: the client is notified once the handshake is done. */
+    /** Called for a connection that was opened while the listener drains: sends a GOAWAY after the handshake. */
     void openedWhileDraining() {
         goAwayAfterHandshake = true;
-        firstRejectedStreamId = listener.isClosing() ? 0 : firstRejectedStreamId;
+        firstRejectedStreamId = listener.isRejectingNewStreams() ? 0 : firstRejectedStreamId;
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof SslHandshakeCompletionEvent handshake && handshake.isSuccess()) {
-            listener.connectionLimiter().established(tracked, System.nanoTime());
+            listener.connectionLimiter().established(trackedConnection, System.nanoTime());
         }
         context.fireUserEventTriggered(event);
         if (event instanceof QuicConnectionCloseEvent) {
-            // Its streams close some round trips later, when the connection has drained (RFC 9000, 10.2.2).
+            // The streams close some round trips later, after the draining period (RFC 9000, section 10.2.2).
             clientClosed = true;
-            List.copyOf(streams).forEach(Http3RequestStream::clientClosed);
+            List.copyOf(streams).forEach(Http3RequestStream::onClientClosed);
         }
         if (goAwayAfterHandshake && event instanceof SslHandshakeCompletionEvent) {
-            sendGoAway(listener.isClosing() ? 0 : MAX_CLIENT_STREAM_ID);
+            sendGoAway(listener.isRejectingNewStreams() ? 0 : MAX_CLIENT_STREAM_ID);
         }
     }
 
@@ -107,45 +109,45 @@
         nextStreamId = Math.max(nextStreamId, stream.streamId() + STREAM_ID_STEP);
         Http3RequestStream request = new Http3RequestStream(this, stream, stream.streamId() >= firstRejectedStreamId);
         streams.add(request);
-        listener.connectionLimiter().streamOpened(tracked);
+        listener.connectionLimiter().streamOpened(trackedConnection);
         stream.closeFuture().addListener(closed -> {
             streams.remove(request);
-            request.closed();
-            listener.connectionLimiter().streamClosed(tracked, System.nanoTime());
+            request.onClosed();
+            listener.connectionLimiter().streamClosed(trackedConnection, System.nanoTime());
         });
         stream.pipeline().addLast(request);
     }
 
-    /** Whether the client has closed it; what is still read of its streams is not served. */
+    /** Whether the client has closed the connection; requests that are still read from its streams are not served. */
     boolean isClientClosed() {
         return clientClosed;
     }
 
-    /** The client has ended a stream before its response; too many of these close the connection. */
+    /** Called when the client has cancelled a stream before its response; too many of these close the connection. */
     void streamCancelled() {
         if (!resetGuard.ended(System.nanoTime())) {
             close(Http3ErrorCodes.EXCESSIVE_LOAD);
         }
     }
 
-    /** A stream has got its response. */
+    /** Called when the response to a stream has been written. */
     void streamResponded() {
         resetGuard.answered();
     }
 
-    /** Ends the streams that take too long. */
-    void checkTimeouts(long now) {
+    /** Ends the streams that exceed a timeout. */
+    void checkTimeouts(long nowNanos) {
         for (Http3RequestStream stream : List.copyOf(streams)) {
-            stream.checkTimeouts(now);
+            stream.checkTimeouts(nowNanos);
         }
     }
 
-    /** The first step of a graceful shutdown (RFC 9114, section 5.2): no stream is rejected yet. */
+    /** Sends the first GOAWAY of a graceful shutdown (RFC 9114, section 5.2); no stream is rejected yet. */
     void announceShutdown() {
         sendGoAway(MAX_CLIENT_STREAM_ID);
     }
 
-    /** The second step: streams that have not been seen are rejected. */
+    /** Sends the second GOAWAY of a graceful shutdown; streams that have not been opened yet are rejected. */
     void rejectNewStreams() {
         firstRejectedStreamId = nextStreamId;
         sendGoAway(nextStreamId);
--- a/src/main/java/loadbalancer/http1/Http1HeaderFields.java
+++ b/src/main/java/loadbalancer/http1/Http1HeaderFields.java
@@ -12,12 +12,12 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * The header fields of an HTTP/1.1 message, as its codec holds them. Between two sides that both speak HTTP/1.1
- * they are forwarded as they are: {@link #of} hands them out, and translates only what came by another protocol.
- * On the event loop.
+ * The header fields of an HTTP/1.1 message in the representation of Netty's codec. If client and upstream both use
+ * HTTP/1.1, they are forwarded without a copy: {@link #toHttpHeaders} returns them as they are, and converts only the
+ * fields of other protocols. Must be used on the event loop.
  */
 public final class Http1HeaderFields implements HeaderFields {
-    // Not strings: these cache the hash that each look-up needs.
+    // AsciiString instead of String: it caches the hash code that each header look-up needs.
     private static final AsciiString[] HOP_BY_HOP = Stream.of(
                     "connection",
                     "keep-alive",
@@ -30,34 +30,34 @@
                     "upgrade",
                     "expect",
                     "content-length",
-                    ProxyRequest.DEADLINE)
+                    ProxyRequest.DEADLINE_FIELD)
             .map(AsciiString::cached)
             .toArray(AsciiString[]::new);
 
     private final HttpHeaders headers;
-    private boolean withoutHost; // the client sent no Host: each upstream is named in its place
+    private boolean hostMissing; // the client sent no Host: it is set to the upstream of each attempt
 
-    /** The fields in {@code headers}, which are not copied. */
+    /** Wraps {@code headers} without copying them. */
     public Http1HeaderFields(HttpHeaders headers) {
         this.headers = headers;
     }
 
     /**
-     * The headers that are written for such fields over HTTP/1.1. Not a copy where they came by HTTP/1.1: each
-     * attempt sets the fields of its own connection anew, and is encoded before the next one.
+     * Returns the fields as headers of an HTTP/1.1 message. Fields that were received over HTTP/1.1 are not copied:
+     * each attempt overwrites the fields that belong to its own connection and is encoded before the next attempt.
      *
-     * @param host the Host of a request that names none: the upstream
+     * @param host the upstream, which becomes the Host of a request without one
      */
-    public static HttpHeaders of(HeaderFields fields, String host) {
-        if (fields instanceof Http1HeaderFields own) {
-            own.withoutHost = own.withoutHost || !own.headers.contains(HttpHeaderNames.HOST);
-            if (own.withoutHost) {
-                own.headers.set(HttpHeaderNames.HOST, host);
+    public static HttpHeaders toHttpHeaders(HeaderFields fields, String host) {
+        if (fields instanceof Http1HeaderFields http1Fields) {
+            http1Fields.hostMissing = http1Fields.hostMissing || !http1Fields.headers.contains(HttpHeaderNames.HOST);
+            if (http1Fields.hostMissing) {
+                http1Fields.headers.set(HttpHeaderNames.HOST, host);
             }
-            return own.headers;
+            return http1Fields.headers;
         }
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        fields.each(headers::add);
+        fields.forEach(headers::add);
         if (!headers.contains(HttpHeaderNames.HOST)) {
             headers.set(HttpHeaderNames.HOST, host);
         }
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Removes the fields that belong to one connection only (RFC 9110, section 7.6.1), and the deadline.
+     * Removes the hop-by-hop fields (RFC 9110, section 7.6.1) and the deadline field.
      *
      * @return this
      */
@@ -94,12 +94,12 @@
     }
 
     @Override
-    public boolean several(String name) {
+    public boolean hasMultiple(String name) {
         return headers.contains(name) && headers.getAll(name).size() > 1;
     }
 
     @Override
-    public void each(BiConsumer<String, String> consumer) {
+    public void forEach(BiConsumer<String, String> consumer) {
         headers.forEach(header -> consumer.accept(header.getKey(), header.getValue()));
     }
 }
--- a/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
+++ b/src/main/java/loadbalancer/lifecycle/HotRestartChannel.java
@@ -23,48 +23,48 @@
 import loadbalancer.lifecycle.HotRestart.Step;
 
 /**
- * Carries the messages of a hot restart between a process and its successor, one line each, over a Unix-domain socket
- * at a path that both know. The kernel closes a process's connection when the process ends, so that a closed
- * connection stands for an ended process.
+ * Exchanges the messages of a hot restart between a process and its successor, one message per line, over a Unix-domain
+ * socket at a path that both processes know. The kernel closes the connections of a process that ends, so a closed
+ * connection means that the process at the other end has ended.
  *
- * <p>All but the constructor runs on the event loop. Where the socket can't be used, neither process learns of the
- * other and both go on independently.
+ * <p>All methods have to be called on the event loop. If the socket can't be used, neither process detects the other
+ * one, and both run independently.
  */
 public final class HotRestartChannel {
     private static final String PROTOCOL_VERSION = "1";
     private static final int MAX_LINE_BYTES = 1_024;
-    /** A Unix-domain socket's address holds little more than 100 bytes. */
+    /** The address of a Unix-domain socket holds little more than 100 bytes. */
     private static final int MAX_PATH_LENGTH = 100;
 
     private final EventLoop loop;
-    private final Path path;
-    private final Consumer<Step> steps;
+    private final Path sharedPath;
+    private final Consumer<Step> stepListener;
     private final Consumer<String> log;
     private final HotRestart hotRestart = new HotRestart();
     private Channel predecessor; // null while there is none
-    private boolean ready;
+    private boolean readyAnnounced;
 
     /**
-     * Creates a channel that is not connected yet.
+     * Creates a channel that is not yet connected.
      *
-     * @param path where the serving process listens and its successor connects
-     * @param steps receives what this process has to do, on the loop
-     * @param log must not block
+     * @param sharedPath the socket path at which the serving process listens and its successor connects
+     * @param stepListener called on the event loop with each action that is required of this process
+     * @param log receives log lines; must not block
      */
-    public HotRestartChannel(EventLoop loop, Path path, Consumer<Step> steps, Consumer<String> log) {
+    public HotRestartChannel(EventLoop loop, Path sharedPath, Consumer<Step> stepListener, Consumer<String> log) {
         this.loop = loop;
-        this.path = path;
-        this.steps = steps;
+        this.sharedPath = sharedPath;
+        this.stepListener = stepListener;
         this.log = log;
     }
 
-    /** Connects to a predecessor; {@code onConnected} is called in any case, with whether there is one. */
-    public void begin(Consumer<Boolean> onConnected) {
-        if (!Files.exists(path)) {
+    /** Connects to a predecessor; {@code onConnected} is always called, with whether a predecessor exists. */
+    public void connect(Consumer<Boolean> onConnected) {
+        if (!Files.exists(sharedPath)) {
             onConnected.accept(false);
             return;
         }
-        ChannelFuture connected = new Bootstrap()
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(loop)
                 .channel(NioDomainSocketChannel.class)
                 .handler(new ChannelInitializer<Channel>() {
@@ -73,55 +73,55 @@
                         channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES), new StringEncoder());
                     }
                 })
-                .connect(UnixDomainSocketAddress.of(path));
-        connected.addListener(result -> {
+                .connect(UnixDomainSocketAddress.of(sharedPath));
+        connectFuture.addListener(result -> {
             if (loop.inEventLoop()) {
-                connected(connected, onConnected);
-            } else { // a socket that can't be created is reported on another thread
-                loop.execute(() -> connected(connected, onConnected));
+                connectCompleted(connectFuture, onConnected);
+            } else { // Netty reports a failure to create the socket on another thread
+                loop.execute(() -> connectCompleted(connectFuture, onConnected));
             }
         });
     }
 
-    private void connected(ChannelFuture connection, Consumer<Boolean> onConnected) {
-        if (connection.isSuccess()) {
-            predecessor = connection.channel();
+    private void connectCompleted(ChannelFuture connectFuture, Consumer<Boolean> onConnected) {
+        if (connectFuture.isSuccess()) {
+            predecessor = connectFuture.channel();
             predecessor.closeFuture().addListener(closed -> {
                 predecessor = null;
-                steps.accept(Step.ALONE);
+                stepListener.accept(Step.NO_PEER_LEFT);
             });
             predecessor.writeAndFlush(HotRestart.HELLO + " " + PROTOCOL_VERSION + "\n");
         }
-        onConnected.accept(connection.isSuccess()); // refused: the socket file of a process that has ended
+        onConnected.accept(connectFuture.isSuccess()); // failure: the socket file belongs to a process that has ended
     }
 
-    /** Whether another process shares this one's resources. */
+    /** Returns whether another process shares the resources of this process. */
     public boolean hasPeer() {
         return predecessor != null || hotRestart.hasPeer();
     }
 
-    /** This process accepts clients: notifies the predecessor and listens for successors. Idempotent. */
-    public void ready() {
-        if (ready) {
+    /** Notifies the predecessor that this process accepts clients, and listens for successors. Idempotent. */
+    public void announceReady() {
+        if (readyAnnounced) {
             return;
         }
-        ready = true;
+        readyAnnounced = true;
         listen();
         if (predecessor != null) {
             predecessor.writeAndFlush(HotRestart.READY + "\n");
         }
     }
 
-    // Binds beside the path and then moves there, so that the path always leads to a process that listens.
+    // Binds to a path of its own and then renames it, so that the shared path always refers to a listening process.
     private void listen() {
-        Path own = path.resolveSibling(
-                path.getFileName() + "." + ProcessHandle.current().pid());
-        if (own.toString().length() > MAX_PATH_LENGTH) {
-            log.accept("event=hot_restart_unavailable reason=too long a path: " + own);
+        Path ownPath = sharedPath.resolveSibling(
+                sharedPath.getFileName() + "." + ProcessHandle.current().pid());
+        if (ownPath.toString().length() > MAX_PATH_LENGTH) {
+            log.accept("event=hot_restart_unavailable reason=socket path too long: " + ownPath);
             return;
         }
         try {
-            Files.deleteIfExists(own);
+            Files.deleteIfExists(ownPath);
         } catch (IOException e) {
             log.accept("event=hot_restart_unavailable reason=" + e);
             return;
@@ -139,31 +139,31 @@
                                         new SuccessorHandler());
                     }
                 })
-                .bind(UnixDomainSocketAddress.of(own))
-                .addListener(bound -> publish(own, bound));
+                .bind(UnixDomainSocketAddress.of(ownPath))
+                .addListener(bound -> moveToSharedPath(ownPath, bound));
     }
 
-    private void publish(Path own, Future<?> bound) {
+    private void moveToSharedPath(Path ownPath, Future<?> bound) {
         try {
             if (!bound.isSuccess()) {
                 throw new IOException(bound.cause());
             }
-            Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(ownPath, sharedPath, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             log.accept("event=hot_restart_unavailable reason=" + e);
         }
     }
 
-    /** The connection of a process that may succeed this one. */
+    /** Handles the connection of a process that may succeed this process. */
     private final class SuccessorHandler extends SimpleChannelInboundHandler<String> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, String line) {
-            steps.accept(hotRestart.received(context.channel(), line));
+            stepListener.accept(hotRestart.received(context.channel(), line));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            steps.accept(hotRestart.disconnected(context.channel()));
+            stepListener.accept(hotRestart.disconnected(context.channel()));
         }
 
         @Override
--- a/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopStallMonitor.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Watches for event loop stalls with a heartbeat timer, and holds tasks back after one until the sockets have
- * been polled. What follows from the measured times is {@link EventLoopStallDetector}'s. On the event loop;
- * times in µs.
+ * Monitors the event loop for stalls with a heartbeat timer, and delays tasks after a stall until the sockets have
+ * been polled. {@link EventLoopStallDetector} evaluates the measured times. To be used on the event loop; times are
+ * in µs.
  */
 final class EventLoopStallMonitor {
     private final Scheduler scheduler;
@@ -19,77 +19,78 @@
         this.log = log;
     }
 
-    /** As {@link PendingUpdates#mayHaveUnread} says. */
-    boolean mayHaveUnread() {
-        return detector.mayHideUpdates(clock.now());
+    /** Implements {@link PendingUpdates#mayHaveUnreadUpdates}. */
+    boolean mayHaveUnreadUpdates() {
+        return detector.mayHaveUnreadUpdates(clock.now());
     }
 
-    /** As {@link PendingUpdates#graceHolds} says, for a drain's grace as the settings have it. */
-    long graceHolds(long drainGrace) {
-        return detector.graceHolds(drainGrace);
+    /** Implements {@link PendingUpdates#unreadDrainDeadlineMicros} for the drain grace from the settings. */
+    long unreadDrainDeadlineMicros(long drainGraceMicros) {
+        return detector.unreadDrainDeadlineMicros(drainGraceMicros);
     }
 
-    /** For how long what is read now may have lain unread. */
-    long unreadFor() {
-        return detector.unreadFor(clock.now());
+    /** Returns the max. time for which data read now may have been unread in a socket. */
+    long maxUnreadMicros() {
+        return detector.maxUnreadMicros(clock.now());
     }
 
-    /** As {@link PendingUpdates#afterUpdates} says. */
-    void afterUpdates(Runnable task) {
-        if (!mayHaveUnread()) {
+    /** Implements {@link PendingUpdates#runAfterUpdates}. */
+    void runAfterUpdates(Runnable task) {
+        if (!mayHaveUnreadUpdates()) {
             task.run();
             return;
         }
         scheduler.execute(() -> {
-            long pollBegan = clock.now();
+            long pollStartMicros = clock.now();
             scheduler.schedule(0, () -> {
-                detector.socketsPolled(pollBegan);
+                detector.socketsPolled(pollStartMicros);
                 task.run();
             });
         });
     }
 
-    /** Runs a task after {@code delay}; how late it runs tells of stalls too. */
-    void schedule(long delay, Runnable task) {
-        long dueAt = clock.now() + delay;
-        detector.timerExpected(dueAt);
-        scheduler.schedule(delay, () -> {
-            detector.timerFired(dueAt);
+    /** Runs a task after {@code delayMicros}; its lateness is used to detect stalls as well. */
+    void schedule(long delayMicros, Runnable task) {
+        long dueAtMicros = clock.now() + delayMicros;
+        detector.timerExpected(dueAtMicros);
+        scheduler.schedule(delayMicros, () -> {
+            detector.timerFired(dueAtMicros);
             task.run();
         });
     }
 
-    /** Starts the heartbeat: from here on it is known at any time when the sockets were last polled. */
+    /** Starts the heartbeat, which records when the sockets were last polled. */
     void start() {
         long now = clock.now();
         detector.socketsPolled(now);
         scheduleHeartbeat(now);
     }
 
-    private void scheduleHeartbeat(long from) {
-        long dueAt = from + EventLoopStallDetector.HEARTBEAT_MICROS;
-        detector.timerExpected(dueAt);
-        scheduler.schedule(Math.max(0, dueAt - clock.now()), () -> {
-            detector.socketsPolled(from);
-            heartbeat(dueAt, false);
+    private void scheduleHeartbeat(long pollStartMicros) {
+        long dueAtMicros = pollStartMicros + EventLoopStallDetector.HEARTBEAT_MICROS;
+        detector.timerExpected(dueAtMicros);
+        scheduler.schedule(Math.max(0, dueAtMicros - clock.now()), () -> {
+            detector.socketsPolled(pollStartMicros);
+            heartbeat(dueAtMicros, false);
         });
     }
 
-    // The next heartbeat counts from the time read here: a stall right behind that read makes it late. A stall
-    // between the poll of the sockets and here has hidden what arrived meanwhile, so they are polled once more.
-    private void heartbeat(long dueAt, boolean repolled) {
+    // The next heartbeat is due relative to the time read here, so that a stall right after that read makes it late.
+    // Data that arrived during a stall between the poll of the sockets and this method is still unread, so the
+    // sockets are polled once more.
+    private void heartbeat(long dueAtMicros, boolean repolled) {
         long now = clock.now();
-        if (detector.mayHideUpdates(now) && !repolled) {
+        if (detector.mayHaveUnreadUpdates(now) && !repolled) {
             scheduler.schedule(0, () -> {
                 detector.socketsPolled(now);
-                heartbeat(dueAt, true);
+                heartbeat(dueAtMicros, true);
             });
             return;
         }
         try {
-            detector.timerFired(dueAt);
-            if (detector.shouldReport(now - dueAt, now)) {
-                log.accept("event=event_loop_stalled duration_ms=" + (now - dueAt) / 1000);
+            detector.timerFired(dueAtMicros);
+            if (detector.shouldReport(now - dueAtMicros, now)) {
+                log.accept("event=event_loop_stalled duration_ms=" + (now - dueAtMicros) / 1000);
             }
         } finally {
             scheduleHeartbeat(now);
--- a/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/http1/Http1ConnectionPool.java
@@ -56,7 +56,7 @@
      */
     public Http1ConnectionPool(
             EventLoop loop, SettingsReader.Boot boot, ConnectionBudget budget, Clock clock, PendingUpdates updates) {
-        this(loop, boot, budget, clock, updates, null, new IdleTimeout(boot.idleClose()));
+        this(loop, boot, budget, clock, updates, null, new IdleTimeout(boot.idleCloseMicros()));
     }
 
     /**
@@ -81,7 +81,7 @@
         this.clock = clock;
         this.idleTimeout = idleTimeout;
         this.bootstrap = bootstrap();
-        long everyMicros = idleTimeout.every();
+        long everyMicros = idleTimeout.checkIntervalMicros();
         sweep = loop.scheduleWithFixedDelay(this::sweep, everyMicros, everyMicros, TimeUnit.MICROSECONDS);
     }
 
@@ -105,7 +105,7 @@
     }
 
     private int connectMillis() {
-        long limitMicros = boot.settings().limits().connectTimeout();
+        long limitMicros = boot.settings().limits().connectTimeoutMicros();
         return limitMicros > 0
                 ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, limitMicros / 1000))
                 : DEFAULT_CONNECT_MILLIS;
@@ -118,7 +118,7 @@
     /** Other settings hold from here on. */
     public void reload(SettingsReader.Boot settings) {
         boot = settings;
-        idleTimeout = new IdleTimeout(settings.idleClose());
+        idleTimeout = new IdleTimeout(settings.idleCloseMicros());
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis());
     }
 
@@ -127,12 +127,12 @@
     @Override
     public void updateEndpoints(EndpointUpdate update, long nowMicros) {
         Set<String> listed = new HashSet<>();
-        for (EndpointUpdate.Endpoint entry : update.list()) {
+        for (EndpointUpdate.Endpoint entry : update.endpoints()) {
             listed.add(entry.server().id());
             Http1Upstream upstream = upstreams.computeIfAbsent(entry.server().id(), Http1Upstream::new);
-            if (entry.endpoint() != null && !entry.endpoint().equals(upstream.endpoint())) {
+            if (entry.address() != null && !entry.address().equals(upstream.endpoint())) {
                 upstream.closeIdle();
-                upstream.moveTo(entry.endpoint());
+                upstream.moveTo(entry.address());
             }
             if (entry.server().state() == Policy.State.UP) {
                 upstream.stopAt(DrainGrace.NEVER);
@@ -140,7 +140,7 @@
                 drain(upstream, nowMicros);
             }
         }
-        if (update.all()) {
+        if (update.complete()) {
             upstreams.values().stream()
                     .filter(upstream -> !listed.contains(upstream.id()))
                     .forEach(upstream -> drain(upstream, nowMicros));
@@ -148,8 +148,8 @@
     }
 
     private void drain(Http1Upstream upstream, long nowMicros) {
-        long graceMicros = boot.settings().bounds().drainGrace();
-        upstream.stopAt(DrainGrace.stopAt(upstream.stopAtMicros(), nowMicros, graceMicros));
+        long graceMicros = boot.settings().bounds().drainGraceMicros();
+        upstream.stopAt(DrainGrace.drainDeadlineMicros(upstream.stopAtMicros(), nowMicros, graceMicros));
         upstream.closeIdle();
     }
 
@@ -224,7 +224,7 @@
     private void sweep() {
         long nowMicros = clock.now();
         // Guards against a table that grows with every server that was ever listed.
-        upstreams.values().removeIf(upstream -> upstream.stopAtMicros() < nowMicros - DrainGrace.FORGET);
+        upstreams.values().removeIf(upstream -> upstream.stopAtMicros() < nowMicros - DrainGrace.RETENTION_MICROS);
         for (Http1Upstream upstream : upstreams.values()) {
             upstream.closeExpired(idleTimeout, nowMicros);
         }
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -31,7 +31,7 @@
     }
 
     private static RequestState overQuota(RequestClass requestClass) {
-        return PolicyFixtures.request("r", requestClass, requestClass.aim(), true);
+        return PolicyFixtures.request("r", requestClass, requestClass.aimMicros(), true);
     }
 
     /** Advances the time with arrivals of both classes and responses that take {@code load} times the objective. */
--- a/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
@@ -52,15 +52,15 @@
                 baseSettings.warmKeys(),
                 baseSettings.limits(),
                 new Policy.Bounds(
-                        bounds.answerSlack(),
-                        bounds.drainGrace(),
+                        bounds.answerSlackMicros(),
+                        bounds.drainGraceMicros(),
                         askWithinMicros,
                         bounds.coldFrom(),
-                        bounds.rampTime(),
+                        bounds.rampTimeMicros(),
                         bounds.overloadFactor(),
-                        bounds.fallWindow(),
-                        bounds.orderPause()),
-                baseSettings.tick());
+                        bounds.fallWindowMicros(),
+                        bounds.orderPauseMicros()),
+                baseSettings.clockTickMicros());
         return new DiscoverySubscription(new ActiveSettings(settings), new SplittableRandom(seed), new OperatorLog());
     }
 
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -179,7 +179,7 @@
             assertTrue(sent == null || sent.ended);
         }
         harness.updateEndpoints(ListKind.COMPLETE, List.of(new Server("c", State.UP, 0, 1, 0, 0, 0)));
-        assertEquals(0, sizeOf(harness.policy, "open"));
+        assertEquals(0, sizeOf(harness.policy, "requests"));
         assertTrue(sizeOf(field(harness.policy, "endpoints"), "servers") <= 1);
     }
 
--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -47,7 +47,7 @@
         private ArrayDeque<Long> idleConnections(String server) {
             ArrayDeque<Long> idleSince = idleSinceByServer.computeIfAbsent(server, id -> new ArrayDeque<>());
             while (!idleSince.isEmpty()
-                    && IDLE_TIMEOUT.ends(balancer.now - idleSince.peekFirst(), idleSince.size() - 1)) {
+                    && IDLE_TIMEOUT.isExpired(balancer.now - idleSince.peekFirst(), idleSince.size() - 1)) {
                 idleSince.pollFirst();
             }
             return idleSince;
@@ -123,7 +123,7 @@
                             shared.warmKeys(),
                             shared.limits(),
                             shared.bounds(),
-                            shared.tick()),
+                            shared.clockTickMicros()),
                     random.nextLong());
             harness.connections = new PooledConnections(harness);
             balancers.add(harness.updateEndpoints(ListKind.PERSISTED, servers));
@@ -174,7 +174,7 @@
                     id,
                     submission.requestClass,
                     0,
-                    settings.classes().get(submission.requestClass).deadline());
+                    settings.classes().get(submission.requestClass).deadlineMicros());
         }
         modelServers.values().forEach(this::serve);
         for (int i = 0; i < balancers.size(); i++) {
@@ -210,7 +210,7 @@
                     withinObjective[submission.requestClass] += latencyMicros
                                     <= settings.classes()
                                             .get(submission.requestClass)
-                                            .aim()
+                                            .aimMicros()
                             ? 1
                             : 0;
                 }
@@ -223,11 +223,11 @@
         if (warmth(modelServer) < 1) {
             modelServer.recentSendTimes.add(sentAt);
             while (modelServer.recentSendTimes.peekFirst()
-                    <= sentAt - settings.bounds().fallWindow()) {
+                    <= sentAt - settings.bounds().fallWindowMicros()) {
                 modelServer.recentSendTimes.pollFirst();
             }
             double allowedSends = settings.bounds().overloadFactor()
-                    * settings.bounds().fallWindow()
+                    * settings.bounds().fallWindowMicros()
                     / meanWorkMicros
                     * modelServer.speedFactor
                     * modelServer.server.weight()
@@ -253,10 +253,10 @@
     }
 
     private double warmth(ModelServer modelServer) {
-        long startedAt = modelServer.server.startedAt();
+        long startedAt = modelServer.server.startedAtMicros();
         double rampProgress = startedAt == 0
                 ? 1
-                : (double) (now - startedAt) / settings.bounds().rampTime();
+                : (double) (now - startedAt) / settings.bounds().rampTimeMicros();
         return Math.min(1, settings.bounds().coldFrom() + (1 - settings.bounds().coldFrom()) * rampProgress);
     }
 
@@ -298,7 +298,7 @@
                         && elapsedMicros
                                 < settings.classes()
                                         .get(submission.requestClass)
-                                        .deadline()) {
+                                        .deadlineMicros()) {
                     submissions.add(new Submission(
                             now + RESUBMIT_DELAY_MICROS,
                             submission.requestClass,
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -353,7 +353,7 @@
                         requestClass.effect() != Effect.UNSAFE, "an unsafe request that may have run was sent again");
                 assertTrue(
                         requestClass.effect() != Effect.KEYED
-                                || attempt.sentAt - earlier.sentAt < requestClass.keyMemory(),
+                                || attempt.sentAt - earlier.sentAt < requestClass.keyTtlMicros(),
                         "a keyed request was sent after its deduplication window");
             }
             assertTrue(outcome != Outcome.OK, "sent again after it had been served");
--- a/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -84,9 +84,9 @@
         }
         hedging.recordRejectedAttempt();
         hedging.recordRejectedAttempt();
-        assertFalse(hedging.isCrowded());
+        assertFalse(hedging.serversLackCapacity());
         hedging.recordRejectedAttempt();
-        assertTrue(hedging.isCrowded());
+        assertTrue(hedging.serversLackCapacity());
         assertFalse(hedging.isDue(requestWithOneAttempt(PolicyFixtures.SAFE), true, NOW + SAFE_HEDGE_DELAY_MICROS));
         assertTrue(hedging.isDue(
                 requestWithOneAttempt(PolicyFixtures.keyed(Scope.ALL)), true, NOW + SAFE_HEDGE_DELAY_MICROS));
--- a/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
@@ -559,7 +559,7 @@
                                 false,
                                 baseSettings.limits(),
                                 baseSettings.bounds(),
-                                baseSettings.tick()),
+                                baseSettings.clockTickMicros()),
                         3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(6));
         for (int i = 0; i < 40; i++) {
@@ -594,7 +594,7 @@
                                 true,
                                 baseSettings.limits(),
                                 baseSettings.bounds(),
-                                baseSettings.tick()),
+                                baseSettings.clockTickMicros()),
                         3)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(20));
         for (int i = 0; i < 600; i++) {
--- a/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -62,8 +62,8 @@
         static String placementViolation(RequestClass requestClass, Server server) {
             boolean zoneAllowed =
                     requestClass.zones().isEmpty() || requestClass.zones().contains(server.zone());
-            boolean machineKindAllowed = requestClass.machineKinds().isEmpty()
-                    || requestClass.machineKinds().contains(server.kind());
+            boolean machineKindAllowed = requestClass.machineModels().isEmpty()
+                    || requestClass.machineModels().contains(server.machineModel());
             return zoneAllowed && machineKindAllowed
                     ? null
                     : "sent to " + server.id() + ", which the class may not use";
--- a/src/test/java/loadbalancer/policy/SequencedKeysTest.java
+++ b/src/test/java/loadbalancer/policy/SequencedKeysTest.java
@@ -50,7 +50,7 @@
         for (Outcome outcome : Outcome.values()) {
             RequestState first = add("first");
             RequestState second = add("second");
-            first.sequence.restUntil = 0;
+            first.sequencedKey.blockedUntilMicros = 0;
             endRequest(first, outcome);
             if (!SequencedKeys.mayRun(second, NOW + ORDER_PAUSE_MICROS - 1)) {
                 outcomesWithRest.add(outcome);
@@ -64,13 +64,13 @@
     @Test
     void idleKeysAreRemovedWhenTheirRestIsOver() {
         RequestState first = add("first");
-        SequencedKey sequence = first.sequence;
+        SequencedKey sequence = first.sequencedKey;
         endRequest(first, Outcome.RESET);
         keys.removeIdle(NOW + ORDER_PAUSE_MICROS - 1);
-        assertEquals(sequence, add("second").sequence);
+        assertEquals(sequence, add("second").sequencedKey);
         SequencedKeys.remove(add("third"));
         sequence.requests.clear();
         keys.removeIdle(NOW + ORDER_PAUSE_MICROS);
-        assertNotSame(sequence, add("fourth").sequence);
+        assertNotSame(sequence, add("fourth").sequencedKey);
     }
 }
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -17,7 +17,7 @@
 
     private static ServerState serverStartedAt(long startedAt) {
         ServerState server = new ServerState(new Server("new", State.UP, startedAt, 1, 0, 0, 0), 0);
-        server.slowStartTokensAt = NOW;
+        server.slowStartTokensUpdatedAtMicros = NOW;
         return server;
     }
 
