--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -61,7 +61,7 @@
         channel.config().setAutoRead(!shared);
     }
 
-    /** Stops accepting for good. A listener that is shared with other processes is not closed, only no longer read. */
+    /** Stops accepting connections. A listener that is shared with other processes is not closed but no longer read. */
     void stopAccepting() {
         if (sharedListener) {
             listener.config().setAutoRead(false);
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -201,7 +201,7 @@
         alternativeService = service;
     }
 
-    /** Stops accepting for good. A socket that is shared with other processes is not closed, only no longer read. */
+    /** Stops accepting connections. A socket that is shared with other processes is not closed but no longer read. */
     public void stopAccepting() {
         admission.stopAccepting();
     }
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -192,7 +192,7 @@
         }
     }
 
-    // The client has reset the stream: it drops an incomplete request, or the response to a complete one.
+    // The client has reset the stream: an incomplete request is void, and the response to a complete one is not read.
     private void cancelled() {
         if (state == State.OPEN) {
             state = State.RESET;
