--- a/src/main/java/loadbalancer/downstream/ClientAddress.java
+++ b/src/main/java/loadbalancer/downstream/ClientAddress.java
@@ -11,14 +11,14 @@
     private ClientAddress() {}
 
     /**
-     * Returns the key of a remote address; see {@link ConnectionBudget#address}. All connections without an IP
+     * Returns the key of a remote address; see {@link ConnectionBudget#addressKey}. All connections without an IP
      * address, such as those over a Unix domain socket and those that are already closed, share one key.
      *
      * @param remote the address, or null if it is no longer known
      */
     public static Object key(SocketAddress remote) {
         return remote instanceof InetSocketAddress address
-                ? ConnectionBudget.address(address.getAddress().getAddress())
+                ? ConnectionBudget.addressKey(address.getAddress().getAddress())
                 : UNKNOWN_ADDRESS_KEY;
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -85,11 +85,11 @@
         if (state != State.READY) {
             return;
         }
-        if (dispatcher.mayHaveUnread() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
+        if (dispatcher.mayHaveUnreadUpdates() && !budget.admits(Direction.CLIENT, System.nanoTime())) {
             // Some connections that seem idle may have a request that has not been read yet.
             state = State.AWAITING_READS;
             setAccepting(false, "unread sockets");
-            dispatcher.afterUpdates(() -> {
+            dispatcher.runAfterUpdates(() -> {
                 state = State.READY;
                 update();
             });
@@ -101,7 +101,7 @@
         budget.setClientsWaiting(!hasCapacity);
         if (listener.isOpen()) {
             boolean accepting =
-                    hasCapacity && !acceptRetryPending && warmUpAdmits(0) && lifeCycle.accepts(sharedListener);
+                    hasCapacity && !acceptRetryPending && warmUpAdmits(0) && lifeCycle.acceptsConnections(sharedListener);
             setAccepting(accepting, !hasCapacity ? "no capacity" : warmingUp ? "warm-up" : "life cycle");
             if (!accepting) {
                 scheduleRecheck();
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -103,9 +103,7 @@
     /** Responds to, aborts or closes whatever exceeds its timeout. */
     void checkTimeouts(long nowNanos) {
         boolean readable = !input.isPaused() && input.isAutoRead();
-        if (serveState != ServeState.CLOSING
-                && readable
-                && timeouts.isReceiveOverdue(receiveProgress.state(), nowNanos)) {
+        if (serveState != ServeState.CLOSING && readable && timeouts.isReceiveOverdue(receiveProgress.state(), nowNanos)) {
             onMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
         }
         if (input.isStreaming() || streamer != null) {
@@ -157,7 +155,7 @@
             receiveProgress.receiveStarted();
             long nowNanos = System.nanoTime();
             timeouts.receiveStarted(nowNanos);
-            listener.budget().receiving(permit, nowNanos);
+            listener.budget().partialRequestReceived(permit, nowNanos);
         }
     }
 
@@ -288,7 +286,7 @@
     void respond(FinalResponse response, boolean keepAlive) {
         clientClosedCallback = null;
         // A client may send its whole long body before it reads the response.
-        maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : DEFAULT_MAX_DRAINED_BYTES;
+        maxDrainedBytes = input.isStreaming() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : DEFAULT_MAX_DRAINED_BYTES;
         queue.releaseServed();
         boolean moreInput = hasMoreInput();
         boolean staysOpen =
@@ -341,7 +339,7 @@
         boolean selfDelimited = ResponseHeads.isSelfDelimited(response, http10);
         boolean mayStayOpen = mayStayOpen(keepAlive) && selfDelimited;
         timeouts.streamStarted(System.nanoTime());
-        streamer = new ResponseStreamer(this, channel, response.rest(), mayStayOpen);
+        streamer = new ResponseStreamer(this, channel, response.remainingBody(), mayStayOpen);
         streamer.start(ResponseHeads.streamed(response, selfDelimited, mayStayOpen), response.body());
     }
 
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -99,7 +99,7 @@
             Channel bound = (shared ? bootstrap.register() : bootstrap.bind(address))
                     .sync()
                     .channel();
-            ReadBeforeTimers.every(loop, TIMEOUT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
+            ReadBeforeTimers.scheduleWithFixedDelay(loop, TIMEOUT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -174,18 +174,18 @@
     // A few at a time: requests that have been received meanwhile are read between two tasks and are not cut off.
     private void closeIdle() {
         long nowNanos = System.nanoTime();
-        long maxIdleNanos = lifeCycle.maxIdleTime(nowNanos);
+        long maxIdleNanos = lifeCycle.maxIdleNanos(nowNanos);
         if (maxIdleNanos == Long.MAX_VALUE || idleCloseScheduled) {
             return;
         }
         List<Http1ClientConnection> expired = connections.stream()
-                .filter(c -> c.permit().isIdle() && c.permit().since(nowNanos) >= maxIdleNanos)
+                .filter(c -> c.permit().isIdle() && c.permit().timeInStateNanos(nowNanos) >= maxIdleNanos)
                 .limit(MAX_IDLE_CLOSES_PER_TASK)
                 .toList();
         expired.forEach(Http1ClientConnection::close);
         if (expired.size() == MAX_IDLE_CLOSES_PER_TASK) {
             idleCloseScheduled = true;
-            ReadBeforeTimers.after(loop, 1, TimeUnit.MILLISECONDS, () -> {
+            ReadBeforeTimers.schedule(loop, 1, TimeUnit.MILLISECONDS, () -> {
                 idleCloseScheduled = false;
                 closeIdle();
             });
@@ -256,7 +256,7 @@
         List.copyOf(connections).forEach(c -> c.checkTimeouts(nowNanos));
         budget.closeExpired(nowNanos);
         admission.update();
-        String pressureChange = budget.pressureChange(nowNanos);
+        String pressureChange = budget.pressureChangeLogLine(nowNanos);
         if (pressureChange != null) {
             log.accept(pressureChange);
         }
@@ -288,12 +288,12 @@
 
     /** Whether connections may stay open after a response. */
     boolean keepsConnections() {
-        return lifeCycle.keepsConnections();
+        return lifeCycle.keepsConnectionsOpen();
     }
 
     /** The value of Alt-Svc in responses; null for none. */
     String alternativeService() {
-        return lifeCycle.keepsConnections() ? alternativeService : null;
+        return lifeCycle.keepsConnectionsOpen() ? alternativeService : null;
     }
 
     void reportViolation(Violation violation, String subject) {
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -82,7 +82,7 @@
         bodyLength = 0;
         listener.onHead(request);
         long contentLength = HttpUtil.getContentLength(request, -1L);
-        if (!stopped && contentLength > ProxyRequest.BODY_MOST) {
+        if (!stopped && contentLength > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(channel, contentLength);
         }
     }
@@ -115,7 +115,7 @@
         if (bytes == 0) {
             return;
         }
-        if (bodyLength + bytes > ProxyRequest.BODY_MOST) {
+        if (bodyLength + bytes > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(channel, -1);
             if (stream != null) { // the request was not refused immediately
                 stream.append(content, false);
@@ -130,7 +130,7 @@
             body = ByteBufUtil.getBytes(content);
         } else {
             if (bodyLength + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (bodyLength + bytes)));
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.MAX_BUFFERED_BODY_BYTES, 2 * (bodyLength + bytes)));
             }
             content.readBytes(body, bodyLength, bytes);
         }
@@ -224,19 +224,19 @@
 
         private void append(ByteBuf content, boolean last) {
             receivedBytes += content.readableBytes();
-            if (receivedBytes > ProxyRequest.LENGTH_MOST) {
+            if (receivedBytes > ProxyRequest.MAX_STREAMED_BODY_BYTES) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
-            if (!started() && !cancelled) {
+            if (!hasSubscriber() && !cancelled) {
                 buffer(ByteBufUtil.getBytes(content));
-            } else if (started() && content.isReadable()) {
+            } else if (hasSubscriber() && content.isReadable()) {
                 subscriber().onData(ByteBufUtil.getBytes(content));
             }
             if (last) {
                 complete = true;
                 stream = null;
-                if (started()) {
+                if (hasSubscriber()) {
                     subscriber().onComplete();
                 }
             }
@@ -253,7 +253,7 @@
 
         private void abort() {
             cancel();
-            if (started()) {
+            if (hasSubscriber()) {
                 subscriber().onError();
             }
         }
--- a/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestQueue.java
@@ -79,7 +79,7 @@
 
     /** Cancels a streamed body without a subscriber; does nothing for null. */
     static void cancelUnstarted(BodyStream body) {
-        if (body != null && !body.started()) {
+        if (body != null && !body.hasSubscriber()) {
             body.cancel();
         }
     }
--- a/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
+++ b/src/main/java/loadbalancer/downstream/http1/ResponseStreamer.java
@@ -10,7 +10,7 @@
  * Streams a long response to the client while it is received from the upstream, no faster than the client reads it.
  * Must be used on the event loop.
  */
-final class ResponseStreamer implements BodyStream.Taker {
+final class ResponseStreamer implements BodyStream.Subscriber {
     private final Http1ClientConnection connection;
     private final BodyStream source;
     private final boolean keepAlive;
--- a/src/main/java/loadbalancer/http1/BodyReader.java
+++ b/src/main/java/loadbalancer/http1/BodyReader.java
@@ -9,7 +9,7 @@
  */
 public abstract class BodyReader implements BodyStream {
     private final Channel channel;
-    private Taker subscriber;
+    private Subscriber subscriber;
 
     /** Creates a body that is read from {@code channel}. */
     protected BodyReader(Channel channel) {
@@ -17,17 +17,17 @@
     }
 
     /** Returns the receiver of the body; null before {@link #subscribe}. */
-    public final Taker subscriber() {
+    public final Subscriber subscriber() {
         return subscriber;
     }
 
     @Override
-    public final boolean started() {
+    public final boolean hasSubscriber() {
         return subscriber != null;
     }
 
     @Override
-    public final void subscribe(Taker newSubscriber) {
+    public final void subscribe(Subscriber newSubscriber) {
         if (subscriber != null) {
             throw new IllegalStateException("the body stream already has a subscriber");
         }
--- a/src/main/java/loadbalancer/logging/NettyLogger.java
+++ b/src/main/java/loadbalancer/logging/NettyLogger.java
@@ -3,7 +3,7 @@
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import java.util.function.Consumer;
 
-/** One of Netty's loggers, for one of its classes. Only warnings and errors are written. Thread-safe. */
+/** The logger of one of Netty's classes. Writes warnings and errors only. Thread-safe. */
 final class NettyLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
     private static final String WARNING = "warning";
@@ -20,13 +20,14 @@
 
     private void write(String level, String message, Throwable cause) {
         String simpleName = name().substring(name().lastIndexOf('.') + 1);
-        String line = limiter.line(level, simpleName, String.valueOf(message), cause, System.nanoTime());
+        String line =
+                limiter.formatUnlessSuppressed(level, simpleName, String.valueOf(message), cause, System.nanoTime());
         if (line != null) {
             sink.accept(line);
         }
     }
 
-    /** Fills in Netty's placeholders; an exception that has none is the cause. */
+    /** Fills in Netty's placeholders; an exception without a placeholder of its own is logged as the cause. */
     private void format(String level, String format, Object... arguments) {
         String message = format;
         Throwable cause = null;
--- a/src/main/java/loadbalancer/proxy/StreamedUpload.java
+++ b/src/main/java/loadbalancer/proxy/StreamedUpload.java
@@ -1,11 +1,11 @@
 package loadbalancer.proxy;
 
 /**
- * A client's long body that is forwarded as it is received: passes everything through, and notifies a
- * listener when the last byte has been received and when the upstream stops or resumes accepting bytes.
+ * A decorator of a client's streamed body that notifies a listener when the last byte has been received, and when the
+ * upstream stops or resumes accepting bytes.
  */
 final class StreamedUpload implements BodyStream {
-    /** Whom it notifies, on the event loop. */
+    /** Is notified on the event loop. */
     interface Listener {
         /** The last byte has been received; called before it is forwarded. */
         void uploadComplete();
@@ -21,33 +21,33 @@
         this.source = source;
     }
 
-    /** To be called before the body is subscribed to. */
-    void setListener(Listener to) {
-        listener = to;
+    /** Sets the listener; to be called before {@link #subscribe}. */
+    void setListener(Listener newListener) {
+        listener = newListener;
     }
 
     @Override
-    public boolean started() {
-        return source.started();
+    public boolean hasSubscriber() {
+        return source.hasSubscriber();
     }
 
     @Override
-    public void subscribe(Taker taker) {
-        source.subscribe(new Taker() {
+    public void subscribe(Subscriber subscriber) {
+        source.subscribe(new Subscriber() {
             @Override
             public void onData(byte[] bytes) {
-                taker.onData(bytes);
+                subscriber.onData(bytes);
             }
 
             @Override
             public void onComplete() {
                 listener.uploadComplete();
-                taker.onComplete();
+                subscriber.onComplete();
             }
 
             @Override
             public void onError() {
-                taker.onError();
+                subscriber.onError();
             }
         });
     }
--- a/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
+++ b/src/test/java/loadbalancer/config/toml/ConfigFileTest.java
@@ -117,8 +117,8 @@
         assertEquals(now.connections(), recorded.connections());
         assertEquals(now.listen(), recorded.listen());
         assertEquals(List.of("read"), recorded.boot().classes());
-        assertEquals(200_000, recorded.boot().settings().classes().get(0).aim());
-        assertEquals(1_000_000, recorded.boot().settings().classes().get(0).deadline());
+        assertEquals(200_000, recorded.boot().settings().classes().get(0).aimMicros());
+        assertEquals(1_000_000, recorded.boot().settings().classes().get(0).deadlineMicros());
         assertEquals(
                 new Policy.Limits(3, true, true, false, 500_000, 2_000_000),
                 recorded.boot().settings().limits());
@@ -169,7 +169,7 @@
                         "f.toml:19: class[1].aim: longer than the deadline",
                         "f.toml:21: class[1].zones: not among [default]: [b]",
                         "f.toml:23: limits.connect: not a time like 250ms or 1.5s: '5'",
-                        "f.toml:24: limits.client-floor: with the others of the table impossible upstreamFloor: 0.2"),
+                        "f.toml:24: limits.client-floor: with the others of the table out of range: upstreamFloor=0.2"),
                 assertThrows(Problems.Bad.class, () -> ConfigFile.read("f.toml", FILE_WITH_PROBLEMS))
                         .problems());
     }
@@ -201,7 +201,7 @@
         Config config = ConfigFile.read("f.toml", FULL_FILE);
         assertEquals(List.of("read", "stamp"), config.boot().classes());
         Policy.RequestClass stamp = config.boot().settings().classes().get(1);
-        assertEquals(5_000_000, stamp.keyMemory());
+        assertEquals(5_000_000, stamp.keyTtlMicros());
         assertEquals(Set.of(1), stamp.zones());
         assertEquals(1, config.boot().settings().zone());
         assertEquals(
--- a/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
+++ b/src/test/java/loadbalancer/downstream/http1/RequestAggregatorTest.java
@@ -68,7 +68,7 @@
     @Test
     void memoryOfABodyIsReleasedOnceWhenItIsSubscribedToOrDropped() {
         EmbeddedChannel channel = channelWithLongBody(60_000);
-        bodyStream.subscribe(new BodyStream.Taker() {
+        bodyStream.subscribe(new BodyStream.Subscriber() {
             @Override
             public void onData(byte[] bytes) {
                 receivedBytes += bytes.length;
--- a/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -53,7 +53,7 @@
             }
 
             @Override
-            public void each(BiConsumer<String, String> action) {
+            public void forEach(BiConsumer<String, String> action) {
                 action.accept("x-a", "1");
             }
         };
--- a/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -23,23 +23,23 @@
 
     private static HashRing ring(int rank, List<ServerState> servers) {
         HashRing ring = new HashRing(rank, 4);
-        ring.arrange(servers, 1);
+        ring.assignPoints(servers, 1);
         return ring;
     }
 
     @Test
-    void aBalancerMeetsEachServerOnceInAnOrderOfItsOwn() {
+    void eachBalancerHasItsOwnOrderOfAllServers() {
         List<ServerState> servers = servers(30);
         ServerState[] first = ring(0, servers).homeOrder();
         assertEquals(30, first.length);
         assertEquals(new HashSet<>(servers), new HashSet<>(Arrays.asList(first)));
-        List<ServerState> others = servers(30);
+        List<ServerState> sameServers = servers(30);
         assertNotEquals(
-                first[0].server.id(), ring(2, others).homeOrder()[0].server.id());
+                first[0].endpoint.id(), ring(2, sameServers).homeOrder()[0].endpoint.id());
     }
 
     @Test
-    void pointsFollowTheWeightWithinBounds() {
+    void ringPointsAreProportionalToTheWeightWithinBounds() {
         List<ServerState> servers = List.of(
                 PolicyFixtures.server("light", 0.001, 0),
                 PolicyFixtures.server("mean", 1, 0),
@@ -49,20 +49,20 @@
     }
 
     @Test
-    void aServerThatLeavesMovesNoOther() {
+    void aServerThatLeavesDoesNotReorderTheOthers() {
         List<ServerState> servers = servers(20);
         HashRing ring = ring(1, servers);
         List<ServerState> before = new ArrayList<>(Arrays.asList(ring.homeOrder()));
         ServerState leaving = before.get(3);
-        leaving.server = leaving.server.withState(State.DRAINING);
-        ring.arrange(servers, 1);
+        leaving.endpoint = leaving.endpoint.withState(State.DRAINING);
+        ring.assignPoints(servers, 1);
         before.remove(leaving);
         assertEquals(before, Arrays.asList(ring.homeOrder()));
         assertFalse(Arrays.asList(ring.keyOrder()).contains(leaving));
     }
 
     @Test
-    void aKeyKeepsItsPlaceAndKeysAreSpread() {
+    void aKeyKeepsItsPositionAndKeysAreSpreadOverTheServers() {
         HashRing ring = ring(0, servers(20));
         ServerState[] order = ring.keyOrder();
         assertEquals(20 * 8, order.length);
@@ -70,13 +70,13 @@
         for (int key = 1; key <= 1_000; key++) {
             int index = ring.indexOf(Hashing.hash("key" + key));
             assertEquals(index, ring.indexOf(Hashing.hash("key" + key)));
-            starts.add(order[index % order.length].server.id());
+            starts.add(order[index % order.length].endpoint.id());
         }
         assertEquals(20, starts.size());
     }
 
     @Test
-    void aRemovedServerHasNoPoints() {
+    void aRemovedServerHasNoRingPoints() {
         List<ServerState> servers = servers(3);
         HashRing ring = ring(0, servers);
         ring.remove(servers.get(0));
--- a/src/test/java/loadbalancer/proxy/SingleAttemptPolicy.java
+++ b/src/test/java/loadbalancer/proxy/SingleAttemptPolicy.java
@@ -4,14 +4,17 @@
 import java.util.List;
 import loadbalancer.policy.Policy;
 
-/** Sends each request once, and fails it when the attempt has ended with any outcome but OK. */
+/**
+ * A policy that starts {@code attemptsPerRequest} attempts of each request, by default one, and fails the request if
+ * an outcome is not OK.
+ */
 class SingleAttemptPolicy implements Policy {
     final List<String> notifications = new ArrayList<>();
-    final List<String> events = new ArrayList<>(); // endpoint lists and requests
+    final List<String> events = new ArrayList<>(); // endpoint lists and requests, in the order of their receipt
     boolean neverFails;
     boolean ignoresDisconnects;
     int attemptsPerRequest = 1;
-    long within = Long.MAX_VALUE;
+    long startWithinMicros = Long.MAX_VALUE;
 
     @Override
     public void reload(
@@ -29,13 +32,13 @@
             int requestClass,
             int tenant,
             String key,
-            long timeLeft,
-            long work,
+            long timeLeftMicros,
+            long workMicros,
             boolean resubmission,
             Actions actions) {
         events.add("request");
         for (int i = 0; i < attemptsPerRequest; i++) {
-            actions.send(request, "s", 50_000, within);
+            actions.send(request, "s", 50_000, startWithinMicros);
         }
     }
 
@@ -45,7 +48,7 @@
             String request,
             int attempt,
             Outcome outcome,
-            long latency,
+            long latencyMicros,
             boolean closed,
             Load load,
             Actions actions) {
@@ -67,7 +70,8 @@
     }
 
     @Override
-    public void probeCompleted(long now, String server, Outcome outcome, long latency, Load load, Actions actions) {}
+    public void probeCompleted(
+            long now, String server, Outcome outcome, long latencyMicros, Load load, Actions actions) {}
 
     @Override
     public void wake(long now, Actions actions) {}
