--- a/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/http1/ResponseDecoder.java
@@ -145,7 +145,9 @@
         boolean delimited = codings.isEmpty() || chunked;
         endsWithConnection = codings.isEmpty() && !HttpUtil.isContentLengthSet(response);
         long contentLength = HttpUtil.getContentLength(response, -1L);
-        if (!delimited || contentLength > (mayStream() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : ProxyRequest.MAX_BUFFERED_BODY_BYTES)) {
+        if (!delimited
+                || contentLength
+                        > (mayStream() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : ProxyRequest.MAX_BUFFERED_BODY_BYTES)) {
             rejectMalformed();
         } else if (contentLength > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(contentLength);
--- a/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
@@ -39,8 +39,7 @@
         assertEquals(0, latency.submissionAgeMicros(3_000_000, 3_000_000, false));
         assertEquals(1_000_000, latency.submissionAgeMicros(3_000_000, 2_000_000, true));
         assertEquals(0, latency.submissionAgeMicros(3_000_000, 2_950_000, true), "within the tolerance");
-        assertEquals(
-                0, latency.submissionAgeMicros(3_000_000, 1_000_000, false), "not marked as a resubmission");
+        assertEquals(0, latency.submissionAgeMicros(3_000_000, 1_000_000, false), "not marked as a resubmission");
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/PolicyFixtures.java
+++ b/src/test/java/loadbalancer/policy/PolicyFixtures.java
@@ -51,7 +51,8 @@
 
     static RequestState request(
             String id, RequestClass requestClass, Policy.Limits limits, long objectiveMicros, boolean overQuota) {
-        RequestState.Times times = new RequestState.Times(NOW, NOW + requestClass.deadlineMicros(), NOW + objectiveMicros);
+        RequestState.Times times =
+                new RequestState.Times(NOW, NOW + requestClass.deadlineMicros(), NOW + objectiveMicros);
         return new RequestState(id, new ClassLatency(requestClass), requestClass, limits, 0, times, overQuota);
     }
 
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -107,7 +107,8 @@
             List<Long> sends, long startedAt, double warmSendsPerSecond, Policy.Bounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long windowStart = sends.get(i);
-            double warmth = bounds.coldFrom() + (1 - bounds.coldFrom()) * (windowStart - startedAt) / bounds.rampTimeMicros();
+            double warmth =
+                    bounds.coldFrom() + (1 - bounds.coldFrom()) * (windowStart - startedAt) / bounds.rampTimeMicros();
             long windowEnd = windowStart + bounds.fallWindowMicros();
             long count = sends.stream()
                     .filter(t -> t >= windowStart && t < windowEnd)
