--- a/src/main/java/loadbalancer/admin/AdminServer.java
+++ b/src/main/java/loadbalancer/admin/AdminServer.java
@@ -33,41 +33,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' endpoint: HTTP/1.1, one request to a connection, which closes behind its response. Operators'
- * connections are few and trusted, but may be stuck: a new one beyond the limit closes the oldest.
+ * The HTTP/1.1 server for operators. Each connection carries one request and is closed after the response. Connections
+ * of operators are few and trusted, but may hang: a new connection beyond the limit closes the oldest one.
  */
 public final class AdminServer {
     private static final int MAX_CONNECTIONS = 16;
-    private static final int BACKLOG = 64;
-    private static final long REQUEST_MILLIS = 5_000; // for the request and its response
-    private static final long CLOSE_MILLIS = 1_000; // for the response to be read
+    private static final int ACCEPT_BACKLOG = 64;
+    private static final long REQUEST_TIMEOUT_MILLIS = 5_000; // for the request and the response
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000; // for the client to read the response
     private static final int MAX_REQUEST_LINE_BYTES = 1_024;
     private static final int MAX_HEADER_BYTES = 4_096;
-    private static final int MAX_BODY_BYTES = 4_096; // it is ignored
+    private static final int MAX_BODY_BYTES = 4_096; // the body is ignored
 
     private final EventLoop loop;
     private final AdminOperations operations;
-    private final Set<Channel> connections = new LinkedHashSet<>(); // the oldest first
+    private final Set<Channel> connections = new LinkedHashSet<>(); // oldest first
     private Channel listener;
 
-    /** An endpoint that is not bound yet; {@code operations} is called on {@code loop}. */
+    /** Creates a server that does not listen yet; {@code operations} is called on {@code loop}. */
     public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
         this.operations = operations;
     }
 
     /**
-     * Listens; called from another thread than the loop's.
+     * Starts to listen; must not be called on the event loop.
      *
-     * @return the address in use
-     * @throws IOException if the calling thread is interrupted; what binding fails with is thrown as it is
+     * @return the bound address
+     * @throws IOException if the calling thread is interrupted; the cause of a failed bind is thrown unchanged
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         try {
             listener = new ServerBootstrap()
                     .group(loop, loop)
                     .channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<NioSocketChannel>() {
@@ -82,11 +82,11 @@
             return (InetSocketAddress) listener.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted");
+            throw new IOException("interrupted while binding the management listener");
         }
     }
 
-    /** Accepts no more connections. */
+    /** Closes the listener; open connections are not affected. */
     public void close() {
         listener.close();
     }
@@ -99,7 +99,7 @@
         }
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
-        loop.schedule(() -> channel.close(), REQUEST_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> channel.close(), REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         channel.pipeline()
                 .addLast(
                         new HttpRequestDecoder(new HttpDecoderConfig()
@@ -109,7 +109,7 @@
                         new RequestHandler(channel));
     }
 
-    /** One connection and its request. */
+    /** Handles the request of one connection. */
     private final class RequestHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final NioSocketChannel channel;
         private HttpRequest head;
@@ -123,10 +123,10 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
             if (responded) {
-                return; // one request to a connection
+                return; // only the first request is answered
             }
             if (!part.decoderResult().isSuccess()) {
-                respond(malformed(part.decoderResult().cause()));
+                respond(malformedResponse(part.decoderResult().cause()));
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -142,7 +142,7 @@
             }
         }
 
-        private AdminRoutes.Response malformed(Throwable cause) {
+        private AdminRoutes.Response malformedResponse(Throwable cause) {
             return cause instanceof TooLongHttpLineException || cause instanceof TooLongHttpHeaderException
                     ? AdminRoutes.Response.of(431, "too long")
                     : AdminRoutes.Response.of(400, "not a call in HTTP/1.1");
@@ -161,11 +161,11 @@
             if (response.allow() != null) {
                 message.headers().set(HttpHeaderNames.ALLOW, response.allow());
             }
-            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            // An immediate close with unread input would reset the connection before the client reads the response.
             channel.writeAndFlush(message)
                     .addListener(
                             written -> channel.shutdownOutput().addListener(ChannelFutureListener.CLOSE_ON_FAILURE));
-            loop.schedule(() -> channel.close(), CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> channel.close(), CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -14,28 +14,29 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Fetches the endpoint list from the discovery service and watches it. Where the service is polled, it does so as the
- * policy requests; where lists are pushed by an agent, it always watches. Each request is a {@link DiscoveryCall};
- * {@link VersionTracker} orders the lists, and {@link WatchTimeout} says when a watch is replaced.
+ * Fetches the endpoint list from the discovery service and watches it for changes. If the service is polled, fetches
+ * and watches are made at the request of the policy; if an agent pushes the lists, the client always watches. Each
+ * request is a {@link DiscoveryCall}; {@link VersionTracker} orders the lists, and {@link WatchTimeout} decides when a
+ * watch is replaced.
  *
- * <p>Runs on the event loop. Nothing is thrown for faults of the service: they are logged, and reported to the listener
- * where the policy waits for a response.
+ * <p>Runs on the event loop. Failures of the service cause no exceptions: they are logged, and reported to the listener
+ * if the policy waits for a response.
  */
 public final class DiscoveryClient implements EndpointSource {
     private static final int MAX_UNANSWERED_WATCHES = 3;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Is notified of lists. Runs on the event loop. */
+    /** Receives endpoint lists and failures. Runs on the event loop. */
     @FunctionalInterface
     public interface UpdateListener {
         /**
-         * A list was received, or a fetch or watch has failed.
+         * Called when a list was received, or a fetch or watch has failed.
          *
-         * @param kind what the list holds; FAILED if there is none
+         * @param kind whether the list is complete or partial; FAILED if there is no list
          * @param update the list; null if there is none
-         * @param notifiedFor µs for which it may already have counted as notified
+         * @param notifiedForMicros how long the platform may already have considered this balancer as notified, in µs
          */
-        void onUpdate(ListKind kind, EndpointUpdate update, long notifiedFor);
+        void onUpdate(ListKind kind, EndpointUpdate update, long notifiedForMicros);
     }
 
     private final EventLoop loop;
@@ -52,23 +53,23 @@
     private boolean watchRequested;
 
     /**
-     * A client that has sent nothing yet.
+     * Creates a client that has not yet sent a request.
      *
-     * @param address of the discovery service
-     * @param rev the version of the list that is in use
-     * @param log takes a line where the service sends what can't be used
+     * @param address the address of the discovery service
+     * @param versionInUse the version of the list in use
+     * @param log receives a line for each unusable response
      */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             SettingsReader.Boot boot,
-            long rev,
+            long versionInUse,
             UpdateListener listener,
             Consumer<String> log) {
         this.loop = loop;
         this.address = address;
         this.boot = boot;
-        this.versions = new VersionTracker(rev);
+        this.versions = new VersionTracker(versionInUse);
         this.listener = listener;
         this.log = log;
         Policy.Settings settings = boot.settings();
@@ -76,7 +77,7 @@
         this.timeout = new WatchTimeout(pushed, settings.rank(), settings.balancers());
     }
 
-    /** Opens the watch where lists are pushed. */
+    /** Opens the watch if lists are pushed. */
     public void start() {
         if (pushed) {
             watch(true);
@@ -100,15 +101,15 @@
     }
 
     /**
-     * Continues at another discovery service: open requests are repeated there at once. The list stays in use
-     * meanwhile, and no failure is reported, as there was none. The watch starts with the complete list, as another
-     * service may have other versions.
+     * Switches to another discovery service and repeats the open requests there immediately. The current list stays in
+     * use, and no failure is reported, as none has occurred. The new watch starts with the complete list, because the
+     * versions of another service may differ.
      */
-    public void moveTo(InetSocketAddress other) {
-        if (other.equals(address)) {
+    public void switchTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = other;
+        address = newAddress;
         versions.reset();
         for (DiscoveryCall call : List.copyOf(openCalls)) {
             cancel(call);
@@ -126,17 +127,17 @@
     private final class CallListener implements DiscoveryCall.Listener {
         @Override
         public void onReceived(DiscoveryCall call, String json) {
-            received(call, json);
+            handleReceived(call, json);
         }
 
         @Override
         public void onSilence(DiscoveryCall call) {
-            silent(call);
+            handleSilence(call);
         }
 
         @Override
         public void onDisconnect(DiscoveryCall call) {
-            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
         }
     }
 
@@ -163,10 +164,10 @@
 
     // ---------------------------------------------------------------- lists
 
-    private void received(DiscoveryCall call, String json) {
+    private void handleReceived(DiscoveryCall call, String json) {
         if (json.isEmpty()) {
             if (call.isWatch() && !call.isAnswered()) {
-                accept(call, unchanged());
+                handleUpdate(call, unchanged());
             }
             return;
         }
@@ -174,26 +175,26 @@
         try {
             update = EndpointUpdateReader.parse(json, boot);
         } catch (IllegalArgumentException e) {
-            // A change may be lost with it: the next watch, from the version in use, brings it.
+            // A change may be lost with this list. The next watch starts from the version in use and reports it again.
             log.accept("event=endpoint_list_invalid reason=" + e.getMessage());
-            ended(call, WatchTimeout.EndCause.DISCONNECT);
+            handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
-        accept(call, update);
+        handleUpdate(call, update);
     }
 
     private EndpointUpdate unchanged() {
         return new EndpointUpdate(versions.inUse(), false, List.of());
     }
 
-    private void accept(DiscoveryCall call, EndpointUpdate update) {
-        VersionTracker.Verdict verdict =
-                versions.judge(update.rev(), update.all(), call.versionAtRequest(), !call.isAnswered());
-        switch (verdict) {
+    private void handleUpdate(DiscoveryCall call, EndpointUpdate update) {
+        VersionTracker.Decision decision =
+                versions.evaluate(update.version(), update.complete(), call.versionAtRequest(), !call.isAnswered());
+        switch (decision) {
             case ACCEPT -> deliver(call, update);
             case STALE -> deliver(call, unchanged()); // the call is answered, and the newer list stays in use
-            case OUT_OF_ORDER -> restartFromCompleteList(call, update.rev());
-            default -> throw new IllegalStateException("no such verdict: " + verdict);
+            case OUT_OF_ORDER -> restartFromCompleteList(call, update.version());
+            default -> throw new IllegalStateException("unknown decision: " + decision);
         }
     }
 
@@ -203,41 +204,41 @@
         long notifiedForMicros = 0;
         if (firstOfWatch) {
             newestWatch = call;
-            openWatches().stream().filter(other -> other != call).forEach(this::cancel);
-            notifiedForMicros = timeout.takeNotifiedFor(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
+            openWatches().stream().filter(watch -> watch != call).forEach(this::cancel);
+            notifiedForMicros = timeout.takeNotifiedForMillis(call.lastReceivedAtMillis()) * MICROS_PER_MILLI;
         }
-        listener.onUpdate(update.all() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
+        listener.onUpdate(update.complete() ? ListKind.COMPLETE : ListKind.PARTIAL, update, notifiedForMicros);
         if (!call.isWatch()) {
             cancel(call);
         }
     }
 
     private void restartFromCompleteList(DiscoveryCall call, long receivedVersion) {
-        if (newestWatch != call) { // the newest watch will bring the list
-            ended(call, WatchTimeout.EndCause.DISCONNECT);
+        if (newestWatch != call) { // the newest watch will receive the list
+            handleEnd(call, WatchTimeout.EndCause.DISCONNECT);
             return;
         }
         log.accept("event=endpoint_version_regressed from=" + versions.inUse() + " to=" + receivedVersion);
         versions.reset();
-        long delayMillis = timeout.restartDelay(DiscoveryCall.nowMillis(), true);
+        long delayMillis = timeout.restartDelayMillis(DiscoveryCall.nowMillis(), true);
         cancel(call);
         scheduleWatch(delayMillis);
     }
 
     // ---------------------------------------------------------------- retries of the watch
 
-    private void silent(DiscoveryCall call) {
+    private void handleSilence(DiscoveryCall call) {
         if (call.isWatch() && !call.isAnswered() && timeout.keepsUnansweredWatch(call.ageMillis())) {
-            call.extendSilence();
+            call.restartSilenceTimer();
             if (newestWatch == call) {
                 openAdditionalWatch();
             }
         } else {
-            ended(call, WatchTimeout.EndCause.SILENCE);
+            handleEnd(call, WatchTimeout.EndCause.SILENCE);
         }
     }
 
-    // Unanswered watches stay open besides: any of them may be the first to get a response.
+    // The unanswered watches stay open as well, as any of them may be the first to be answered.
     private void openAdditionalWatch() {
         List<DiscoveryCall> unanswered = openWatches();
         unanswered.stream()
@@ -247,7 +248,7 @@
         open(newestWatch);
     }
 
-    private void ended(DiscoveryCall call, WatchTimeout.EndCause cause) {
+    private void handleEnd(DiscoveryCall call, WatchTimeout.EndCause cause) {
         boolean newest = newestWatch == call;
         cancel(call);
         if (!call.isWatch()) {
@@ -255,12 +256,12 @@
             return;
         }
         if (!newest) {
-            return; // another watch is open in its place
+            return; // another watch is open instead
         }
         if (call.isAnswered()) {
             timeout.watchEnded(DiscoveryCall.nowMillis(), call.lastReceivedAtMillis(), cause);
         }
-        long delayMillis = timeout.nextWatchDelay(DiscoveryCall.nowMillis(), call.isAnswered(), cause);
+        long delayMillis = timeout.nextWatchDelayMillis(DiscoveryCall.nowMillis(), call.isAnswered(), cause);
         if (delayMillis == WatchTimeout.REPORT_FAILURE) {
             reportFailure();
         } else {
@@ -274,7 +275,7 @@
         }
     }
 
-    // The listener is not notified: the list stays in use meanwhile.
+    // The listener is not notified, as the list stays in use until the watch is open again.
     private void scheduleWatch(long delayMillis) {
         if (delayMillis == 0) {
             reopenWatch();
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -17,8 +17,8 @@
 import loadbalancer.proxy.UpstreamResponse;
 
 /**
- * One connection of a client: its requests are served one after the other, and each one's response is written in
- * its order (RFC 9112, section 9.3). On the event loop.
+ * One connection of a client. Its requests are served one after the other, and their responses are written in the order
+ * of the requests (RFC 9112, section 9.3). Must be used on the event loop.
  */
 final class Http1ClientConnection extends ChannelInboundHandlerAdapter implements RequestAggregator.Listener {
     /** Whether a request is being served. */
@@ -31,7 +31,7 @@
 
     private static final String CLOSED_BY_PEER = "peer";
     private static final String PEER_RESET = "peer reset";
-    private static final int MAX_DRAINED_BYTES = 64 * 1024;
+    private static final int DEFAULT_MAX_DRAINED_BYTES = 64 * 1024;
 
     private final Http1Listener listener;
     private final Channel channel;
@@ -39,12 +39,13 @@
     private final RequestQueue queue;
     private final ConnectionTimeouts timeouts = new ConnectionTimeouts();
     private final ConnectionPermit permit;
-    private final ReceiveProgress received = new ReceiveProgress();
+    private final ReceiveProgress receiveProgress = new ReceiveProgress();
     private ServeState serveState = ServeState.IDLE;
-    private RequestFraming.Problem inputClosed; // why no more requests are read; the last response if none was given
-    private Runnable clientClosed; // to be run if the client leaves; null while no response is pending
-    private ResponseStreamer streamer; // until the last byte of a long response
-    private long maxDrainedBytes = MAX_DRAINED_BYTES; // behind the last response
+    // Why no further request is read, null before; becomes the last response if none has been written.
+    private RequestFraming.Problem inputClosedReason;
+    private Runnable clientClosedCallback; // runs if the client disconnects; null while no response is pending
+    private ResponseStreamer streamer; // of a long response until its last byte; else null
+    private long maxDrainedBytes = DEFAULT_MAX_DRAINED_BYTES; // after the last response
     private int unflushedResponses;
     private String closeReason = CLOSED_BY_PEER;
 
@@ -61,12 +62,12 @@
         return permit;
     }
 
-    /** Whether part of a request has arrived, and not the rest. */
+    /** Whether a request has been received in part and no other request is being served. */
     boolean hasPartialRequest() {
-        return received.isReceiving() && serveState == ServeState.IDLE;
+        return receiveProgress.isReceiving() && serveState == ServeState.IDLE;
     }
 
-    /** Whether a response has not been sent completely. */
+    /** Whether a response has not been written to the socket completely. */
     boolean hasUnsentResponse() {
         return streamer != null || unflushedResponses > 0;
     }
@@ -75,62 +76,62 @@
         return streamer != null;
     }
 
-    /** Closes the connection as the connection budget or the life cycle demands. */
+    /** Closes the connection on behalf of the connection budget or the life cycle. */
     void close() {
-        close("budget");
+        close("connection budget or life cycle");
     }
 
     private void close(String reason) {
         if (channel.isActive()) {
             closeReason = reason;
-            if (clientClosed != null && !reason.equals(PEER_RESET)) {
-                listener.violated(Violation.CLOSED_UNANSWERED, reason);
+            if (clientClosedCallback != null && !reason.equals(PEER_RESET)) {
+                listener.reportViolation(Violation.CLOSED_UNANSWERED, reason);
             }
         }
         channel.close();
     }
 
-    void violated(Violation violation) {
-        listener.violated(violation, channel.toString());
+    void reportViolation(Violation violation) {
+        listener.reportViolation(violation, channel.toString());
     }
 
-    /** Why the connection was closed; the peer did so where nobody here has. */
+    /** Why the connection was closed: by the peer, unless this process closed it for another reason. */
     String closeReason() {
         return closeReason;
     }
 
-    /** Ends what takes too long. */
-    void checkTimeouts(long now) {
+    /** Responds to, aborts or closes whatever exceeds its timeout. */
+    void checkTimeouts(long nowNanos) {
         boolean readable = !input.isPaused() && input.isAutoRead();
-        if (serveState != ServeState.CLOSING && readable && timeouts.isReceiptOverdue(received.state(), now)) {
+        if (serveState != ServeState.CLOSING && readable && timeouts.isReceiveOverdue(receiveProgress.state(), nowNanos)) {
             onMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
         }
         if (input.isStreaming() || streamer != null) {
-            long bytes = input.streamedBytes() + (streamer == null ? 0 : streamer.progress());
-            boolean paused = input.isStreaming() && !input.isAutoRead();
-            if (timeouts.isStalled(bytes, paused, now)) {
+            long progress = input.streamedBytes() + (streamer == null ? 0 : streamer.progress());
+            boolean readingPaused = input.isStreaming() && !input.isAutoRead();
+            if (timeouts.isStalled(progress, readingPaused, nowNanos)) {
                 abortStream();
             }
-        } else if (timeouts.isUnread(channel.isWritable(), now)) {
-            close("response not read");
+        } else if (timeouts.isReadOverdue(channel.isWritable(), nowNanos)) {
+            close("response not read by client");
         }
     }
 
-    // The client can't take what it gets for complete, and nobody wants the rest.
+    // The client cannot mistake the truncated message for a complete one; the rest of the body is cancelled.
     private void abortStream() {
         if (streamer != null) {
             ResponseStreamer aborted = streamer;
             aborted.cancelSource();
             streamFailed(aborted);
         } else {
-            close("no progress");
+            close("request body stalled");
         }
     }
 
-    /** The connection has been closed, whoever did it. */
-    void closed() {
+    /** Called after the connection has been closed by either side. */
+    void onClosed() {
         abandonPendingResponse();
-        input.drop();
+        input.discardBuffered();
         if (streamer != null) {
             streamer.cancelSource();
             streamer = null;
@@ -140,33 +141,33 @@
     }
 
     private void abandonPendingResponse() {
-        Runnable pending = clientClosed;
-        clientClosed = null;
+        Runnable pending = clientClosedCallback;
+        clientClosedCallback = null;
         if (pending != null) {
             pending.run();
         }
     }
 
-    /** Bytes have been read and are about to be handled: the connection is not idle, and its time runs. */
+    /** Called before input is handled: the connection is not idle any more, and the receive timeout starts. */
     void bytesArrived() {
         listener.bytesRead();
-        if (!received.isReceiving() && serveState != ServeState.CLOSING && !input.isStreaming()) {
-            received.begin();
-            long now = System.nanoTime();
-            timeouts.receiving(now);
-            listener.budget().receiving(permit, now);
+        if (!receiveProgress.isReceiving() && serveState != ServeState.CLOSING && !input.isStreaming()) {
+            receiveProgress.receiveStarted();
+            long nowNanos = System.nanoTime();
+            timeouts.receiveStarted(nowNanos);
+            listener.budget().partialRequestReceived(permit, nowNanos);
         }
     }
 
-    /** Reads what has arrived by now: see {@link ConnectionInput#readNow}. */
+    /** Reads all input that has been received; see {@link ConnectionInput#readNow}. */
     void readNow() {
         input.readNow();
     }
 
     @Override
     public void onHead(HttpRequest head) {
-        received.headReceived();
-        timeouts.receiving(System.nanoTime());
+        receiveProgress.headReceived();
+        timeouts.receiveStarted(System.nanoTime());
         if (HttpUtil.is100ContinueExpected(head) && serveState == ServeState.IDLE) {
             channel.writeAndFlush(ResponseHeads.interimContinue());
         }
@@ -175,22 +176,22 @@
     @Override
     public void onRequest(ReceivedRequest request) {
         if (request.bodyStream() != null) {
-            timeouts.streaming(System.nanoTime());
+            timeouts.streamStarted(System.nanoTime());
         }
-        received.requestReceived();
+        receiveProgress.requestReceived();
         if (permit.isClosing()) {
             RequestQueue.cancelUnstarted(request.bodyStream());
-            return; // behind the last response: the client retries elsewhere
+            return; // after the last response: the client retries on another connection
         }
         listener.budget().requestReceived(permit, System.nanoTime());
         queue.reserve(request);
-        if (queue.isFull()) { // in what had been read already
+        if (queue.isFull()) { // this request had been read before input was paused
             queue.release(request);
             onMalformed(HttpResponseStatus.BAD_REQUEST, ConnectionInput.TOO_MANY_PIPELINED);
         } else if (serveState != ServeState.IDLE || !channel.isWritable()) {
             queue.add(request);
             if (queue.isFull()) {
-                input.pause(); // what follows waits until responses have left
+                input.pause(); // until the pipelined requests have been served
             }
         } else {
             serve(request);
@@ -199,8 +200,8 @@
 
     @Override
     public void onMalformed(HttpResponseStatus status, String reason) {
-        received.malformed();
-        if (inputClosed == null) {
+        receiveProgress.malformed();
+        if (inputClosedReason == null) {
             closeInput(status, reason);
             if (serveState == ServeState.IDLE && queue.isEmpty()) {
                 respondLast(status, reason);
@@ -208,42 +209,42 @@
         }
     }
 
-    // Guards against a second response: a request that has been handed over gets this one and no other.
+    // Prevents a second response: a request that has been dispatched gets this response and no other.
     @Override
     public void onStreamBroken(HttpResponseStatus status, String reason) {
-        if (!queue.isEmpty()) { // it is not being served yet
+        if (!queue.isEmpty()) { // the request is not being served yet
             queue.releaseLast();
-            input.dropRequests();
+            input.stopAggregating();
             onMalformed(status, reason);
             return;
         }
         abandonPendingResponse();
         if (streamer != null) {
-            abortStream(); // its response has begun
+            abortStream(); // the response has begun
         } else {
             refuse(status, reason);
         }
     }
 
-    /** Refuses the request that is being served, and with it all that the client sent behind it. */
+    /** Refuses the request that is being served, and drops all requests that the client has sent after it. */
     void refuse(HttpResponseStatus status, String reason) {
         queue.releasePipelined();
-        if (inputClosed == null) {
+        if (inputClosedReason == null) {
             closeInput(status, reason);
         }
         respondLast(status, reason);
     }
 
-    // Guards against hundreds of requests sent at once behind a bad one: they are not even decoded.
+    // Hundreds of requests may follow a malformed one: they are discarded without being decoded.
     private void closeInput(HttpResponseStatus status, String reason) {
-        input.discard();
-        inputClosed = new RequestFraming.Problem(status, reason);
+        input.discardAll();
+        inputClosedReason = new RequestFraming.Problem(status, reason);
     }
 
-    /** So many bytes were read since no further request is. */
+    /** Called with the total number of bytes that were discarded after the last request. */
     void inputDiscarded(long bytes) {
         if (serveState == ServeState.CLOSING && bytes > maxDrainedBytes) {
-            close("too much behind the last response");
+            close("too much input after the last response");
         }
     }
 
@@ -268,9 +269,9 @@
         listener.requestHandler().handle(this, request);
     }
 
-    /** A response is pending from here on; {@code onClose} runs if the client leaves before it. */
+    /** Marks a response as pending; {@code onClose} runs if the client disconnects before it is written. */
     void awaitResponse(Runnable onClose) {
-        clientClosed = onClose;
+        clientClosedCallback = onClose;
     }
 
     private void respondLast(HttpResponseStatus status, String text) {
@@ -280,13 +281,12 @@
     /**
      * Writes the response to the request that is being served.
      *
-     * @param keepAlive whether the client wants to use the connection for another request; it may be closed all
-     *     the same
+     * @param keepAlive whether the client allows the connection to stay open; it may be closed nevertheless
      */
     void respond(FinalResponse response, boolean keepAlive) {
-        clientClosed = null;
-        // A client may write all of a long body before it reads.
-        maxDrainedBytes = input.isStreaming() ? ProxyRequest.LENGTH_MOST : MAX_DRAINED_BYTES;
+        clientClosedCallback = null;
+        // A client may send its whole long body before it reads the response.
+        maxDrainedBytes = input.isStreaming() ? ProxyRequest.MAX_STREAMED_BODY_BYTES : DEFAULT_MAX_DRAINED_BYTES;
         queue.releaseServed();
         boolean moreInput = hasMoreInput();
         boolean staysOpen =
@@ -299,51 +299,51 @@
     }
 
     private boolean hasMoreInput() {
-        return received.isReceiving() || inputClosed != null || input.hasBufferedRequest();
+        return receiveProgress.isReceiving() || inputClosedReason != null || input.hasBufferedRequest();
     }
 
     private boolean mayStayOpen(boolean keepAlive) {
         return keepAlive && listener.keepsConnections() && !input.isStreaming();
     }
 
-    // In this state already while the response is written: what had been read behind it is not looked at.
+    // Done before the response is written, so that input which was read after the request is not decoded.
     private void closeInputAfterLast(HttpResponseStatus status) {
-        if (inputClosed == null) {
-            inputClosed = new RequestFraming.Problem(status, "over");
-            input.discard();
+        if (inputClosedReason == null) {
+            inputClosedReason = new RequestFraming.Problem(status, "closing after the last response");
+            input.discardAll();
         }
     }
 
-    // The last byte of a response has been written.
+    // Called when the last byte of a response has been passed to the channel.
     private void responseWritten(ChannelFuture written, boolean staysOpen, boolean moreInput) {
         unflushedResponses++;
         written.addListener(done -> unflushedResponses--);
         if (!staysOpen) {
-            // Closed at once, with bytes unread, the connection would be reset before the response is read.
+            // An immediate close with unread input would reset the connection before the client reads the response.
             serveState = ServeState.CLOSING;
             written.addListener(done -> ((DuplexChannel) channel).shutdownOutput());
             return;
         }
         serveState = ServeState.IDLE;
-        if (moreInput && inputClosed == null && !received.isReceiving() && queue.isEmpty()) {
-            received.begin(); // the beginning of the next one: its time runs from here
-            timeouts.receiving(System.nanoTime());
+        if (moreInput && inputClosedReason == null && !receiveProgress.isReceiving() && queue.isEmpty()) {
+            receiveProgress.receiveStarted(); // the next request has begun; its timeout starts now
+            timeouts.receiveStarted(System.nanoTime());
         }
         scheduleNext();
     }
 
-    /** Begins a long response: its head and the bytes that are there; the rest follows as the client reads it. */
-    void stream(UpstreamResponse response, boolean keepAlive, boolean http10) {
-        clientClosed = null;
+    /** Writes the head and the first bytes of a long response; the rest is streamed as the client reads it. */
+    void streamResponse(UpstreamResponse response, boolean keepAlive, boolean http10) {
+        clientClosedCallback = null;
         queue.releaseServed();
         boolean selfDelimited = ResponseHeads.isSelfDelimited(response, http10);
         boolean mayStayOpen = mayStayOpen(keepAlive) && selfDelimited;
-        timeouts.streaming(System.nanoTime());
-        streamer = new ResponseStreamer(this, channel, response.rest(), mayStayOpen);
+        timeouts.streamStarted(System.nanoTime());
+        streamer = new ResponseStreamer(this, channel, response.remainingBody(), mayStayOpen);
         streamer.start(ResponseHeads.streamed(response, selfDelimited, mayStayOpen), response.body());
     }
 
-    /** All of a long response has arrived. */
+    /** Called when a long response has been received completely from the upstream. */
     void streamCompleted(ResponseStreamer completed) {
         if (streamer != completed) {
             return;
@@ -358,19 +358,19 @@
         responseWritten(completed.writeEnd(), staysOpen, moreInput);
     }
 
-    /** The rest of a long response will never arrive: a reset keeps the client from taking it for complete. */
+    /** Called when the rest of a long response is lost; a TCP reset tells the client that it is incomplete. */
     void streamFailed(ResponseStreamer failed) {
         if (streamer == failed) {
             streamer = null;
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
-            close("response broken off");
+            close("response stream failed");
         }
     }
 
-    // Later, and not from within: many pipelined requests that are answered at once would fill the stack, and
-    // keep all other clients waiting.
+    // As a separate task: with many pipelined requests that are answered immediately, recursion would overflow the
+    // stack and delay all other clients.
     private void scheduleNext() {
-        if (serveState == ServeState.IDLE && (inputClosed != null || !queue.isEmpty())) {
+        if (serveState == ServeState.IDLE && (inputClosedReason != null || !queue.isEmpty())) {
             serveState = ServeState.SERVING;
             channel.eventLoop().execute(this::serveNext);
         }
@@ -383,11 +383,11 @@
         }
         if (next != null) {
             serve(next);
-        } else if (inputClosed != null) {
-            respondLast(inputClosed.status(), inputClosed.text());
+        } else if (inputClosedReason != null) {
+            respondLast(inputClosedReason.status(), inputClosedReason.text());
         }
-        if (input.isPaused() && queue.isEmpty()) { // one read may bring as many more
-            timeouts.receiving(System.nanoTime()); // what had begun to arrive was kept waiting here
+        if (input.isPaused() && queue.isEmpty()) { // one read may contain as many requests again
+            timeouts.receiveStarted(System.nanoTime()); // a partial request was held back by this process
             input.resume();
         }
         if (!input.isAutoRead() && !input.isStreaming()) {
--- a/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -14,8 +14,8 @@
 import loadbalancer.settings.SettingsReader;
 
 /**
- * Decides what a decoded request is for: the readiness path, this process's own warm-up, or the dispatcher. On
- * the event loop.
+ * Routes a decoded request to the management paths, to the warm-up of this process, or to the dispatcher. Must be used
+ * on the event loop.
  */
 final class Http1RequestHandler {
     private static final int WARM_UP_BODY_BYTES = 256;
@@ -23,7 +23,7 @@
     private final Dispatcher dispatcher;
     private final LifeCycle lifeCycle;
     private SettingsReader.Boot settings;
-    private WarmUpRequests warmUp; // null when it is over
+    private WarmUpRequests warmUp; // null outside the warm-up
 
     Http1RequestHandler(Dispatcher dispatcher, LifeCycle lifeCycle, SettingsReader.Boot settings) {
         this.dispatcher = dispatcher;
@@ -31,34 +31,34 @@
         this.settings = settings;
     }
 
-    /** Other settings hold for the requests from here on. */
+    /** Replaces the settings for all further requests. */
     void reload(SettingsReader.Boot newSettings) {
         settings = newSettings;
     }
 
-    /** Serves a warm-up's requests as well; null when it is over. */
+    /** Also serves the requests of a warm-up from now on; null ends the warm-up. */
     void setWarmUp(WarmUpRequests requests) {
         warmUp = requests;
     }
 
-    /** Responds to a request, at once or when the dispatcher does. */
+    /** Responds to a request, either immediately or when the dispatcher provides a response. */
     void handle(Http1ClientConnection connection, ReceivedRequest request) {
         HttpRequest head = request.head();
         boolean keepAlive = HttpUtil.isKeepAlive(head);
         String path = head.uri();
         Http1HeaderFields fields = new Http1HeaderFields(head.headers());
-        boolean isWarmUp = warmUp != null && warmUp.knows(fields);
-        if (isWarmUp && path.equals(WarmUpRequests.HOP)) {
-            connection.respond(warmUpResponse(warmUp.declines()), keepAlive);
+        boolean isWarmUp = warmUp != null && warmUp.isWarmUp(fields);
+        if (isWarmUp && path.equals(WarmUpRequests.UPSTREAM_PATH)) {
+            connection.respond(warmUpResponse(warmUp.shouldDeclineNext()), keepAlive);
         } else if (path.startsWith(FinalResponse.MANAGEMENT_PREFIX)
                 && !(isWarmUp && path.equals(WarmUpRequests.PATH))) {
-            connection.respond(FinalResponse.management(head.method().name(), path, lifeCycle.ready()), keepAlive);
+            connection.respond(FinalResponse.management(head.method().name(), path, lifeCycle.isReady()), keepAlive);
         } else {
             dispatch(connection, request, fields, keepAlive);
         }
     }
 
-    // What this process says as its own upstream.
+    // During the warm-up this process acts as its own upstream; this is the response of that upstream.
     private static FinalResponse warmUpResponse(boolean declined) {
         byte[] body = new byte[WARM_UP_BODY_BYTES];
         return declined
@@ -73,7 +73,7 @@
         ProxyRequest request;
         try {
             request = RequestValidator.validate(head.method().name(), path, fields, received.body(), settings)
-                    .withBodyStream(received.bodyStream(), received.length());
+                    .withBodyStream(received.bodyStream(), received.contentLength());
             fields.endToEnd();
         } catch (IllegalArgumentException e) {
             connection.refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
@@ -82,15 +82,15 @@
         boolean isWarmUp = path.equals(WarmUpRequests.PATH);
         Dispatcher target = isWarmUp ? warmUp.dispatcher() : dispatcher;
         if (target.isOpen(request.id())) {
-            // An upstream could not tell the two apart, and might answer one with the other's response.
+            // An upstream could not distinguish the two requests, and might send the response to one for the other.
             connection.refuse(HttpResponseStatus.CONFLICT, FinalResponse.DUPLICATE_REQUEST_ID);
             return;
         }
         Http1ResponseWriter writer = new Http1ResponseWriter(
                 connection, keepAlive, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
-        Runnable clientClosed = target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.HOP) : request, writer);
+        Runnable clientClosedCallback = target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.UPSTREAM_PATH) : request, writer);
         if (!writer.hasResponded()) {
-            connection.awaitResponse(clientClosed);
+            connection.awaitResponse(clientClosedCallback);
         }
     }
 }
--- a/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ResponseWriter.java
@@ -5,7 +5,7 @@
 import loadbalancer.proxy.ResponseWriter;
 import loadbalancer.proxy.UpstreamResponse;
 
-/** The final response to one request; the dispatcher gives it once. On the event loop. */
+/** Writes the final response to one request, exactly once. Must be used on the event loop. */
 final class Http1ResponseWriter implements ResponseWriter {
     private final Http1ClientConnection connection;
     private final boolean keepAlive;
@@ -18,14 +18,14 @@
         this.http10 = http10;
     }
 
-    /** Whether the response has been given. */
+    /** Whether the final response, or the beginning of a streamed one, has been written. */
     boolean hasResponded() {
         return responded;
     }
 
     private void markResponded() {
         if (responded) {
-            connection.violated(Violation.SECOND_RESPONSE);
+            connection.reportViolation(Violation.SECOND_RESPONSE);
         }
         responded = true;
     }
@@ -38,8 +38,8 @@
     @Override
     public void serve(UpstreamResponse response) {
         markResponded();
-        if (response.rest() != null) {
-            connection.stream(response, keepAlive, http10);
+        if (response.remainingBody() != null) {
+            connection.streamResponse(response, keepAlive, http10);
         } else {
             connection.respond(FinalResponse.served(response), keepAlive);
         }
--- a/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/http1/RequestAggregator.java
@@ -19,50 +19,51 @@
 import loadbalancer.proxy.ProxyRequest;
 
 /**
- * Puts the parts of a client's requests together, copied off the socket's buffers: short ones complete, long ones as
- * a head and a stream. What is too long, or framed in a way that other readers may understand differently, is
- * reported as soon as that shows, and none of it is kept. On the event loop.
+ * Assembles the requests of a client from their decoded parts, which are copied out of Netty's buffers: a short request
+ * is passed on complete, a long one as a head and a body stream. A request that is too long, or whose framing other
+ * recipients may interpret differently, is reported as soon as this is detected, and is not buffered. Must be used on
+ * the event loop.
  */
 final class RequestAggregator extends SimpleChannelInboundHandler<HttpObject> {
-    /** Gets the requests. After {@link #onMalformed} or {@link #onStreamBroken} there are no more. */
+    /** Receives the requests. No request follows {@link #onMalformed} or {@link #onStreamBroken}. */
     interface Listener {
-        /** A well-formed head has arrived; its body follows. */
+        /** A well-formed head has been received; its body follows. */
         void onHead(HttpRequest head);
 
-        /** A request has arrived: a short one completely, a long one with the first bytes of its body. */
+        /** A request has been received: a short one completely, a long one with the first bytes of its body. */
         void onRequest(ReceivedRequest request);
 
-        /** What arrives is no request that can be served. */
+        /** The input is not a request that can be served. */
         void onMalformed(HttpResponseStatus status, String reason);
 
-        /** The body that was reported last as a stream is malformed or too long. */
+        /** The streamed body of the request that was reported last is malformed or too long. */
         void onStreamBroken(HttpResponseStatus status, String reason);
     }
 
     private final Listener listener;
-    private final BodyMemoryBudget memory;
-    private final BodyMemoryBudget unclaimedMemory;
+    private final BodyMemoryBudget bodyMemory;
+    private final BodyMemoryBudget unsubscribedBodyMemory;
     private HttpRequest head;
     private byte[] body;
-    private int length; // bytes of the body so far
-    private boolean dropped;
-    private StreamedBody stream; // of a long body, until its last byte
+    private int bodyLength; // bytes of the body received so far
+    private boolean stopped;
+    private StreamedBody stream; // of a long body, until its last byte has been received
 
-    /** {@code unclaimedMemory}: what long bodies may take together that nobody has subscribed to yet. */
-    RequestAggregator(Listener listener, BodyMemoryBudget memory, BodyMemoryBudget unclaimedMemory) {
+    /** {@code unsubscribedBodyMemory}: the limit on the memory of all long bodies that have no subscriber yet. */
+    RequestAggregator(Listener listener, BodyMemoryBudget bodyMemory, BodyMemoryBudget unsubscribedBodyMemory) {
         this.listener = listener;
-        this.memory = memory;
-        this.unclaimedMemory = unclaimedMemory;
+        this.bodyMemory = bodyMemory;
+        this.unsubscribedBodyMemory = unsubscribedBodyMemory;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (dropped) {
+    protected void channelRead0(ChannelHandlerContext context, HttpObject httpObject) {
+        if (stopped) {
             return;
         }
-        if (!part.decoderResult().isSuccess()) {
+        if (!httpObject.decoderResult().isSuccess()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "malformed request");
-        } else if (part instanceof HttpRequest request) {
+        } else if (httpObject instanceof HttpRequest request) {
             RequestFraming.Problem problem = RequestFraming.check(request);
             if (problem != null) {
                 refuse(problem.status(), problem.text());
@@ -70,19 +71,19 @@
             }
             headReceived(context.channel(), request);
         }
-        if (!dropped && part instanceof HttpContent content) {
-            contentReceived(context.channel(), content.content(), part instanceof LastHttpContent);
+        if (!stopped && httpObject instanceof HttpContent content) {
+            contentReceived(context.channel(), content.content(), httpObject instanceof LastHttpContent);
         }
     }
 
     private void headReceived(Channel channel, HttpRequest request) {
         head = request;
         body = new byte[0];
-        length = 0;
+        bodyLength = 0;
         listener.onHead(request);
-        long announced = HttpUtil.getContentLength(request, -1L);
-        if (!dropped && announced > ProxyRequest.BODY_MOST) {
-            startStream(channel, announced);
+        long contentLength = HttpUtil.getContentLength(request, -1L);
+        if (!stopped && contentLength > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
+            startStream(channel, contentLength);
         }
     }
 
@@ -92,7 +93,7 @@
             return;
         }
         buffer(channel, content);
-        if (!dropped && last) {
+        if (!stopped && last) {
             if (stream != null) {
                 stream.append(Unpooled.EMPTY_BUFFER, true);
             } else {
@@ -104,8 +105,8 @@
     private void completeRequest() {
         HttpRequest request = head;
         head = null;
-        byte[] complete = body.length == length ? body : Arrays.copyOf(body, length);
-        memory.release(length);
+        byte[] complete = body.length == bodyLength ? body : Arrays.copyOf(body, bodyLength);
+        bodyMemory.release(bodyLength);
         listener.onRequest(ReceivedRequest.complete(request, complete));
     }
 
@@ -114,46 +115,46 @@
         if (bytes == 0) {
             return;
         }
-        if (length + bytes > ProxyRequest.BODY_MOST) {
+        if (bodyLength + bytes > ProxyRequest.MAX_BUFFERED_BODY_BYTES) {
             startStream(channel, -1);
-            if (stream != null) { // not refused at once
+            if (stream != null) { // the request was not refused immediately
                 stream.append(content, false);
             }
             return;
         }
-        if (!memory.tryReserve(bytes)) {
+        if (!bodyMemory.tryReserve(bytes)) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
             return;
         }
-        if (length == 0) {
+        if (bodyLength == 0) {
             body = ByteBufUtil.getBytes(content);
         } else {
-            if (length + bytes > body.length) {
-                body = Arrays.copyOf(body, Math.min(ProxyRequest.BODY_MOST, 2 * (length + bytes)));
+            if (bodyLength + bytes > body.length) {
+                body = Arrays.copyOf(body, Math.min(ProxyRequest.MAX_BUFFERED_BODY_BYTES, 2 * (bodyLength + bytes)));
             }
-            content.readBytes(body, length, bytes);
+            content.readBytes(body, bodyLength, bytes);
         }
-        length += bytes;
+        bodyLength += bytes;
     }
 
-    private void startStream(Channel channel, long announcedLength) {
+    private void startStream(Channel channel, long contentLength) {
         HttpRequest request = head;
-        byte[] firstBytes = Arrays.copyOf(body, length);
+        byte[] firstBytes = Arrays.copyOf(body, bodyLength);
         head = null;
         body = null;
-        memory.release(length);
+        bodyMemory.release(bodyLength);
         stream = new StreamedBody(channel);
-        listener.onRequest(ReceivedRequest.streamed(request, firstBytes, stream, announcedLength));
+        listener.onRequest(ReceivedRequest.streamed(request, firstBytes, stream, contentLength));
     }
 
-    /** Whether the last byte of a long body has not arrived yet. */
+    /** Whether a long body is being received. */
     boolean isStreaming() {
         return stream != null;
     }
 
-    /** Bytes of the present long body so far. */
+    /** Bytes of the current long body received so far; 0 without one. */
     long streamedBytes() {
-        return stream == null ? 0 : stream.bytes;
+        return stream == null ? 0 : stream.receivedBytes;
     }
 
     private void refuse(HttpResponseStatus status, String reason) {
@@ -161,50 +162,50 @@
             listener.onStreamBroken(status, reason);
             return;
         }
-        drop();
+        stop();
         listener.onMalformed(status, reason);
     }
 
-    /** Discards everything, now and from here on. */
-    void drop() {
-        dropped = true;
+    /** Discards the current request and all further input. */
+    void stop() {
+        stopped = true;
         if (head != null) {
-            memory.release(length);
+            bodyMemory.release(bodyLength);
         }
         head = null;
         body = null;
-        StreamedBody broken = stream;
+        StreamedBody abortedStream = stream;
         stream = null;
-        if (broken != null) {
-            broken.abort();
+        if (abortedStream != null) {
+            abortedStream.abort();
         }
     }
 
     /**
-     * The rest of a long body. Until it has a subscriber it is read on while there is capacity: with reading off
-     * the end of its connection would not be seen either, and a request that waited for its attempt would be
-     * forwarded although its client had left.
+     * The rest of a long body. While the body has no subscriber, the connection is read as long as there is memory:
+     * with reading off, the close of the connection would not be noticed either, and a request that waits for its
+     * attempt would be forwarded although its client has disconnected.
      */
     private final class StreamedBody extends BodyReader {
         private final ArrayDeque<byte[]> buffered = new ArrayDeque<>();
         private int reservedBytes;
         private boolean cancelled;
         private boolean complete;
-        private long bytes;
+        private long receivedBytes;
 
         StreamedBody(Channel channel) {
             super(channel);
         }
 
         @Override
-        protected void begin() {
+        protected void onSubscribed() {
             setReady(true);
             releaseReserved();
             while (!buffered.isEmpty()) {
-                taker().onData(buffered.poll());
+                subscriber().onData(buffered.poll());
             }
             if (complete) {
-                taker().onComplete();
+                subscriber().onComplete();
             }
         }
 
@@ -213,38 +214,38 @@
             cancelled = true;
             buffered.clear();
             releaseReserved();
-            setReady(true); // its client may have to finish before it reads
+            setReady(true); // the client may read the response only after it has sent the whole body
         }
 
         private void releaseReserved() {
-            unclaimedMemory.release(reservedBytes);
+            unsubscribedBodyMemory.release(reservedBytes);
             reservedBytes = 0;
         }
 
         private void append(ByteBuf content, boolean last) {
-            bytes += content.readableBytes();
-            if (bytes > ProxyRequest.LENGTH_MOST) {
+            receivedBytes += content.readableBytes();
+            if (receivedBytes > ProxyRequest.MAX_STREAMED_BODY_BYTES) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
-            if (!started() && !cancelled) {
+            if (!hasSubscriber() && !cancelled) {
                 buffer(ByteBufUtil.getBytes(content));
-            } else if (started() && content.isReadable()) {
-                taker().onData(ByteBufUtil.getBytes(content));
+            } else if (hasSubscriber() && content.isReadable()) {
+                subscriber().onData(ByteBufUtil.getBytes(content));
             }
             if (last) {
                 complete = true;
                 stream = null;
-                if (started()) {
-                    taker().onComplete();
+                if (hasSubscriber()) {
+                    subscriber().onComplete();
                 }
             }
         }
 
-        private void buffer(byte[] piece) {
-            buffered.add(piece);
-            if (unclaimedMemory.tryReserve(piece.length)) {
-                reservedBytes += piece.length;
+        private void buffer(byte[] chunk) {
+            buffered.add(chunk);
+            if (unsubscribedBodyMemory.tryReserve(chunk.length)) {
+                reservedBytes += chunk.length;
             } else {
                 setReady(false);
             }
@@ -252,8 +253,8 @@
 
         private void abort() {
             cancel();
-            if (started()) {
-                taker().onError();
+            if (hasSubscriber()) {
+                subscriber().onError();
             }
         }
     }
--- a/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
+++ b/src/main/java/loadbalancer/downstream/http3/AddressValidationHandler.java
@@ -10,12 +10,12 @@
 import loadbalancer.http3.RetryTokens;
 
 /**
- * Address validation by Retry packets (RFC 9000, section 8.1.2): new clients have to prove their address first
- * where {@link Http3ConnectionLimiter} says so. On the event loop.
+ * Address validation with Retry packets (RFC 9000, section 8.1.2): if {@link Http3ConnectionLimiter} requires address
+ * validation, a new client must prove first that it receives packets at its address. Must be used on the event loop.
  */
 final class AddressValidationHandler implements QuicTokenHandler {
     private static final int KEY_BYTES = 32;
-    private static final int INVALID_TOKEN = -1; // as the interface wants it
+    private static final int INVALID_TOKEN = -1; // the value that QuicTokenHandler specifies
 
     private final Http3ConnectionLimiter connectionLimiter;
     private final RetryTokens tokens;
@@ -29,12 +29,12 @@
 
     @Override
     public boolean writeToken(ByteBuf out, ByteBuf connectionId, InetSocketAddress address) {
-        boolean needed = connectionLimiter.mustProve();
-        if (needed) {
-            byte[] id = ByteBufUtil.getBytes(connectionId);
-            out.writeBytes(tokens.write(id, addressAndPort(address), System.nanoTime()));
+        boolean retryRequired = connectionLimiter.mustProve();
+        if (retryRequired) {
+            byte[] connectionIdBytes = ByteBufUtil.getBytes(connectionId);
+            out.writeBytes(tokens.write(connectionIdBytes, addressAndPort(address), System.nanoTime()));
         }
-        return needed;
+        return retryRequired;
     }
 
     @Override
--- a/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
+++ b/src/main/java/loadbalancer/downstream/http3/Http3RequestStream.java
@@ -31,69 +31,69 @@
 import loadbalancer.proxy.UpstreamResponse;
 
 /**
- * One request of a client on its stream, and its one final response (RFC 9114, section 4.1). On the event loop.
+ * One request of a client on a stream, and its final response (RFC 9114, section 4.1). Must be used on the event loop.
  */
 final class Http3RequestStream extends Http3RequestStreamInboundHandler implements ResponseWriter {
     private enum State {
-        /** The request arrives, or its response is pending. */
+        /** The request is being received, or its response is pending. */
         OPEN,
         /** The response has been written. */
         RESPONDED,
-        /** Ended without a response, by either side. */
+        /** Either side has ended the stream without a response. */
         RESET
     }
 
-    private static final long RECEIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // for a complete request
-    private static final long UNREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // for a response to be read
+    private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000); // for a complete request
+    private static final long UNREAD_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(5_000); // to read a response
 
     private final Http3ClientConnection connection;
     private final Http3Listener listener;
     private final QuicStreamChannel stream;
-    private final boolean behindGoAway;
+    private final boolean rejectedByGoAway;
     private final FinalFrame finalFrame = new FinalFrame();
-    private final MessageState message = new MessageState(ProxyRequest.BODY_MOST);
-    private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory
-    private final long openedAt = System.nanoTime();
+    private final MessageState messageState = new MessageState(ProxyRequest.MAX_BUFFERED_BODY_BYTES);
+    private final AggregatedBody body = new AggregatedBody(); // its bytes are reserved in the body memory budget
+    private final long openedAtNanos = System.nanoTime();
     private State state = State.OPEN;
     private HeaderValidator.Head head;
     private Http3Headers headers;
-    private Runnable clientClosed; // to be run if the client leaves; null while no response is pending
-    private long respondedAt;
-    private long unreadBytes; // of the response that have not left
+    private Runnable clientClosedCallback; // runs if the client disconnects; null while no response is pending
+    private long respondedAtNanos;
+    private long unreadBytes; // of the response, until they have been sent
 
-    /** {@code behindGoAway}: the stream is to be rejected as not processed (RFC 9114, section 5.2). */
-    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean behindGoAway) {
+    /** {@code rejectedByGoAway}: whether to reject the stream as not processed (RFC 9114, section 5.2). */
+    Http3RequestStream(Http3ClientConnection connection, QuicStreamChannel stream, boolean rejectedByGoAway) {
         this.connection = connection;
         this.listener = connection.listener();
         this.stream = stream;
-        this.behindGoAway = behindGoAway;
+        this.rejectedByGoAway = rejectedByGoAway;
         stream.pipeline().addFirst(finalFrame);
     }
 
-    /** Ends what takes too long. */
-    void checkTimeouts(long now) {
-        if (state == State.OPEN && !message.isComplete() && now - openedAt > RECEIVE_NANOS) {
+    /** Ends the stream if it exceeds a timeout. */
+    void checkTimeouts(long nowNanos) {
+        if (state == State.OPEN && !messageState.isComplete() && nowNanos - openedAtNanos > RECEIVE_TIMEOUT_NANOS) {
             respond(408, "too slow");
-        } else if (state == State.RESPONDED && now - respondedAt > UNREAD_NANOS) {
-            // Not read yet, or its client neither ends its request nor resets it.
+        } else if (state == State.RESPONDED && nowNanos - respondedAtNanos > UNREAD_TIMEOUT_NANOS) {
+            // The client has not read the response, or neither ends its request nor resets the stream.
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_CANCELLED);
         }
     }
 
-    /** The client has closed the connection: nobody waits for the response. */
-    void clientClosed() {
-        Runnable pending = clientClosed;
-        clientClosed = null;
+    /** Called when the client has closed the connection: the response is not needed any more. */
+    void onClientClosed() {
+        Runnable pending = clientClosedCallback;
+        clientClosedCallback = null;
         if (pending != null) {
             pending.run();
         }
     }
 
-    /** The stream is closed, whoever did it. */
-    void closed() {
+    /** Called after the stream has been closed by either side. */
+    void onClosed() {
         releaseBody();
-        responseLeft(unreadBytes);
-        clientClosed();
+        responseSent(unreadBytes);
+        onClientClosed();
         cancelled();
     }
 
@@ -109,33 +109,33 @@
         if (state != State.OPEN) {
             return;
         }
-        if (behindGoAway) {
-            // None of it has been looked at: the client may retry it elsewhere, whatever it is.
+        if (rejectedByGoAway) {
+            // Not processed at all, so the client may retry the request elsewhere, even one that is not idempotent.
             state = State.RESET;
             CodecErrors.reset(stream, Http3ErrorCodes.REQUEST_REJECTED);
             return;
         }
         try {
-            if (message.headless()) {
+            if (messageState.headless()) {
                 headReceived(frame.headers());
             } else {
                 HeaderValidator.trailers(frame.headers());
-                message.trailers();
+                messageState.trailers();
             }
         } catch (MalformedMessageException e) {
             malformed(e);
         }
     }
 
-    private void headReceived(Http3Headers received) throws MalformedMessageException {
-        headers = received;
+    private void headReceived(Http3Headers receivedHeaders) throws MalformedMessageException {
+        headers = receivedHeaders;
         if (HeaderValidator.tooLong(headers)) {
             respond(431, "too many fields");
             return;
         }
         head = HeaderValidator.request(headers);
-        message.head(head.length());
-        if (message.announcesTooMuch()) {
+        messageState.head(head.length());
+        if (messageState.announcesTooMuch()) {
             respond(413, "too large");
         } else if (head.method().equals("GET") && head.length() > 0) {
             respond(400, "a GET with a body");
@@ -149,7 +149,7 @@
                 return;
             }
             int bytes = frame.content().readableBytes();
-            if (!message.data(bytes) || !listener.bodyMemory().tryReserve(bytes)) {
+            if (!messageState.data(bytes) || !listener.bodyMemory().tryReserve(bytes)) {
                 respond(413, "too large");
                 return;
             }
@@ -163,11 +163,11 @@
 
     @Override
     protected void channelInputClosed(ChannelHandlerContext context) {
-        if (state != State.OPEN || message.isComplete()) {
+        if (state != State.OPEN || messageState.isComplete()) {
             return;
         }
         try {
-            message.end();
+            messageState.end();
         } catch (MalformedMessageException e) {
             malformed(e);
             return;
@@ -180,7 +180,7 @@
         cancelled();
     }
 
-    // What the codec refuses before it is read here: heads as well as frames out of their order.
+    // Errors that the codec detects before frames are read here: malformed heads, and frames in the wrong order.
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof QuicException || state != State.OPEN) {
@@ -188,11 +188,11 @@
         } else {
             long code =
                     cause instanceof Http3Exception known ? known.errorCode().code() : Http3ErrorCodes.MESSAGE_ERROR;
-            malformed(new MalformedMessageException(code, "malformed"));
+            malformed(new MalformedMessageException(code, "rejected by the HTTP/3 codec"));
         }
     }
 
-    // The client has reset it: an incomplete request is void, and the response of a complete one has no reader.
+    // The client has reset the stream: it drops an incomplete request, or the response to a complete one.
     private void cancelled() {
         if (state == State.OPEN) {
             state = State.RESET;
@@ -204,7 +204,7 @@
     private void malformed(MalformedMessageException problem) {
         state = State.RESET;
         releaseBody();
-        connection.streamCancelled(); // costs its client what a reset stream does
+        connection.streamCancelled(); // counts against the client like a reset stream
         CodecErrors.reset(stream, problem.code());
     }
 
@@ -228,13 +228,13 @@
             return;
         }
         if (listener.dispatcher().isOpen(request.id())) {
-            // Whatever protocol the other one came by: an upstream could not tell the two apart.
+            // Also if the other request uses another protocol: an upstream could not distinguish the two.
             respond(409, FinalResponse.DUPLICATE_REQUEST_ID);
             return;
         }
         Runnable onClose = listener.dispatcher().dispatch(request, this);
         if (state != State.RESPONDED) {
-            clientClosed = onClose;
+            clientClosedCallback = onClose;
         }
     }
 
@@ -279,29 +279,29 @@
 
     private void respond(FinalResponse response) {
         state = State.RESPONDED;
-        clientClosed = null;
-        respondedAt = System.nanoTime();
-        boolean requestIncomplete = !message.isComplete();
+        clientClosedCallback = null;
+        respondedAtNanos = System.nanoTime();
+        boolean requestIncomplete = !messageState.isComplete();
         releaseBody();
         byte[] content = response.body();
         unreadBytes = content.length + HeaderValidator.SECTION_MOST;
-        listener.connectionLimiter().unread(connection.tracked(), unreadBytes);
-        long charged = unreadBytes;
+        listener.connectionLimiter().unread(connection.trackedConnection(), unreadBytes);
+        long chargedBytes = unreadBytes;
         finalFrame.last();
         ChannelFuture written = stream.write(new DefaultHttp3HeadersFrame(headersOf(response)));
         if (content.length > 0) {
             written = stream.write(new DefaultHttp3DataFrame(Unpooled.wrappedBuffer(content)));
         }
-        written.addListener(done -> responseLeft(charged));
+        written.addListener(done -> responseSent(chargedBytes));
         stream.flush();
         if (requestIncomplete) {
-            // The rest of the request is not wanted; the response stands (RFC 9114, section 4.1).
+            // The rest of the request is not needed; the response remains valid (RFC 9114, section 4.1).
             stream.shutdownInput((int) Http3ErrorCodes.NO_ERROR);
         }
         connection.streamResponded();
     }
 
-    // Names of fields are in lower case (RFC 9114, section 4.2).
+    // Field names are in lower case in HTTP/3 (RFC 9114, section 4.2).
     private static Http3Headers headersOf(FinalResponse response) {
         Http3Headers fields = new DefaultHttp3Headers();
         fields.status(Integer.toString(response.status()));
@@ -315,10 +315,10 @@
         return fields;
     }
 
-    private void responseLeft(long bytes) {
+    private void responseSent(long bytes) {
         if (unreadBytes > 0) {
             unreadBytes = 0;
-            listener.connectionLimiter().unread(connection.tracked(), -bytes);
+            listener.connectionLimiter().unread(connection.trackedConnection(), -bytes);
         }
     }
 }
--- a/src/main/java/loadbalancer/lifecycle/LifeCycle.java
+++ b/src/main/java/loadbalancer/lifecycle/LifeCycle.java
@@ -1,198 +1,208 @@
 package loadbalancer.lifecycle;
 
 /**
- * The life cycle of a balancer's process, and what follows from its state: whether it reports readiness, accepts
- * connections and keeps them open.
+ * The life cycle of a balancer process. The state determines whether the process reports readiness, accepts connections
+ * and keeps them open.
  *
- * <p>Evacuation, hot restart and graceful shutdown drain connections in the same way: responses close their
- * connections first; idle connections are closed later, since each such close may cross a request on its way.
+ * <p>Evacuation, hot restart and graceful shutdown drain connections in the same way: first, connections are closed
+ * after their responses; later, idle connections are closed, as the close of an idle connection may race with a request
+ * that the client is sending.
  *
- * <p>Decides without I/O. Times are ns of one monotonic clock that all calls share. For one thread.
+ * <p>Does no I/O. Times are in ns of one monotonic clock that all calls share. Not thread-safe.
  */
 public final class LifeCycle {
     /** The states of a process. */
     public enum State {
-        /** It can't serve yet: no endpoint list, or the warm-up still runs. */
+        /** The process can't serve yet: there is no endpoint list, or the warm-up is still running. */
         STARTING,
-        /** It serves clients. */
+        /** The process serves clients. */
         READY,
-        /** Operators are moving its clients elsewhere; some may still arrive. */
+        /** Operators are moving the clients to other processes; some clients may still arrive. */
         EVACUATING,
-        /** The evacuation has ended: no connection from before it is left idle. */
+        /** The evacuation has ended: the idle connections from before the evacuation are closed. */
         EVACUATED,
-        /** A successor accepts the clients; requests in flight are answered. */
+        /** A successor accepts the clients; this process completes the requests in flight. */
         HANDING_OVER,
-        /** A graceful shutdown: it ends once all requests are answered. */
+        /** A graceful shutdown: the process ends once all requests are answered. */
         STOPPING
     }
 
     /** The result of an operator's command. */
-    public enum Verdict {
-        /** Carried out. */
+    public enum CommandResult {
+        /** The command was carried out. */
         DONE,
-        /** Nothing to do: the state is the one asked for. */
-        ALREADY,
-        /** Not possible in this state. */
+        /** The process is already in the requested state. */
+        NO_CHANGE,
+        /** The command is not possible in this state. */
         NOT_POSSIBLE
     }
 
-    private static final long MILLISECOND = 1_000_000; // in ns
-    /** For so long after a drain has begun clients may still open connections and send requests, in ns. */
-    public static final long LINGER = 600 * MILLISECOND;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** Time in ns after the start of a drain during which clients may still open connections and send requests. */
+    public static final long DRAIN_LINGER_NANOS = 600 * NANOS_PER_MILLI;
 
-    /** A client that has been idle for so long is unlikely to send a request just then. */
-    private static final long DRAIN_IDLE_TIME = 500 * MILLISECOND;
+    /** Idle timeout during a drain: a client that has been idle for this long is unlikely to be sending a request. */
+    private static final long DRAIN_MAX_IDLE_NANOS = 500 * NANOS_PER_MILLI;
 
-    private static final long EVACUATION_TIME = 1_600 * MILLISECOND;
-    /** Idle time of connections that arrive after an evacuation. */
-    private static final long EVACUATED_IDLE_TIME = 200 * MILLISECOND;
+    private static final long EVACUATION_NANOS = 1_600 * NANOS_PER_MILLI;
+    /** Idle timeout of connections that are opened after an evacuation. */
+    private static final long EVACUATED_MAX_IDLE_NANOS = 200 * NANOS_PER_MILLI;
 
-    private static final long HAND_OVER_TIME = 2_000 * MILLISECOND;
+    private static final long HAND_OVER_NANOS = 2_000 * NANOS_PER_MILLI;
     private static final long NO_LIMIT = Long.MAX_VALUE;
 
     private State state = State.STARTING;
-    private long since; // when the state was entered, ns
-    private boolean prepared; // has all that serving needs
-    private boolean succeeded; // a successor accepts new connections
+    private long stateEnteredAtNanos;
+    private boolean canServe; // endpoint list and warm-up are complete
+    private boolean successorAccepts; // a successor accepts new connections
     private boolean listenerClosed; // as part of a graceful shutdown
 
-    /** A process that starts at {@code now}. */
-    public LifeCycle(long now) {
-        since = now;
+    /** Creates the life cycle of a process that starts at {@code nowNanos}. */
+    public LifeCycle(long nowNanos) {
+        stateEnteredAtNanos = nowNanos;
     }
 
-    /** The present state. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    private Verdict enter(State next, long now) {
+    private CommandResult enter(State next, long nowNanos) {
         state = next;
-        since = now;
-        return Verdict.DONE;
+        stateEnteredAtNanos = nowNanos;
+        return CommandResult.DONE;
     }
 
-    /** Records that the process could serve; returns whether it serves clients from here on. */
-    public boolean prepared(long now) {
-        prepared = true;
+    /** Records that the process is able to serve; returns whether it is ready. */
+    public boolean markPrepared(long nowNanos) {
+        canServe = true;
         if (state == State.STARTING) {
-            enter(State.READY, now);
+            enter(State.READY, nowNanos);
         }
         return state == State.READY;
     }
 
-    /** Starts an evacuation; a process that is still starting has no clients, and does not become ready either. */
-    public Verdict evacuate(long now) {
+    /** Starts an evacuation; a process that is still starting has no clients, and does not become ready. */
+    public CommandResult evacuate(long nowNanos) {
         return switch (state) {
-            case STARTING -> enter(State.EVACUATED, now);
-            case READY -> enter(State.EVACUATING, now);
-            case EVACUATING, EVACUATED -> Verdict.ALREADY;
-            default -> Verdict.NOT_POSSIBLE;
+            case STARTING -> enter(State.EVACUATED, nowNanos);
+            case READY -> enter(State.EVACUATING, nowNanos);
+            case EVACUATING, EVACUATED -> CommandResult.NO_CHANGE;
+            default -> CommandResult.NOT_POSSIBLE;
         };
     }
 
-    /** Ends an evacuation: the process serves clients once it can. */
-    public Verdict rejoin(long now) {
+    /** Ends an evacuation: the process serves clients as soon as it is able to. */
+    public CommandResult rejoin(long nowNanos) {
         return switch (state) {
-            case EVACUATING, EVACUATED -> enter(prepared ? State.READY : State.STARTING, now);
-            case STARTING, READY -> Verdict.ALREADY;
-            default -> Verdict.NOT_POSSIBLE;
+            case EVACUATING, EVACUATED -> enter(canServe ? State.READY : State.STARTING, nowNanos);
+            case STARTING, READY -> CommandResult.NO_CHANGE;
+            default -> CommandResult.NOT_POSSIBLE;
         };
     }
 
-    /** A successor is ready and accepts the clients; false where this process is handing over or stopping already. */
-    public boolean handOver(long now) {
-        succeeded = true;
+    /**
+     * Hands the clients over to a successor that is ready.
+     *
+     * @return false if this process is already handing over or stopping
+     */
+    public boolean handOver(long nowNanos) {
+        successorAccepts = true;
         if (state == State.STOPPING || state == State.HANDING_OVER) {
             return false;
         }
-        enter(State.HANDING_OVER, now);
+        enter(State.HANDING_OVER, nowNanos);
         return true;
     }
 
-    /** The successor has ended: this process accepts clients as before. False where it was not handing over. */
-    public boolean takeBack(long now) {
+    /** Accepts clients again after the successor has ended; returns false if this process was not handing over. */
+    public boolean resume(long nowNanos) {
         if (state != State.HANDING_OVER) {
             return false;
         }
-        succeeded = false;
-        enter(prepared ? State.READY : State.STARTING, now);
+        successorAccepts = false;
+        enter(canServe ? State.READY : State.STARTING, nowNanos);
         return true;
     }
 
     /** Starts a graceful shutdown; idempotent. */
-    public void stop(long now) {
+    public void stop(long nowNanos) {
         if (state != State.STOPPING) {
-            enter(State.STOPPING, now);
+            enter(State.STOPPING, nowNanos);
         }
     }
 
-    /** The listener has been closed by a graceful shutdown: see {@link ShutdownDrain}. */
-    public void listenerClosed() {
+    /** Records that a graceful shutdown has closed the listener; see {@link ShutdownDrain}. */
+    public void markListenerClosed() {
         listenerClosed = state == State.STOPPING;
     }
 
-    /** Applies the passing of time; returns whether an evacuation has ended by it. */
-    public boolean advance(long now) {
-        if (state == State.EVACUATING && now - since >= EVACUATION_TIME) {
-            enter(State.EVACUATED, now);
+    /** Ends an evacuation once its time has elapsed; returns whether this call ended it. */
+    public boolean advance(long nowNanos) {
+        if (state == State.EVACUATING && nowNanos - stateEnteredAtNanos >= EVACUATION_NANOS) {
+            enter(State.EVACUATED, nowNanos);
             return true;
         }
         return false;
     }
 
-    /** Whether the process reports itself ready. */
-    public boolean ready() {
+    /** Returns whether the process reports readiness. */
+    public boolean isReady() {
         return state == State.READY;
     }
 
     /**
-     * Whether the process accepts connections.
+     * Returns whether the process accepts connections.
      *
-     * @param shared whether the listener is shared with another process; then only a ready process accepts
+     * @param listenerShared whether the listener is shared with another process; if so, a starting process does not
+     *     accept connections
      */
-    public boolean accepts(boolean shared) {
+    public boolean acceptsConnections(boolean listenerShared) {
         return switch (state) {
-            case STARTING -> !shared;
+            case STARTING -> !listenerShared;
             case READY, EVACUATING, EVACUATED -> true;
             case HANDING_OVER -> false;
-            case STOPPING -> !succeeded && !listenerClosed;
+            case STOPPING -> !successorAccepts && !listenerClosed;
         };
     }
 
-    /** Whether the process may end without a signal once it holds no connection: its successor has taken over. */
-    public boolean hasLeft(long now) {
-        return (state == State.HANDING_OVER && now - since >= HAND_OVER_TIME) || (state == State.STOPPING && succeeded);
+    /**
+     * Returns whether a successor has taken over, so that the process may end without a signal once it has no
+     * connections.
+     */
+    public boolean mayExit(long nowNanos) {
+        return (state == State.HANDING_OVER && nowNanos - stateEnteredAtNanos >= HAND_OVER_NANOS)
+                || (state == State.STOPPING && successorAccepts);
     }
 
-    /** Whether a response leaves its connection open, unless the request or the response asks for a close. */
-    public boolean keepsConnections() {
+    /** Returns whether connections stay open after a response, unless the request or response requires a close. */
+    public boolean keepsConnectionsOpen() {
         return state == State.STARTING || state == State.READY;
     }
 
-    /** How long a client's connection may be idle, in ns; {@link Long#MAX_VALUE}: no limit by the state. */
-    public long maxIdleTime(long now) {
-        long age = now - since;
+    /** Returns the idle timeout of client connections in ns; {@link Long#MAX_VALUE} if the state sets no limit. */
+    public long maxIdleNanos(long nowNanos) {
+        long ageNanos = nowNanos - stateEnteredAtNanos;
         return switch (state) {
             case STARTING, READY -> NO_LIMIT;
-            case EVACUATING -> drainIdleTime(age, EVACUATION_TIME);
-            case EVACUATED -> EVACUATED_IDLE_TIME;
-            case HANDING_OVER -> drainIdleTime(age, HAND_OVER_TIME);
-            case STOPPING -> stoppingIdleTime();
+            case EVACUATING -> drainMaxIdleNanos(ageNanos, EVACUATION_NANOS);
+            case EVACUATED -> EVACUATED_MAX_IDLE_NANOS;
+            case HANDING_OVER -> drainMaxIdleNanos(ageNanos, HAND_OVER_NANOS);
+            case STOPPING -> stoppingMaxIdleNanos();
         };
     }
 
-    private static long drainIdleTime(long age, long drainTime) {
-        if (age < LINGER) {
+    private static long drainMaxIdleNanos(long ageNanos, long drainNanos) {
+        if (ageNanos < DRAIN_LINGER_NANOS) {
             return NO_LIMIT;
         }
-        return age < drainTime ? DRAIN_IDLE_TIME : 0;
+        return ageNanos < drainNanos ? DRAIN_MAX_IDLE_NANOS : 0;
     }
 
-    private long stoppingIdleTime() {
+    private long stoppingMaxIdleNanos() {
         if (listenerClosed) {
             return 0;
         }
-        return succeeded ? DRAIN_IDLE_TIME : NO_LIMIT;
+        return successorAccepts ? DRAIN_MAX_IDLE_NANOS : NO_LIMIT;
     }
 }
--- a/src/main/java/loadbalancer/proxy/RequestValidator.java
+++ b/src/main/java/loadbalancer/proxy/RequestValidator.java
@@ -4,27 +4,27 @@
 import loadbalancer.policy.Policy;
 import loadbalancer.settings.SettingsReader;
 
-/** Validates a request before it is accepted, whatever protocol it was received by. No I/O and no clock. */
+/** Validates requests before they are accepted, independent of the protocol. Does no I/O and reads no clock. */
 public final class RequestValidator {
-    private static final int MAX_NAME_LENGTH = 256; // characters of an id or a key
-    private static final long MAX_DEADLINE_MILLIS = 600_000; // a request is held no longer than that
+    private static final int MAX_NAME_LENGTH = 256; // of an id or a key, in characters
+    private static final long MAX_DEADLINE_MILLIS = 600_000; // the max. time for which a request is held
     private static final long MAX_COST_MICROS = 600_000_000; // a longer estimate is ignored
     private static final List<String> SINGLE_FIELDS = List.of(
-            "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE, "Req-Cost", "Req-Retry", "Idempotency-Key");
+            "Req-Id", "Req-Kind", "Req-Owner", ProxyRequest.DEADLINE_FIELD, "Req-Cost", "Req-Retry", "Idempotency-Key");
 
     private RequestValidator() {}
 
     /**
-     * Validates a request.
+     * Returns the validated request.
      *
      * @param uri path and query
-     * @param fields the header fields that are forwarded, among them those that describe the request
-     * @throws IllegalArgumentException with the reason, where the request can't be accepted
+     * @param fields the header fields that are forwarded, which include the fields that describe the request
+     * @throws IllegalArgumentException if the request cannot be accepted; the message gives the reason
      */
     public static ProxyRequest validate(
             String method, String uri, HeaderFields fields, byte[] body, SettingsReader.Boot boot) {
         for (String name : SINGLE_FIELDS) {
-            if (fields.several(name)) {
+            if (fields.hasMultiple(name)) {
                 throw new IllegalArgumentException("more than one " + name);
             }
         }
@@ -33,9 +33,9 @@
             throw new IllegalArgumentException("no or bad Req-Id");
         }
         int requestClass = requestClass(method, fields, boot);
-        long timeLeftMillis = number(fields.get(ProxyRequest.DEADLINE), -1);
+        long timeLeftMillis = number(fields.get(ProxyRequest.DEADLINE_FIELD), -1);
         if (timeLeftMillis <= 0 || timeLeftMillis > MAX_DEADLINE_MILLIS) {
-            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE);
+            throw new IllegalArgumentException("no or bad " + ProxyRequest.DEADLINE_FIELD);
         }
         if (!uri.startsWith("/")) {
             throw new IllegalArgumentException("not a path");
@@ -43,7 +43,7 @@
         String path = uri.split("[?#]", 2)[0];
         String key = path.substring(path.lastIndexOf('/') + 1);
         int tenant = Math.max(0, boot.tenants().indexOf(text(fields, "Req-Owner")));
-        long cost = number(fields.get("Req-Cost"), -1);
+        long costMicros = number(fields.get("Req-Cost"), -1);
         return new ProxyRequest(
                 id,
                 method,
@@ -54,11 +54,12 @@
                 tenant,
                 key.isEmpty() ? null : key,
                 timeLeftMillis * 1000,
-                cost > MAX_COST_MICROS ? -1 : cost,
+                costMicros > MAX_COST_MICROS ? -1 : costMicros,
                 "1".equals(fields.get("Req-Retry")));
     }
 
-    // A name occurs twice where its class was changed lately: clients learn of that later than this balancer.
+    // A name occurs more than once if its class was changed recently: clients learn of the change later than this
+    // balancer.
     private static int requestClass(String method, HeaderFields fields, SettingsReader.Boot boot) {
         String name = text(fields, "Req-Kind");
         int first = boot.classes().indexOf(name);
--- a/src/main/java/loadbalancer/server/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/server/GracefulShutdown.java
@@ -11,7 +11,7 @@
  * responses leave before the loop ends. {@link #stop} and {@link #await} are for any thread but the loop's.
  */
 final class GracefulShutdown {
-    private static final long LINGER_MILLIS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.LINGER);
+    private static final long LINGER_MILLIS = TimeUnit.NANOSECONDS.toMillis(LifeCycle.DRAIN_LINGER_NANOS);
     /** The platform kills a process no sooner than 0.7 s and the longest deadline after SIGTERM. */
     private static final long LAST_RESPONSE_MICROS = 600_000;
 
@@ -34,13 +34,13 @@
             server.taskFailures.run(server.extension::stopping);
         });
         ShutdownDrain drain = new ShutdownDrain();
-        ReadBeforeTimers.after(server.loop, LINGER_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
+        ReadBeforeTimers.schedule(server.loop, LINGER_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
         await();
         server.log.accept("event=stopped " + server.dispatcher.summary() + "; " + server.taskFailures.summary() + "; "
                 + server.budget.summary());
         // With an inherited listener the end of the loop would close standard error too, and with it the last lines.
         if (!server.config.inherited()) {
-            server.group.end();
+            server.group.shutdownAsync();
         }
     }
 
@@ -56,12 +56,12 @@
     /** Applies the passing of time to the life cycle; called at intervals, on the loop. */
     void advanceLifeCycle() {
         if (server.lifeCycle.advance(System.nanoTime())) {
-            server.log.accept("event=evacuated connections=" + server.listener.open());
+            server.log.accept("event=evacuated connections=" + server.listener.connectionCount());
         }
-        if (!server.lifeCycle.ready()) {
+        if (!server.lifeCycle.isReady()) {
             server.listener.applyLifeCycle();
         }
-        if (server.lifeCycle.hasLeft(System.nanoTime()) && server.listener.open() == 0) {
+        if (server.lifeCycle.mayExit(System.nanoTime()) && server.listener.connectionCount() == 0) {
             server.dispatcher.whenIdle(stopped::countDown);
         }
     }
@@ -73,7 +73,7 @@
             ended = advance(drain);
         } finally {
             if (!ended) {
-                ReadBeforeTimers.after(
+                ReadBeforeTimers.schedule(
                         server.loop, OBSERVATION_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, () -> observe(drain));
             }
         }
@@ -82,16 +82,16 @@
     /** Takes the next step; returns whether it was the last one. */
     private boolean advance(ShutdownDrain drain) {
         // A response that is being streamed takes as long as it takes.
-        int streamedResponses = server.listener.passes() ? 1 : 0;
+        int streamedResponses = server.listener.isStreamingResponse() ? 1 : 0;
         int pendingResponses = server.dispatcher.pendingResponses() + streamedResponses;
         ShutdownDrain.Step step = drain.observe(server.listener.observe(pendingResponses));
-        if (step == ShutdownDrain.Step.END) {
+        if (step == ShutdownDrain.Step.EXIT) {
             end();
             return true;
         }
         if (step == ShutdownDrain.Step.CLOSE_LISTENER) {
-            server.lifeCycle.listenerClosed();
-            server.taskFailures.run(server.listener::close);
+            server.lifeCycle.markListenerClosed();
+            server.taskFailures.run(server.listener::stopAccepting);
             server.taskFailures.run(server.listener::applyLifeCycle);
             server.taskFailures.run(server.extension::close);
         }
--- a/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
+++ b/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import loadbalancer.eventloop.MillisecondTimer;
+import loadbalancer.eventloop.MillisecondEventLoopGroup;
 import loadbalancer.http3.Http3ConnectionLimiter;
 import loadbalancer.http3.TlsIdentity;
 import loadbalancer.server.Certificates;
@@ -29,49 +29,50 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Clients are notified of a shutdown while their connections close.
+ * Tests that a shutdown notifies all clients even if connections close meanwhile.
  *
- * <p>A ConcurrentModificationException was seen in {@code stopping()} in one run of the tests. The listener walked the
- * live set of its connections, and the GOAWAY that it wrote closed a connection in the same call: its close listener
- * took it from the set. Here a handler closes each connection as the GOAWAY passes, which is that case each time.
+ * <p>Guards against a ConcurrentModificationException in {@code startDraining()}, seen in one run of the tests: the
+ * listener iterated over the live set of its connections, the write of a GOAWAY closed a connection in the same call,
+ * and its close listener removed the connection from the set. To reproduce this every time, a handler closes each
+ * connection as the GOAWAY is written.
  */
 @Timeout(60)
 class Http3ListenerTest {
     private static final int CONNECTIONS = 20;
-    private static final Http3ConnectionLimiter.Limits SESSIONS =
+    private static final Http3ConnectionLimiter.Limits CONNECTION_LIMITS =
             new Http3ConnectionLimiter.Limits(50, 50, 20, 1 << 20, 0, TimeUnit.SECONDS.toNanos(20));
 
     private final X509Bundle certificate = Certificates.selfSigned();
-    private final MillisecondTimer servers = new MillisecondTimer();
-    private final MillisecondTimer clients = new MillisecondTimer();
-    private final EventLoop loop = servers.next();
+    private final MillisecondEventLoopGroup serverLoops = new MillisecondEventLoopGroup();
+    private final MillisecondEventLoopGroup clientLoops = new MillisecondEventLoopGroup();
+    private final EventLoop loop = serverLoops.next();
     private final Http3Listener listener = new Http3Listener(
             loop,
             null,
             null,
             null,
             TlsIdentity.parse(certificate.getCertificatePathPEM(), certificate.getPrivateKeyPEM()),
-            new Http3Listener.Limits(SESSIONS, 10, 20_000),
+            new Http3Listener.Limits(CONNECTION_LIMITS, 10, 20_000),
             line -> {});
-    private final List<QuicChannel> connected = new ArrayList<>();
+    private final List<QuicChannel> clientConnections = new ArrayList<>();
 
     @AfterEach
-    void end() {
-        servers.end();
-        clients.end();
+    void closeLoops() {
+        serverLoops.shutdownAsync();
+        clientLoops.shutdownAsync();
     }
 
     private void connectAll() throws Exception {
         InetSocketAddress address = listener.listen(new InetSocketAddress("127.0.0.1", 0));
-        var context = QuicSslContextBuilder.forClient()
+        var sslContext = QuicSslContextBuilder.forClient()
                 .trustManager(certificate.getCertificatePath()[0])
                 .applicationProtocols(Http3.supportedApplicationProtocols())
                 .build();
         Channel socket = new Bootstrap()
-                .group(clients)
+                .group(clientLoops)
                 .channel(NioDatagramChannel.class)
                 .handler(Http3.newQuicClientCodecBuilder()
-                        .sslEngineProvider(q -> context.newEngine(q.alloc(), "box.test", address.getPort()))
+                        .sslEngineProvider(q -> sslContext.newEngine(q.alloc(), "box.test", address.getPort()))
                         .maxIdleTimeout(20, TimeUnit.SECONDS)
                         .initialMaxData(1 << 20)
                         .build())
@@ -79,7 +80,7 @@
                 .sync()
                 .channel();
         for (int i = 0; i < CONNECTIONS; i++) {
-            connected.add(QuicChannel.newBootstrap(socket)
+            clientConnections.add(QuicChannel.newBootstrap(socket)
                     .handler(new Http3ClientConnectionHandler())
                     .remoteAddress(address)
                     .connect()
@@ -87,7 +88,7 @@
         }
     }
 
-    // The server opens its control stream once it has the client's last packet of the handshake.
+    // The server opens its control stream when it has received the last handshake packet of the client.
     private void awaitControlStreams() throws Exception {
         while (loop.submit(() -> listener.connections().stream()
                         .anyMatch(connection -> Http3.getLocalControlStream(connection.channel()) == null))
@@ -96,7 +97,7 @@
         }
     }
 
-    // The writes of HTTP/3 pass this handler of the control stream.
+    // HTTP/3 frames of the connection, such as GOAWAY, are written through this handler of the control stream.
     private static void closeWithNextWrite(Http3ClientConnection connection) {
         QuicChannel channel = connection.channel();
         Http3.getLocalControlStream(channel).pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
@@ -108,31 +109,31 @@
         });
     }
 
-    private void crossEachConnectionWithItsClose(Consumer<Http3Listener> step) throws Exception {
+    private void runWhileConnectionsClose(Consumer<Http3Listener> action) throws Exception {
         connectAll();
         awaitControlStreams();
         loop.submit(() -> {
                     assertEquals(CONNECTIONS, listener.connections().size());
                     listener.connections().forEach(Http3ListenerTest::closeWithNextWrite);
-                    step.accept(listener);
+                    action.accept(listener);
                 })
                 .get(20, TimeUnit.SECONDS);
-        for (QuicChannel client : connected) {
-            assertTrue(client.closeFuture().await(20, TimeUnit.SECONDS), "a client was not notified");
+        for (QuicChannel client : clientConnections) {
+            assertTrue(client.closeFuture().await(20, TimeUnit.SECONDS), "a client was not notified of the shutdown");
         }
         assertEquals(
                 0,
                 loop.submit(() -> listener.connections().size()).get(20, TimeUnit.SECONDS),
-                "connections that are left");
+                "connections left open");
     }
 
     @Test
     void connectionsThatCloseWhileTheDrainIsAnnouncedDoNotDisturbIt() throws Exception {
-        crossEachConnectionWithItsClose(Http3Listener::stopping);
+        runWhileConnectionsClose(Http3Listener::startDraining);
     }
 
     @Test
     void connectionsThatCloseWhileNewStreamsAreRejectedDoNotDisturbIt() throws Exception {
-        crossEachConnectionWithItsClose(Http3Listener::close);
+        runWhileConnectionsClose(Http3Listener::rejectNewStreams);
     }
 }
--- a/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
+++ b/src/test/java/loadbalancer/http1/Http1HeaderFieldsTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.proxy.HeaderFields;
 import org.junit.jupiter.api.Test;
 
-/** Hop-by-hop fields, the Host of a request without one, and fields of another protocol. */
+/** Tests hop-by-hop fields, requests without Host, and fields of another protocol. */
 class Http1HeaderFieldsTest {
     @Test
     void hopByHopFieldsAreRemovedAndTheOthersAreNotCopied() {
@@ -25,18 +25,18 @@
                 .add("X-Kept", "1")
                 .add("X-Kept", "2");
         Http1HeaderFields fields = new Http1HeaderFields(headers).endToEnd();
-        assertSame(headers, Http1HeaderFields.of(fields, "b:1"));
+        assertSame(headers, Http1HeaderFields.toHttpHeaders(fields, "b:1"));
         assertEquals(3, headers.size());
         assertEquals(List.of("1", "2"), fields.all("x-kept"));
         assertEquals("a", fields.get("host"));
     }
 
-    /** The first attempt's host stayed in the fields, and would have gone to the second one's server. */
+    /** Guards against sending the Host of the first attempt, which stayed in the fields, to the second server. */
     @Test
     void aRequestWithoutAHostGetsThatOfEachAttempt() {
         Http1HeaderFields fields = new Http1HeaderFields(new DefaultHttpHeaders());
-        assertEquals("a:1", Http1HeaderFields.of(fields, "a:1").get("Host"));
-        assertEquals("b:2", Http1HeaderFields.of(fields, "b:2").get("Host"));
+        assertEquals("a:1", Http1HeaderFields.toHttpHeaders(fields, "a:1").get("Host"));
+        assertEquals("b:2", Http1HeaderFields.toHttpHeaders(fields, "b:2").get("Host"));
     }
 
     @Test
@@ -53,14 +53,14 @@
             }
 
             @Override
-            public void each(BiConsumer<String, String> to) {
-                to.accept("x-a", "1");
+            public void forEach(BiConsumer<String, String> action) {
+                action.accept("x-a", "1");
             }
         };
-        HttpHeaders first = Http1HeaderFields.of(other, "a:1");
+        HttpHeaders first = Http1HeaderFields.toHttpHeaders(other, "a:1");
         first.set("x-b", "2");
         assertEquals("1", first.get("X-A"));
         assertEquals("a:1", first.get("Host"));
-        assertNull(Http1HeaderFields.of(other, "a:1").get("x-b"));
+        assertNull(Http1HeaderFields.toHttpHeaders(other, "a:1").get("x-b"));
     }
 }
--- a/src/test/java/loadbalancer/proxy/SendGuardTest.java
+++ b/src/test/java/loadbalancer/proxy/SendGuardTest.java
@@ -10,24 +10,28 @@
 class SendGuardTest {
     private static final long NEVER = Long.MAX_VALUE;
 
-    private static SendPermit decide(long now, long before, long stopAt, boolean moved) {
-        return SendGuard.decide(now, NEVER, before, stopAt, moved, NEVER);
+    private static SendPermit decide(
+            long now, long startDeadlineMicros, long drainDeadlineMicros, boolean addressChanged) {
+        return SendGuard.decide(now, NEVER, startDeadlineMicros, drainDeadlineMicros, addressChanged, NEVER);
     }
 
     @Test
     void anAttemptIsCheckedRightBeforeItsFirstByte() {
         assertTrue(decide(99, 100, DrainGrace.NEVER, false).granted());
         assertEquals(Outcome.NOT_SENT, decide(100, 100, DrainGrace.NEVER, false).refusal());
-        assertTrue(decide(99, NEVER, 100, false).granted(), "within its grace");
+        assertTrue(decide(99, NEVER, 100, false).granted(), "within the drain grace");
         assertEquals(Outcome.CONNECT_FAILED, decide(100, NEVER, 100, false).refusal());
         assertEquals(
                 Outcome.CONNECT_FAILED, decide(0, 100, DrainGrace.NEVER, true).refusal());
-        assertEquals(Outcome.NOT_SENT, decide(100, 100, 100, true).refusal(), "nor may another run it");
+        assertEquals(
+                Outcome.NOT_SENT,
+                decide(100, 100, 100, true).refusal(),
+                "no other upstream may run the request either");
     }
 
     @Test
     void nothingBeginsForAClientThatHasClosed() {
-        SendPermit permit = SendGuard.decide(0, SendGuard.NOBODY, NEVER, NEVER, false, NEVER);
+        SendPermit permit = SendGuard.decide(0, SendGuard.NOT_AWAITED, NEVER, NEVER, false, NEVER);
         assertFalse(permit.granted());
         assertEquals(Outcome.NOT_SENT, permit.refusal());
         assertTrue(permit.refusal().neverRan());
@@ -35,16 +39,16 @@
 
     @Test
     void aPermitExpiresAtTheEarliestOfItsLimits() {
-        assertEquals(10, SendGuard.decide(0, 10, 20, 30, false, 40).until());
-        assertEquals(10, SendGuard.decide(0, 20, 10, 30, false, 40).until());
-        assertEquals(10, SendGuard.decide(0, 20, 30, 10, false, 40).until());
-        assertEquals(10, SendGuard.decide(0, 20, 30, 40, false, 10).until());
+        assertEquals(10, SendGuard.decide(0, 10, 20, 30, false, 40).expiresAtMicros());
+        assertEquals(10, SendGuard.decide(0, 20, 10, 30, false, 40).expiresAtMicros());
+        assertEquals(10, SendGuard.decide(0, 20, 30, 10, false, 40).expiresAtMicros());
+        assertEquals(10, SendGuard.decide(0, 20, 30, 40, false, 10).expiresAtMicros());
     }
 
     @Test
-    void aPermitEndsBeforeTheGraceOfACloseRightBehindTheRead() {
-        long readAt = 1_000_000;
-        assertTrue(SendGuard.awaitedUntil(readAt) < readAt + SendGuard.CLOSE_GRACE);
-        assertTrue(SendGuard.awaitedUntil(readAt) > readAt);
+    void aPermitExpiresBeforeTheGraceOfACloseRightAfterTheRead() {
+        long readAtMicros = 1_000_000;
+        assertTrue(SendGuard.awaitedUntilMicros(readAtMicros) < readAtMicros + SendGuard.CLOSE_GRACE_MICROS);
+        assertTrue(SendGuard.awaitedUntilMicros(readAtMicros) > readAtMicros);
     }
 }
