--- a/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
+++ b/src/main/java/loadbalancer/downstream/http1/ConnectionAdmission.java
@@ -100,8 +100,10 @@
         state = State.READY;
         budget.setClientsWaiting(!hasCapacity);
         if (listener.isOpen()) {
-            boolean accepting =
-                    hasCapacity && !acceptRetryPending && warmUpAdmits(0) && lifeCycle.acceptsConnections(sharedListener);
+            boolean accepting = hasCapacity
+                    && !acceptRetryPending
+                    && warmUpAdmits(0)
+                    && lifeCycle.acceptsConnections(sharedListener);
             setAccepting(accepting, !hasCapacity ? "no capacity" : warmingUp ? "warm-up" : "life cycle");
             if (!accepting) {
                 scheduleRecheck();
--- a/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1ClientConnection.java
@@ -103,7 +103,9 @@
     /** Responds to, aborts or closes whatever exceeds its timeout. */
     void checkTimeouts(long nowNanos) {
         boolean readable = !input.isPaused() && input.isAutoRead();
-        if (serveState != ServeState.CLOSING && readable && timeouts.isReceiveOverdue(receiveProgress.state(), nowNanos)) {
+        if (serveState != ServeState.CLOSING
+                && readable
+                && timeouts.isReceiveOverdue(receiveProgress.state(), nowNanos)) {
             onMalformed(HttpResponseStatus.REQUEST_TIMEOUT, "too slow");
         }
         if (input.isStreaming() || streamer != null) {
--- a/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1Listener.java
@@ -99,7 +99,8 @@
             Channel bound = (shared ? bootstrap.register() : bootstrap.bind(address))
                     .sync()
                     .channel();
-            ReadBeforeTimers.scheduleWithFixedDelay(loop, TIMEOUT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
+            ReadBeforeTimers.scheduleWithFixedDelay(
+                    loop, TIMEOUT_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS, this::checkTimeouts);
             return (InetSocketAddress) bound.localAddress();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/http1/Http1RequestHandler.java
@@ -88,7 +88,8 @@
         }
         Http1ResponseWriter writer = new Http1ResponseWriter(
                 connection, keepAlive, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
-        Runnable clientClosedCallback = target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.UPSTREAM_PATH) : request, writer);
+        Runnable clientClosedCallback =
+                target.dispatch(isWarmUp ? request.withUri(WarmUpRequests.UPSTREAM_PATH) : request, writer);
         if (!writer.hasResponded()) {
             connection.awaitResponse(clientClosedCallback);
         }
--- a/src/main/java/loadbalancer/server/HotRestartCoordinator.java
+++ b/src/main/java/loadbalancer/server/HotRestartCoordinator.java
@@ -80,7 +80,8 @@
             case SHARE_RESOURCES -> server.log.accept("event=hot_restart_successor_started");
             case HAND_OVER -> {
                 if (server.lifeCycle.handOver(now)) {
-                    server.log.accept("event=hot_restart_handing_over connections=" + server.listener.connectionCount());
+                    server.log.accept(
+                            "event=hot_restart_handing_over connections=" + server.listener.connectionCount());
                 }
             }
             case RESUME -> {
--- a/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
+++ b/src/test/java/loadbalancer/downstream/http3/Http3ListenerTest.java
@@ -122,9 +122,7 @@
             assertTrue(client.closeFuture().await(20, TimeUnit.SECONDS), "a client was not notified of the shutdown");
         }
         assertEquals(
-                0,
-                loop.submit(() -> listener.connections().size()).get(20, TimeUnit.SECONDS),
-                "connections left open");
+                0, loop.submit(() -> listener.connections().size()).get(20, TimeUnit.SECONDS), "connections left open");
     }
 
     @Test
