--- a/src/test/java/loadbalancer/policy/PolicyFixtures.java
+++ b/src/test/java/loadbalancer/policy/PolicyFixtures.java
@@ -51,8 +51,8 @@
 
     static RequestState request(
             String id, RequestClass requestClass, Policy.Limits limits, long objectiveMicros, boolean overQuota) {
-        RequestState.Times times =
-                new RequestState.Times(NOW_MICROS, NOW_MICROS + requestClass.deadlineMicros(), NOW_MICROS + objectiveMicros);
+        RequestState.Times times = new RequestState.Times(
+                NOW_MICROS, NOW_MICROS + requestClass.deadlineMicros(), NOW_MICROS + objectiveMicros);
         return new RequestState(id, new ClassLatency(requestClass), requestClass, limits, 0, times, overQuota);
     }
 
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -66,7 +66,8 @@
                                 && request.servers.get(i).zone() != target.zone();
                 if (mayHaveRun
                         && request.requestClass.effect() == Effect.KEYED
-                        && (outsideScope || nowMicros - request.sentAtMicros.get(i) >= request.requestClass.keyTtlMicros())) {
+                        && (outsideScope
+                                || nowMicros - request.sentAtMicros.get(i) >= request.requestClass.keyTtlMicros())) {
                     return "a keyed request left its deduplication scope or window";
                 }
             }
@@ -95,8 +96,8 @@
 
         String unansweredViolation(long nowMicros) {
             return requests.values().stream()
-                            .anyMatch(
-                                    request -> request.response == null && nowMicros > request.deadline + ANSWER_SLACK_MICROS)
+                            .anyMatch(request ->
+                                    request.response == null && nowMicros > request.deadline + ANSWER_SLACK_MICROS)
                     ? "a request was lost"
                     : null;
         }
@@ -107,8 +108,8 @@
             List<Long> sends, long startedAtMicros, double warmSendsPerSecond, Policy.Bounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long windowStart = sends.get(i);
-            double warmth =
-                    bounds.coldFrom() + (1 - bounds.coldFrom()) * (windowStart - startedAtMicros) / bounds.rampTimeMicros();
+            double warmth = bounds.coldFrom()
+                    + (1 - bounds.coldFrom()) * (windowStart - startedAtMicros) / bounds.rampTimeMicros();
             long windowEnd = windowStart + bounds.fallWindowMicros();
             long count = sends.stream()
                     .filter(t -> t >= windowStart && t < windowEnd)
