--- a/src/test/java/loadbalancer/policy/AccomplishmentRankingTest.java
+++ b/src/test/java/loadbalancer/policy/AccomplishmentRankingTest.java
@@ -12,8 +12,8 @@
     private final DecayScale scale = new DecayScale();
     private final AccomplishmentRanking ranking = new AccomplishmentRanking(scale);
 
-    private static ServerState server(String id, int tieBreaker, int machineKind, double weight) {
-        return new ServerState(new Server(id, State.UP, 0, weight, 0, machineKind, 0), tieBreaker);
+    private static ServerState server(String id, int tieBreaker, int machineModel, double weight) {
+        return new ServerState(new Server(id, State.UP, 0, weight, 0, machineModel, 0), tieBreaker);
     }
 
     @Test
@@ -50,13 +50,13 @@
     }
 
     @Test
-    void halfOfTheServersAreFastWhereAllAreOfOneKind() {
+    void halfOfTheServersAreFastWhereAllAreOfOneModel() {
         ranking.updateFastProportion(List.of(server("a", 0, 0, 1), server("b", 1, 0, 5)));
         assertEquals(3, ranking.fastCount(6));
     }
 
     @Test
-    void machineKindsOfAtLeastMeanWeightAreFast() {
+    void machineModelsOfAtLeastMeanWeightAreFast() {
         ranking.updateFastProportion(
                 List.of(server("a", 0, 0, 4), server("b", 1, 1, 1), server("c", 2, 1, 1), server("d", 3, 2, 1)));
         assertEquals(2, ranking.fastCount(8), "one of four servers");
--- a/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionControllerTest.java
@@ -19,7 +19,7 @@
 
     private final AdmissionController admission = new AdmissionController(
             PolicyFixtures.activeSettings(HIGH_PRIORITY, LOW_PRIORITY), new SplittableRandom(1));
-    private long now = PolicyFixtures.NOW;
+    private long nowMicros = PolicyFixtures.NOW_MICROS;
 
     AdmissionControllerTest() {
         admission.reload();
@@ -36,13 +36,13 @@
 
     /** Advances the time with arrivals of both classes and responses that take {@code load} times the objective. */
     private void runLoad(double seconds, double load) {
-        long end = now + (long) (seconds * 1e6);
-        while (now < end) {
-            now += TICK_MICROS;
+        long end = nowMicros + (long) (seconds * 1e6);
+        while (nowMicros < end) {
+            nowMicros += TICK_MICROS;
             admission.shouldReject(request(HIGH_PRIORITY));
             admission.shouldReject(request(LOW_PRIORITY));
-            admission.recordLoad(load, now);
-            admission.update(now, TICK_MICROS, Math.exp(-TICK_MICROS / DecayScale.TIME_CONSTANT_MICROS));
+            admission.recordLoad(load, nowMicros);
+            admission.update(nowMicros, TICK_MICROS, Math.exp(-TICK_MICROS / DecayScale.TIME_CONSTANT_MICROS));
         }
     }
 
@@ -100,8 +100,8 @@
         runLoad(4, 1.0);
         String underLoad = admission.describe();
         for (int i = 0; i < 1_000; i++) {
-            now += TICK_MICROS;
-            admission.update(now, TICK_MICROS, 0.998);
+            nowMicros += TICK_MICROS;
+            admission.update(nowMicros, TICK_MICROS, 0.998);
         }
         assertTrue(underLoad.contains("load=1.00"), underLoad);
         assertTrue(admission.describe().contains("load=0.00"), admission.describe());
--- a/src/test/java/loadbalancer/policy/DecisionTraceTest.java
+++ b/src/test/java/loadbalancer/policy/DecisionTraceTest.java
@@ -163,7 +163,7 @@
     /** A request as the caller sees it. */
     private static final class CallerRequest {
         final String id;
-        final List<Long> sentAt = new ArrayList<>();
+        final List<Long> sentAtMicros = new ArrayList<>();
         final List<String> sentTo = new ArrayList<>();
         boolean closed;
 
@@ -183,7 +183,7 @@
         private final Map<String, CallerRequest> requests = new HashMap<>();
         private final Map<String, Integer> inFlight = new HashMap<>();
         private final List<Server> servers = new ArrayList<>();
-        private long now = 5_000 * MICROS_PER_SECOND;
+        private long nowMicros = 5_000 * MICROS_PER_SECOND;
         private int scheduledCount;
         private int requestCount;
         private int sendCount;
@@ -205,14 +205,14 @@
         }
 
         void run() {
-            policy.updateEndpoints(now, ListKind.PERSISTED, List.copyOf(servers), this);
-            policy.updateEndpoints(now, ListKind.COMPLETE, List.copyOf(servers), this);
+            policy.updateEndpoints(nowMicros, ListKind.PERSISTED, List.copyOf(servers), this);
+            policy.updateEndpoints(nowMicros, ListKind.COMPLETE, List.copyOf(servers), this);
             schedule(0, this::submitRequest);
             schedule(300_000, this::updateServers);
             schedule(2 * MICROS_PER_SECOND, this::reloadSettings);
             for (int i = 0; i < EVENTS; i++) {
                 Event next = events.remove();
-                now = next.at();
+                nowMicros = next.at();
                 next.action().run();
             }
         }
@@ -228,7 +228,7 @@
         }
 
         private void schedule(long delayMicros, Runnable action) {
-            events.add(new Event(now + Math.max(0, delayMicros), scheduledCount++, action));
+            events.add(new Event(nowMicros + Math.max(0, delayMicros), scheduledCount++, action));
         }
 
         // Normal and peak rates alternate, so that queues fill, requests are rejected, and the load recovers.
@@ -244,12 +244,12 @@
             long workMicros = random.nextInt(3) == 0 ? -1 : 5_000 + random.nextInt(40_000);
             long timeLeftMicros = settings.classes().get(requestClass).deadlineMicros() / (1 + random.nextInt(3));
             boolean resubmission = random.nextInt(12) == 0;
-            policy.request(now, id, requestClass, tenant, key, timeLeftMicros, workMicros, resubmission, this);
+            policy.request(nowMicros, id, requestClass, tenant, key, timeLeftMicros, workMicros, resubmission, this);
             schedule(timeLeftMicros, () -> expire(callerRequest));
             if (random.nextInt(40) == 0) {
                 schedule(random.nextLong(timeLeftMicros), () -> disconnect(callerRequest));
             }
-            boolean peak = now / (4 * MICROS_PER_SECOND) % 3 == 1;
+            boolean peak = nowMicros / (4 * MICROS_PER_SECOND) % 3 == 1;
             schedule(peak ? random.nextInt(700) : random.nextInt(5_000), this::submitRequest);
         }
 
@@ -260,7 +260,7 @@
         private void disconnect(CallerRequest callerRequest) {
             if (!callerRequest.closed) {
                 callerRequest.closed = true;
-                policy.clientDisconnected(now, callerRequest.id, this);
+                policy.clientDisconnected(nowMicros, callerRequest.id, this);
             }
         }
 
@@ -270,10 +270,10 @@
             int index = random.nextInt(SERVERS);
             Server before = servers.get(index);
             if (eventDraw == 0) {
-                policy.updateEndpoints(now, ListKind.FAILED, List.of(), this);
+                policy.updateEndpoints(nowMicros, ListKind.FAILED, List.of(), this);
             } else if (eventDraw == 1) {
                 policy.updateEndpoints(
-                        now,
+                        nowMicros,
                         ListKind.COMPLETE,
                         servers.stream().filter(s -> s.state() != State.GONE).toList(),
                         this);
@@ -283,13 +283,13 @@
                 Server changed = new Server(
                         before.id(),
                         next,
-                        cold ? now : before.startedAtMicros(),
+                        cold ? nowMicros : before.startedAtMicros(),
                         before.weight(),
                         before.cell(),
                         before.machineModel(),
                         before.zone());
                 servers.set(index, changed);
-                policy.updateEndpoints(now, ListKind.PARTIAL, List.of(changed), this);
+                policy.updateEndpoints(nowMicros, ListKind.PARTIAL, List.of(changed), this);
             }
             schedule(50_000 + random.nextInt(400_000), this::updateServers);
         }
@@ -303,7 +303,7 @@
             for (int i = 0; i < settings.tenants().size(); i++) {
                 tenants.add(i);
             }
-            policy.reload(now, settings, classes, tenants, this);
+            policy.reload(nowMicros, settings, classes, tenants, this);
             schedule(3 * MICROS_PER_SECOND, this::reloadSettings);
         }
 
@@ -325,7 +325,7 @@
             }
             Outcome result = outcome;
             if (result == Outcome.OK && random.nextInt(30) == 0) {
-                schedule(latencyMicros / 2, () -> policy.streamStarted(now, callerRequest.id, attempt, this));
+                schedule(latencyMicros / 2, () -> policy.streamStarted(nowMicros, callerRequest.id, attempt, this));
             }
             schedule(latencyMicros, () -> endAttempt(callerRequest, attempt, result));
         }
@@ -336,11 +336,11 @@
         }
 
         private void endAttempt(CallerRequest callerRequest, int attempt, Outcome outcome) {
-            if (callerRequest.sentAt.get(attempt) < 0) {
+            if (callerRequest.sentAtMicros.get(attempt) < 0) {
                 return;
             }
-            long elapsedMicros = now - callerRequest.sentAt.get(attempt);
-            callerRequest.sentAt.set(attempt, -1L);
+            long elapsedMicros = nowMicros - callerRequest.sentAtMicros.get(attempt);
+            callerRequest.sentAtMicros.set(attempt, -1L);
             String server = callerRequest.sentTo.get(attempt);
             inFlight.merge(server, -1, Integer::sum);
             if (outcome == Outcome.OK) {
@@ -349,11 +349,12 @@
             Policy.Load load = random.nextInt(2) == 0
                     ? null
                     : new Policy.Load(inFlight.get(server), 0, Double.NaN, 9_000, Double.NaN, Double.NaN);
-            policy.outcome(now, callerRequest.id, attempt, outcome, elapsedMicros, callerRequest.closed, load, this);
+            policy.outcome(
+                    nowMicros, callerRequest.id, attempt, outcome, elapsedMicros, callerRequest.closed, load, this);
         }
 
         private void hashLine(Object... parts) {
-            StringBuilder line = new StringBuilder().append(now);
+            StringBuilder line = new StringBuilder().append(nowMicros);
             for (Object part : parts) {
                 line.append(' ').append(part);
             }
@@ -370,9 +371,9 @@
             hashLine("send", request, server, timeoutMicros, sendWithinMicros);
             sendCount++;
             CallerRequest callerRequest = requests.get(request);
-            callerRequest.sentAt.add(now);
+            callerRequest.sentAtMicros.add(nowMicros);
             callerRequest.sentTo.add(server);
-            startAttempt(callerRequest, callerRequest.sentAt.size() - 1, server, timeoutMicros);
+            startAttempt(callerRequest, callerRequest.sentAtMicros.size() - 1, server, timeoutMicros);
         }
 
         @Override
@@ -408,8 +409,8 @@
         }
 
         @Override
-        public void watch(boolean subscribed) {
-            hashLine("watch", subscribed);
+        public void watch(boolean enabled) {
+            hashLine("watch", enabled);
         }
 
         @Override
@@ -430,7 +431,7 @@
         @Override
         public void wakeAfter(long delayMicros) {
             hashLine("wake", delayMicros);
-            schedule(delayMicros, () -> policy.wake(now, this));
+            schedule(delayMicros, () -> policy.wake(nowMicros, this));
         }
 
         @Override
--- a/src/test/java/loadbalancer/policy/DispatchTest.java
+++ b/src/test/java/loadbalancer/policy/DispatchTest.java
@@ -23,8 +23,8 @@
     private static final Policy.Settings SETTINGS =
             PolicyTestHarness.settings(PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL));
 
-    /** Six servers, the size of a subset, three of them of a machine kind with a higher weight, so that p is 0.5. */
-    private static PolicyTestHarness twoMachineKinds(long seed) {
+    /** Six servers, the size of a subset, three of them of a machine model with a higher weight, so that p is 0.5. */
+    private static PolicyTestHarness twoMachineModels(long seed) {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             servers.add(new Server("s" + i, State.UP, 0, i < 3 ? 2 : 1, 0, i < 3 ? 0 : 1, 0));
@@ -38,7 +38,7 @@
         // same half of the servers.
         Map<String, Integer> firstServerCounts = new HashMap<>();
         for (int seed = 0; seed < 2000; seed++) {
-            firstServerCounts.merge(twoMachineKinds(seed).request("r", 0).server, 1, Integer::sum);
+            firstServerCounts.merge(twoMachineModels(seed).request("r", 0).server, 1, Integer::sum);
         }
         assertEquals(Set.of("s0", "s1", "s2", "s3", "s4", "s5"), firstServerCounts.keySet());
         for (int count : firstServerCounts.values()) {
@@ -53,11 +53,11 @@
         // Where dispatch counts differ and fix the ranks, ranks 0, 1 and 2 win with probability 2/3, 1/3 and 0.
         Map<Integer, Integer> wins = new HashMap<>();
         for (int seed = 0; seed < 3000; seed++) {
-            PolicyTestHarness harness = twoMachineKinds(seed);
+            PolicyTestHarness harness = twoMachineModels(seed);
             List<String> servers = new ArrayList<>();
             for (int i = 0; i < 60; i++) { // so that the dispatch counts differ
                 PolicyTestHarness.SentAttempt sent = harness.request("w" + i, 0);
-                harness.now += 1000;
+                harness.nowMicros += 1000;
                 harness.endAttempt(sent, Outcome.OK);
                 servers.add(sent.server);
             }
@@ -82,7 +82,7 @@
     void theShortestSampledQueueWins() {
         // Once each server of the top set has an attempt in flight, one of the other, idle servers must win.
         for (int seed = 0; seed < 50; seed++) {
-            PolicyTestHarness harness = twoMachineKinds(seed);
+            PolicyTestHarness harness = twoMachineModels(seed);
             Set<String> busy = new HashSet<>();
             for (int i = 0; i < 3; i++) {
                 busy.add(harness.request("r" + i, 0).server);
@@ -110,7 +110,7 @@
     }
 
     private static List<String> actionsOfScript(long seed) {
-        PolicyTestHarness harness = twoMachineKinds(seed);
+        PolicyTestHarness harness = twoMachineModels(seed);
         for (int i = 0; i < 300; i++) {
             PolicyTestHarness.SentAttempt sent = harness.request("r" + i, 0);
             harness.advanceTime(7_000 + i % 13 * 1000);
@@ -127,7 +127,7 @@
                 new PolicyTestHarness(SETTINGS, 3).updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(4));
         harness.warmUp(40, 0, 50_000);
         PolicyTestHarness.SentAttempt failed = harness.request("bad", 0);
-        harness.now += 500;
+        harness.nowMicros += 500;
         harness.endAttempt(failed, Outcome.ERROR); // the retry goes elsewhere
         assertEquals(2, harness.attemptsOf("bad").size());
         assertTrue(!harness.attemptsOf("bad").get(1).server.equals(failed.server));
--- a/src/test/java/loadbalancer/policy/EmbeddingTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingTest.java
@@ -134,7 +134,7 @@
                 harness.request("r" + i, 0, 0, deadlineMicros);
                 harness.advanceTime(1_000_000 / requestsPerSecond);
                 harness.sentAttempts.stream()
-                        .filter(s -> !s.ended && harness.now - s.sentAt >= latencyMicros)
+                        .filter(s -> !s.ended && harness.nowMicros - s.sentAtMicros >= latencyMicros)
                         .toList()
                         .forEach(s -> harness.endAttempt(s, Outcome.OK));
             }
--- a/src/test/java/loadbalancer/policy/FleetModel.java
+++ b/src/test/java/loadbalancer/policy/FleetModel.java
@@ -30,7 +30,7 @@
         Server server;
         final ArrayDeque<Long> recentSendTimes = new ArrayDeque<>(); // within the last fall window, during slow start
         double speedFactor = 1;
-        long busyUntil;
+        long busyUntilMicros;
     }
 
     /** One balancer's connections, each with one request at a time, closed by the real balancer's idle timeout. */
@@ -47,7 +47,7 @@
         private ArrayDeque<Long> idleConnections(String server) {
             ArrayDeque<Long> idleSince = idleSinceByServer.computeIfAbsent(server, id -> new ArrayDeque<>());
             while (!idleSince.isEmpty()
-                    && IDLE_TIMEOUT.isExpired(balancer.now - idleSince.peekFirst(), idleSince.size() - 1)) {
+                    && IDLE_TIMEOUT.isExpired(balancer.nowMicros - idleSince.peekFirst(), idleSince.size() - 1)) {
                 idleSince.pollFirst();
             }
             return idleSince;
@@ -68,7 +68,7 @@
 
     private record Job(PolicyTestHarness balancer, PolicyTestHarness.SentAttempt attempt, long workMicros) {}
 
-    private record Submission(long submittedAt, int requestClass, int number, long workMicros) {}
+    private record Submission(long submittedAtMicros, int requestClass, int number, long workMicros) {}
 
     final List<PolicyTestHarness> balancers = new ArrayList<>();
     final int[] arrivals;
@@ -80,12 +80,12 @@
     double maxSendsToFailureRatio;
     int coldSends;
     int connectionsOpened; // connections to servers
-    long now = PolicyTestHarness.START_MICROS;
+    long nowMicros = PolicyTestHarness.START_MICROS;
     private final Policy.Settings settings;
     private final SplittableRandom random;
     private final Map<String, ModelServer> modelServers = new HashMap<>();
     private final PriorityQueue<Submission> submissions =
-            new PriorityQueue<>((a, b) -> Long.compare(a.submittedAt, b.submittedAt));
+            new PriorityQueue<>((a, b) -> Long.compare(a.submittedAtMicros, b.submittedAtMicros));
     private final Map<String, Submission> openSubmissions = new HashMap<>();
     private final List<Integer> processedSends = new ArrayList<>();
     private final List<List<Job>> outstandingJobs = new ArrayList<>();
@@ -142,10 +142,10 @@
     /** Advances the time with new requests; their intervals and their work are exponentially distributed. */
     void run(long durationMicros, double requestsPerSecond, double[] classShares, long meanWorkMicros) {
         this.meanWorkMicros = meanWorkMicros;
-        long end = now + durationMicros;
-        double nextArrival = now;
-        while (now < end) {
-            while (nextArrival < now + STEP_MICROS) {
+        long end = nowMicros + durationMicros;
+        double nextArrival = nowMicros;
+        while (nowMicros < end) {
+            while (nextArrival < nowMicros + STEP_MICROS) {
                 double classDraw = random.nextDouble();
                 int requestClass = 0;
                 while (classDraw >= classShares[requestClass]) {
@@ -161,11 +161,11 @@
     }
 
     private void step() {
-        now += STEP_MICROS;
+        nowMicros += STEP_MICROS;
         for (PolicyTestHarness balancer : balancers) {
-            balancer.advanceTime(now - balancer.now);
+            balancer.advanceTime(nowMicros - balancer.nowMicros);
         }
-        while (!submissions.isEmpty() && submissions.peek().submittedAt <= now) {
+        while (!submissions.isEmpty() && submissions.peek().submittedAtMicros <= nowMicros) {
             Submission submission = submissions.poll();
             PolicyTestHarness balancer = balancers.get(random.nextInt(balancers.size()));
             String id = "q" + submissionCount++;
@@ -187,7 +187,7 @@
         if (outcome == Outcome.OK || outcome == Outcome.FULL) {
             ((PooledConnections) balancer.connections)
                     .idleConnections(attempt.server)
-                    .addLast(balancer.now);
+                    .addLast(balancer.nowMicros);
         }
         if (settings.reports() == Policy.Reports.ANSWERS) {
             balancer.reportedInFlight = modelServers.get(attempt.server).queue.size();
@@ -197,16 +197,16 @@
 
     private void serve(ModelServer modelServer) {
         modelServer.queue.removeIf(j -> j.attempt.ended);
-        while (!modelServer.queue.isEmpty() && modelServer.busyUntil <= now) {
+        while (!modelServer.queue.isEmpty() && modelServer.busyUntilMicros <= nowMicros) {
             Job job = modelServer.queue.poll();
             double speedFactor = modelServer.speedFactor * modelServer.server.weight() * warmth(modelServer);
-            modelServer.busyUntil =
-                    Math.max(now - STEP_MICROS, modelServer.busyUntil) + (long) (job.workMicros / speedFactor);
+            modelServer.busyUntilMicros = Math.max(nowMicros - STEP_MICROS, modelServer.busyUntilMicros)
+                    + (long) (job.workMicros / speedFactor);
             if (!job.attempt.ended) {
                 endAttempt(job.balancer, job.attempt, Outcome.OK);
                 Submission submission = openSubmissions.remove(job.attempt.request);
                 if (submission != null) {
-                    long latencyMicros = now - submission.submittedAt;
+                    long latencyMicros = nowMicros - submission.submittedAtMicros;
                     withinObjective[submission.requestClass] += latencyMicros
                                     <= settings.classes()
                                             .get(submission.requestClass)
@@ -219,11 +219,11 @@
     }
 
     // Rule 4 limits the sends within any window. All attempts that reach the server count, rejected ones too.
-    private void recordSend(ModelServer modelServer, long sentAt) {
+    private void recordSend(ModelServer modelServer, long sentAtMicros) {
         if (warmth(modelServer) < 1) {
-            modelServer.recentSendTimes.add(sentAt);
+            modelServer.recentSendTimes.add(sentAtMicros);
             while (modelServer.recentSendTimes.peekFirst()
-                    <= sentAt - settings.bounds().fallWindowMicros()) {
+                    <= sentAtMicros - settings.bounds().fallWindowMicros()) {
                 modelServer.recentSendTimes.pollFirst();
             }
             double allowedSends = settings.bounds().overloadFactor()
@@ -253,10 +253,10 @@
     }
 
     private double warmth(ModelServer modelServer) {
-        long startedAt = modelServer.server.startedAtMicros();
-        double rampProgress = startedAt == 0
+        long startedAtMicros = modelServer.server.startedAtMicros();
+        double rampProgress = startedAtMicros == 0
                 ? 1
-                : (double) (now - startedAt) / settings.bounds().rampTimeMicros();
+                : (double) (nowMicros - startedAtMicros) / settings.bounds().rampTimeMicros();
         return Math.min(1, settings.bounds().coldFrom() + (1 - settings.bounds().coldFrom()) * rampProgress);
     }
 
@@ -270,7 +270,7 @@
             PolicyTestHarness.SentAttempt attempt = balancer.sentAttempts.get(processedSends.get(balancerIndex));
             ModelServer modelServer = modelServers.get(attempt.server);
             Submission submission = openSubmissions.get(attempt.request);
-            recordSend(modelServer, attempt.sentAt);
+            recordSend(modelServer, attempt.sentAtMicros);
             if (modelServer.server.state() != State.UP
                     || modelServer.queue.size() >= QUEUE_CAPACITY * modelServer.server.weight()) {
                 endAttempt(balancer, attempt, Outcome.FULL);
@@ -282,7 +282,7 @@
         }
         jobs.removeIf(j -> j.attempt.ended);
         for (Job job : List.copyOf(jobs)) {
-            if (job.attempt.timeoutMicros > 0 && now - job.attempt.sentAt >= job.attempt.timeoutMicros) {
+            if (job.attempt.timeoutMicros > 0 && nowMicros - job.attempt.sentAtMicros >= job.attempt.timeoutMicros) {
                 endAttempt(balancer, job.attempt, Outcome.TIMEOUT);
             } else if (balancer.cancelledAttempts.contains(job.attempt.request + "/" + job.attempt.number)) {
                 endAttempt(balancer, job.attempt, Outcome.CANCELLED);
@@ -293,14 +293,14 @@
             Submission submission = openSubmissions.remove(id);
             if (submission != null && response.equals("rejected")) {
                 rejections[submission.requestClass]++;
-                long elapsedMicros = now - submission.submittedAt;
+                long elapsedMicros = nowMicros - submission.submittedAtMicros;
                 if (submission.number < MAX_SUBMISSIONS
                         && elapsedMicros
                                 < settings.classes()
                                         .get(submission.requestClass)
                                         .deadlineMicros()) {
                     submissions.add(new Submission(
-                            now + RESUBMIT_DELAY_MICROS,
+                            nowMicros + RESUBMIT_DELAY_MICROS,
                             submission.requestClass,
                             submission.number + 1,
                             submission.workMicros));
--- a/src/test/java/loadbalancer/policy/FleetTest.java
+++ b/src/test/java/loadbalancer/policy/FleetTest.java
@@ -55,10 +55,10 @@
                 2_000);
     }
 
-    private static List<Server> servers(String idPrefix, State state, long startedAt, int from, int to) {
+    private static List<Server> servers(String idPrefix, State state, long startedAtMicros, int from, int to) {
         List<Server> servers = new ArrayList<>();
         for (int i = from; i < to; i++) {
-            servers.add(new Server(idPrefix + i, state, startedAt, 1, i / 4, 0, 0));
+            servers.add(new Server(idPrefix + i, state, startedAtMicros, 1, i / 4, 0, 0));
         }
         return servers;
     }
@@ -80,7 +80,7 @@
             };
             fleet.updateEndpoints(servers("s", State.DRAINING, 0, 0, 24));
             fleet.run(4_000_000, REQUESTS_PER_SECOND, CLASS_SHARES, WORK_MICROS);
-            fleet.updateEndpoints(servers("new", State.UP, fleet.now, 0, 24));
+            fleet.updateEndpoints(servers("new", State.UP, fleet.nowMicros, 0, 24));
             fleet.run(6_000_000, REQUESTS_PER_SECOND, CLASS_SHARES, WORK_MICROS);
             double worthBefore = (beforeDrain[0] + 3.0 * beforeDrain[1]) / (beforeDrain[2] + 3.0 * beforeDrain[3]);
             double worthSince =
@@ -110,7 +110,7 @@
             fleet.updateEndpoints(servers("s", State.DRAINING, 0, 0, 20));
             fleet.slowDown("new", 1.5);
             fleet.run(1_500_000, requestsPerSecond, CLASS_SHARES, WORK_MICROS);
-            fleet.updateEndpoints(servers("new", State.UP, fleet.now, 0, 20));
+            fleet.updateEndpoints(servers("new", State.UP, fleet.nowMicros, 0, 20));
             fleet.run(7_000_000, requestsPerSecond, CLASS_SHARES, WORK_MICROS);
             assertTrue(
                     fleet.maxSendsToAllowedRatio <= 0.8,
@@ -184,13 +184,13 @@
                         baseSettings.bounds(),
                         2_000),
                 balancers,
-                twoMachineKinds("s", 0, 0, LARGE_FLEET_SERVERS),
+                twoMachineModels("s", 0, 0, LARGE_FLEET_SERVERS),
                 seed);
     }
 
     // Every other server is four times as fast and has four times the weight.
-    private static List<Server> twoMachineKinds(String idPrefix, long startedAt, int from, int to) {
-        return servers(idPrefix, State.UP, startedAt, from, to).stream()
+    private static List<Server> twoMachineModels(String idPrefix, long startedAtMicros, int from, int to) {
+        return servers(idPrefix, State.UP, startedAtMicros, from, to).stream()
                 .map(x -> new Server(
                         x.id(),
                         x.state(),
@@ -239,7 +239,7 @@
             fleet.updateEndpoints(servers("s", State.DRAINING, 0, 0, 60));
             fleet.slowDown("new", 1.5);
             fleet.run(1_500_000, load * LARGE_FLEET_CAPACITY_PER_SECOND, CLASS_SHARES, LARGE_FLEET_WORK_MICROS);
-            fleet.updateEndpoints(twoMachineKinds("new", fleet.now, 0, 60));
+            fleet.updateEndpoints(twoMachineModels("new", fleet.nowMicros, 0, 60));
             fleet.run(6_000_000, load * LARGE_FLEET_CAPACITY_PER_SECOND, CLASS_SHARES, LARGE_FLEET_WORK_MICROS);
             String figures = balancers + " at " + load + ", seed " + seed + ": " + fleet.maxSendsToFailureRatio
                     + " of the overload limit, " + fleet.maxSendsToAllowedRatio + " of the allowed number";
--- a/src/test/java/loadbalancer/policy/FourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/FourRulesTest.java
@@ -75,7 +75,7 @@
         assertEquals(2, harness.attemptsOf("r").size());
         long sendWithinMicros = harness.lastSendWithinMicros.get("r");
         assertTrue(
-                sendWithinMicros > 1_500_000 && sendWithinMicros <= first.sentAt + 2_000_000 - harness.now,
+                sendWithinMicros > 1_500_000 && sendWithinMicros <= first.sentAtMicros + 2_000_000 - harness.nowMicros,
                 "start limit in µs: " + sendWithinMicros);
         assertFalse(
                 harness.lastSendWithinMicros.containsKey("warm-" + PolicyTestHarness.START_MICROS + "-0"),
@@ -148,7 +148,7 @@
         PolicyTestHarness.SentAttempt first = harness.request("r", 0);
         harness.advanceTime(2_500_000); // the deduplication window is 2 s from the first send
         for (PolicyTestHarness.SentAttempt attempt : harness.attemptsOf("r")) {
-            assertTrue(attempt.sentAt - first.sentAt < 2_000_000);
+            assertTrue(attempt.sentAtMicros - first.sentAtMicros < 2_000_000);
         }
         int attemptsBefore = harness.attemptsOf("r").size();
         harness.attemptsOf("r").forEach(s -> harness.endAttempt(s, Outcome.ERROR));
@@ -193,11 +193,11 @@
         PolicyTestHarness harness =
                 new PolicyTestHarness(settings, 1).updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(4));
         harness.warmUp(300, 0, 20_000);
-        harness.updateEndpoints(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
-        long addedAt = harness.now;
+        harness.updateEndpoints(ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.nowMicros, 1, 0, 0, 0)));
+        long addedAtMicros = harness.nowMicros;
         harness.warmUp(150, 0, 20_000);
-        long sent = harness.countAttemptsTo("cold", addedAt);
-        double seconds = (harness.now - addedAt) / 1e6;
+        long sent = harness.countAttemptsTo("cold", addedAtMicros);
+        double seconds = (harness.nowMicros - addedAtMicros) / 1e6;
         double maxProportion = 0.2 + 0.8 * seconds / 20; // at the end; lower before
         assertTrue(sent <= 50.0 / 4 * maxProportion * 2.5 * seconds, sent + " sends in " + seconds + " s");
     }
@@ -207,10 +207,10 @@
         PolicyTestHarness harness = new PolicyTestHarness(PolicyTestHarness.settings(SAFE), 1)
                 .updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(2));
         harness.warmUp(100, 0, 20_000);
-        harness.updateEndpoints(ListKind.PARTIAL, List.of(new Server("s0", State.UP, harness.now, 1, 0, 0, 0)));
-        long restartedAt = harness.now;
+        harness.updateEndpoints(ListKind.PARTIAL, List.of(new Server("s0", State.UP, harness.nowMicros, 1, 0, 0, 0)));
+        long restartedAtMicros = harness.nowMicros;
         harness.warmUp(50, 0, 20_000);
-        long sentWhileCold = harness.countAttemptsTo("s0", restartedAt);
+        long sentWhileCold = harness.countAttemptsTo("s0", restartedAtMicros);
         assertTrue(sentWhileCold < 15, "a cold server took " + sentWhileCold + " of 50");
     }
 
@@ -250,7 +250,7 @@
                 int classIndex = random.nextInt(classes.size());
                 long timeLeftMicros =
                         random.nextInt(10) == 0 ? random.nextLong(30_000) : 200_000 + random.nextLong(2_800_000);
-                deadlines.put(id, harness.now + timeLeftMicros);
+                deadlines.put(id, harness.nowMicros + timeLeftMicros);
                 classById.put(id, classIndex);
                 harness.request(id, classIndex, random.nextInt(2), timeLeftMicros);
             } else if (eventDraw < 88) {
@@ -273,16 +273,16 @@
                 if (deadlines.containsKey(id) && !harness.finalResponses.containsKey(id)) {
                     harness.finalResponses.put(id, "disconnected");
                     disconnected.add(id);
-                    harness.policy.clientDisconnected(harness.now, id, harness);
+                    harness.policy.clientDisconnected(harness.nowMicros, id, harness);
                 }
             } else if (eventDraw < 93) {
                 String id = "s" + random.nextInt(8);
                 State state = State.values()[random.nextInt(3)];
-                long startedAt = random.nextBoolean() ? 0 : harness.now - random.nextLong(5_000_000);
+                long startedAtMicros = random.nextBoolean() ? 0 : harness.nowMicros - random.nextLong(5_000_000);
                 Server server = new Server(
                         id,
                         state,
-                        startedAt,
+                        startedAtMicros,
                         1 + random.nextInt(3),
                         random.nextInt(2),
                         random.nextInt(2),
@@ -292,7 +292,7 @@
                 if (state == State.UP) {
                     unusableSince.remove(id);
                 } else {
-                    unusableSince.put(id, harness.now);
+                    unusableSince.put(id, harness.nowMicros);
                 }
             } else if (eventDraw < 94) {
                 harness.updateEndpoints(ListKind.FAILED, List.of());
@@ -301,10 +301,10 @@
             }
             // An attempt ends at its own timeout or at its request's deadline, as it does in the real balancer.
             for (PolicyTestHarness.SentAttempt attempt : new ArrayList<>(harness.sentAttempts)) {
-                long endsAt = attempt.timeoutMicros > 0
-                        ? Math.min(attempt.sentAt + attempt.timeoutMicros, deadlines.get(attempt.request))
+                long endsAtMicros = attempt.timeoutMicros > 0
+                        ? Math.min(attempt.sentAtMicros + attempt.timeoutMicros, deadlines.get(attempt.request))
                         : deadlines.get(attempt.request);
-                if (!attempt.ended && harness.now >= endsAt) {
+                if (!attempt.ended && harness.nowMicros >= endsAtMicros) {
                     outcomesById
                             .computeIfAbsent(attempt.request, k -> new TreeMap<>())
                             .put(attempt.number, Outcome.TIMEOUT);
@@ -315,7 +315,7 @@
                 PolicyTestHarness.SentAttempt attempt = harness.sentAttempts.get(checkedSends);
                 Long unusableFrom = unusableSince.get(attempt.server);
                 assertTrue(
-                        unusableFrom == null || attempt.sentAt <= unusableFrom,
+                        unusableFrom == null || attempt.sentAtMicros <= unusableFrom,
                         "sent to a draining or removed server: " + attempt.server);
                 assertMayBeSentAgain(
                         harness, attempt, classes.get(classById.get(attempt.request)), outcomesById, allowHedging);
@@ -353,7 +353,7 @@
                         requestClass.effect() != Effect.UNSAFE, "an unsafe request that may have run was sent again");
                 assertTrue(
                         requestClass.effect() != Effect.KEYED
-                                || attempt.sentAt - earlier.sentAt < requestClass.keyTtlMicros(),
+                                || attempt.sentAtMicros - earlier.sentAtMicros < requestClass.keyTtlMicros(),
                         "a keyed request was sent after its deduplication window");
             }
             assertTrue(outcome != Outcome.OK, "sent again after it had been served");
--- a/src/test/java/loadbalancer/policy/HashRingTest.java
+++ b/src/test/java/loadbalancer/policy/HashRingTest.java
@@ -35,7 +35,8 @@
         assertEquals(new HashSet<>(servers), new HashSet<>(Arrays.asList(first)));
         List<ServerState> sameServers = servers(30);
         assertNotEquals(
-                first[0].endpoint.id(), ring(2, sameServers).homeOrder()[0].endpoint.id());
+                first[0].endpoint.id(),
+                ring(2, sameServers).homeOrder()[0].endpoint.id());
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
+++ b/src/test/java/loadbalancer/policy/HedgingPolicyTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class HedgingPolicyTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
     /** Objective 600 ms less two typical latencies of 150 ms. */
     private static final long SAFE_HEDGE_DELAY_MICROS = 300_000;
 
@@ -18,12 +18,12 @@
 
     private static RequestState requestWithOneAttempt(Policy.RequestClass requestClass) {
         RequestState request = PolicyFixtures.request(requestClass);
-        PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW);
+        PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW_MICROS);
         return request;
     }
 
     private boolean isDue(RequestState request, long elapsedMicros) {
-        return hedging.isDue(request, false, NOW + elapsedMicros);
+        return hedging.isDue(request, false, NOW_MICROS + elapsedMicros);
     }
 
     @Test
@@ -65,7 +65,7 @@
         for (Limits limits :
                 new Limits[] {new Limits(5, false, true, true, 0, 0), new Limits(1, true, true, true, 0, 0)}) {
             RequestState request = PolicyFixtures.request("r", PolicyFixtures.SAFE, limits, 600_000, false);
-            PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW);
+            PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW_MICROS);
             assertFalse(isDue(request, SAFE_HEDGE_DELAY_MICROS));
         }
     }
@@ -73,23 +73,24 @@
     @Test
     void aRequestWithTwoAttemptsInFlightGetsNoThird() {
         RequestState request = requestWithOneAttempt(PolicyFixtures.SAFE);
-        PolicyFixtures.send(request, PolicyFixtures.server("t"), NOW);
+        PolicyFixtures.send(request, PolicyFixtures.server("t"), NOW_MICROS);
         assertFalse(isDue(request, SAFE_HEDGE_DELAY_MICROS));
     }
 
     @Test
     void whereServersLackCapacityOnlyKeyedRequestsAreHedged() {
         for (int i = 0; i < 100; i++) {
-            arrivals.record(NOW, false);
+            arrivals.record(NOW_MICROS, false);
         }
         hedging.recordRejectedAttempt();
         hedging.recordRejectedAttempt();
         assertFalse(hedging.serversLackCapacity());
         hedging.recordRejectedAttempt();
         assertTrue(hedging.serversLackCapacity());
-        assertFalse(hedging.isDue(requestWithOneAttempt(PolicyFixtures.SAFE), true, NOW + SAFE_HEDGE_DELAY_MICROS));
+        assertFalse(
+                hedging.isDue(requestWithOneAttempt(PolicyFixtures.SAFE), true, NOW_MICROS + SAFE_HEDGE_DELAY_MICROS));
         assertTrue(hedging.isDue(
-                requestWithOneAttempt(PolicyFixtures.keyed(Scope.ALL)), true, NOW + SAFE_HEDGE_DELAY_MICROS));
+                requestWithOneAttempt(PolicyFixtures.keyed(Scope.ALL)), true, NOW_MICROS + SAFE_HEDGE_DELAY_MICROS));
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/LearnedStatisticsTest.java
@@ -12,7 +12,7 @@
 
 /** The small classes that the policy's parts share: latencies, rates, decaying counts, the retry budget, the log. */
 class LearnedStatisticsTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
 
     private final ClassLatency latency = new ClassLatency(PolicyFixtures.SAFE);
 
@@ -39,8 +39,7 @@
         assertEquals(0, latency.submissionAgeMicros(3_000_000, 3_000_000, false));
         assertEquals(1_000_000, latency.submissionAgeMicros(3_000_000, 2_000_000, true));
         assertEquals(0, latency.submissionAgeMicros(3_000_000, 2_950_000, true), "within the tolerance");
-        assertEquals(
-                0, latency.submissionAgeMicros(3_000_000, 1_000_000, false), "not marked as a resubmission");
+        assertEquals(0, latency.submissionAgeMicros(3_000_000, 1_000_000, false), "not marked as a resubmission");
     }
 
     @Test
@@ -59,23 +58,23 @@
     void theArrivalRateAfterAStartIsAveragedOverSeveralSeconds() {
         ArrivalRate arrivals = new ArrivalRate();
         for (int i = 0; i < 10; i++) {
-            arrivals.record(NOW, false);
-            arrivals.record(NOW, true);
+            arrivals.record(NOW_MICROS, false);
+            arrivals.record(NOW_MICROS, true);
         }
         assertEquals(10, arrivals.arrivalCount(), "resubmissions don't count");
-        assertTrue(arrivals.perSecond(NOW) < 10 / 2.8, "per second: " + arrivals.perSecond(NOW));
+        assertTrue(arrivals.perSecond(NOW_MICROS) < 10 / 2.8, "per second: " + arrivals.perSecond(NOW_MICROS));
     }
 
     @Test
     void theArrivalRateConvergesUnderSteadyTraffic() {
         ArrivalRate arrivals = new ArrivalRate();
-        long now = NOW;
+        long nowMicros = NOW_MICROS;
         for (int i = 0; i < 60_000; i++) {
-            now += 10_000;
+            nowMicros += 10_000;
             arrivals.decay(Math.exp(-10_000 / DecayScale.TIME_CONSTANT_MICROS));
-            arrivals.record(now, false);
+            arrivals.record(nowMicros, false);
         }
-        assertEquals(100, arrivals.perSecond(now), 1);
+        assertEquals(100, arrivals.perSecond(nowMicros), 1);
     }
 
     @Test
@@ -96,7 +95,7 @@
         ArrivalRate arrivals = new ArrivalRate();
         KeyAffinity keys = new KeyAffinity(scale, arrivals);
         for (int i = 0; i < 10; i++) {
-            arrivals.record(NOW, false);
+            arrivals.record(NOW_MICROS, false);
             keys.recordRequest(i < 6 ? "hot" : "k" + i);
         }
         assertEquals(0.5, keys.keyShare(Hashing.hash("hot")));
@@ -135,10 +134,10 @@
             }
         };
         OperatorLog log = new OperatorLog();
-        log.write(NOW, "first", out);
-        assertFalse(log.isDue(NOW + 999_999));
-        log.write(NOW + 999_999, "dropped", out);
-        log.write(NOW + 1_000_000, "second", out);
+        log.write(NOW_MICROS, "first", out);
+        assertFalse(log.isDue(NOW_MICROS + 999_999));
+        log.write(NOW_MICROS + 999_999, "dropped", out);
+        log.write(NOW_MICROS + 1_000_000, "second", out);
         assertEquals(List.of("first", "second"), lines);
     }
 }
--- a/src/test/java/loadbalancer/policy/NoOpActions.java
+++ b/src/test/java/loadbalancer/policy/NoOpActions.java
@@ -18,7 +18,7 @@
     default void probe(String server) {}
 
     @Override
-    default void watch(boolean subscribed) {}
+    default void watch(boolean enabled) {}
 
     @Override
     default void fetchList() {}
--- a/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/OrderAndPlacementTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Order by key, and placement: classes that may use only some zones or machine kinds. */
+/** Order by key, and placement: classes that may use only some zones or machine models. */
 class OrderAndPlacementTest {
     private static final RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
 
@@ -37,7 +37,7 @@
                 Set.of());
     }
 
-    private static RequestClass restrictedTo(Set<Integer> zones, Set<Integer> machineKinds) {
+    private static RequestClass restrictedTo(Set<Integer> zones, Set<Integer> machineModels) {
         return new RequestClass(
                 Effect.SAFE,
                 Scope.ALL,
@@ -50,7 +50,7 @@
                 false,
                 false,
                 zones,
-                machineKinds);
+                machineModels);
     }
 
     private static PolicyTestHarness warmHarness(RequestClass... classes) {
@@ -99,7 +99,7 @@
         PolicyTestHarness.SentAttempt first = harness.requestWithKey("a", 0, "k");
         harness.requestWithKey("b", 0, "k");
         harness.finalResponses.put("a", "disconnected");
-        harness.policy.clientDisconnected(harness.now, "a", harness);
+        harness.policy.clientDisconnected(harness.nowMicros, "a", harness);
         harness.advanceTime(50_000);
         assertEquals(0, harness.attemptsOf("b").size(), "the attempt of the first request has no outcome yet");
         harness.endAttempt(first, Outcome.CANCELLED);
@@ -120,18 +120,18 @@
     void aRequestThatIsNeverItsKeysTurnIsRejectedByItsDeadline() {
         PolicyTestHarness harness = warmHarness(orderedClass(Effect.SAFE));
         harness.requestWithKey("a", 0, "k");
-        long submittedAt = harness.now;
+        long submittedAtMicros = harness.nowMicros;
         harness.requestWithKey("b", 0, "k");
         harness.advanceTime(PolicyTestHarness.DEADLINE_MICROS);
         assertEquals("rejected", harness.finalResponses.get("b"));
-        assertTrue(harness.now - submittedAt <= PolicyTestHarness.DEADLINE_MICROS);
+        assertTrue(harness.nowMicros - submittedAtMicros <= PolicyTestHarness.DEADLINE_MICROS);
     }
 
     @Test
     void aRestrictedClassIsSentOnlyToItsServers() {
         PolicyTestHarness harness =
                 warmHarness(SAFE, restrictedTo(Set.of(1), Set.of()), restrictedTo(Set.of(), Set.of(0)));
-        for (int i = 0; i < 40; i++) { // zones and machine kinds alternate over the fleet
+        for (int i = 0; i < 40; i++) { // zones and machine models alternate over the fleet
             assertEquals(1, harness.request("z" + i, 1).server.charAt(1) % 2);
             assertEquals(0, harness.request("k" + i, 2).server.charAt(1) % 2);
             harness.advanceTime(10_000);
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class OutcomeRecorderTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
 
     private final DecayScale scale = new DecayScale();
     private final SplittableRandom random = new SplittableRandom(1);
@@ -29,9 +29,9 @@
     /** Records an outcome of an attempt of a class with a typical latency of 150 ms. */
     private AttemptState recordOutcome(Outcome outcome, long latencyMicros) {
         AttemptState attempt =
-                PolicyFixtures.send(PolicyFixtures.request(PolicyFixtures.SAFE), server, NOW - latencyMicros);
+                PolicyFixtures.send(PolicyFixtures.request(PolicyFixtures.SAFE), server, NOW_MICROS - latencyMicros);
         ranking.recordDispatch(server);
-        outcomes.record(attempt, outcome, latencyMicros, NOW, PolicyFixtures.NO_ACTIONS);
+        outcomes.record(attempt, outcome, latencyMicros, NOW_MICROS, PolicyFixtures.NO_ACTIONS);
         return attempt;
     }
 
@@ -39,7 +39,7 @@
     void aSuccessCountsForTheServerAndTheClass() {
         AttemptState attempt = recordOutcome(Outcome.OK, 300_000);
         assertEquals(1, server.successes);
-        assertEquals(NOW, server.lastSuccessAtMicros);
+        assertEquals(NOW_MICROS, server.lastSuccessAtMicros);
         assertEquals(1, server.accomplishment);
         assertEquals(1.25, server.slowness);
         assertEquals(154_500, attempt.request.classLatency.typicalMicros(), 1e-6);
@@ -50,7 +50,7 @@
         recordOutcome(Outcome.ERROR, 1_000);
         assertEquals(1, server.failures);
         assertEquals(0, server.accomplishment);
-        assertEquals(NOW + 300_000, server.penaltyEndsMicros.peekFirst());
+        assertEquals(NOW_MICROS + 300_000, server.penaltyEndsMicros.peekFirst());
     }
 
     @Test
@@ -62,17 +62,17 @@
 
     @Test
     void aServerWithoutCapacityIsSkippedForAboutATypicalLatency() {
-        server.lastSuccessAtMicros = NOW;
+        server.lastSuccessAtMicros = NOW_MICROS;
         recordOutcome(Outcome.FULL, 500);
         assertEquals(0, server.failures);
-        long restMicros = server.fullUntilMicros - NOW;
+        long restMicros = server.fullUntilMicros - NOW_MICROS;
         assertTrue(
                 restMicros >= 75_000 && restMicros <= 225_000, "µs until the server may be used again: " + restMicros);
     }
 
     @Test
     void aServerWithoutCapacityThatHadNoRecentSuccessCountsAsHalfAFailure() {
-        server.lastSuccessAtMicros = NOW - 2_000_001;
+        server.lastSuccessAtMicros = NOW_MICROS - 2_000_001;
         recordOutcome(Outcome.FULL, 500);
         assertEquals(0.5, server.failures);
     }
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class OutlierDetectorTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
 
     private final List<String> lines = new ArrayList<>();
     private final Policy.Actions out = new NoOpActions() {
@@ -38,22 +38,22 @@
     }
 
     private void updateEndpoints(int count) {
-        endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(count));
+        endpoints.update(NOW_MICROS, ListKind.COMPLETE, PolicyFixtures.servers(count));
     }
 
-    private void recordFailure(ServerState server, long now) {
-        outliers.recordFailure(server, 1, 0, now, out);
+    private void recordFailure(ServerState server, long nowMicros) {
+        outliers.recordFailure(server, 1, 0, nowMicros, out);
     }
 
     @Test
     void theSecondFailureEjectsTheServerForAboutOneSecond() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        recordFailure(server, NOW);
-        assertTrue(outliers.allows(safe, server, NOW));
-        recordFailure(server, NOW);
-        assertFalse(outliers.allows(safe, server, NOW + 999_999));
-        assertTrue(outliers.allows(safe, server, NOW + 1_250_000));
+        recordFailure(server, NOW_MICROS);
+        assertTrue(outliers.allows(safe, server, NOW_MICROS));
+        recordFailure(server, NOW_MICROS);
+        assertFalse(outliers.allows(safe, server, NOW_MICROS + 999_999));
+        assertTrue(outliers.allows(safe, server, NOW_MICROS + 1_250_000));
         assertEquals(List.of("event=server_ejected server=s0 duration_ms=1000"), lines);
     }
 
@@ -63,18 +63,18 @@
         ServerState server = listed(0);
         server.successes = 100;
         for (int i = 0; i < 10; i++) {
-            recordFailure(server, NOW);
+            recordFailure(server, NOW_MICROS);
         }
-        assertTrue(outliers.allows(safe, server, NOW));
+        assertTrue(outliers.allows(safe, server, NOW_MICROS));
     }
 
     @Test
     void aTrialAllowsOneSafeAttemptAtATimeAndEndsAfterThreeSuccesses() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        recordFailure(server, NOW);
-        recordFailure(server, NOW);
-        long afterEjection = NOW + 2_000_000;
+        recordFailure(server, NOW_MICROS);
+        recordFailure(server, NOW_MICROS);
+        long afterEjection = NOW_MICROS + 2_000_000;
         assertTrue(outliers.allows(safe, server, afterEjection));
         assertFalse(outliers.allows(unsafe, server, afterEjection));
         server.inFlight = 1;
@@ -90,16 +90,16 @@
     void aFailureOnTrialDoublesTheEjectionUpToSixteenTimes() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        recordFailure(server, NOW);
-        long now = NOW;
+        recordFailure(server, NOW_MICROS);
+        long nowMicros = NOW_MICROS;
         for (int factor : new int[] {1, 2, 4, 8, 16, 16}) {
-            recordFailure(server, now);
-            long ejectionMicros = server.ejectedUntilMicros - now;
+            recordFailure(server, nowMicros);
+            long ejectionMicros = server.ejectedUntilMicros - nowMicros;
             long minEjectionMicros = factor * 1_000_000L;
             assertTrue(
                     ejectionMicros >= minEjectionMicros && ejectionMicros < minEjectionMicros * 5 / 4,
                     "ejection in µs: " + ejectionMicros);
-            now = server.ejectedUntilMicros;
+            nowMicros = server.ejectedUntilMicros;
         }
     }
 
@@ -107,32 +107,32 @@
     void aServerWithoutResponsesIsTakenForStalled() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        server.lastSuccessAtMicros = NOW;
-        AttemptState attempt = PolicyFixtures.send(safe, server, NOW);
+        server.lastSuccessAtMicros = NOW_MICROS;
+        AttemptState attempt = PolicyFixtures.send(safe, server, NOW_MICROS);
         long stallMicros = 3 * 150_000 + 20_000; // three typical latencies and a tick
-        assertTrue(outliers.allows(unsafe, server, NOW + stallMicros));
-        assertFalse(outliers.allows(unsafe, server, NOW + stallMicros + 1));
+        assertTrue(outliers.allows(unsafe, server, NOW_MICROS + stallMicros));
+        assertFalse(outliers.allows(unsafe, server, NOW_MICROS + stallMicros + 1));
         attempt.inFlight = false;
-        assertTrue(outliers.allows(unsafe, server, NOW + stallMicros + 1));
+        assertTrue(outliers.allows(unsafe, server, NOW_MICROS + stallMicros + 1));
     }
 
     @Test
     void aServerWithoutCapacityIsNotUsedUntilItsRestEnds() {
         updateEndpoints(3);
         ServerState server = listed(0);
-        server.fullUntilMicros = NOW + 10;
-        assertFalse(outliers.allows(safe, server, NOW));
-        assertTrue(outliers.allows(safe, server, NOW + 10));
+        server.fullUntilMicros = NOW_MICROS + 10;
+        assertFalse(outliers.allows(safe, server, NOW_MICROS));
+        assertTrue(outliers.allows(safe, server, NOW_MICROS + 10));
     }
 
     @Test
     void whenMostServersAreOutliersAllAreUsed() {
         updateEndpoints(3);
-        listed(0).ejectedUntilMicros = NOW + 1_000_000;
-        outliers.refresh(NOW);
-        assertFalse(outliers.allows(safe, listed(0), NOW));
-        listed(1).ejectedUntilMicros = NOW + 1_000_000;
-        outliers.refresh(NOW);
-        assertTrue(outliers.allows(safe, listed(0), NOW));
+        listed(0).ejectedUntilMicros = NOW_MICROS + 1_000_000;
+        outliers.refresh(NOW_MICROS);
+        assertFalse(outliers.allows(safe, listed(0), NOW_MICROS));
+        listed(1).ejectedUntilMicros = NOW_MICROS + 1_000_000;
+        outliers.refresh(NOW_MICROS);
+        assertTrue(outliers.allows(safe, listed(0), NOW_MICROS));
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyFixtures.java
+++ b/src/test/java/loadbalancer/policy/PolicyFixtures.java
@@ -10,7 +10,7 @@
 
 /** Settings, servers and requests for the tests of the policy's parts. */
 final class PolicyFixtures {
-    static final long NOW = 1_000_000_000L;
+    static final long NOW_MICROS = 1_000_000_000L;
     static final RequestClass SAFE = PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL);
     static final RequestClass UNSAFE = PolicyTestHarness.requestClass(Effect.UNSAFE, Scope.ALL);
     static final Policy.Actions NO_ACTIONS = new NoOpActions() {};
@@ -51,13 +51,14 @@
 
     static RequestState request(
             String id, RequestClass requestClass, Policy.Limits limits, long objectiveMicros, boolean overQuota) {
-        RequestState.Times times = new RequestState.Times(NOW, NOW + requestClass.deadlineMicros(), NOW + objectiveMicros);
+        RequestState.Times times = new RequestState.Times(
+                NOW_MICROS, NOW_MICROS + requestClass.deadlineMicros(), NOW_MICROS + objectiveMicros);
         return new RequestState(id, new ClassLatency(requestClass), requestClass, limits, 0, times, overQuota);
     }
 
     /** Records an attempt as if it had been sent. */
-    static AttemptState send(RequestState request, ServerState server, long now) {
-        AttemptState attempt = new AttemptState(server, request, now);
+    static AttemptState send(RequestState request, ServerState server, long nowMicros) {
+        AttemptState attempt = new AttemptState(server, request, nowMicros);
         request.attempts.add(attempt);
         request.attemptsInFlight++;
         server.attempts.add(attempt);
--- a/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
+++ b/src/test/java/loadbalancer/policy/PolicyRegressionTest.java
@@ -30,7 +30,7 @@
             PolicyTestHarness harness, int requests, long latencyMicros, Map<String, Outcome> outcomeByServer) {
         for (int i = 0; i < requests; i++) {
             for (int j = 0; j < 4; j++) {
-                harness.request("q" + harness.now + "/" + i + "/" + j, 0);
+                harness.request("q" + harness.nowMicros + "/" + i + "/" + j, 0);
             }
             harness.advanceTime(latencyMicros);
             harness.sentAttempts.stream()
@@ -44,7 +44,7 @@
     void aServerThatFailsFastIsEjectedAndReadmittedAfterATrial() {
         PolicyTestHarness harness = harness(6, SAFE);
         serveBatches(harness, 100, 20_000, Map.of());
-        long from = harness.now;
+        long from = harness.nowMicros;
         serveBatches(harness, 200, 20_000, Map.of("s1", Outcome.ERROR));
         assertTrue(
                 harness.countAttemptsTo("s1", from) < 20,
@@ -60,7 +60,7 @@
         // on such servers.
         PolicyTestHarness harness = harness(6, UNSAFE);
         serveBatches(harness, 100, 20_000, Map.of());
-        long from = harness.now;
+        long from = harness.nowMicros;
         serveBatches(harness, 300, 20_000, Map.of("s1", Outcome.FULL));
         assertTrue(harness.actionLog.stream().anyMatch(l -> l.contains("event=server_ejected server=s1")));
         assertTrue(
@@ -74,7 +74,7 @@
         serveBatches(harness, 100, 30_000, Map.of());
         PolicyTestHarness.SentAttempt stalled = harness.request("stuck", 0);
         harness.advanceTime(200_000);
-        long from = harness.now;
+        long from = harness.nowMicros;
         for (int i = 0; i < 40; i++) { // three at a time: for the third one all queues are equal
             for (int j = 0; j < 3; j++) {
                 harness.request("n" + i + "/" + j, 0);
@@ -95,10 +95,14 @@
         Map<String, Outcome> outcomeByServer = new HashMap<>();
         List.of("s0", "s1", "s2", "s3").forEach(s -> outcomeByServer.put(s, Outcome.ERROR));
         serveBatches(harness, 60, 20_000, outcomeByServer);
-        long from = harness.now;
+        long from = harness.nowMicros;
         serveBatches(harness, 20, 20_000, Map.of());
         assertTrue(
-                harness.sentAttempts.stream().filter(s -> s.sentAt >= from).count() >= 10, "requests are still sent");
+                harness.sentAttempts.stream()
+                                .filter(s -> s.sentAtMicros >= from)
+                                .count()
+                        >= 10,
+                "requests are still sent");
     }
 
     @Test
@@ -111,7 +115,7 @@
             harness.request("slow" + i, 0);
             harness.advanceTime(50_000);
             harness.sentAttempts.stream()
-                    .filter(s -> !s.ended && harness.now - s.sentAt >= 400_000)
+                    .filter(s -> !s.ended && harness.nowMicros - s.sentAtMicros >= 400_000)
                     .toList()
                     .forEach(s -> harness.endAttempt(s, Outcome.OK));
         }
@@ -147,7 +151,7 @@
             harness.request(tenant + "-" + i, 0, tenant, 2_000_000);
             harness.advanceTime(10_000);
             harness.sentAttempts.stream()
-                    .filter(s -> !s.ended && harness.now - s.sentAt >= 300_000)
+                    .filter(s -> !s.ended && harness.nowMicros - s.sentAtMicros >= 300_000)
                     .toList()
                     .forEach(s -> harness.endAttempt(s, Outcome.OK));
         }
@@ -171,8 +175,8 @@
         for (int i = 0; i < 10; i++) {
             harness.endAttempt(harness.request("r" + i, 0), Outcome.OK);
         }
-        harness.now += 2_000_000_000L;
-        harness.policy.wake(harness.now, harness);
+        harness.nowMicros += 2_000_000_000L;
+        harness.policy.wake(harness.nowMicros, harness);
         assertTrue(harness.request("after", 0) != null);
     }
 
@@ -254,7 +258,7 @@
         int sent = 0;
         for (int i = 0; i < requests; i++) {
             PolicyTestHarness.SentAttempt attempt = harness.request(
-                    "o" + harness.now + "/" + i, requestClass, tenant, PolicyTestHarness.DEADLINE_MICROS);
+                    "o" + harness.nowMicros + "/" + i, requestClass, tenant, PolicyTestHarness.DEADLINE_MICROS);
             harness.advanceTime(latencyMicros);
             if (attempt != null) {
                 sent++;
@@ -345,10 +349,10 @@
         Map<String, Outcome> outcomeByServer = new HashMap<>();
         subset.forEach(s -> outcomeByServer.put(s, Outcome.ERROR));
         serveBatches(harness, 100, 20_000, outcomeByServer);
-        long from = harness.now;
+        long from = harness.nowMicros;
         serveBatches(harness, 20, 20_000, outcomeByServer);
         long sentToOthers = harness.sentAttempts.stream()
-                .filter(s -> s.sentAt >= from && !subset.contains(s.server))
+                .filter(s -> s.sentAtMicros >= from && !subset.contains(s.server))
                 .count();
         assertTrue(sentToOthers >= 70, "sent to servers that do not fail: " + sentToOthers + " of 80");
     }
@@ -385,7 +389,7 @@
             PolicyTestHarness harness = harness(4, SAFE);
             for (int i = 0; i < 200; i++) {
                 PolicyTestHarness.SentAttempt attempt = harness.request("r" + i, 0);
-                harness.now += 20_000;
+                harness.nowMicros += 20_000;
                 harness.reportedInFlight = attempt.server.equals("s1") ? reportedInFlight : 2;
                 harness.endAttempt(attempt, Outcome.OK);
             }
@@ -422,11 +426,11 @@
         PolicyTestHarness harness = harness(6, UNSAFE);
         serveBatches(harness, 50, 50_000, Map.of());
         PolicyTestHarness.SentAttempt full = harness.request("full", 0);
-        harness.now += 300;
+        harness.nowMicros += 300;
         harness.endAttempt(full, Outcome.FULL);
-        long from = harness.now + 1;
+        long from = harness.nowMicros + 1;
         for (int i = 0; i < 20; i++) {
-            harness.now += 100;
+            harness.nowMicros += 100;
             harness.request("n" + i, 0);
         }
         assertEquals(0, harness.countAttemptsTo(full.server, from));
@@ -601,7 +605,7 @@
             PolicyTestHarness.SentAttempt sent = harness.requestWithKey("r" + i, 0, i % 2 == 0 ? "hot" : "k" + i % 75);
             harness.advanceTime(10_000);
             harness.sentAttempts.stream()
-                    .filter(x -> !x.ended && harness.now - x.sentAt >= 60_000)
+                    .filter(x -> !x.ended && harness.nowMicros - x.sentAtMicros >= 60_000)
                     .toList()
                     .forEach(x -> harness.endAttempt(x, Outcome.OK));
             assertTrue(sent != null);
@@ -629,9 +633,9 @@
             PolicyTestHarness.SentAttempt sent = harness.request("late" + i, 0);
             harness.advanceTime(100_000);
             if (sent != null) {
-                harness.now += 1;
+                harness.nowMicros += 1;
                 harness.policy.outcome(
-                        harness.now,
+                        harness.nowMicros,
                         sent.request,
                         sent.number,
                         Outcome.OK,
--- a/src/test/java/loadbalancer/policy/PolicyTestHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestHarness.java
@@ -33,15 +33,15 @@
         final String request;
         final int number;
         final String server;
-        final long sentAt;
+        final long sentAtMicros;
         final long timeoutMicros;
         boolean ended;
 
-        SentAttempt(String request, int number, String server, long sentAt, long timeoutMicros) {
+        SentAttempt(String request, int number, String server, long sentAtMicros, long timeoutMicros) {
             this.request = request;
             this.number = number;
             this.server = server;
-            this.sentAt = sentAt;
+            this.sentAtMicros = sentAtMicros;
             this.timeoutMicros = timeoutMicros;
         }
     }
@@ -53,8 +53,8 @@
     final Map<String, Long> lastSendWithinMicros = new LinkedHashMap<>(); // of a request's last send with a limit
     final List<String> cancelledAttempts = new ArrayList<>();
     final List<String> actionLog = new ArrayList<>();
-    long now = START_MICROS;
-    long wakeAt = Long.MAX_VALUE;
+    long nowMicros = START_MICROS;
+    long wakeAtMicros = Long.MAX_VALUE;
     int watchCalls;
     int duplicateFinalResponses;
     ConnectionModel connections = ConnectionModel.ALWAYS_CONNECTED;
@@ -119,7 +119,7 @@
     }
 
     PolicyTestHarness updateEndpoints(ListKind listKind, List<Server> servers) {
-        policy.updateEndpoints(now, listKind, servers, this);
+        policy.updateEndpoints(nowMicros, listKind, servers, this);
         return this;
     }
 
@@ -149,7 +149,7 @@
     SentAttempt request(
             String id, int requestClass, int tenant, String key, long timeLeftMicros, boolean resubmission) {
         int sentBefore = sentAttempts.size();
-        policy.request(now, id, requestClass, tenant, key, timeLeftMicros, -1, resubmission, this);
+        policy.request(nowMicros, id, requestClass, tenant, key, timeLeftMicros, -1, resubmission, this);
         return sentAttempts.size() > sentBefore ? sentAttempts.get(sentAttempts.size() - 1) : null;
     }
 
@@ -160,11 +160,11 @@
             finalResponses.putIfAbsent(sent.request, "ok");
         }
         policy.outcome(
-                now,
+                nowMicros,
                 sent.request,
                 sent.number,
                 outcome,
-                now - sent.sentAt,
+                nowMicros - sent.sentAtMicros,
                 closed,
                 new Policy.Load(reportedInFlight, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN),
                 this);
@@ -172,19 +172,19 @@
 
     /** Advances the time and wakes the policy at each time that it asked for. */
     void advanceTime(long durationMicros) {
-        long endMicros = now + durationMicros;
-        while (wakeAt <= endMicros) {
-            now = wakeAt;
-            wakeAt = Long.MAX_VALUE;
-            policy.wake(now, this);
+        long endMicros = nowMicros + durationMicros;
+        while (wakeAtMicros <= endMicros) {
+            nowMicros = wakeAtMicros;
+            wakeAtMicros = Long.MAX_VALUE;
+            policy.wake(nowMicros, this);
         }
-        now = endMicros;
+        nowMicros = endMicros;
     }
 
     /** Serves requests one at a time, so that the policy learns the typical latency. */
     void warmUp(int requests, int requestClass, long latencyMicros) {
         for (int i = 0; i < requests; i++) {
-            SentAttempt sent = request("warm-" + now + "-" + i, requestClass);
+            SentAttempt sent = request("warm-" + nowMicros + "-" + i, requestClass);
             advanceTime(latencyMicros);
             endAttempt(sent, Outcome.OK);
         }
@@ -192,7 +192,7 @@
 
     long countAttemptsTo(String server, long since) {
         return sentAttempts.stream()
-                .filter(s -> s.server.equals(server) && s.sentAt >= since)
+                .filter(s -> s.server.equals(server) && s.sentAtMicros >= since)
                 .count();
     }
 
@@ -204,8 +204,8 @@
     public void send(String request, String server, long timeoutMicros) {
         connections.attemptSent(server);
         int number = attemptCounts.merge(request, 1, Integer::sum) - 1;
-        sentAttempts.add(new SentAttempt(request, number, server, now, timeoutMicros));
-        actionLog.add(now + " send " + request + " " + server + " " + timeoutMicros);
+        sentAttempts.add(new SentAttempt(request, number, server, nowMicros, timeoutMicros));
+        actionLog.add(nowMicros + " send " + request + " " + server + " " + timeoutMicros);
     }
 
     @Override
@@ -218,7 +218,7 @@
         if (finalResponses.putIfAbsent(request, response) != null) {
             duplicateFinalResponses++;
         }
-        actionLog.add(now + " " + response + " " + request);
+        actionLog.add(nowMicros + " " + response + " " + request);
     }
 
     @Override
@@ -228,7 +228,7 @@
 
     @Override
     public void reject(String request, long retryAfterMicros) {
-        actionLog.add(now + " reject " + request + " " + retryAfterMicros);
+        actionLog.add(nowMicros + " reject " + request + " " + retryAfterMicros);
         recordFinalResponse(request, "rejected");
     }
 
@@ -240,41 +240,41 @@
     @Override
     public void cancel(String request, int attempt) {
         cancelledAttempts.add(request + "/" + attempt);
-        actionLog.add(now + " cancel " + request + " " + attempt);
+        actionLog.add(nowMicros + " cancel " + request + " " + attempt);
     }
 
     @Override
     public void probe(String server) {
-        actionLog.add(now + " probe " + server);
+        actionLog.add(nowMicros + " probe " + server);
     }
 
     @Override
-    public void watch(boolean subscribed) {
+    public void watch(boolean enabled) {
         watchCalls++;
     }
 
     @Override
     public void fetchList() {
-        actionLog.add(now + " fetch");
+        actionLog.add(nowMicros + " fetch");
     }
 
     @Override
     public void closeIdle(String server) {
-        actionLog.add(now + " close " + server);
+        actionLog.add(nowMicros + " close " + server);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] data) {
-        actionLog.add(now + " sendToPeer " + peer);
+        actionLog.add(nowMicros + " sendToPeer " + peer);
     }
 
     @Override
     public void wakeAfter(long delayMicros) {
-        wakeAt = Math.min(wakeAt, now + delayMicros);
+        wakeAtMicros = Math.min(wakeAtMicros, nowMicros + delayMicros);
     }
 
     @Override
     public void log(String line) {
-        actionLog.add(now + " log " + line);
+        actionLog.add(nowMicros + " log " + line);
     }
 }
--- a/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
+++ b/src/test/java/loadbalancer/policy/QueueEstimatorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class QueueEstimatorTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
 
     private final ServerState server = PolicyFixtures.server("s");
 
@@ -20,12 +20,12 @@
         ClassLatencies latencies = new ClassLatencies();
         latencies.reload(activeSettings.settings().classes(), List.of(-1));
         EndpointSet endpoints = new EndpointSet(new SplittableRandom(1), new HashRing(0, balancers));
-        endpoints.update(NOW, ListKind.COMPLETE, PolicyFixtures.servers(4));
+        endpoints.update(NOW_MICROS, ListKind.COMPLETE, PolicyFixtures.servers(4));
         return new QueueEstimator(activeSettings, endpoints, latencies);
     }
 
     private static double queueLength(QueueEstimator queues, ServerState server) {
-        return queues.queueLength(server, NOW, PolicyFixtures.NO_ACTIONS);
+        return queues.queueLength(server, NOW_MICROS, PolicyFixtures.NO_ACTIONS);
     }
 
     private static Load report(double inFlight) {
@@ -48,9 +48,9 @@
     @Test
     void aFailedAttemptKeepsItsQueuePlaceUntilThePenaltyEnds() {
         QueueEstimator queues = estimator(new Prices(0, 0), 1);
-        QueueEstimator.addPenalty(server, NOW + 10);
-        assertEquals(1, queues.queueLength(server, NOW + 9, PolicyFixtures.NO_ACTIONS));
-        assertEquals(0, queues.queueLength(server, NOW + 10, PolicyFixtures.NO_ACTIONS));
+        QueueEstimator.addPenalty(server, NOW_MICROS + 10);
+        assertEquals(1, queues.queueLength(server, NOW_MICROS + 9, PolicyFixtures.NO_ACTIONS));
+        assertEquals(0, queues.queueLength(server, NOW_MICROS + 10, PolicyFixtures.NO_ACTIONS));
     }
 
     @Test
@@ -68,24 +68,24 @@
                 return false;
             }
         };
-        assertEquals(0.8, estimator(new Prices(0, 0.08), 1).queueLength(server, NOW, disconnected));
-        assertEquals(0, estimator(new Prices(0, 0), 1).queueLength(server, NOW, disconnected));
+        assertEquals(0.8, estimator(new Prices(0, 0.08), 1).queueLength(server, NOW_MICROS, disconnected));
+        assertEquals(0, estimator(new Prices(0, 0), 1).queueLength(server, NOW_MICROS, disconnected));
     }
 
     @Test
     void aReportIsTrustedLessTheOlderItIs() {
         QueueEstimator queues = estimator(new Prices(0, 0), 3);
-        QueueEstimator.recordReport(server, report(8), NOW);
+        QueueEstimator.recordReport(server, report(8), NOW_MICROS);
         assertEquals(8, queueLength(queues, server));
-        double later = queues.queueLength(server, NOW + 300_000, PolicyFixtures.NO_ACTIONS);
+        double later = queues.queueLength(server, NOW_MICROS + 300_000, PolicyFixtures.NO_ACTIONS);
         assertEquals(8 * Math.exp(-1), later, 1e-9, "two typical latencies of 150 ms later");
     }
 
     @Test
     void invalidReportsAreIgnored() {
-        QueueEstimator.recordReport(server, null, NOW);
+        QueueEstimator.recordReport(server, null, NOW_MICROS);
         for (double invalidInFlight : new double[] {Double.NaN, -1, 1e6, Double.POSITIVE_INFINITY}) {
-            QueueEstimator.recordReport(server, report(invalidInFlight), NOW);
+            QueueEstimator.recordReport(server, report(invalidInFlight), NOW_MICROS);
         }
         assertEquals(0, server.reportedAtMicros);
     }
@@ -106,10 +106,11 @@
 
     @Test
     void slownessFollowsTheLatenciesAndDecaysToOne() {
-        QueueEstimator.recordSlowness(server, 3, NOW);
-        assertEquals(1.5, QueueEstimator.slowness(server, NOW));
-        QueueEstimator.recordSlowness(server, 1_000, NOW);
-        assertTrue(QueueEstimator.slowness(server, NOW) <= 4, "one response counts as a slowness of four at most");
-        assertEquals(1, QueueEstimator.slowness(server, NOW + 1_000_000_000), 1e-9);
+        QueueEstimator.recordSlowness(server, 3, NOW_MICROS);
+        assertEquals(1.5, QueueEstimator.slowness(server, NOW_MICROS));
+        QueueEstimator.recordSlowness(server, 1_000, NOW_MICROS);
+        assertTrue(
+                QueueEstimator.slowness(server, NOW_MICROS) <= 4, "one response counts as a slowness of four at most");
+        assertEquals(1, QueueEstimator.slowness(server, NOW_MICROS + 1_000_000_000), 1e-9);
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RandomFourRulesTest.java
@@ -31,7 +31,7 @@
         long deadline;
         String response;
         final List<Server> servers = new ArrayList<>();
-        final List<Long> sentAt = new ArrayList<>();
+        final List<Long> sentAtMicros = new ArrayList<>();
         final List<Outcome> outcomes = new ArrayList<>(); // null while in flight
     }
 
@@ -46,7 +46,7 @@
             requests.put(id, request);
         }
 
-        String recordSend(String id, Server target, boolean usable, long now) {
+        String recordSend(String id, Server target, boolean usable, long nowMicros) {
             RequestRecord request = requests.get(id);
             if (request.response != null) {
                 return "sent after its final response";
@@ -66,23 +66,24 @@
                                 && request.servers.get(i).zone() != target.zone();
                 if (mayHaveRun
                         && request.requestClass.effect() == Effect.KEYED
-                        && (outsideScope || now - request.sentAt.get(i) >= request.requestClass.keyTtlMicros())) {
+                        && (outsideScope
+                                || nowMicros - request.sentAtMicros.get(i) >= request.requestClass.keyTtlMicros())) {
                     return "a keyed request left its deduplication scope or window";
                 }
             }
             request.servers.add(target);
-            request.sentAt.add(now);
+            request.sentAtMicros.add(nowMicros);
             request.outcomes.add(null);
             return null;
         }
 
-        String recordResponse(String id, String response, long now) {
+        String recordResponse(String id, String response, long nowMicros) {
             RequestRecord request = requests.get(id);
             if (request.response != null) {
                 return "answered twice";
             }
             request.response = response;
-            if (now > request.deadline + ANSWER_SLACK_MICROS) {
+            if (nowMicros > request.deadline + ANSWER_SLACK_MICROS) {
                 return "answered too late";
             }
             boolean mayHaveRun = request.outcomes.stream().anyMatch(o -> o == null || !o.neverRan());
@@ -93,10 +94,10 @@
                     : null;
         }
 
-        String unansweredViolation(long now) {
+        String unansweredViolation(long nowMicros) {
             return requests.values().stream()
-                            .anyMatch(
-                                    request -> request.response == null && now > request.deadline + ANSWER_SLACK_MICROS)
+                            .anyMatch(request ->
+                                    request.response == null && nowMicros > request.deadline + ANSWER_SLACK_MICROS)
                     ? "a request was lost"
                     : null;
         }
@@ -104,16 +105,17 @@
 
     /** Returns the first window in which a cold server gets more than its budget of all balancers, or null. */
     static String coldBudgetViolation(
-            List<Long> sends, long startedAt, double warmSendsPerSecond, Policy.Bounds bounds) {
+            List<Long> sends, long startedAtMicros, double warmSendsPerSecond, Policy.Bounds bounds) {
         for (int i = 0; i < sends.size(); i++) {
             long windowStart = sends.get(i);
-            double warmth = bounds.coldFrom() + (1 - bounds.coldFrom()) * (windowStart - startedAt) / bounds.rampTimeMicros();
+            double warmth = bounds.coldFrom()
+                    + (1 - bounds.coldFrom()) * (windowStart - startedAtMicros) / bounds.rampTimeMicros();
             long windowEnd = windowStart + bounds.fallWindowMicros();
             long count = sends.stream()
                     .filter(t -> t >= windowStart && t < windowEnd)
                     .count();
             double limit = bounds.overloadFactor() * warmth * warmSendsPerSecond * bounds.fallWindowMicros() / 1e6 + 2;
-            if (count > limit && windowStart - startedAt < bounds.rampTimeMicros()) {
+            if (count > limit && windowStart - startedAtMicros < bounds.rampTimeMicros()) {
                 return count + " sends in a window that allows " + limit;
             }
         }
@@ -170,7 +172,7 @@
             if (eventDraw < 40) {
                 RequestClass requestClass = classes.get(random.nextInt(classes.size()));
                 long timeLeftMicros = 100_000 + random.nextLong(2_000_000);
-                checker.recordArrival("r" + step, requestClass, harness.now + timeLeftMicros);
+                checker.recordArrival("r" + step, requestClass, harness.nowMicros + timeLeftMicros);
                 harness.request("r" + step, classes.indexOf(requestClass), 0, timeLeftMicros);
             } else if (eventDraw < 80 && !inFlight.isEmpty()) {
                 PolicyTestHarness.SentAttempt attempt = inFlight.get(random.nextInt(inFlight.size()));
@@ -188,7 +190,7 @@
                 harness.advanceTime(random.nextLong(20_000));
             }
             for (PolicyTestHarness.SentAttempt attempt : new ArrayList<>(harness.sentAttempts)) {
-                if (!attempt.ended && harness.now >= checker.requests.get(attempt.request).deadline) {
+                if (!attempt.ended && harness.nowMicros >= checker.requests.get(attempt.request).deadline) {
                     checkedSends = checkNewSends(harness, checker, servers, checkedSends);
                     endAttempt(harness, checker, attempt, Outcome.TIMEOUT);
                 }
@@ -197,9 +199,9 @@
             List<String> ids = List.copyOf(harness.finalResponses.keySet());
             for (; checkedResponses < ids.size(); checkedResponses++) {
                 String id = ids.get(checkedResponses);
-                assertNull(checker.recordResponse(id, harness.finalResponses.get(id), harness.now));
+                assertNull(checker.recordResponse(id, harness.finalResponses.get(id), harness.nowMicros));
             }
-            assertNull(checker.unansweredViolation(harness.now));
+            assertNull(checker.unansweredViolation(harness.nowMicros));
         }
         assertEquals(0, harness.duplicateFinalResponses);
         assertTrue(checkedSends > 800, "too few sends: " + checkedSends);
@@ -217,7 +219,7 @@
             PolicyTestHarness.SentAttempt attempt = harness.sentAttempts.get(i);
             Server target = servers.get(attempt.server);
             assertNull(
-                    checker.recordSend(attempt.request, target, target.state() == State.UP, attempt.sentAt),
+                    checker.recordSend(attempt.request, target, target.state() == State.UP, attempt.sentAtMicros),
                     attempt.request);
         }
         return harness.sentAttempts.size();
@@ -230,27 +232,27 @@
         Policy.Settings settings = PolicyTestHarness.settings(PolicyTestHarness.requestClass(Effect.SAFE, Scope.ALL));
         PolicyTestHarness harness =
                 new PolicyTestHarness(settings, seed).updateEndpoints(ListKind.PERSISTED, PolicyTestHarness.fleet(5));
-        long startedAt = 0;
+        long startedAtMicros = 0;
         for (int i = 0; i < 1500; i++) { // 40 responses per second from each of 5 servers
             if (i == 500) {
                 harness.updateEndpoints(
-                        ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.now, 1, 0, 0, 0)));
+                        ListKind.PARTIAL, List.of(new Server("cold", State.UP, harness.nowMicros, 1, 0, 0, 0)));
             }
             for (int j = 0; j < 4; j++) {
                 harness.request("x" + i + "/" + j, 0);
             }
             harness.advanceTime(10_000 + random.nextLong(20_000));
             harness.sentAttempts.stream()
-                    .filter(s -> !s.ended && harness.now - s.sentAt >= 30_000)
+                    .filter(s -> !s.ended && harness.nowMicros - s.sentAtMicros >= 30_000)
                     .toList()
                     .forEach(s -> harness.endAttempt(s, Outcome.OK));
-            startedAt = i < 500 ? harness.now : startedAt;
+            startedAtMicros = i < 500 ? harness.nowMicros : startedAtMicros;
         }
         List<Long> sends = harness.sentAttempts.stream()
                 .filter(s -> s.server.equals("cold"))
-                .map(s -> s.sentAt)
+                .map(s -> s.sentAtMicros)
                 .toList();
         assertTrue(sends.size() > 20, "the cold server was hardly used: " + sends.size());
-        assertNull(coldBudgetViolation(sends, startedAt, 40, settings.bounds()));
+        assertNull(coldBudgetViolation(sends, startedAtMicros, 40, settings.bounds()));
     }
 }
--- a/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
+++ b/src/test/java/loadbalancer/policy/RandomOrderAndPlacementTest.java
@@ -28,21 +28,21 @@
         private final Map<String, String> keyById = new LinkedHashMap<>();
         private final Map<String, Integer> inFlightById = new LinkedHashMap<>();
         private final Map<String, Boolean> finished = new LinkedHashMap<>();
-        private final Map<String, Long> keyRestsUntil = new LinkedHashMap<>();
+        private final Map<String, Long> keyBlockedUntilMicros = new LinkedHashMap<>();
 
         void recordArrival(String id, String key) {
             requestsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
             keyById.put(id, key);
         }
 
-        void recordOutcome(String id, Outcome outcome, long now) {
+        void recordOutcome(String id, Outcome outcome, long nowMicros) {
             inFlightById.merge(id, -1, Integer::sum);
             if (Set.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED).contains(outcome)) {
-                keyRestsUntil.put(id, now + PolicyTestHarness.ORDER_PAUSE_MICROS);
+                keyBlockedUntilMicros.put(id, nowMicros + PolicyTestHarness.ORDER_PAUSE_MICROS);
             }
         }
 
-        String recordSend(String id, long now) {
+        String recordSend(String id, long nowMicros) {
             String key = keyById.get(id);
             for (String earlier : key == null ? List.<String>of() : requestsByKey.get(key)) {
                 if (earlier.equals(id)) {
@@ -51,7 +51,7 @@
                 if (!finished.getOrDefault(earlier, false) || inFlightById.getOrDefault(earlier, 0) > 0) {
                     return id + " was sent before " + earlier + " was finished";
                 }
-                if (keyRestsUntil.getOrDefault(earlier, 0L) > now) {
+                if (keyBlockedUntilMicros.getOrDefault(earlier, 0L) > nowMicros) {
                     return id + " was sent during the pause of the key after " + earlier;
                 }
             }
@@ -62,9 +62,9 @@
         static String placementViolation(RequestClass requestClass, Server server) {
             boolean zoneAllowed =
                     requestClass.zones().isEmpty() || requestClass.zones().contains(server.zone());
-            boolean machineKindAllowed = requestClass.machineModels().isEmpty()
+            boolean machineModelAllowed = requestClass.machineModels().isEmpty()
                     || requestClass.machineModels().contains(server.machineModel());
-            return zoneAllowed && machineKindAllowed
+            return zoneAllowed && machineModelAllowed
                     ? null
                     : "sent to " + server.id() + ", which the class may not use";
         }
@@ -89,7 +89,7 @@
     }
 
     private static RequestClass requestClass(
-            Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> machineKinds) {
+            Effect effect, boolean inOrder, Set<Integer> zones, Set<Integer> machineModels) {
         return new RequestClass(
                 effect,
                 Scope.ALL,
@@ -102,7 +102,7 @@
                 false,
                 inOrder,
                 zones,
-                machineKinds);
+                machineModels);
     }
 
     @ParameterizedTest
@@ -152,7 +152,7 @@
                 String id = List.copyOf(classById.keySet()).get(random.nextInt(classById.size()));
                 if (harness.finalResponses.putIfAbsent(id, "disconnected") == null) {
                     checker.finished.put(id, true);
-                    harness.policy.clientDisconnected(harness.now, id, harness);
+                    harness.policy.clientDisconnected(harness.nowMicros, id, harness);
                 }
             } else {
                 harness.advanceTime(random.nextLong(40_000));
@@ -171,7 +171,7 @@
             List<RequestClass> classes,
             Map<String, Integer> classById,
             Map<String, Server> servers) {
-        checker.recordOutcome(sent.request, outcome, harness.now);
+        checker.recordOutcome(sent.request, outcome, harness.nowMicros);
         if (outcome == Outcome.OK) {
             checker.finished.put(sent.request, true);
         }
@@ -190,7 +190,7 @@
         int checked = firstUnchecked;
         for (; checked < harness.sentAttempts.size(); checked++) {
             PolicyTestHarness.SentAttempt attempt = harness.sentAttempts.get(checked);
-            assertEquals(null, checker.recordSend(attempt.request, attempt.sentAt));
+            assertEquals(null, checker.recordSend(attempt.request, attempt.sentAtMicros));
             assertEquals(
                     null,
                     Checker.placementViolation(
--- a/src/test/java/loadbalancer/policy/RequestStateTest.java
+++ b/src/test/java/loadbalancer/policy/RequestStateTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class RequestStateTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
     private static final long TICK_MICROS = 20_000;
 
     private static ServerState server(String id, int cell, int zone) {
@@ -19,12 +19,12 @@
 
     private static RequestState requestSentTo(Policy.RequestClass requestClass, ServerState server) {
         RequestState request = PolicyFixtures.request(requestClass);
-        PolicyFixtures.send(request, server, NOW);
+        PolicyFixtures.send(request, server, NOW_MICROS);
         return request;
     }
 
     private static boolean mayRunOn(RequestState request, ServerState server) {
-        return request.mayRunOn(server, NOW, TICK_MICROS);
+        return request.mayRunOn(server, NOW_MICROS, TICK_MICROS);
     }
 
     @Test
@@ -68,8 +68,8 @@
         ServerState server = server("a", 1, 1);
         RequestState request = requestSentTo(PolicyFixtures.keyed(Scope.ALL), server);
         long keyMemoryMicros = request.requestClass.keyTtlMicros();
-        assertTrue(request.mayRunOn(server, NOW + keyMemoryMicros - TICK_MICROS - 1, TICK_MICROS));
-        assertFalse(request.mayRunOn(server, NOW + keyMemoryMicros - TICK_MICROS, TICK_MICROS));
+        assertTrue(request.mayRunOn(server, NOW_MICROS + keyMemoryMicros - TICK_MICROS - 1, TICK_MICROS));
+        assertFalse(request.mayRunOn(server, NOW_MICROS + keyMemoryMicros - TICK_MICROS, TICK_MICROS));
     }
 
     @Test
@@ -86,7 +86,7 @@
     void aRequestWhoseObjectiveHasPassedHasLowPriority() {
         RequestState late = PolicyFixtures.request("r", PolicyFixtures.SAFE, 0, false);
         assertTrue(late.lowPriority);
-        assertEquals(NOW, late.latestStartAtMicros());
+        assertEquals(NOW_MICROS, late.latestStartAtMicros());
         assertFalse(PolicyFixtures.request(PolicyFixtures.SAFE).lowPriority);
     }
 
--- a/src/test/java/loadbalancer/policy/SequencedKeysTest.java
+++ b/src/test/java/loadbalancer/policy/SequencedKeysTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class SequencedKeysTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
     private static final long ORDER_PAUSE_MICROS = 1_000;
 
     private final SequencedKeys keys = new SequencedKeys();
@@ -23,9 +23,9 @@
     }
 
     private static void endRequest(RequestState request, Outcome outcome) {
-        AttemptState attempt = PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW);
+        AttemptState attempt = PolicyFixtures.send(request, PolicyFixtures.server("s"), NOW_MICROS);
         attempt.mayHaveRun = !outcome.neverRan();
-        SequencedKeys.attemptEnded(request, attempt, outcome, NOW, ORDER_PAUSE_MICROS);
+        SequencedKeys.attemptEnded(request, attempt, outcome, NOW_MICROS, ORDER_PAUSE_MICROS);
         SequencedKeys.remove(request);
     }
 
@@ -33,15 +33,15 @@
     void requestsOfAKeyRunOneAtATime() {
         RequestState first = add("first");
         RequestState second = add("second");
-        assertTrue(SequencedKeys.mayRun(first, NOW));
-        assertFalse(SequencedKeys.mayRun(second, NOW));
+        assertTrue(SequencedKeys.mayRun(first, NOW_MICROS));
+        assertFalse(SequencedKeys.mayRun(second, NOW_MICROS));
         endRequest(first, Outcome.OK);
-        assertTrue(SequencedKeys.mayRun(second, NOW));
+        assertTrue(SequencedKeys.mayRun(second, NOW_MICROS));
     }
 
     @Test
     void aRequestWithoutASequenceMayRunAtAnyTime() {
-        assertTrue(SequencedKeys.mayRun(PolicyFixtures.request(PolicyFixtures.UNSAFE), NOW));
+        assertTrue(SequencedKeys.mayRun(PolicyFixtures.request(PolicyFixtures.UNSAFE), NOW_MICROS));
     }
 
     @Test
@@ -52,10 +52,10 @@
             RequestState second = add("second");
             first.sequencedKey.blockedUntilMicros = 0;
             endRequest(first, outcome);
-            if (!SequencedKeys.mayRun(second, NOW + ORDER_PAUSE_MICROS - 1)) {
+            if (!SequencedKeys.mayRun(second, NOW_MICROS + ORDER_PAUSE_MICROS - 1)) {
                 outcomesWithRest.add(outcome);
             }
-            assertTrue(SequencedKeys.mayRun(second, NOW + ORDER_PAUSE_MICROS));
+            assertTrue(SequencedKeys.mayRun(second, NOW_MICROS + ORDER_PAUSE_MICROS));
             SequencedKeys.remove(second);
         }
         assertEquals(EnumSet.of(Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED), outcomesWithRest);
@@ -66,11 +66,11 @@
         RequestState first = add("first");
         SequencedKey sequence = first.sequencedKey;
         endRequest(first, Outcome.RESET);
-        keys.removeIdle(NOW + ORDER_PAUSE_MICROS - 1);
+        keys.removeIdle(NOW_MICROS + ORDER_PAUSE_MICROS - 1);
         assertEquals(sequence, add("second").sequencedKey);
         SequencedKeys.remove(add("third"));
         sequence.requests.clear();
-        keys.removeIdle(NOW + ORDER_PAUSE_MICROS);
+        keys.removeIdle(NOW_MICROS + ORDER_PAUSE_MICROS);
         assertNotSame(sequence, add("fourth").sequencedKey);
     }
 }
--- a/src/test/java/loadbalancer/policy/ServerSamplerTest.java
+++ b/src/test/java/loadbalancer/policy/ServerSamplerTest.java
@@ -34,7 +34,7 @@
     }
 
     private static ServerState select(ServerSampler sampler, List<ServerState> servers) {
-        return sampler.select(new ArrayList<>(servers), PolicyFixtures.NOW, PolicyFixtures.NO_ACTIONS);
+        return sampler.select(new ArrayList<>(servers), PolicyFixtures.NOW_MICROS, PolicyFixtures.NO_ACTIONS);
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/SettingsReloadTest.java
+++ b/src/test/java/loadbalancer/policy/SettingsReloadTest.java
@@ -25,8 +25,8 @@
         final Map<String, Integer> responseCounts = new HashMap<>();
         final Set<String> mayHaveRun = new java.util.HashSet<>();
         final ArrayDeque<OutstandingAttempt> outstanding = new ArrayDeque<>();
-        long wakeAt = Long.MAX_VALUE;
-        long now;
+        long wakeAtMicros = Long.MAX_VALUE;
+        long nowMicros;
 
         @Override
         public void send(String request, String server, long timeoutMicros) {
@@ -53,7 +53,7 @@
 
         @Override
         public void wakeAfter(long delayMicros) {
-            wakeAt = Math.min(wakeAt, now + delayMicros);
+            wakeAtMicros = Math.min(wakeAtMicros, nowMicros + delayMicros);
         }
     }
 
@@ -112,16 +112,16 @@
             policy.updateEndpoints(0, Policy.ListKind.PERSISTED, servers, caller);
             int requestCount = 0;
             for (int step = 0; step < 1_500; step++) {
-                caller.now += random.nextInt(1_500);
-                if (caller.now >= caller.wakeAt) {
-                    caller.wakeAt = Long.MAX_VALUE;
-                    policy.wake(caller.now, caller);
+                caller.nowMicros += random.nextInt(1_500);
+                if (caller.nowMicros >= caller.wakeAtMicros) {
+                    caller.wakeAtMicros = Long.MAX_VALUE;
+                    policy.wake(caller.nowMicros, caller);
                 }
                 int eventDraw = random.nextInt(20);
                 if (eventDraw == 0) {
                     Policy.Settings next = settings(random, 1 + random.nextInt(4));
                     policy.reload(
-                            caller.now,
+                            caller.nowMicros,
                             next,
                             formerNumbers(
                                     random,
@@ -141,7 +141,7 @@
                     int tenant = settings.tenants().isEmpty()
                             ? 0
                             : random.nextInt(settings.tenants().size());
-                    policy.request(caller.now, id, classIndex, tenant, null, 400_000, -1, false, caller);
+                    policy.request(caller.nowMicros, id, classIndex, tenant, null, 400_000, -1, false, caller);
                 } else if (!caller.outstanding.isEmpty()) {
                     OutstandingAttempt attempt = caller.outstanding.poll();
                     Outcome[] outcomes = {
@@ -163,7 +163,7 @@
                         caller.responseCounts.put(attempt.request(), 1);
                     }
                     policy.outcome(
-                            caller.now,
+                            caller.nowMicros,
                             attempt.request(),
                             attempt.number(),
                             outcome,
@@ -174,14 +174,21 @@
                 }
             }
             for (int i = 0; i < 2_000; i++) {
-                caller.now += 2_000;
-                policy.wake(caller.now, caller);
+                caller.nowMicros += 2_000;
+                policy.wake(caller.nowMicros, caller);
                 while (!caller.outstanding.isEmpty()) {
                     OutstandingAttempt attempt = caller.outstanding.poll();
                     caller.mayHaveRun.add(attempt.request());
                     caller.responseCounts.putIfAbsent(attempt.request(), 1);
                     policy.outcome(
-                            caller.now, attempt.request(), attempt.number(), Outcome.OK, 10_000, true, null, caller);
+                            caller.nowMicros,
+                            attempt.request(),
+                            attempt.number(),
+                            Outcome.OK,
+                            10_000,
+                            true,
+                            null,
+                            caller);
                 }
             }
             assertEquals(caller.classById.keySet(), caller.responseCounts.keySet(), "seed " + seed);
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Test;
 
 class SlowStartTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
     private static final long RAMP_MICROS = 20_000_000;
 
     private final SlowStart slowStart =
             new SlowStart(PolicyFixtures.activeSettings(PolicyFixtures.SAFE), new DecayScale());
 
-    private static ServerState serverStartedAt(long startedAt) {
-        ServerState server = new ServerState(new Server("new", State.UP, startedAt, 1, 0, 0, 0), 0);
-        server.slowStartTokensUpdatedAtMicros = NOW;
+    private static ServerState serverStartedAt(long startedAtMicros) {
+        ServerState server = new ServerState(new Server("new", State.UP, startedAtMicros, 1, 0, 0, 0), 0);
+        server.slowStartTokensUpdatedAtMicros = NOW_MICROS;
         return server;
     }
 
@@ -30,8 +30,8 @@
     /** Attempts that a server may be sent within ten seconds, checked every millisecond. */
     private int attemptsInTenSeconds(ServerState server) {
         int sent = 0;
-        for (long now = NOW; now < NOW + 10_000_000; now += 1_000) {
-            if (slowStart.hasBudget(server, now)) {
+        for (long nowMicros = NOW_MICROS; nowMicros < NOW_MICROS + 10_000_000; nowMicros += 1_000) {
+            if (slowStart.hasBudget(server, nowMicros)) {
                 SlowStart.recordDispatch(server);
                 sent++;
             }
@@ -41,31 +41,31 @@
 
     @Test
     void aServerIsWarmAfterItsRampTime() {
-        assertTrue(slowStart.isWarm(serverStartedAt(0), NOW), "started long ago");
-        assertTrue(slowStart.isWarm(serverStartedAt(NOW - RAMP_MICROS), NOW));
-        assertFalse(slowStart.isWarm(serverStartedAt(NOW - RAMP_MICROS + 1), NOW));
+        assertTrue(slowStart.isWarm(serverStartedAt(0), NOW_MICROS), "started long ago");
+        assertTrue(slowStart.isWarm(serverStartedAt(NOW_MICROS - RAMP_MICROS), NOW_MICROS));
+        assertFalse(slowStart.isWarm(serverStartedAt(NOW_MICROS - RAMP_MICROS + 1), NOW_MICROS));
     }
 
     @Test
     void aWarmServerIsNotLimited() {
         ServerState server = serverStartedAt(0);
         server.slowStartTokens = -100;
-        assertTrue(slowStart.hasBudget(server, NOW));
+        assertTrue(slowStart.hasBudget(server, NOW_MICROS));
     }
 
     @Test
     void aNewServerGetsAGrowingProportionOfAWarmServersRate() {
-        slowStart.refresh(warmServer(1_000), NOW); // 100 responses per second
-        int sentFromStart = attemptsInTenSeconds(serverStartedAt(NOW));
+        slowStart.refresh(warmServer(1_000), NOW_MICROS); // 100 responses per second
+        int sentFromStart = attemptsInTenSeconds(serverStartedAt(NOW_MICROS));
         // 2.4 times 100 per second, for ten seconds in which the warmth rises from 0.2 to 0.6.
         assertEquals(2.4 * 100 * 10 * 0.4, sentFromStart, 50);
-        int sentFromHalfRamp = attemptsInTenSeconds(serverStartedAt(NOW - RAMP_MICROS / 2));
+        int sentFromHalfRamp = attemptsInTenSeconds(serverStartedAt(NOW_MICROS - RAMP_MICROS / 2));
         assertEquals(2.4 * 100 * 10 * 0.8, sentFromHalfRamp, 50);
     }
 
     @Test
     void withoutAnyMeasurementANewServerGetsAFewAttempts() {
-        int sent = attemptsInTenSeconds(serverStartedAt(NOW));
+        int sent = attemptsInTenSeconds(serverStartedAt(NOW_MICROS));
         assertTrue(sent > 5 && sent < 80, "sent " + sent);
     }
 
@@ -75,9 +75,9 @@
         inSubset.successes = 1_000;
         inSubset.inSubset = true;
         ServerState idle = PolicyFixtures.server("idle", 9, 0);
-        slowStart.refresh(new ServerState[] {inSubset, idle}, NOW);
-        ServerState newOutsideSubset = serverStartedAt(NOW);
-        ServerState newInSubset = serverStartedAt(NOW);
+        slowStart.refresh(new ServerState[] {inSubset, idle}, NOW_MICROS);
+        ServerState newOutsideSubset = serverStartedAt(NOW_MICROS);
+        ServerState newInSubset = serverStartedAt(NOW_MICROS);
         newInSubset.inSubset = true;
         int expectedRatio = 5; // 1.2 times all of the responses, against 2.4 times a tenth of them
         assertEquals(
--- a/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class SubsetSelectorTest {
-    private static final long NOW = PolicyFixtures.NOW;
+    private static final long NOW_MICROS = PolicyFixtures.NOW_MICROS;
 
     private final SplittableRandom random = new SplittableRandom(1);
     private final ArrivalRate arrivals = new ArrivalRate();
@@ -44,75 +44,76 @@
         return selector(new Prices(0, 0));
     }
 
-    private void updateEndpoints(int count, long startedAt, int zones) {
+    private void updateEndpoints(int count, long startedAtMicros, int zones) {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            servers.add(new Server("s" + i, State.UP, startedAt, 1, 0, 0, i % zones));
+            servers.add(new Server("s" + i, State.UP, startedAtMicros, 1, 0, 0, i % zones));
         }
-        endpoints.update(NOW, ListKind.COMPLETE, servers);
+        endpoints.update(NOW_MICROS, ListKind.COMPLETE, servers);
     }
 
     @Test
     void anIdleBalancerUsesTheSameSixServers() {
         updateEndpoints(50, 0, 1);
         SubsetSelector selector = selector();
-        List<ServerState> candidates = selector.candidates(request, NOW);
+        List<ServerState> candidates = selector.candidates(request, NOW_MICROS);
         assertEquals(6, candidates.size());
-        assertEquals(candidates, selector.candidates(request, NOW + 1_000_000));
+        assertEquals(candidates, selector.candidates(request, NOW_MICROS + 1_000_000));
     }
 
     /** 100 requests at once count as a rate of 35 per second. */
     private void recordBusyTraffic() {
         updateEndpoints(80, 0, 1);
         for (int i = 0; i < 100; i++) {
-            arrivals.record(NOW, false);
+            arrivals.record(NOW_MICROS, false);
         }
     }
 
     @Test
     void aBusyBalancerUsesServersThatItVisitsEveryOneAndAHalfSeconds() {
         recordBusyTraffic();
-        assertEquals(52, selector().candidates(request, NOW).size());
+        assertEquals(52, selector().candidates(request, NOW_MICROS).size());
     }
 
     @Test
     void aBusyBalancerUsesFewerServersWhereHandshakesHaveAPrice() {
         recordBusyTraffic();
-        assertEquals(17, selector(new Prices(0, 0.1)).candidates(request, NOW).size());
+        assertEquals(
+                17, selector(new Prices(0, 0.1)).candidates(request, NOW_MICROS).size());
     }
 
     @Test
     void anEjectedServerIsReplacedByTheNextOne() {
         updateEndpoints(50, 0, 1);
         SubsetSelector selector = selector();
-        List<ServerState> before = selector.candidates(request, NOW);
-        before.get(2).ejectedUntilMicros = NOW + 1_000_000;
-        List<ServerState> after = selector.candidates(request, NOW);
+        List<ServerState> before = selector.candidates(request, NOW_MICROS);
+        before.get(2).ejectedUntilMicros = NOW_MICROS + 1_000_000;
+        List<ServerState> after = selector.candidates(request, NOW_MICROS);
         assertEquals(6, after.size());
         assertFalse(after.contains(before.get(2)));
     }
 
     @Test
     void serversInSlowStartDoNotCountTowardsTheSubset() {
-        updateEndpoints(10, NOW - 10_000_000, 1);
+        updateEndpoints(10, NOW_MICROS - 10_000_000, 1);
         endpoints.upServers().forEach(server -> server.slowStartTokens = 2);
-        assertEquals(10, selector().candidates(request, NOW).size(), "none of them is warm");
+        assertEquals(10, selector().candidates(request, NOW_MICROS).size(), "none of them is warm");
     }
 
     @Test
     void aServerThatWasTriedIsUsedOnlyWhereThereIsNoOther() {
         updateEndpoints(2, 0, 1);
         SubsetSelector selector = selector();
-        PolicyFixtures.send(request, endpoints.upServers().get(0), NOW);
-        assertEquals(List.of(endpoints.upServers().get(1)), selector.candidates(request, NOW));
-        PolicyFixtures.send(request, endpoints.upServers().get(1), NOW);
-        assertEquals(new HashSet<>(endpoints.upServers()), new HashSet<>(selector.candidates(request, NOW)));
+        PolicyFixtures.send(request, endpoints.upServers().get(0), NOW_MICROS);
+        assertEquals(List.of(endpoints.upServers().get(1)), selector.candidates(request, NOW_MICROS));
+        PolicyFixtures.send(request, endpoints.upServers().get(1), NOW_MICROS);
+        assertEquals(new HashSet<>(endpoints.upServers()), new HashSet<>(selector.candidates(request, NOW_MICROS)));
     }
 
     @Test
     void whereCrossingZonesHasAPriceOnlyServersOfTheOwnZoneCount() {
         updateEndpoints(60, 0, 2);
-        List<ServerState> candidates = selector(new Prices(0.1, 0)).candidates(request, NOW);
+        List<ServerState> candidates = selector(new Prices(0.1, 0)).candidates(request, NOW_MICROS);
         assertEquals(6, candidates.stream().filter(s -> s.endpoint.zone() == 0).count());
         assertTrue(candidates.size() <= 4 * 6);
     }
@@ -134,7 +135,7 @@
                 false,
                 Set.of(1),
                 Set.of());
-        List<ServerState> candidates = selector().candidates(PolicyFixtures.request(restrictedClass), NOW);
+        List<ServerState> candidates = selector().candidates(PolicyFixtures.request(restrictedClass), NOW_MICROS);
         assertEquals(6, candidates.size());
         assertTrue(candidates.stream().allMatch(s -> s.endpoint.zone() == 1));
     }
@@ -143,9 +144,9 @@
     void refreshMarksTheServersOfTheSubset() {
         updateEndpoints(50, 0, 1);
         SubsetSelector selector = selector();
-        selector.refresh(NOW);
+        selector.refresh(NOW_MICROS);
         List<ServerState> marked =
                 endpoints.upServers().stream().filter(server -> server.inSubset).toList();
-        assertEquals(new HashSet<>(selector.candidates(request, NOW)), new HashSet<>(marked));
+        assertEquals(new HashSet<>(selector.candidates(request, NOW_MICROS)), new HashSet<>(marked));
     }
 }
