--- a/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoverySubscriptionTest.java
@@ -117,8 +117,8 @@
      * back counts as notified 6 s later, whether or not the balancer has called, and its grace ends one second after
      * that. In a soak (seed 570002) a process did not call until 3.8 s after discovery had come back: it had failed
      * four times, and {@code event=discovery_failed attempts=3} was followed by calls 2.0 and 4.7 s later. After more
-     * failures the wait grew to 6.25 s with an {@code askWithin} of 10 s, and to 12 s with 60 s; an unanswered call was
-     * repeated after 6.25 s up to 37 s.
+     * failures the wait grew to 6.25 s with an {@code askWithinMicros} of 10 s, and to 12 s with 60 s; an unanswered
+     * call was repeated after 6.25 s up to 37 s.
      */
     @ParameterizedTest
     @ValueSource(longs = {3_000_000, 10_000_000, 60_000_000})
